--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -5,11 +5,15 @@
 mod leader;
 #[path = "support/machine_type.rs"]
 mod machine_type;
+#[path = "support/recorded_core.rs"]
+mod recorded_core;
+#[path = "support/wire_digest.rs"]
+mod wire_digest;
 
 use chalklug::coordination::recovery::Inheritance;
 use chalklug::coordination::waiting::WaitReason;
 use chalklug::coordination::worker_sessions::CheckInAnswer;
-use chalklug::coordination::{Core, Effect, Event, Policy};
+use chalklug::coordination::{Effect, Event, Policy};
 use chalklug::ids::*;
 use chalklug::protocol::state::{Change, Item};
 use chalklug::protocol::users::{parse_submission, JobPhase};
@@ -17,6 +21,7 @@
 use chalklug::storage::records::*;
 use leader::lead;
 use machine_type::machine_type;
+use recorded_core::RecordedCore;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
@@ -135,7 +140,7 @@
 #[test]
 fn a_large_fleet_is_taken_over_and_reports_without_news_cost_nothing() {
     let mut now = Millis(1000);
-    let mut core = Core::take_over(policy(), lead(9), now, inherited()).unwrap();
+    let mut core = RecordedCore::take_over(policy(), lead(9), now, inherited()).unwrap();
     core.audit().unwrap();
     assert_eq!(core.machines_up(), MACHINES as usize);
     // Everything may be running: nothing of it is started, stopped, returned or rented for.
@@ -172,7 +177,7 @@
 #[test]
 fn what_a_wave_of_endings_asks_for_follows_the_wave() {
     let mut now = Millis(1000);
-    let mut core = Core::take_over(policy(), lead(9), now, inherited()).unwrap();
+    let mut core = RecordedCore::take_over(policy(), lead(9), now, inherited()).unwrap();
     for n in 0..MACHINES {
         core.check_in(now, &report(n, 1, 9, 0));
     }
@@ -238,7 +243,11 @@
 }
 
 /// Steps the core until the given time; says how many starts of each job were put on record.
-fn starts_recorded(core: &mut Core, now: &mut Millis, until: Millis) -> BTreeMap<JobId, usize> {
+fn starts_recorded(
+    core: &mut RecordedCore,
+    now: &mut Millis,
+    until: Millis,
+) -> BTreeMap<JobId, usize> {
     let mut tasks: BTreeMap<JobId, BTreeSet<u32>> = BTreeMap::new();
     while *now < until {
         *now = *now + Millis(50);
@@ -265,11 +274,11 @@
 }
 
 /// The core of a new leader to which every machine has reported that nothing is on it.
-fn idle_fleet(policy: Arc<Policy>, now: Millis) -> Core {
+fn idle_fleet(policy: Arc<Policy>, now: Millis) -> RecordedCore {
     let mut found = inherited();
     found.open.clear();
     found.intents.clear();
-    let mut core = Core::take_over(policy, lead(9), now, found).unwrap();
+    let mut core = RecordedCore::take_over(policy, lead(9), now, found).unwrap();
     for n in 0..MACHINES {
         let mut empty = report(n, 1, 9, 0);
         empty.tasks.clear();
@@ -314,7 +323,7 @@
 #[test]
 fn each_waiting_job_has_a_reason() {
     let now = Millis(1000);
-    let mut core = Core::take_over(policy(), lead(9), now, inherited()).unwrap();
+    let mut core = RecordedCore::take_over(policy(), lead(9), now, inherited()).unwrap();
     // Every GPU of the team's limit may be in use, and no machine has reported yet.
     core.on(now, gpu_job("wk-900001", 4, Vec::new()));
     let small = JobId::from("wk-900001");
@@ -395,7 +404,7 @@
 #[test]
 fn a_new_leader_learns_when_a_job_was_released() {
     let now = Millis(100_000);
-    let mut core = Core::take_over(policy(), lead(9), now, inherited()).unwrap();
+    let mut core = RecordedCore::take_over(policy(), lead(9), now, inherited()).unwrap();
     let producers = ["wk-800001", "wk-800002"].map(JobId::from).to_vec();
     core.on(now, gpu_job("wk-900001", 4, producers.clone()));
     core.on(now, gpu_job("wk-900002", 4, vec![JobId::from("wk-800003")]));
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -7,8 +7,12 @@
 mod faults;
 #[path = "support/machine_type.rs"]
 mod machine_type;
+#[path = "support/recorded_core.rs"]
+mod recorded_core;
 #[path = "upgrade/repacking.rs"]
 mod repacking;
+#[path = "support/wire_digest.rs"]
+mod wire_digest;
 mod world;
 
 use chalklug::ids::*;
@@ -296,6 +300,7 @@
         rules_kept &= !(e[0] == "expect" && e[1] == "broken");
     }
     let mut w = g.world();
+    w.digest.set_name(&file);
     for (t, list) in events {
         w.run_until(Millis(t));
         for e in list {
--- a/tests/stale_knowledge.rs
+++ b/tests/stale_knowledge.rs
@@ -5,10 +5,14 @@
 mod leader;
 #[path = "support/machine_type.rs"]
 mod machine_type;
+#[path = "support/recorded_core.rs"]
+mod recorded_core;
+#[path = "support/wire_digest.rs"]
+mod wire_digest;
 
 use chalklug::coordination::recovery::Inheritance;
 use chalklug::coordination::worker_sessions::CheckInAnswer;
-use chalklug::coordination::{Core, Effect, Event};
+use chalklug::coordination::{Effect, Event};
 use chalklug::ids::*;
 use chalklug::protocol::state::{Change, Item};
 use chalklug::protocol::users::parse_submission;
@@ -16,6 +20,7 @@
 use chalklug::storage::records::*;
 use leader::{lead, policy};
 use machine_type::machine_type;
+use recorded_core::RecordedCore;
 
 const FORMER_TOKEN: u64 = 8;
 const TOKEN: u64 = 9;
@@ -58,7 +63,7 @@
 }
 
 /// A new leader that finds these jobs open, and job 1 on record as running on the machine.
-fn leader(open: &[OpenRecord]) -> Core {
+fn leader(open: &[OpenRecord]) -> RecordedCore {
     let mut machines = HostsPage {
         kinds: vec![(MachineType::from("box"), Zone::from("a"), false)],
         ..HostsPage::default()
@@ -79,7 +84,7 @@
         machine_types: vec![machine_type(8.0)],
         ..Inheritance::default()
     };
-    Core::take_over(policy(64.0, 10), lead(TOKEN), BEGAN, found).unwrap()
+    RecordedCore::take_over(policy(64.0, 10), lead(TOKEN), BEGAN, found).unwrap()
 }
 
 /// A report with job 1 in that phase; None: the machine is empty.
@@ -115,7 +120,7 @@
 }
 
 /// Steps for so long, with every write carried out; what was written.
-fn settle(core: &mut Core, from: Millis, for_ms: i64) -> Vec<Change> {
+fn settle(core: &mut RecordedCore, from: Millis, for_ms: i64) -> Vec<Change> {
     let mut written = Vec::new();
     for ms in (0..for_ms).step_by(100) {
         let now = from + Millis(ms);
--- /dev/null
+++ b/tests/support/wire_digest.rs
@@ -0,0 +1,142 @@
+//! Digests of all that a leader sends: two versions of the decision core that behave alike give the
+//! same ones. Off unless `WIRE_DIGESTS` names a file, see `tests/scenarios/README.md`.
+
+use chalklug::coordination::worker_sessions::CheckInAnswer;
+use chalklug::coordination::Effect;
+use chalklug::ids::{Millis, Token};
+use chalklug::protocol::cloud::{RentRequest, ReturnRequest};
+use chalklug::protocol::workers::{CheckInReply, Commands};
+use chalklug::storage::records::final_key;
+use sha2::{Digest, Sha256};
+use std::cell::Cell;
+use std::io::Write;
+
+/// Names the file that a line for each run is appended to: its name, its digest, and how many messages
+/// went into it.
+const OUTPUT_VARIABLE: &str = "WIRE_DIGESTS";
+
+thread_local! {
+    /// Runs that the present test has begun.
+    static RUNS: Cell<u32> = const { Cell::new(0) };
+}
+
+/// The digest of one run: every transaction, read, command, answer and request to the cloud, as
+/// serialized on the wire, in order, each with its time.
+pub struct WireDigest {
+    name: String,
+    messages: u64,
+    hasher: Sha256,
+}
+
+impl WireDigest {
+    /// The digest of the next run of this test, named after the test and counted.
+    pub fn new() -> WireDigest {
+        let run = RUNS.replace(RUNS.get() + 1);
+        let thread = std::thread::current();
+        let test = thread.name().unwrap_or("unnamed");
+        WireDigest {
+            name: format!("{test}#{run}"),
+            messages: 0,
+            hasher: Sha256::new(),
+        }
+    }
+
+    /// Names the run.
+    #[allow(dead_code, reason = "not every test binary names its runs")]
+    pub fn set_name(&mut self, name: &str) {
+        self.name = name.to_owned();
+    }
+
+    /// What a step of the core asks for.
+    pub fn effects(&mut self, now: Millis, effects: &[Effect]) {
+        for effect in effects {
+            self.effect(now, effect);
+        }
+    }
+
+    /// The answer to a worker's check-in.
+    pub fn check_in_answer(&mut self, now: Millis, token: Token, answer: &CheckInAnswer) {
+        match answer {
+            CheckInAnswer::Orders(orders) => {
+                let orders = orders.clone();
+                self.message(now, "answer", &CheckInReply { token, orders });
+            }
+            CheckInAnswer::Refuse => self.message(now, "refusal", &()),
+        }
+    }
+
+    fn effect(&mut self, now: Millis, effect: &Effect) {
+        match effect {
+            Effect::Write { txn, .. } => self.message(now, "transaction", txn),
+            Effect::Reread { keys, .. } => self.message(now, "read", keys),
+            Effect::ReadMarks { ids } => {
+                let keys: Vec<String> = ids.iter().map(final_key).collect();
+                self.message(now, "read", &keys);
+            }
+            Effect::Direct {
+                host,
+                endpoint,
+                token,
+                session,
+                orders,
+                ..
+            } => {
+                let commands = Commands {
+                    token: *token,
+                    session: *session,
+                    orders: orders.clone(),
+                };
+                self.message(now, "commands", &(host, endpoint, commands));
+            }
+            Effect::Rent {
+                hire,
+                machine_type,
+                zone,
+                spot,
+                count,
+            } => {
+                let request = RentRequest {
+                    hire: hire.clone(),
+                    machine_type: machine_type.clone(),
+                    zone: zone.clone(),
+                    spot: *spot,
+                    count: *count,
+                };
+                self.message(now, "rental", &request);
+            }
+            Effect::Return { hosts } => {
+                let hosts = hosts.clone();
+                self.message(now, "return", &ReturnRequest { hosts });
+            }
+            Effect::StepDown { .. } => self.message(now, "step down", &()),
+        }
+    }
+
+    fn message<T: serde::Serialize>(&mut self, now: Millis, kind: &str, body: &T) {
+        let body = serde_json::to_string(body).expect("messages can be serialized");
+        if std::env::var_os("WIRE_DIGEST_MESSAGES").is_some() {
+            eprintln!("{} {} {kind} {body}", self.name, now.0);
+        }
+        self.hasher.update(format!("{} {kind} {body}\n", now.0));
+        self.messages += 1;
+    }
+}
+
+impl Drop for WireDigest {
+    fn drop(&mut self) {
+        let Some(path) = std::env::var_os(OUTPUT_VARIABLE) else {
+            return;
+        };
+        let digest = std::mem::take(&mut self.hasher).finalize();
+        let digest: String = digest.iter().map(|byte| format!("{byte:02x}")).collect();
+        let line = format!("{} {digest} {}\n", self.name, self.messages);
+        let file = std::fs::OpenOptions::new()
+            .append(true)
+            .create(true)
+            .open(path);
+        let written = file.and_then(|mut file| file.write_all(line.as_bytes()));
+        if let Err(error) = written {
+            eprintln!("{OUTPUT_VARIABLE}: {error}");
+        }
+    }
+}
--- a/tests/upgrade/repacking.rs
+++ b/tests/upgrade/repacking.rs
@@ -2,10 +2,11 @@
 //! what it will take, and at no moment is a machine on no page.
 
 use super::machine_type::machine_type;
+use super::recorded_core::RecordedCore;
 use super::world::store::Store;
 use chalklug::coordination::leadership::Lead;
 use chalklug::coordination::recovery::Inheritance;
-use chalklug::coordination::{Core, Effect, Event, Policy};
+use chalklug::coordination::{Effect, Event, Policy};
 use chalklug::ids::*;
 use chalklug::protocol::state::{Change, Txn};
 use chalklug::protocol::users::parse_submission;
@@ -67,7 +68,7 @@
     store
 }
 
-fn take_over(store: &Store, now: Millis, token: u64, next: &str) -> Core {
+fn take_over(store: &Store, now: Millis, token: u64, next: &str) -> RecordedCore {
     let lead = Lead {
         token: Token(token),
         first: Token(token),
@@ -83,7 +84,7 @@
         day_ms: 1_700_000_000_000,
         ..Inheritance::default()
     };
-    Core::take_over(policy(next), lead, now, found).expect("all pages can be read")
+    RecordedCore::take_over(policy(next), lead, now, found).expect("all pages can be read")
 }
 
 /// Machines on any page, and how often each is listed.
@@ -109,7 +110,7 @@
 
 /// Lets the core write for so long; after each transaction every machine must be listed. Says how many
 /// transactions the service has refused for their size.
-fn write_for(core: &mut Core, store: &mut Store, now: &mut Millis, span: Millis) -> usize {
+fn write_for(core: &mut RecordedCore, store: &mut Store, now: &mut Millis, span: Millis) -> usize {
     let all: BTreeSet<HostId> = (0..MACHINES).map(host).collect();
     let end = *now + span;
     let mut rejected = 0;
@@ -168,7 +169,7 @@
 }
 
 /// Opens so many jobs that need `wk-900`.
-fn open_consumers(core: &mut Core, now: Millis, count: u32) {
+fn open_consumers(core: &mut RecordedCore, now: Millis, count: u32) {
     for n in 0..count {
         let body = serde_json::json!({"ref": format!("wk-{n}"), "jobclass": "c", "crew": "blue",
             "shape": "array", "urgency": "normal", "pieces": 40, "cpus": 1, "gpus": 0, "ramGb": 1,
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -10,6 +10,7 @@
 pub mod troubles;
 pub mod worker;
 
+use super::wire_digest::WireDigest;
 use chalklug::coordination::leadership::Authority;
 use chalklug::coordination::worker_sessions::CheckInAnswer;
 use chalklug::coordination::{Core, Effect, Event, Policy};
@@ -126,6 +127,8 @@
     pub copies: f64,
     pub repeats: f64,
     pub boot_never: u32,
+    /// Of all that the leaders send.
+    pub digest: WireDigest,
 }
 
 impl World {
@@ -176,6 +179,7 @@
             copies: 0.0,
             repeats: 0.0,
             boot_never: 0,
+            digest: WireDigest::new(),
         }
     }
 
@@ -311,6 +315,7 @@
             self.list_machines();
         }
         let effects = self.core.as_mut().map_or(Vec::new(), |c| c.step(now));
+        self.digest.effects(now, &effects);
         for e in effects {
             self.carry_out(e);
         }
@@ -401,8 +406,10 @@
                 let Some(core) = self.core.as_mut() else {
                     return;
                 };
-                if let CheckInAnswer::Orders(orders) = core.check_in(now, &report) {
-                    let token = core.token();
+                let answer = core.check_in(now, &report);
+                let token = core.token();
+                self.digest.check_in_answer(now, token, &answer);
+                if let CheckInAnswer::Orders(orders) = answer {
                     self.launches_leave(&orders);
                     let host = report.host.clone();
                     let m = Message::Orders {
