--- a/src/coordination/orders.rs
+++ b/src/coordination/attempts/commands.rs
@@ -1,50 +1,51 @@
 //! What is sent to workers: launches, stops and clears, in answers to check-ins and as direct commands.
 
-use super::{Core, Effect};
-use crate::ids::{HostId, Millis, Session};
-use crate::protocol::workers::{Cause, Order, TaskPhase};
-use crate::storage::ledger::{DirectCarrier, Machine, MachineState, Start};
+use crate::coordination::attempts::task_attempt::{PushDelivery, TaskAttempt};
+use crate::coordination::machines::machine::{Machine, MachineState};
+use crate::coordination::{Effect, Scheduler};
+use crate::ids::{MachineId, Millis, Session};
+use crate::protocol::workers::{Cause, Command, TaskPhase};
 use std::collections::BTreeSet;
 
 /// The part of the wait for a gang by which fetches may differ, as estimated: they take up to half as
 /// long again.
 const PATIENT: f64 = 0.4;
 /// Orders in one message: keeps its line well under 64 KiB.
-const MAX_ORDERS: usize = 400;
+const MAX_COMMANDS: usize = 400;
 
-impl Core {
+impl Scheduler {
     /// Whether an ended start may be cleared: its outcome is durable (or of no interest), and no
     /// launch of the same try can arrive any more and start it afresh.
     ///
     /// Guards against a copy of a direct command that is executed again: once cleared, the worker
     /// would not know the try any more. The command that clears carries a higher token than any that
     /// launched, and a worker refuses lower ones from then on.
-    fn may_clear(&self, s: &Start) -> bool {
-        if !s.ended() || s.in_flight() || s.launched_with.is_some_and(|b| b >= self.lead.token) {
+    fn may_clear(&self, s: &TaskAttempt) -> bool {
+        if !s.ended() || s.in_flight() || s.launched_with.is_some_and(|b| b >= self.term.token) {
             return false;
         }
-        let done = s.seen.is_some_and(|x| x.cause == Some(Cause::Done));
+        let done = s.last_status.is_some_and(|x| x.cause == Some(Cause::Done));
         match self.jobs.get(&s.task.job) {
-            Some(j) if done && !j.over => {
-                j.done.has(s.task.index) && !j.unsaved.contains(&s.task.index)
+            Some(j) if done && !j.closed => {
+                j.done.has(s.task.index) && !j.unpersisted.contains(&s.task.index)
             }
             _ => true,
         }
     }
 
-    fn wants_launch(&self, m: &Machine, s: &Start) -> bool {
+    fn wants_launch(&self, m: &Machine, s: &TaskAttempt) -> bool {
         s.page.is_some()
             && !self.waits_for_mates(s)
             && s.stop.is_none()
-            && s.seen.is_none()
-            && !s.inherited
-            && !m.drain
-            && m.recall_at.is_none()
+            && s.last_status.is_none()
+            && !s.recovered
+            && !m.draining
+            && m.reclaim_at.is_none()
             && m.state == MachineState::Up
             && self
                 .jobs
                 .get(&s.task.job)
-                .is_some_and(|j| j.wants(s.task.index))
+                .is_some_and(|j| j.needs_run(s.task.index))
     }
 
     /// Whether a member of a gang has its image so much sooner than another that it would give up
@@ -53,7 +54,7 @@
     /// Guards against a gang that never stands: on a calm day of the fleet one member had a large
     /// image already, the other's fetch took longer than the wait for a gang; both ended, the fetch
     /// was given up, and the same began anew, four times.
-    fn waits_for_mates(&self, s: &Start) -> bool {
+    fn waits_for_mates(&self, s: &TaskAttempt) -> bool {
         let Some(soon) = s.image_s else {
             return false;
         };
@@ -61,64 +62,64 @@
             return false;
         };
         let patience = self.policy.facts.workers.gang_wait_s * PATIENT;
-        let fetches = |m: &Start| {
+        let fetches = |m: &TaskAttempt| {
             m.task.job == s.task.job
-                && m.attempt == s.attempt
+                && m.attempt_id == s.attempt_id
                 && m.image_s.is_some_and(|later| later > soon + patience)
-                && m.seen.is_none_or(|x| x.phase == TaskPhase::Fetching)
+                && m.last_status.is_none_or(|x| x.phase == TaskPhase::Fetching)
         };
-        job.places
+        job.placements
             .values()
             .flatten()
             .filter_map(|h| self.machines.get(h))
-            .flat_map(Machine::going)
+            .flat_map(Machine::live_attempts)
             .any(fetches)
     }
 
     /// The orders that answer a check-in: all that the worker should know now.
-    pub(super) fn check_in_orders(
+    pub(crate) fn heartbeat_commands(
         &mut self,
         now: Millis,
-        host: &HostId,
+        machine_id: &MachineId,
         fresh: bool,
-    ) -> Vec<Order> {
-        let Some(m) = self.machines.get(host) else {
+    ) -> Vec<Command> {
+        let Some(m) = self.machines.get(machine_id) else {
             return Vec::new();
         };
-        let mut orders = Vec::new();
+        let mut commands = Vec::new();
         let mut launched = Vec::new();
-        for (key, s) in &m.starts {
-            if orders.len() >= MAX_ORDERS {
+        for (key, s) in &m.attempts {
+            if commands.len() >= MAX_COMMANDS {
                 break;
             }
             if s.ended() {
                 if self.may_clear(s) {
-                    orders.push(Order::Clear {
+                    commands.push(Command::Clear {
                         task: s.task.clone(),
-                        attempt: s.attempt,
+                        attempt_id: s.attempt_id,
                     });
                 }
             } else if s.stop.is_some() {
-                orders.extend(Self::stop_order(s, now));
+                commands.extend(Self::stop_command(s, now));
             } else if fresh
                 && self.wants_launch(m, s)
-                && !matches!(s.direct, DirectCarrier::InFlight(_))
+                && !matches!(s.push, PushDelivery::InFlight(_))
             {
-                orders.push(Order::Launch {
+                commands.push(Command::Launch {
                     task: s.task.clone(),
-                    attempt: s.attempt,
+                    attempt_id: s.attempt_id,
                 });
                 launched.push(key.clone());
             }
         }
         let (session, tick) = (m.session, m.tick);
         for key in launched {
-            if let Some(s) = self.start_mut(host, &key) {
-                s.checkin_carrier = Some(tick);
+            if let Some(s) = self.attempt_mut(machine_id, &key) {
+                s.heartbeat_carrier = Some(tick);
                 s.launched_in = Some(session);
             }
         }
-        orders
+        commands
     }
 
     /// The orders of a direct command with what is known as it leaves: launches of tasks that are no longer
@@ -126,94 +127,95 @@
     ///
     /// Guards against a command that waits for its turn on a busy processor while its job is cancelled. The
     /// answer to it lists no such task, so the start is dropped as one that was never launched.
-    pub fn still_wanted(&self, mut orders: Vec<Order>) -> Vec<Order> {
-        orders.retain(|order| match order {
-            Order::Launch { task, .. } => {
+    pub fn still_wanted(&self, mut commands: Vec<Command>) -> Vec<Command> {
+        commands.retain(|command| match command {
+            Command::Launch { task, .. } => {
                 let job = self.jobs.get(&task.job);
-                job.is_some_and(|j| j.wants(task.index))
+                job.is_some_and(|j| j.needs_run(task.index))
             }
-            Order::Stop { .. } | Order::Clear { .. } => true,
+            Command::Stop { .. } | Command::Clear { .. } => true,
         });
-        orders
+        commands
     }
 
     /// Launches and stops that needn't wait for the next check-in go straight to the worker: one
     /// command at a time on each machine, and a bounded number of them at once.
-    pub(crate) fn push_direct(&mut self, now: Millis) {
+    pub(crate) fn send_pushes(&mut self, now: Millis) {
         let mut later = BTreeSet::new();
-        while let Some(host) = self.direct_due.pop_first() {
-            let Some(m) = self.machines.get(&host) else {
+        while let Some(machine_id) = self.pushes_due.pop_first() {
+            let Some(m) = self.machines.get(&machine_id) else {
                 continue;
             };
             // An answer that is awaited brings it back here; so does the worker's first report.
-            let never = m.direct_seq.is_some() || m.endpoint.is_empty() || m.session == Session(0);
+            let never =
+                m.push_in_flight.is_some() || m.endpoint.is_empty() || m.session == Session(0);
             if never || m.state != MachineState::Up {
                 continue;
             }
-            if m.direct_after > now || self.directs >= self.policy.most_direct {
-                later.insert(host);
+            if m.push_not_before > now || self.pushes_in_flight >= self.policy.max_pushes {
+                later.insert(machine_id);
                 continue;
             }
-            self.push_direct_to(now, &host);
+            self.push_to(now, &machine_id);
         }
-        self.direct_due = later;
+        self.pushes_due = later;
     }
 
-    fn push_direct_to(&mut self, now: Millis, host: &HostId) {
-        let Some(m) = self.machines.get(host) else {
+    fn push_to(&mut self, now: Millis, machine_id: &MachineId) {
+        let Some(m) = self.machines.get(machine_id) else {
             return;
         };
-        let mut orders = Vec::new();
+        let mut commands = Vec::new();
         let mut carried = Vec::new();
         let mut stops = Vec::new();
-        for (key, s) in &m.starts {
-            if orders.len() >= MAX_ORDERS {
+        for (key, s) in &m.attempts {
+            if commands.len() >= MAX_COMMANDS {
                 break;
             }
             if let Some(w) = s.stop.filter(|_| !s.ended()) {
                 // Repeats are left to the check-ins.
-                if !w.sent_direct {
-                    orders.extend(Self::stop_order(s, now));
+                if !w.pushed {
+                    commands.extend(Self::stop_command(s, now));
                     stops.push(key.clone());
                 }
             } else if self.wants_launch(m, s) && !s.in_flight() {
-                orders.push(Order::Launch {
+                commands.push(Command::Launch {
                     task: s.task.clone(),
-                    attempt: s.attempt,
+                    attempt_id: s.attempt_id,
                 });
                 carried.push(key.clone());
             }
         }
         // Whether a machine that seems deaf hears us after all is seen by asking it.
-        if orders.is_empty() && !m.deaf() {
+        if commands.is_empty() && !m.is_unreachable() {
             return;
         }
         let (endpoint, session) = (m.endpoint.clone(), m.session);
         let seq = self.seq();
-        let token = self.lead.token;
-        self.directs += 1;
-        if let Some(m) = self.machines.get_mut(host) {
-            m.direct_seq = Some(seq);
+        let token = self.term.token;
+        self.pushes_in_flight += 1;
+        if let Some(m) = self.machines.get_mut(machine_id) {
+            m.push_in_flight = Some(seq);
             for key in carried {
-                if let Some(s) = m.starts.get_mut(&key) {
-                    s.direct = DirectCarrier::InFlight(seq);
+                if let Some(s) = m.attempts.get_mut(&key) {
+                    s.push = PushDelivery::InFlight(seq);
                     s.launched_in = Some(session);
                     s.launched_with = Some(token);
                 }
             }
             for key in stops {
-                if let Some(w) = m.starts.get_mut(&key).and_then(|s| s.stop.as_mut()) {
-                    w.sent_direct = true;
+                if let Some(w) = m.attempts.get_mut(&key).and_then(|s| s.stop.as_mut()) {
+                    w.pushed = true;
                 }
             }
         }
-        self.effects.push(Effect::Direct {
-            host: host.clone(),
+        self.effects.push(Effect::Push {
+            machine_id: machine_id.clone(),
             endpoint,
             seq,
             token,
             session,
-            orders,
+            commands,
         });
     }
 }
--- a/src/coordination/starts.rs
+++ b/src/coordination/attempts/ledger.rs
@@ -2,11 +2,13 @@
 //! change, so that no decision has to add everything up again. `audit` does add everything up, for
 //! tests.
 
-use super::Core;
-use crate::ids::{Attempt, HostId, JobId, Millis, TaskId, TeamNo};
+use crate::coordination::attempts::task_attempt::{LastStatus, TaskAttempt};
+use crate::coordination::machines::machine::{Machine, MachineState};
+use crate::coordination::Scheduler;
+use crate::ids::{AttemptId, JobId, MachineId, Millis, TaskId, TeamIndex};
 use crate::protocol::users::JobSpec;
-use crate::storage::ledger::{Amount, Machine, MachineState, Seen, Start};
-use crate::storage::pages::StartKey;
+use crate::resources::Resources;
+use crate::storage::pages::PlacedAttempt;
 use std::collections::BTreeSet;
 
 /// What is looked up again and again, kept in step with the ledgers.
@@ -23,14 +25,14 @@
     /// Open jobs of which every task is done.
     pub complete: BTreeSet<JobId>,
     /// Open jobs with done tasks that aren't durable.
-    pub unsaved: BTreeSet<JobId>,
+    pub unpersisted: BTreeSet<JobId>,
     /// Jobs that are over and have nothing left anywhere.
     pub finished: BTreeSet<JobId>,
     /// Machines that report and are not full.
-    pub spacious: BTreeSet<HostId>,
+    pub spacious: BTreeSet<MachineId>,
     /// Machines that report and whose GPUs are all taken, but not their CPUs: room for tasks that need
     /// no GPU.
-    pub cpus_left: BTreeSet<HostId>,
+    pub cpus_left: BTreeSet<MachineId>,
 }
 
 /// What kind of room a machine has.
@@ -53,123 +55,125 @@
     }
 }
 
-impl Core {
+impl Scheduler {
     /// What a team uses: everything that may be on a machine, lingering starts included.
-    pub(crate) fn used_by(&self, team: Option<TeamNo>) -> Amount {
+    pub(crate) fn used_by(&self, team: Option<TeamIndex>) -> Resources {
         team.and_then(|t| self.used.get(t.0))
             .copied()
             .unwrap_or_default()
     }
 
-    fn charge(&mut self, team: Option<TeamNo>, need: &Amount, on: bool) {
+    fn charge(&mut self, team: Option<TeamIndex>, request: &Resources, on: bool) {
         if let Some(u) = team.and_then(|t| self.used.get_mut(t.0)) {
             if on {
-                u.add(need);
+                u.add(request);
             } else {
-                u.sub(need);
+                u.sub(request);
             }
         }
     }
 
-    fn charge_machine(m: &mut Machine, need: &Amount, on: bool) {
+    fn charge_machine(m: &mut Machine, request: &Resources, on: bool) {
         if on {
-            m.free.sub(need);
-            m.live += 1;
+            m.free.sub(request);
+            m.live_count += 1;
         } else {
-            m.free.add(need);
-            m.live = m.live.saturating_sub(1);
+            m.free.add(request);
+            m.live_count = m.live_count.saturating_sub(1);
         }
     }
 
     /// Puts a start on a machine.
-    pub(crate) fn put_start(&mut self, host: &HostId, start: Start) {
-        let Some(m) = self.machines.get_mut(host) else {
+    pub(crate) fn insert_attempt(&mut self, machine_id: &MachineId, attempt: TaskAttempt) {
+        let Some(m) = self.machines.get_mut(machine_id) else {
             return;
         };
-        let (need, team, on) = (start.need, start.team, !start.ended());
-        let (job, runs) = (start.task.job.clone(), start.runs());
-        let key = (start.task.clone(), start.attempt);
+        let (request, team, on) = (attempt.request, attempt.team, !attempt.ended());
+        let (job, runs) = (attempt.task.job.clone(), attempt.runs());
+        let key = (attempt.task.clone(), attempt.attempt_id);
         if on {
-            Self::charge_machine(m, &need, true);
+            Self::charge_machine(m, &request, true);
         }
-        let before = m.starts.insert(key, start);
+        let before = m.attempts.insert(key, attempt);
         debug_assert!(before.is_none(), "a start is put once");
         if on {
-            self.charge(team, &need, true);
+            self.charge(team, &request, true);
         }
         if let Some(j) = self.jobs.get_mut(&job) {
             j.listed += 1;
             j.running += u32::from(runs);
         }
         self.index_job(&job);
-        self.index_machine(host);
+        self.index_machine(machine_id);
     }
 
     /// A report says how a start is.
-    pub(crate) fn see_start(
+    pub(crate) fn update_status(
         &mut self,
         now: Millis,
-        host: &HostId,
-        key: &(TaskId, Attempt),
-        seen: Seen,
+        machine_id: &MachineId,
+        key: &(TaskId, AttemptId),
+        last_status: LastStatus,
     ) {
-        let fetch_s = self.longest_fetch_s(host, &key.0.job);
-        let Some(m) = self.machines.get_mut(host) else {
+        let fetch_s = self.longest_fetch_s(machine_id, &key.0.job);
+        let Some(m) = self.machines.get_mut(machine_id) else {
             return;
         };
-        let Some(s) = m.starts.get_mut(key) else {
+        let Some(s) = m.attempts.get_mut(key) else {
             return;
         };
         let (was_on, ran) = (!s.ended(), s.runs());
         // What a former leader launched may have run for long: since its image was there, at the latest.
         let fetched = s.since + Millis::from_secs(fetch_s);
-        let running_since = if s.inherited { fetched.min(now) } else { now };
-        s.seen = Some(seen);
-        if seen.phase == crate::protocol::workers::TaskPhase::Running && s.running_since.is_none() {
+        let running_since = if s.recovered { fetched.min(now) } else { now };
+        s.last_status = Some(last_status);
+        if last_status.phase == crate::protocol::workers::TaskPhase::Running
+            && s.running_since.is_none()
+        {
             s.running_since = Some(running_since);
         }
         let (on, runs) = (!s.ended(), s.runs());
-        let (need, team) = (s.need, s.team);
+        let (request, team) = (s.request, s.team);
         if was_on != on {
-            Self::charge_machine(m, &need, on);
-            self.charge(team, &need, on);
-            self.index_machine(host);
+            Self::charge_machine(m, &request, on);
+            self.charge(team, &request, on);
+            self.index_machine(machine_id);
         }
         if ran != runs {
             if let Some(j) = self.jobs.get_mut(&key.0.job) {
                 j.running = (j.running + u32::from(runs)).saturating_sub(u32::from(ran));
-                if runs && !j.begun {
-                    j.begun = true;
+                if runs && !j.has_run {
+                    j.has_run = true;
                     self.note_begun(now, &key.0.job);
                 }
             }
         }
     }
 
-    /// Takes a start off the ledger. Only `remove_start` does this, for only proofs may.
-    pub(crate) fn take_start(
+    /// Takes a start off the ledger. Only `remove_attempt` does this, for only proofs may.
+    pub(crate) fn detach_attempt(
         &mut self,
         now: Millis,
-        host: &HostId,
-        key: &(TaskId, Attempt),
-    ) -> Option<Start> {
-        let m = self.machines.get_mut(host)?;
-        let s = m.starts.remove(key)?;
-        let (need, team, on) = (s.need, s.team, !s.ended());
+        machine_id: &MachineId,
+        key: &(TaskId, AttemptId),
+    ) -> Option<TaskAttempt> {
+        let m = self.machines.get_mut(machine_id)?;
+        let s = m.attempts.remove(key)?;
+        let (request, team, on) = (s.request, s.team, !s.ended());
         if on {
-            Self::charge_machine(m, &need, false);
-            self.charge(team, &need, false);
+            Self::charge_machine(m, &request, false);
+            self.charge(team, &request, false);
         }
         if let Some(j) = self.jobs.get_mut(&key.0.job) {
             j.listed = j.listed.saturating_sub(1);
             j.running = j.running.saturating_sub(u32::from(s.runs()));
         }
         if let Some(page) = s.page {
-            let gone = StartKey::new(host, key);
+            let gone = PlacedAttempt::new(machine_id, key);
             self.writer.intents.gone(now, page, &gone);
         }
         self.index_job(&key.0.job);
-        self.index_machine(host);
+        self.index_machine(machine_id);
         Some(s)
     }
 
@@ -182,22 +186,22 @@
                 &mut x.unreleased,
                 &mut x.ancestor_cancelled,
                 &mut x.complete,
-                &mut x.unsaved,
+                &mut x.unpersisted,
                 &mut x.finished,
             ] {
                 set.remove(id);
             }
             return;
         };
-        let open = !j.over;
+        let open = !j.closed;
         let released = open && j.released;
         keep_member(&mut x.waiting, id, released && !j.pending.is_empty());
         keep_member(&mut x.unreleased, id, open && !j.released);
         let cancelled = open && j.ancestor_cancelled;
         keep_member(&mut x.ancestor_cancelled, id, cancelled);
-        keep_member(&mut x.complete, id, open && j.complete());
-        keep_member(&mut x.unsaved, id, open && !j.unsaved.is_empty());
-        keep_member(&mut x.finished, id, j.over && j.listed == 0);
+        keep_member(&mut x.complete, id, open && j.is_complete());
+        keep_member(&mut x.unpersisted, id, open && !j.unpersisted.is_empty());
+        keep_member(&mut x.finished, id, j.closed && j.listed == 0);
         if let Some(set) = j.team.and_then(|t| x.by_team.get_mut(t.0)) {
             let place = (j.ready, id.clone());
             if released {
@@ -209,12 +213,12 @@
     }
 
     /// Brings the indexes in step with a machine.
-    pub(crate) fn index_machine(&mut self, host: &HostId) {
-        let room = self.machines.get(host).map(|m| self.room_on(m));
+    pub(crate) fn index_machine(&mut self, machine_id: &MachineId) {
+        let room = self.machines.get(machine_id).map(|m| self.room_on(m));
         let spacious = &mut self.indexes.spacious;
-        keep_member(spacious, host, room == Some(Room::Some));
+        keep_member(spacious, machine_id, room == Some(Room::Some));
         let cpus_left = &mut self.indexes.cpus_left;
-        keep_member(cpus_left, host, room == Some(Room::NoGpus));
+        keep_member(cpus_left, machine_id, room == Some(Room::NoGpus));
     }
 
     /// What kind of room a machine has.
@@ -234,49 +238,49 @@
     pub(crate) fn with_room_for<'a>(&'a self, spec: &JobSpec) -> impl Iterator<Item = &'a Machine> {
         let spacious = self.indexes.spacious.iter();
         let cpus_left = (spec.gpus <= 0.0).then_some(&self.indexes.cpus_left);
-        let hosts = spacious.chain(cpus_left.into_iter().flatten());
-        hosts.filter_map(|h| self.machines.get(h))
+        let machine_ids = spacious.chain(cpus_left.into_iter().flatten());
+        machine_ids.filter_map(|h| self.machines.get(h))
     }
 
     /// The machine types have changed: what is free follows.
     pub(crate) fn recount_room(&mut self) {
-        let hosts: Vec<HostId> = self.machines.keys().cloned().collect();
-        for host in hosts {
-            let Some(m) = self.machines.get(&host) else {
+        let machine_ids: Vec<MachineId> = self.machines.keys().cloned().collect();
+        for machine_id in machine_ids {
+            let Some(m) = self.machines.get(&machine_id) else {
                 continue;
             };
             let free = Self::room_left(m, self.capacity(&m.machine_type));
-            if let Some(m) = self.machines.get_mut(&host) {
+            if let Some(m) = self.machines.get_mut(&machine_id) {
                 m.free = free;
             }
-            self.index_machine(&host);
+            self.index_machine(&machine_id);
         }
     }
 
-    fn room_left(m: &Machine, whole: Amount) -> Amount {
+    fn room_left(m: &Machine, whole: Resources) -> Resources {
         let mut free = whole;
-        for s in m.going() {
-            free.sub(&s.need);
+        for s in m.live_attempts() {
+            free.sub(&s.request);
         }
         free
     }
 
     /// Counts everything again and compares: what differs, if anything. For tests.
     pub fn audit(&self) -> Result<(), String> {
-        let near = |a: &Amount, b: &Amount| {
+        let near = |a: &Resources, b: &Resources| {
             (a.cpus - b.cpus).abs() + (a.gpus - b.gpus).abs() + (a.ram_gb - b.ram_gb).abs() < 1e-3
         };
-        let mut used = vec![Amount::default(); self.used.len()];
+        let mut used = vec![Resources::default(); self.used.len()];
         let mut spacious = BTreeSet::new();
         let mut cpus_left = BTreeSet::new();
         for m in self.machines.values() {
             let free = Self::room_left(m, self.capacity(&m.machine_type));
-            if !near(&free, &m.free) || m.live as usize != m.going().count() {
+            if !near(&free, &m.free) || m.live_count as usize != m.live_attempts().count() {
                 return Err(format!("{}: free {:?}, counted {free:?}", m.id, m.free));
             }
-            for s in m.going() {
+            for s in m.live_attempts() {
                 if let Some(u) = s.team.and_then(|t| used.get_mut(t.0)) {
-                    u.add(&s.need);
+                    u.add(&s.request);
                 }
             }
             match self.room_on(m) {
@@ -300,27 +304,27 @@
             ..Indexes::default()
         };
         for (id, j) in &self.jobs {
-            let starts = || {
-                let of = |m: &'_ Machine| m.starts.values().filter(|s| s.task.job == *id).count();
+            let attempts = || {
+                let of = |m: &'_ Machine| m.attempts.values().filter(|s| s.task.job == *id).count();
                 self.machines.values().map(of).sum::<usize>()
             };
             let runs = self
                 .machines
                 .values()
-                .flat_map(|m| m.starts.values())
+                .flat_map(|m| m.attempts.values())
                 .filter(|s| s.task.job == *id && s.runs())
                 .count();
-            if j.listed as usize != starts() || j.running as usize != runs {
+            if j.listed as usize != attempts() || j.running as usize != runs {
                 return Err(format!("{id}: {} starts, {} run", j.listed, j.running));
             }
-            let open = !j.over;
+            let open = !j.closed;
             let released = open && j.released;
             for (set, member) in [
                 (&mut want.waiting, released && !j.pending.is_empty()),
                 (&mut want.unreleased, open && !j.released),
                 (&mut want.ancestor_cancelled, open && j.ancestor_cancelled),
-                (&mut want.complete, open && j.complete()),
-                (&mut want.unsaved, open && !j.unsaved.is_empty()),
+                (&mut want.complete, open && j.is_complete()),
+                (&mut want.unpersisted, open && !j.unpersisted.is_empty()),
                 (&mut want.finished, !open && j.listed == 0),
             ] {
                 if member {
@@ -342,24 +346,24 @@
     }
 
     /// A start as planned for a task of a job, here or by a former leader.
-    pub(crate) fn new_start(
+    pub(crate) fn new_attempt(
         &self,
-        host: &HostId,
+        machine_id: &MachineId,
         task: TaskId,
-        attempt: Attempt,
+        attempt_id: AttemptId,
         now: Millis,
-    ) -> Start {
+    ) -> TaskAttempt {
         // Something of which we know nothing may take everything.
         let whole = self
             .machines
-            .get(host)
+            .get(machine_id)
             .map(|m| self.capacity(&m.machine_type));
         let job = self.jobs.get(&task.job);
-        Start::planned(task, attempt, job, whole.unwrap_or_default(), now)
+        TaskAttempt::planned(task, attempt_id, job, whole.unwrap_or_default(), now)
     }
 
     /// The team of a job, by its number in the settings.
-    pub(crate) fn team_of(&self, spec: &JobSpec) -> Option<TeamNo> {
-        self.policy.team_no(&spec.team)
+    pub(crate) fn team_of(&self, spec: &JobSpec) -> Option<TeamIndex> {
+        self.policy.team_index(&spec.team)
     }
 }
--- /dev/null
+++ b/src/coordination/attempts/placements.rs
@@ -0,0 +1,111 @@
+//! Where the tasks of jobs may be, and how starts leave the ledger.
+
+use crate::coordination::attempts::task_attempt::TaskAttempt;
+use crate::coordination::Scheduler;
+use crate::ids::{AttemptId, JobId, MachineId, Millis, TaskId};
+
+impl Scheduler {
+    pub(crate) fn attempt_mut(
+        &mut self,
+        machine_id: &MachineId,
+        key: &(TaskId, AttemptId),
+    ) -> Option<&mut TaskAttempt> {
+        self.machines.get_mut(machine_id)?.attempts.get_mut(key)
+    }
+
+    pub(crate) fn add_place(&mut self, machine_id: &MachineId, task: &TaskId) {
+        if let Some(job) = self.jobs.get_mut(&task.job) {
+            let placements = job.placements.entry(task.index).or_default();
+            if !placements.contains(machine_id) {
+                placements.push(machine_id.clone());
+            }
+            job.pending.remove(&task.index);
+            self.index_job(&task.job);
+        }
+    }
+
+    /// The task is no longer on that machine (ended there, or proven gone).
+    pub(crate) fn drop_place(&mut self, machine_id: &MachineId, task: &TaskId) {
+        // Another try of the same task may be on this machine.
+        let still = self.machines.get(machine_id).is_some_and(|m| {
+            let tries = (task.clone(), AttemptId(0))..=(task.clone(), AttemptId(u64::MAX));
+            m.attempts.range(tries).any(|(_, s)| !s.ended())
+        });
+        self.placement_due = true;
+        let Some(job) = self.jobs.get_mut(&task.job) else {
+            return;
+        };
+        if still {
+            return;
+        }
+        if let Some(placements) = job.placements.get_mut(&task.index) {
+            placements.retain(|h| h != machine_id);
+            if placements.is_empty() {
+                job.placements.remove(&task.index);
+            }
+        }
+        if job.needs_run(task.index) && !job.placements.contains_key(&task.index) {
+            job.pending.insert(task.index);
+        }
+        if job.is_all_or_nothing() {
+            self.gangs_to_check.insert(task.job.clone());
+        }
+        self.index_job(&task.job);
+    }
+
+    /// A start is proven gone. Callers name the proof.
+    pub(crate) fn remove_attempt(
+        &mut self,
+        now: Millis,
+        machine_id: &MachineId,
+        key: &(TaskId, AttemptId),
+    ) {
+        let Some(s) = self.detach_attempt(now, machine_id, key) else {
+            return;
+        };
+        self.note_idle(now, machine_id);
+        if !s.ended() {
+            tracing::debug!(task = %key.0, machine = %machine_id, "proven gone");
+            self.drop_place(machine_id, &key.0);
+        }
+    }
+
+    /// Notes since when a machine has had nothing to do.
+    pub(crate) fn note_idle(&mut self, now: Millis, machine_id: &MachineId) {
+        if let Some(m) = self.machines.get_mut(machine_id) {
+            if m.live_count > 0 {
+                m.idle_since = None;
+            } else {
+                m.idle_since.get_or_insert(now);
+            }
+        }
+    }
+
+    /// Starts of a closed job that were never launched by anybody are dropped at once.
+    pub(crate) fn drop_untouched(&mut self, now: Millis, machine_id: &MachineId, job: &JobId) {
+        let Some(m) = self.machines.get(machine_id) else {
+            return;
+        };
+        let keys: Vec<_> = m
+            .attempts
+            .values()
+            .filter(|s| s.task.job == *job && s.untouched())
+            .map(|s| (s.task.clone(), s.attempt_id))
+            .collect();
+        for key in keys {
+            // Proof: never launched. If its intent is being written, that only errs on the safe side.
+            self.remove_attempt(now, machine_id, &key);
+        }
+    }
+
+    /// All starts of a machine are proven gone at once: its lease is over, or the cloud said so.
+    pub(crate) fn empty_machine(&mut self, now: Millis, machine_id: &MachineId) {
+        let Some(m) = self.machines.get(machine_id) else {
+            return;
+        };
+        let keys: Vec<_> = m.attempts.keys().cloned().collect();
+        for key in keys {
+            self.remove_attempt(now, machine_id, &key);
+        }
+    }
+}
--- a/src/coordination/stops.rs
+++ b/src/coordination/attempts/stops.rs
@@ -1,18 +1,19 @@
 //! Which starts should end: of closed jobs, of done tasks, on machines to be emptied, of gangs that are
-//! broken. The orders that say so go out with check-ins and directly (`orders.rs`).
+//! broken. The orders that say so go out with check-ins and directly (`commands.rs`).
 
-use super::Core;
-use crate::ids::{HostId, Millis};
-use crate::protocol::workers::{Order, TaskPhase};
-use crate::storage::ledger::{Machine, Start, StopRequest};
+use crate::coordination::attempts::task_attempt::{StopRequest, TaskAttempt};
+use crate::coordination::machines::machine::Machine;
+use crate::coordination::Scheduler;
+use crate::ids::{MachineId, Millis};
+use crate::protocol::workers::{Command, TaskPhase};
 use std::collections::BTreeSet;
 
-impl Core {
+impl Scheduler {
     /// Marks the starts that should end: of closed jobs, of done tasks, on machines to be emptied.
     /// Only on machines to which something has happened, and on each from time to time.
     pub(crate) fn stop_unwanted(&mut self, now: Millis) {
-        for host in std::mem::take(&mut self.to_review) {
-            self.review(now, &host);
+        for machine_id in std::mem::take(&mut self.machines_to_review) {
+            self.review(now, &machine_id);
         }
         self.stop_broken_gangs(now);
     }
@@ -23,23 +24,23 @@
     /// machines with tasks of jobs cancelled before its time, or one short of processor time answered
     /// between a cancellation and its next step; then nothing reached the machines any more, and the tasks
     /// outlived `cancel_s` (docs/incidents/production-size.md). So each check-in is answered after a review.
-    pub(super) fn review(&mut self, now: Millis, host: &HostId) {
+    pub(crate) fn review(&mut self, now: Millis, machine_id: &MachineId) {
         let silence = self.policy.silence();
-        let Some(m) = self.machines.get_mut(host) else {
+        let Some(m) = self.machines.get_mut(machine_id) else {
             return;
         };
-        let recall = m.recall_at;
-        let drain = m.drain;
-        let silent = m.silent(now, silence) || m.deaf();
+        let recall = m.reclaim_at;
+        let draining = m.draining;
+        let silent = m.silent(now, silence) || m.is_unreachable();
         let mut dropped = Vec::new();
         let mut stopped = false;
-        for (key, s) in m.starts.iter_mut() {
+        for (key, s) in m.attempts.iter_mut() {
             if s.ended() {
                 continue;
             }
             let job = self.jobs.get(&key.0.job);
-            let wanted = job.is_some_and(|j| j.wants(key.0.index));
-            let leave = recall.is_some() || drain;
+            let wanted = job.is_some_and(|j| j.needs_run(key.0.index));
+            let leave = recall.is_some() || draining;
             // A start stopped before it was launched would wait for ever: neither launched nor
             // seen to end.
             if s.untouched() && (silent || s.stop.is_some() || !wanted || leave) {
@@ -53,7 +54,7 @@
                 // Saving for a user who has cancelled since is of no use to anybody.
                 if !wanted && w.grace_s > 0.0 {
                     w.grace_s = 0.0;
-                    w.sent_direct = false;
+                    w.pushed = false;
                     stopped = true;
                 }
                 continue;
@@ -71,19 +72,19 @@
             };
             s.stop = Some(StopRequest {
                 grace_s,
-                sent_direct: false,
+                pushed: false,
             });
             stopped = true;
-            if job.is_some_and(|j| j.stands_together()) {
-                self.gangs_due.insert(key.0.job.clone());
+            if job.is_some_and(|j| j.is_all_or_nothing()) {
+                self.gangs_to_check.insert(key.0.job.clone());
             }
         }
         if stopped {
-            self.direct_due.insert(host.clone());
+            self.pushes_due.insert(machine_id.clone());
         }
         for key in dropped {
             // Proof: never launched.
-            self.remove_start(now, host, &key);
+            self.remove_attempt(now, machine_id, &key);
         }
     }
 
@@ -92,16 +93,20 @@
     fn stop_broken_gangs(&mut self, now: Millis) {
         let lease = Millis::from_secs(self.policy.facts.workers.lease_s);
         let mut waiting = BTreeSet::new();
-        for id in std::mem::take(&mut self.gangs_due) {
+        for id in std::mem::take(&mut self.gangs_to_check) {
             let Some(job) = self.jobs.get(&id) else {
                 continue;
             };
-            if job.over || !job.stands_together() || job.places.is_empty() {
+            if job.closed || !job.is_all_or_nothing() || job.placements.is_empty() {
                 continue;
             }
-            let hosts: BTreeSet<HostId> = job.places.values().flatten().cloned().collect();
-            let stops = |m: &Machine| m.going().any(|s| s.task.job == id && s.stop.is_some());
-            let stopping = hosts
+            let machine_ids: BTreeSet<MachineId> =
+                job.placements.values().flatten().cloned().collect();
+            let stops = |m: &Machine| {
+                m.live_attempts()
+                    .any(|s| s.task.job == id && s.stop.is_some())
+            };
+            let stopping = machine_ids
                 .iter()
                 .any(|h| self.machines.get(h).is_some_and(stops));
             if !stopping && job.pending.is_empty() {
@@ -111,12 +116,12 @@
             // sooner gave up waiting, and with it went the fetch of the other, again and again. The
             // others are stopped, which they are at once, when they have theirs too.
             let fetches = |m: &Machine| {
-                m.going().any(|s| {
-                    let seen = s.seen.map(|x| x.phase);
-                    s.task.job == id && seen == Some(TaskPhase::Fetching)
+                m.live_attempts().any(|s| {
+                    let last_status = s.last_status.map(|x| x.phase);
+                    s.task.job == id && last_status == Some(TaskPhase::Fetching)
                 })
             };
-            let fetching = hosts
+            let fetching = machine_ids
                 .iter()
                 .any(|h| self.machines.get(h).is_some_and(fetches));
             if job.incomplete && !stopping && fetching {
@@ -129,52 +134,52 @@
             } else {
                 0.0
             };
-            for host in hosts {
-                let Some(m) = self.machines.get_mut(&host) else {
+            for machine_id in machine_ids {
+                let Some(m) = self.machines.get_mut(&machine_id) else {
                     continue;
                 };
                 if again {
-                    m.kept_for = Some((id.clone(), now + lease));
+                    m.reservation = Some((id.clone(), now + lease));
                 }
-                for s in m.starts.values_mut() {
+                for s in m.attempts.values_mut() {
                     if s.task.job == id && !s.ended() && s.stop.is_none() {
                         s.stop = Some(StopRequest {
                             grace_s,
-                            sent_direct: false,
+                            pushed: false,
                         });
                     }
                 }
-                self.to_review.insert(host.clone());
-                self.direct_due.insert(host);
+                self.machines_to_review.insert(machine_id.clone());
+                self.pushes_due.insert(machine_id);
             }
         }
-        self.gangs_due = waiting;
+        self.gangs_to_check = waiting;
     }
 
     /// A direct command went unanswered: what it should have stopped is told again. Check-ins tell it
     /// too, but from a machine that reaches no controller none comes. One that was not heard of at all
     /// lately is left alone: a zone beyond a cut would take the connections of all others.
-    pub(super) fn stop_again(&mut self, now: Millis, host: &HostId) {
+    pub(crate) fn stop_again(&mut self, now: Millis, machine_id: &MachineId) {
         let silence = self.policy.silence();
-        let near = |m: &&mut Machine| m.heard.is_some_and(|h| now - h <= silence);
-        if let Some(m) = self.machines.get_mut(host).filter(near) {
-            for w in m.starts.values_mut().filter_map(|s| s.stop.as_mut()) {
-                w.sent_direct = false;
+        let near = |m: &&mut Machine| m.last_message_at.is_some_and(|h| now - h <= silence);
+        if let Some(m) = self.machines.get_mut(machine_id).filter(near) {
+            for w in m.attempts.values_mut().filter_map(|s| s.stop.as_mut()) {
+                w.pushed = false;
             }
         }
     }
 
-    pub(super) fn stop_order(s: &Start, now: Millis) -> Option<Order> {
+    pub(crate) fn stop_command(s: &TaskAttempt, now: Millis) -> Option<Command> {
         let wish = s.stop?;
-        let saving = s.seen.filter(|x| x.phase == TaskPhase::Saving);
+        let saving = s.last_status.filter(|x| x.phase == TaskPhase::Saving);
         let grace_s = match saving {
             Some(x) if (now - x.since).secs() <= wish.grace_s => return None,
             Some(_) => 0.0,
             None => wish.grace_s,
         };
-        Some(Order::Stop {
+        Some(Command::Stop {
             task: s.task.clone(),
-            attempt: s.attempt,
+            attempt_id: s.attempt_id,
             grace_s,
         })
     }
--- /dev/null
+++ b/src/coordination/attempts/task_attempt.rs
@@ -0,0 +1,123 @@
+//! One attempt of a task: how it was launched, and what its worker said of it.
+
+use crate::coordination::jobs::job::Job;
+use crate::ids::{
+    AttemptId, FencingToken, Image, Millis, PageNumber, Session, TaskId, TeamIndex, Tick,
+};
+use crate::protocol::workers::{Cause, TaskPhase};
+use crate::resources::Resources;
+
+/// A launch sent to `/commands`.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum PushDelivery {
+    /// None under way.
+    None,
+    /// Sent, the answer is awaited.
+    InFlight(u64),
+    /// No answer came: it may execute at any time in this session, until the worker has seen a higher
+    /// token than this.
+    Lost(Session, FencingToken),
+}
+
+/// What a report said of a start.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct LastStatus {
+    pub phase: TaskPhase,
+    pub cause: Option<Cause>,
+    pub stored: bool,
+    /// Since when it has been in this phase, as far as we know.
+    pub since: Millis,
+    /// The message that said so.
+    pub at: (Session, Tick),
+}
+
+/// A wish that a start end.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct StopRequest {
+    pub grace_s: f64,
+    /// Whether a direct command has carried it.
+    pub pushed: bool,
+}
+
+/// One start (task and try) that may be on a machine.
+#[derive(Clone, Debug)]
+pub struct TaskAttempt {
+    pub task: TaskId,
+    pub attempt_id: AttemptId,
+    /// What it takes of its machine and of its team, and the image it needs: kept here so that
+    /// sums need no look at the job.
+    pub request: Resources,
+    pub team: Option<TeamIndex>,
+    pub image: Option<Image>,
+    /// A member of a gang: seconds until its image was to be there when it was placed.
+    pub image_s: Option<f64>,
+    /// Whether its job was a latency job when it was placed.
+    pub latency: bool,
+    /// The page on the state service that holds the intent: only then may it be launched.
+    pub page: Option<PageNumber>,
+    /// The tick of the check-in whose answer carried the launch, until settled.
+    pub heartbeat_carrier: Option<Tick>,
+    pub push: PushDelivery,
+    /// The session in which we launched it. None: never launched by us.
+    pub launched_in: Option<Session>,
+    /// The highest token of a direct command that launched it.
+    pub launched_with: Option<FencingToken>,
+    /// Left by a former leader and not yet resolved by a report that carries our token.
+    pub recovered: bool,
+    pub last_status: Option<LastStatus>,
+    pub stop: Option<StopRequest>,
+    /// Placed at.
+    pub since: Millis,
+    /// First seen running.
+    pub running_since: Option<Millis>,
+}
+
+impl TaskAttempt {
+    /// A start that is only planned. Without a job (over and forgotten) `request` stands for all that
+    /// it might take.
+    pub fn planned(
+        task: TaskId,
+        attempt_id: AttemptId,
+        job: Option<&Job>,
+        request: Resources,
+        now: Millis,
+    ) -> TaskAttempt {
+        TaskAttempt {
+            task,
+            attempt_id,
+            request: job.map_or(request, |j| Resources::of(&j.spec)),
+            team: job.and_then(|j| j.team),
+            image: job.map(|j| j.spec.image.clone()),
+            image_s: None,
+            latency: false,
+            page: None,
+            heartbeat_carrier: None,
+            push: PushDelivery::None,
+            launched_in: None,
+            launched_with: None,
+            recovered: false,
+            last_status: None,
+            stop: None,
+            since: now,
+            running_since: None,
+        }
+    }
+    /// Seen ended, and still listed by the worker: a tombstone, on which a late launch of the same
+    /// try has no effect.
+    pub fn ended(&self) -> bool {
+        self.last_status
+            .is_some_and(|s| s.phase == TaskPhase::Ended)
+    }
+    /// Whether a launch of it can still arrive.
+    pub fn in_flight(&self) -> bool {
+        self.heartbeat_carrier.is_some() || self.push != PushDelivery::None
+    }
+    /// Never launched by anybody: may be dropped at will.
+    pub fn untouched(&self) -> bool {
+        !self.recovered && self.launched_in.is_none() && self.last_status.is_none()
+    }
+    /// Seen running, and not ended since.
+    pub fn runs(&self) -> bool {
+        self.running_since.is_some() && !self.ended()
+    }
+}
--- a/src/coordination/worker_sessions/task_ends.rs
+++ b/src/coordination/attempts/task_ends.rs
@@ -1,45 +1,45 @@
 //! What follows when a task has ended on its machine.
 
-use super::super::Core;
-use crate::ids::{Attempt, HostId, Millis, TaskId};
+use crate::coordination::Scheduler;
+use crate::ids::{AttemptId, MachineId, Millis, TaskId};
 use crate::protocol::workers::Cause;
 
 /// Errors of one job on several machines make it wait, doubling, between these.
 const JOB_BACKOFF: (Millis, Millis) = (Millis(2000), Millis(60_000));
 
-impl Core {
+impl Scheduler {
     /// A start ended on its machine. It stays there as a tombstone until cleared.
-    pub(super) fn ended(
+    pub(crate) fn ended(
         &mut self,
         now: Millis,
-        host: &HostId,
-        key: &(TaskId, Attempt),
+        machine_id: &MachineId,
+        key: &(TaskId, AttemptId),
         cause: Cause,
     ) {
         let (task, _) = key;
         let lease = Millis::from_secs(self.policy.facts.workers.lease_s);
-        tracing::debug!(task = %task, host = %host, cause = ?cause, "ended");
-        self.note_idle(now, host);
+        tracing::debug!(task = %task, machine = %machine_id, cause = ?cause, "ended");
+        self.note_idle(now, machine_id);
         if cause == Cause::Done {
-            self.note_run_time(now, host, key);
+            self.note_run_time(now, machine_id, key);
             if let Some(job) = self.jobs.get_mut(&task.job) {
-                if task.index < job.spec.tasks && !job.over && job.done.add(task.index) {
-                    job.unsaved.insert(task.index);
+                if task.index < job.spec.tasks && !job.closed && job.done.add(task.index) {
+                    job.unpersisted.insert(task.index);
                     job.pending.remove(&task.index);
                 }
                 job.failures = 0;
             }
             self.index_job(&task.job);
-            if let Some(m) = self.machines.get_mut(host) {
+            if let Some(m) = self.machines.get_mut(machine_id) {
                 m.failed_jobs.clear();
             }
         }
-        self.drop_place(host, task);
+        self.drop_place(machine_id, task);
         match cause {
-            Cause::Error => self.failed(now, host, task),
+            Cause::Error => self.failed(now, machine_id, task),
             Cause::Full => {
-                if let Some(m) = self.machines.get_mut(host) {
-                    m.full_until = now + Millis(3000);
+                if let Some(m) = self.machines.get_mut(machine_id) {
+                    m.unschedulable_until = now + Millis(3000);
                 }
             }
             Cause::Unknown => {
@@ -51,14 +51,14 @@
             Cause::Busy => {
                 // Another try of this task is on the machine although we held it for empty: leave
                 // the machine to its next reports, which list that try.
-                if let Some(m) = self.machines.get_mut(host) {
-                    m.full_until = now + Millis(6000);
+                if let Some(m) = self.machines.get_mut(machine_id) {
+                    m.unschedulable_until = now + Millis(6000);
                 }
             }
             Cause::Incomplete => {
                 // Its image is there: the machine is kept for when the others have theirs.
-                if let Some(m) = self.machines.get_mut(host) {
-                    m.kept_for = Some((task.job.clone(), now + lease));
+                if let Some(m) = self.machines.get_mut(machine_id) {
+                    m.reservation = Some((task.job.clone(), now + lease));
                 }
                 if let Some(job) = self.jobs.get_mut(&task.job) {
                     job.incomplete = true;
@@ -69,39 +69,39 @@
     }
 
     /// A task failed: mostly the machine is faulty, but a job may be.
-    pub(super) fn failed(&mut self, now: Millis, host: &HostId, task: &TaskId) {
+    pub(crate) fn failed(&mut self, now: Millis, machine_id: &MachineId, task: &TaskId) {
         let most = self.policy.operator.sick_errors as usize;
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
         job.failures += 1;
-        job.failed_on.insert(host.clone());
+        job.failed_on.insert(machine_id.clone());
         // A job that failed on several machines backs off and condemns none of them.
-        let mistaken = job.mistaken();
+        let fails_everywhere = job.fails_everywhere();
         let failed_on = job.failed_on.clone();
         if job.failed_on.len() > 1 {
             let step = JOB_BACKOFF.0 .0 << (job.failed_on.len() as u32 - 2).min(5);
             job.not_before = now + Millis(step.min(JOB_BACKOFF.1 .0));
         }
-        if mistaken {
+        if fails_everywhere {
             // Guards against jobs submitted with a mistake that take machines down with them: the marks
             // of the first machines that it failed on are taken back.
-            for host in &failed_on {
-                if let Some(m) = self.machines.get_mut(host) {
+            for machine_id in &failed_on {
+                if let Some(m) = self.machines.get_mut(machine_id) {
                     m.forget_failures_of(&task.job, most);
                 }
-                self.index_machine(host);
+                self.index_machine(machine_id);
             }
         }
-        if let Some(m) = self.machines.get_mut(host) {
-            if !mistaken {
+        if let Some(m) = self.machines.get_mut(machine_id) {
+            if !fails_everywhere {
                 m.failed_jobs.insert(task.job.clone());
             }
-            m.full_until = now + Millis(2000);
-            if m.failed_jobs.len() >= most && !m.drain {
-                tracing::info!(host = %host, "sick: tasks of different jobs fail here");
-                m.start_drain(now);
-                m.sick = true;
+            m.unschedulable_until = now + Millis(2000);
+            if m.failed_jobs.len() >= most && !m.draining {
+                tracing::info!(machine = %machine_id, "sick: tasks of different jobs fail here");
+                m.start_draining(now);
+                m.quarantined = true;
             }
         }
     }
--- a/src/coordination/demand.rs
+++ b/src/coordination/autoscaler/arrivals.rs
@@ -1,7 +1,7 @@
 //! Arrivals seen, class by class: what is to be expected next.
 
-use super::estimates::Observed;
-use super::Core;
+use crate::coordination::jobs::estimates::Observed;
+use crate::coordination::Scheduler;
 use crate::ids::Millis;
 use crate::protocol::users::JobSpec;
 use serde::{Deserialize, Serialize};
@@ -19,7 +19,7 @@
 
 /// What has been seen of one class.
 #[derive(Debug, Clone)]
-pub struct Demand {
+pub struct ArrivalRate {
     /// Jobs that arrived in each of the last intervals of time, by the interval's number; the oldest
     /// first, without gaps.
     intervals: VecDeque<(i64, u32)>,
@@ -43,10 +43,10 @@
 /// An interval with so many more jobs than the others is a burst of its own.
 const OUTLIER: f64 = 3.0;
 
-impl Demand {
+impl ArrivalRate {
     /// What the first job of a class tells.
-    pub fn new(spec: &JobSpec) -> Demand {
-        Demand {
+    pub fn new(spec: &JobSpec) -> ArrivalRate {
+        ArrivalRate {
             intervals: VecDeque::new(),
             told: None,
             tasks: f64::from(spec.tasks),
@@ -60,7 +60,7 @@
 
     /// A job of the class has arrived.
     pub fn note(&mut self, spec: &JobSpec, at: Millis) {
-        let n = Demand::interval(at);
+        let n = ArrivalRate::interval(at);
         match self.intervals.iter_mut().find(|(m, _)| *m == n) {
             Some((_, jobs)) => *jobs += 1,
             None => {
@@ -92,10 +92,10 @@
     /// Jobs to be expected each second. One interval that stands out counts for nothing by itself (at
     /// the start of a day, all that had gathered arrives at once); two in a row are a burst.
     pub fn jobs_per_s(&self, now: Millis) -> f64 {
-        let now_n = Demand::interval(now);
+        let now_n = ArrivalRate::interval(now);
         let seen = self.seen_per_s(now_n);
         match self.told {
-            Some((told, at)) if now_n - Demand::interval(at) <= INTERVALS_KEPT / 2 => {
+            Some((told, at)) if now_n - ArrivalRate::interval(at) <= INTERVALS_KEPT / 2 => {
                 told.max(seen)
             }
             _ => seen,
@@ -153,7 +153,7 @@
     }
 }
 
-impl Core {
+impl Scheduler {
     pub(crate) fn hints(&self, now: Millis) -> Hints {
         let demand = self.demand.iter();
         Hints {
@@ -173,7 +173,7 @@
             let d = self
                 .demand
                 .entry(class)
-                .or_insert_with(|| Demand::new(&spec));
+                .or_insert_with(|| ArrivalRate::new(&spec));
             d.told = Some((rate, now));
             d.tasks = tasks;
         }
@@ -191,7 +191,7 @@
         let d = self
             .demand
             .entry(spec.class.clone())
-            .or_insert_with(|| Demand::new(spec));
+            .or_insert_with(|| ArrivalRate::new(spec));
         d.note(spec, at);
         self.writer.hints_news = true;
     }
--- a/src/coordination/forecast.rs
+++ b/src/coordination/autoscaler/forecast.rs
@@ -6,36 +6,38 @@
 //! is up (on a day of 58 rentals, 17 machines had never run a task), and against renting too late for
 //! a burst, each of whose tasks by itself would not wait longer than for a new machine.
 
-use super::candidates::emptiness;
-use super::fleet::Kind;
-use super::placement::Unmet;
-use super::Core;
-use crate::ids::{HostId, Image, Millis, Zone};
+use crate::coordination::attempts::task_attempt::TaskAttempt;
+use crate::coordination::autoscaler::Kind;
+use crate::coordination::machines::machine::{Machine, MachineState};
+use crate::coordination::placement::candidates::emptiness;
+use crate::coordination::placement::UnplacedTasks;
+use crate::coordination::Scheduler;
+use crate::ids::{Image, MachineId, Millis, Zone};
 use crate::protocol::users::{JobSpec, Shape};
-use crate::storage::ledger::{Amount, Machine, MachineState, Start};
+use crate::resources::Resources;
 use std::cmp::{Ordering, Reverse};
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
 /// What the forecast says.
-pub(super) struct Seen {
+pub(crate) struct Seen {
     /// Machines to rent.
     pub rent: BTreeMap<Kind, u32>,
     /// Idle machines that nothing was given to.
-    pub spare: BTreeSet<HostId>,
+    pub spare: BTreeSet<MachineId>,
 }
 
 /// A machine in the forecast: there, coming, or one that might be rented.
 struct Bin {
     kind: Kind,
     /// The machine, if it is there and idle and nothing has been given to it.
-    idle: Option<HostId>,
+    idle: Option<MachineId>,
     /// The part of it that is free: fuller ones are filled first.
     empty: f64,
     /// When it can take work at all.
     from_s: f64,
-    room: Amount,
+    room: Resources,
     /// Room that tasks give back, and when; soonest first.
-    freed: Vec<(f64, Amount)>,
+    freed: Vec<(f64, Resources)>,
     /// Images that are there, or will be.
     images: Vec<Image>,
     /// Stands by for this class only.
@@ -44,14 +46,14 @@
 
 impl Bin {
     /// The soonest time by which so much is free.
-    fn soonest(&self, need: &Amount) -> f64 {
+    fn soonest(&self, request: &Resources) -> f64 {
         let mut room = self.room;
-        if need.fits(&room) {
+        if request.fits(&room) {
             return self.from_s;
         }
         for (t, amount) in &self.freed {
             room.add(amount);
-            if need.fits(&room) {
+            if request.fits(&room) {
                 return t.max(self.from_s);
             }
         }
@@ -59,15 +61,15 @@
     }
 
     /// Takes the room from then on, and gives it back when the task has run.
-    fn take(&mut self, at: f64, need: &Amount, run_s: f64) {
+    fn take(&mut self, at: f64, request: &Resources, run_s: f64) {
         let due = self.freed.partition_point(|(t, _)| *t <= at);
         for (_, amount) in self.freed.drain(..due) {
             self.room.add(&amount);
         }
-        self.room.sub(need);
+        self.room.sub(request);
         let end = at + run_s;
         let place = self.freed.partition_point(|(t, _)| *t <= end);
-        self.freed.insert(place, (end, *need));
+        self.freed.insert(place, (end, *request));
         self.idle = None;
     }
 }
@@ -113,10 +115,10 @@
 /// A task to come that would wait for less than this rents nothing.
 const PATIENCE_S: f64 = 3.0;
 
-impl Core {
+impl Scheduler {
     /// Looks ahead with what waits, in queue order, and what is to come; at most so many machines are
     /// rented.
-    pub(super) fn look_ahead(&self, now: Millis, unmet: &[Unmet], most: usize) -> Seen {
+    pub(crate) fn look_ahead(&self, now: Millis, unplaced: &[UnplacedTasks], most: usize) -> Seen {
         let mut zones: BTreeMap<Zone, usize> = BTreeMap::new();
         for m in self.machines.values() {
             *zones.entry(m.zone.clone()).or_default() += 1;
@@ -128,7 +130,7 @@
             bins,
             zones,
         };
-        for (spec, n) in &self.standby_missing {
+        for (spec, n) in &self.warm_pool_missing {
             let ask = Ask {
                 spec,
                 n: *n,
@@ -137,7 +139,7 @@
             };
             self.give(now, &mut fleet, &ask);
         }
-        self.give_waiting(now, unmet, &mut fleet);
+        self.give_waiting(now, unplaced, &mut fleet);
         self.give_to_come(now, &mut fleet, true);
         fleet.most = 0;
         self.give_to_come(now, &mut fleet, false);
@@ -149,9 +151,9 @@
         Seen { rent, spare }
     }
 
-    fn give_waiting(&self, now: Millis, unmet: &[Unmet], fleet: &mut ForecastFleet) {
+    fn give_waiting(&self, now: Millis, unplaced: &[UnplacedTasks], fleet: &mut ForecastFleet) {
         let mut used = self.used.clone();
-        for u in unmet {
+        for u in unplaced {
             let Some(job) = self.jobs.get(&u.job) else {
                 continue;
             };
@@ -160,7 +162,7 @@
                 continue;
             }
             let mut spec = job.spec.clone();
-            if spec.together && job.stands_together() && spec.zone.is_none() {
+            if spec.together && job.is_all_or_nothing() && spec.zone.is_none() {
                 spec.zone = self.zone_for(now, fleet, &spec);
             }
             let ask = Ask {
@@ -171,7 +173,7 @@
             };
             let given = self.give(now, fleet, &ask);
             if let Some(u) = job.team.and_then(|t| used.get_mut(t.0)) {
-                u.add(&Amount::of(&job.spec).times(f64::from(given)));
+                u.add(&Resources::of(&job.spec).times(f64::from(given)));
             }
         }
     }
@@ -204,7 +206,7 @@
     }
 
     /// Seconds until a start that doesn't run yet has its image.
-    fn rest_of_fetch(&self, now: Millis, m: &Machine, s: &Start) -> f64 {
+    fn rest_of_fetch(&self, now: Millis, m: &Machine, s: &TaskAttempt) -> f64 {
         let Some(spec) = self.jobs.get(&s.task.job).map(|j| &j.spec) else {
             return 0.0;
         };
@@ -230,7 +232,7 @@
                 class: None,
             };
             match m.state {
-                MachineState::Booting if !m.drain => {
+                MachineState::Booting if !m.draining => {
                     let age = (now - m.since).secs();
                     let boot = self.boot_s(&m.machine_type);
                     if age < boot * COMING_BOOTS {
@@ -240,11 +242,11 @@
                 }
                 MachineState::Up if self.usable(m, now) => {
                     let mut b = bin(0.0, m.free);
-                    b.idle = (m.live == 0).then(|| m.id.clone());
+                    b.idle = (m.live_count == 0).then(|| m.id.clone());
                     b.empty = emptiness(&m.free, &self.capacity(&m.machine_type));
-                    b.class = self.reserved.get(&m.id).cloned();
+                    b.class = self.warm_pool.get(&m.id).cloned();
                     b.images = m.images.iter().map(|(i, _)| i.clone()).collect();
-                    for s in m.going() {
+                    for s in m.live_attempts() {
                         let Some(job) = self.jobs.get(&s.task.job) else {
                             continue;
                         };
@@ -252,7 +254,7 @@
                             Some(t) => self.rest_s(job, (now - t).secs()),
                             None => self.estimate_of(job) + self.rest_of_fetch(now, m, s),
                         };
-                        b.freed.push((rest * ESTIMATE_MARGIN, s.need));
+                        b.freed.push((rest * ESTIMATE_MARGIN, s.request));
                     }
                     b.freed.sort_by(|a, b| a.0.total_cmp(&b.0));
                     bins.push(b);
@@ -260,7 +262,7 @@
                 _ => {}
             }
         }
-        for h in self.fleet.hires.values() {
+        for h in self.fleet.scale_out_requests.values() {
             let rest = self.boot_s(&h.kind.0) - (now - h.asked).secs();
             for _ in 0..h.count {
                 bins.push(Bin {
@@ -281,7 +283,7 @@
     /// The zone for a gang that must stay together: where most of it could start soon, if the rest
     /// can be rented there; among equals the one with least machines.
     fn zone_for(&self, now: Millis, fleet: &ForecastFleet, spec: &JobSpec) -> Option<Zone> {
-        let need = Amount::of(spec);
+        let request = Resources::of(spec);
         let zones: BTreeSet<&Zone> = self.machine_types.values().flat_map(|r| &r.zones).collect();
         let rank = |zone: &Zone| {
             let there = fleet
@@ -289,7 +291,7 @@
                 .iter()
                 .filter(|b| b.kind.1 == *zone && Self::kind_allowed(spec, &b.kind))
                 .filter(|b| b.class.as_ref().is_none_or(|c| *c == spec.class))
-                .map(|b| need.count_in(&b.room, spec.tasks))
+                .map(|b| request.count_in(&b.room, spec.tasks))
                 .sum::<u32>()
                 .min(spec.tasks);
             let mut here = spec.clone();
@@ -306,7 +308,7 @@
     /// one joins the forecast if it would be sooner. Says how many were given.
     fn give(&self, now: Millis, fleet: &mut ForecastFleet, ask: &Ask) -> u32 {
         let spec = ask.spec;
-        let need = Amount::of(spec);
+        let request = Resources::of(spec);
         // Tasks of a gang run at once: none can follow another on the same room.
         let run = if spec.shape == Shape::Gang && ask.n > 1 {
             f64::INFINITY
@@ -322,7 +324,7 @@
             }
         };
         let when = |b: &Bin| {
-            let t = b.soonest(&need).max(ask.from_s.unwrap_or(0.0));
+            let t = b.soonest(&request).max(ask.from_s.unwrap_or(0.0));
             Soon(t + fetch(b), b.empty)
         };
         let serves = |b: &Bin| {
@@ -330,7 +332,7 @@
             // count on all of them ending.
             Self::kind_allowed(spec, &b.kind)
                 && b.class.as_ref().is_none_or(|c| *c == spec.class)
-                && (!ask.ready || need.fits(&b.room))
+                && (!ask.ready || request.fits(&b.room))
                 && (!bulk || b.freed.len() <= 1)
         };
         let mut soonest: BinaryHeap<Reverse<(Soon, usize)>> = fleet
@@ -380,7 +382,7 @@
             if !b.images.contains(&spec.image) {
                 b.images.push(spec.image.clone());
             }
-            b.take(at, &need, run);
+            b.take(at, &request, run);
             if serves(b) {
                 soonest.push(Reverse((when(b), i)));
             }
--- a/src/coordination/fleet.rs
+++ b/src/coordination/autoscaler/mod.rs
@@ -1,13 +1,16 @@
 //! The fleet: what to rent, what to return, which machines are given up.
 
-mod rentals;
-mod returns;
+pub mod arrivals;
+pub mod forecast;
+mod scale_in;
+mod scale_out;
+pub mod warm_pool;
 
-use super::placement::Unmet;
-use super::Core;
-use crate::ids::{HostId, MachineType, Millis, Zone};
-use crate::protocol::cloud::{CloudHost, CloudPhase};
-use crate::storage::ledger::{Machine, MachineState};
+use crate::coordination::machines::machine::{Machine, MachineState};
+use crate::coordination::placement::UnplacedTasks;
+use crate::coordination::Scheduler;
+use crate::ids::{MachineId, MachineType, Millis, Zone};
+use crate::protocol::cloud::{CloudPhase, ListedMachine};
 use crate::transport::budget::Budget;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -16,23 +19,23 @@
 
 /// A rental under way.
 #[derive(Debug, Clone)]
-pub(super) struct Hire {
-    pub(super) kind: Kind,
-    pub(super) count: u32,
-    pub(super) asked: Millis,
+pub(crate) struct ScaleOutRequest {
+    pub(crate) kind: Kind,
+    pub(crate) count: u32,
+    pub(crate) asked: Millis,
     /// None: an answer is awaited. Otherwise: asked again then, under the same name.
     again_at: Option<Millis>,
 }
 
 /// The fleet's memory.
 #[derive(Debug)]
-pub struct Fleet {
-    pub(super) hires: BTreeMap<String, Hire>,
+pub struct Autoscaler {
+    pub(crate) scale_out_requests: BTreeMap<String, ScaleOutRequest>,
     hired: u64,
     /// Refused for want of capacity: not asked again before, and the wait that led there.
     refused: BTreeMap<Kind, (Millis, Millis)>,
     /// Idle machines that the last forecast had no use for.
-    spare: BTreeSet<HostId>,
+    spare: BTreeSet<MachineId>,
     /// Returns that failed: not tried again before.
     return_after: Millis,
     /// Zones taken to be cut off, until then.
@@ -44,11 +47,11 @@
     calls: Budget,
 }
 
-impl Fleet {
+impl Autoscaler {
     /// An empty memory; calls are kept within a part of the cloud's rate.
-    pub fn new(cloud_rps: f64) -> Fleet {
-        Fleet {
-            hires: BTreeMap::new(),
+    pub fn new(cloud_rps: f64) -> Autoscaler {
+        Autoscaler {
+            scale_out_requests: BTreeMap::new(),
             hired: 0,
             refused: BTreeMap::new(),
             spare: BTreeSet::new(),
@@ -81,7 +84,7 @@
 /// A machine being emptied is returned after this even if something on it doesn't end.
 const DRAIN_PATIENCE: Millis = Millis(20_000);
 
-impl Core {
+impl Scheduler {
     pub(crate) fn boot_s(&self, machine_type: &MachineType) -> f64 {
         self.machine_types
             .get(machine_type)
@@ -101,7 +104,7 @@
     pub(crate) fn enter_machine(
         &mut self,
         now: Millis,
-        id: &HostId,
+        id: &MachineId,
         machine_type: &MachineType,
         zone: &Zone,
         spot: bool,
@@ -118,9 +121,9 @@
                 whole,
                 since,
             );
-            m.answered = self.began;
+            m.last_response_at = self.term_began_at;
             m.verified = false;
-            m.direct_after = now;
+            m.push_not_before = now;
             self.machines.insert(id.clone(), m);
         }
         if verified {
@@ -129,18 +132,18 @@
     }
 
     /// The machine exists: it is put on record, and may be given work.
-    pub(crate) fn verify_machine(&mut self, id: &HostId) {
+    pub(crate) fn verify_machine(&mut self, id: &MachineId) {
         if let Some(m) = self.machines.get_mut(id).filter(|m| !m.verified) {
             m.verified = true;
-            m.page = Some(self.writer.hosts.enter(id));
-            self.dirty = true;
+            m.page = Some(self.writer.machine_pages.enter(id));
+            self.placement_due = true;
         }
     }
 
     /// Returns what isn't needed or is given up, rents what is missing.
-    pub(crate) fn size_fleet(&mut self, now: Millis, unmet: Vec<Unmet>) {
+    pub(crate) fn size_fleet(&mut self, now: Millis, unplaced: Vec<UnplacedTasks>) {
         self.repeat_hires(now);
-        self.rent(now, &unmet);
+        self.rent(now, &unplaced);
         if now - self.fleet.swept >= SWEEP_EVERY {
             self.fleet.swept = now;
             self.return_machines(now);
@@ -158,17 +161,17 @@
         for m in self.machines.values() {
             booting += u32::from(m.state == MachineState::Booting);
             spot += u32::from(m.spot);
-            drained += u32::from(m.drain || m.recall_at.is_some());
+            drained += u32::from(m.draining || m.reclaim_at.is_some());
             if m.state != MachineState::Up {
                 continue;
             }
             up += 1;
-            idle += u32::from(m.live == 0);
+            idle += u32::from(m.live_count == 0);
             gpus[0] += self.capacity(&m.machine_type).gpus;
             gpus[1] += m.free.gpus.max(0.0);
-            for s in m.going() {
+            for s in m.live_attempts() {
                 let runs = s.running_since.is_some();
-                gpus[if runs { 2 } else { 3 }] += s.need.gpus;
+                gpus[if runs { 2 } else { 3 }] += s.request.gpus;
             }
         }
         let waiting: usize = self
@@ -184,8 +187,8 @@
             idle,
             spot,
             drained,
-            reserved = self.reserved.len(),
-            hires = self.fleet.hires.len(),
+            warm_pool = self.warm_pool.len(),
+            scale_out_requests = self.fleet.scale_out_requests.len(),
             gpus = gpus[0],
             free = gpus[1],
             running = gpus[2],
@@ -201,15 +204,20 @@
 
     /// The cloud's list. It lags, so it never proves a machine absent; a machine that was listed
     /// and no longer is, is asked to be returned, and the answer to that is the proof.
-    pub(crate) fn hosts_listed(&mut self, now: Millis, asked: Millis, hosts: Vec<CloudHost>) {
+    pub(crate) fn machines_listed(
+        &mut self,
+        now: Millis,
+        asked: Millis,
+        listed_machines: Vec<ListedMachine>,
+    ) {
         let lag = Millis::from_secs(self.policy.facts.cloud.list_lag_s * 2.0 + 2.0);
-        let listed: BTreeSet<HostId> = hosts.iter().map(|h| h.id.clone()).collect();
-        for h in hosts {
+        let listed: BTreeSet<MachineId> = listed_machines.iter().map(|h| h.id.clone()).collect();
+        for h in listed_machines {
             if self.gone.contains(&h.id) {
                 continue;
             }
             if !self.machines.contains_key(&h.id) {
-                tracing::info!(host = %h.id, machine_type = %h.machine_type, "listed, but not known: taken on");
+                tracing::info!(machine = %h.id, machine_type = %h.machine_type, "listed, but not known: taken on");
             }
             let since = asked - Millis::from_secs(h.age_s);
             self.enter_machine(now, &h.id, &h.machine_type, &h.zone, h.spot, since, true);
@@ -219,22 +227,22 @@
             if m.endpoint.is_empty() {
                 m.endpoint = h.endpoint;
             }
-            m.list_failed = h.phase == CloudPhase::Failed;
-            m.missing_since = None;
+            m.listed_as_failed = h.phase == CloudPhase::Failed;
+            m.unlisted_since = None;
         }
         for m in self.machines.values_mut() {
             if listed.contains(&m.id) || m.state == MachineState::Returning {
                 continue;
             }
-            let known_long = now - m.since.max(self.began) > lag;
-            let missing = *m.missing_since.get_or_insert(now);
-            let quiet = m.heard.is_none_or(|h| now - h > lag);
+            let known_long = now - m.since.max(self.term_began_at) > lag;
+            let missing = *m.unlisted_since.get_or_insert(now);
+            let quiet = m.last_message_at.is_none_or(|h| now - h > lag);
             if known_long && quiet && now - missing > lag {
-                tracing::debug!(host = %m.id, "no longer listed and not heard of");
-                m.drain = true;
-                m.drain_since = Some(m.drain_since.unwrap_or(now - DRAIN_PATIENCE));
+                tracing::debug!(machine = %m.id, "no longer listed and not heard of");
+                m.draining = true;
+                m.draining_since = Some(m.draining_since.unwrap_or(now - DRAIN_PATIENCE));
             }
         }
-        self.dirty = true;
+        self.placement_due = true;
     }
 }
--- a/src/coordination/fleet/returns.rs
+++ b/src/coordination/autoscaler/scale_in.rs
@@ -1,9 +1,9 @@
 //! Returning machines: those given up, and those that are idle for too long.
 
-use super::super::{Core, Effect};
 use super::DRAIN_PATIENCE;
-use crate::ids::{HostId, Millis, Zone};
-use crate::storage::ledger::MachineState;
+use crate::coordination::machines::machine::MachineState;
+use crate::coordination::{Effect, Scheduler};
+use crate::ids::{MachineId, Millis, Zone};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The most names in one return, by the protocol.
@@ -19,7 +19,7 @@
 /// The same when nothing waits and nothing is to be expected.
 const NO_USE: f64 = 0.1;
 
-impl Core {
+impl Scheduler {
     /// Silent machines that are returned rather than waited for.
     ///
     /// Guards against giving a whole zone away when it is the network that is silent: on a day with
@@ -29,16 +29,16 @@
     ///
     /// When a cut ends, machines report one after the other: the zone stays suspected for as long as
     /// the last of them may take.
-    pub(super) fn given_up(&mut self, now: Millis) -> BTreeSet<HostId> {
+    pub(crate) fn given_up(&mut self, now: Millis) -> BTreeSet<MachineId> {
         let silence = self.policy.silence();
-        if now - self.began <= silence {
+        if now - self.term_began_at <= silence {
             return BTreeSet::new();
         }
         let quiet = Millis::from_secs(self.policy.facts.workers.report_s * 2.0);
         let mut zones: BTreeMap<Zone, (f64, f64)> = BTreeMap::new();
         for m in self.machines.values() {
-            let lost =
-                m.state == MachineState::Returning && m.heard.is_none_or(|h| now - h > quiet);
+            let lost = m.state == MachineState::Returning
+                && m.last_message_at.is_none_or(|h| now - h > quiet);
             if m.state == MachineState::Up || lost {
                 let z = zones.entry(m.zone.clone()).or_default();
                 z.0 += 1.0;
@@ -64,20 +64,20 @@
     ///
     /// Guards against idle machines that are kept for jobs submitted with a mistake: on the recorded day
     /// a974 some 120 of them stayed for 100 s after the last arrival, until two such jobs were cancelled.
-    pub(super) fn work_waits(&self) -> bool {
+    pub(crate) fn work_waits(&self) -> bool {
         let waiting = self.indexes.waiting.iter();
         let mut jobs = waiting.filter_map(|id| self.jobs.get(id));
-        jobs.any(|job| !job.mistaken())
+        jobs.any(|job| !job.fails_everywhere())
     }
 
-    pub(super) fn return_machines(&mut self, now: Millis) {
-        let mut back: BTreeSet<HostId> = self.given_up(now);
+    pub(crate) fn return_machines(&mut self, now: Millis) {
+        let mut back: BTreeSet<MachineId> = self.given_up(now);
         let ebbed = !self.work_waits() && self.ebbed(now);
         for m in self.machines.values() {
             if m.state == MachineState::Returning {
                 continue;
             }
-            let busy = m.live > 0;
+            let busy = m.live_count > 0;
             let age = now - m.since;
             let dead_boot = m.state == MachineState::Booting
                 && age.secs() > self.boot_s(&m.machine_type) * DEAD_BOOTS + DEAD_PLUS_S;
@@ -91,60 +91,64 @@
                     (false, _) => WANTED,
                 };
             let idle = m.state == MachineState::Up
-                && !self.reserved.contains_key(&m.id)
+                && !self.warm_pool.contains_key(&m.id)
                 && m.idle_since.is_some_and(|t| (now - t).secs() > keep_s);
-            let stuck = m.drain_since.is_some_and(|t| now - t > DRAIN_PATIENCE);
-            if dead_boot || m.list_failed || (idle && !busy) || (m.drain && (!busy || stuck)) {
+            let stuck = m.draining_since.is_some_and(|t| now - t > DRAIN_PATIENCE);
+            if dead_boot
+                || m.listed_as_failed
+                || (idle && !busy)
+                || (m.draining && (!busy || stuck))
+            {
                 back.insert(m.id.clone());
             }
         }
-        let again: Vec<HostId> = self
+        let again: Vec<MachineId> = self
             .machines
             .values()
-            .filter(|m| m.state == MachineState::Returning && m.direct_after <= now)
+            .filter(|m| m.state == MachineState::Returning && m.push_not_before <= now)
             .map(|m| m.id.clone())
             .collect();
         back.extend(again);
         if back.is_empty() || now < self.fleet.return_after || !self.fleet.calls.take(now, 1.0) {
             return;
         }
-        let hosts: Vec<HostId> = back.into_iter().take(MOST_PER_RETURN).collect();
-        for h in &hosts {
+        let machine_ids: Vec<MachineId> = back.into_iter().take(MOST_PER_RETURN).collect();
+        for h in &machine_ids {
             if let Some(m) = self.machines.get_mut(h) {
-                tracing::debug!(host = %h, drain = m.drain, failed = m.list_failed, heard = ?m.heard, "returning");
+                tracing::debug!(machine = %h, draining = m.draining, failed = m.listed_as_failed, last_message_at = ?m.last_message_at, "returning");
                 m.state = MachineState::Returning;
                 self.indexes.spacious.remove(h);
                 self.indexes.cpus_left.remove(h);
                 // Not asked again while the answer is awaited.
-                m.direct_after = now + Millis(10_000);
+                m.push_not_before = now + Millis(10_000);
             }
         }
-        self.effects.push(Effect::Return { hosts });
+        self.effects.push(Effect::ScaleIn { machine_ids });
     }
 
-    pub(crate) fn returned(&mut self, now: Millis, hosts: &[HostId]) {
-        for h in hosts {
+    pub(crate) fn returned(&mut self, now: Millis, machine_ids: &[MachineId]) {
+        for h in machine_ids {
             // Proof 4: the cloud's 200 to returning the machine.
             self.empty_machine(now, h);
             self.gone.insert(h.clone());
             if let Some(m) = self.machines.remove(h) {
-                if m.direct_seq.is_some() {
-                    self.directs = self.directs.saturating_sub(1);
+                if m.push_in_flight.is_some() {
+                    self.pushes_in_flight = self.pushes_in_flight.saturating_sub(1);
                 }
                 if let Some(page) = m.page {
-                    self.writer.hosts.leave(now, page, h);
+                    self.writer.machine_pages.leave(now, page, h);
                 }
             }
             self.index_machine(h);
         }
-        self.dirty = true;
+        self.placement_due = true;
     }
 
-    pub(crate) fn return_failed(&mut self, now: Millis, hosts: &[HostId]) {
+    pub(crate) fn return_failed(&mut self, now: Millis, machine_ids: &[MachineId]) {
         self.fleet.return_after = now + Millis(1_000);
-        for h in hosts {
+        for h in machine_ids {
             if let Some(m) = self.machines.get_mut(h) {
-                m.direct_after = now + Millis(2_000);
+                m.push_not_before = now + Millis(2_000);
             }
         }
     }
--- a/src/coordination/fleet/rentals.rs
+++ b/src/coordination/autoscaler/scale_out.rs
@@ -1,11 +1,12 @@
 //! Renting machines: what, how many, and what became of each request.
 
-use super::super::placement::Unmet;
-use super::super::{Core, Effect};
-use super::{Hire, Kind, CALLS, LOOK_A_MACHINE, LOOK_EVERY, LOOK_S, STILL_SILENT};
-use crate::ids::{HostId, Millis, Zone};
+use super::{Kind, ScaleOutRequest, CALLS, LOOK_A_MACHINE, LOOK_EVERY, LOOK_S, STILL_SILENT};
+use crate::coordination::machines::machine::MachineState;
+use crate::coordination::placement::UnplacedTasks;
+use crate::coordination::{Effect, Scheduler};
+use crate::ids::{MachineId, Millis, Zone};
 use crate::protocol::users::JobSpec;
-use crate::storage::ledger::{Amount, MachineState};
+use crate::resources::Resources;
 use std::collections::BTreeMap;
 
 /// The most one rental may ask for, by the protocol.
@@ -17,14 +18,14 @@
 const HIRE_AGAIN: Millis = Millis(1_500);
 const HIRE_GIVEN_UP: Millis = Millis(90_000);
 
-impl Core {
-    pub(super) fn repeat_hires(&mut self, now: Millis) {
+impl Scheduler {
+    pub(crate) fn repeat_hires(&mut self, now: Millis) {
         self.fleet
-            .hires
+            .scale_out_requests
             .retain(|_, h| now - h.asked < HIRE_GIVEN_UP);
         let due: Vec<String> = self
             .fleet
-            .hires
+            .scale_out_requests
             .iter()
             .filter(|(_, h)| h.again_at.is_some_and(|t| t <= now))
             .map(|(n, _)| n.clone())
@@ -33,11 +34,11 @@
             if !self.fleet.calls.take(now, 1.0) {
                 return;
             }
-            if let Some(h) = self.fleet.hires.get_mut(&name) {
+            if let Some(h) = self.fleet.scale_out_requests.get_mut(&name) {
                 h.again_at = None;
                 let (machine_type, zone, spot) = h.kind.clone();
-                self.effects.push(Effect::Rent {
-                    hire: name,
+                self.effects.push(Effect::ScaleOut {
+                    idempotency_key: name,
                     machine_type,
                     zone,
                     spot,
@@ -48,17 +49,17 @@
     }
 
     /// Rents what makes waiting tasks start sooner, as the forecast says.
-    pub(super) fn rent(&mut self, now: Millis, unmet: &[Unmet]) {
+    pub(crate) fn rent(&mut self, now: Millis, unplaced: &[UnplacedTasks]) {
         let pause = LOOK_EVERY + Millis(LOOK_A_MACHINE * self.machines.len() as i64);
         if now - self.fleet.looked < pause || self.awaits_reports(now) {
             return;
         }
         self.fleet.looked = now;
         let calls = (self.policy.facts.cloud.rps * CALLS * LOOK_S).max(1.0);
-        let seen = self.look_ahead(now, unmet, calls as usize * MOST_PER_HIRE as usize);
+        let seen = self.look_ahead(now, unplaced, calls as usize * MOST_PER_HIRE as usize);
         tracing::debug!(
-            unmet = unmet.len(),
-            tasks = unmet.iter().map(|u| u.count).sum::<u32>(),
+            unplaced = unplaced.len(),
+            tasks = unplaced.iter().map(|u| u.count).sum::<u32>(),
             new = seen.rent.values().sum::<u32>(),
             spare = seen.spare.len(),
             "forecast"
@@ -78,8 +79,8 @@
     /// Guards against rentals for which there is no use a moment later: each change of leaders rented up to
     /// 180 machines on the recorded day a974. Until a machine has reported it can't be given work, and what
     /// ended on it while nobody led still seems to be there.
-    pub(super) fn awaits_reports(&self, now: Millis) -> bool {
-        if now - self.began > self.policy.first_reports() {
+    pub(crate) fn awaits_reports(&self, now: Millis) -> bool {
+        if now - self.term_began_at > self.policy.first_reports() {
             return false;
         }
         let up = self
@@ -87,28 +88,28 @@
             .values()
             .filter(|m| m.state == MachineState::Up);
         let (silent, all) = up.fold((0, 0), |(silent, all), m| {
-            (silent + usize::from(m.reported.is_none()), all + 1)
+            (silent + usize::from(m.last_heartbeat_at.is_none()), all + 1)
         });
         silent as f64 > all as f64 * STILL_SILENT
     }
 
-    pub(super) fn hire(&mut self, now: Millis, kind: Kind, count: u32) {
+    pub(crate) fn hire(&mut self, now: Millis, kind: Kind, count: u32) {
         // Unique for ever: tokens are, and so is the count within one.
         self.fleet.hired += 1;
-        let name = format!("r-{}-{}", self.lead.first, self.fleet.hired);
-        tracing::debug!(hire = %name, machine_type = %kind.0, zone = %kind.1, spot = kind.2, count, "renting");
+        let name = format!("r-{}-{}", self.term.first, self.fleet.hired);
+        tracing::debug!(idempotency_key = %name, machine_type = %kind.0, zone = %kind.1, spot = kind.2, count, "renting");
         let (machine_type, zone, spot) = kind.clone();
-        self.fleet.hires.insert(
+        self.fleet.scale_out_requests.insert(
             name.clone(),
-            Hire {
+            ScaleOutRequest {
                 kind,
                 count,
                 asked: now,
                 again_at: None,
             },
         );
-        self.effects.push(Effect::Rent {
-            hire: name,
+        self.effects.push(Effect::ScaleOut {
+            idempotency_key: name,
             machine_type,
             zone,
             spot,
@@ -134,10 +135,10 @@
         left: u32,
         zones: &BTreeMap<Zone, usize>,
     ) -> Option<Kind> {
-        let need = Amount::of(spec);
+        let request = Resources::of(spec);
         let mut best: Option<((f64, usize), Kind)> = None;
         for machine_type in self.machine_types.values() {
-            let n = need.count_in(&self.capacity(&machine_type.name), left);
+            let n = request.count_in(&self.capacity(&machine_type.name), left);
             if n == 0 {
                 continue;
             }
@@ -166,29 +167,43 @@
 
     /// Whether a machine for the job is coming or may yet be rented.
     pub(crate) fn may_rent(&self, now: Millis, spec: &JobSpec) -> bool {
-        let need = Amount::of(spec);
+        let request = Resources::of(spec);
         let serves =
-            |kind: &Kind| Self::kind_allowed(spec, kind) && need.fits(&self.capacity(&kind.0));
+            |kind: &Kind| Self::kind_allowed(spec, kind) && request.fits(&self.capacity(&kind.0));
         self.choose_kind(now, spec, 1, &BTreeMap::new()).is_some()
-            || self.fleet.hires.values().any(|h| serves(&h.kind))
+            || self
+                .fleet
+                .scale_out_requests
+                .values()
+                .any(|h| serves(&h.kind))
             || self.machines.values().any(|m| {
                 m.state == MachineState::Booting
                     && serves(&(m.machine_type.clone(), m.zone.clone(), m.spot))
             })
     }
 
-    pub(crate) fn rented(&mut self, now: Millis, hire: &str, hosts: Option<Vec<HostId>>) {
-        let Some(h) = self.fleet.hires.remove(hire) else {
+    pub(crate) fn rented(
+        &mut self,
+        now: Millis,
+        idempotency_key: &str,
+        machine_ids: Option<Vec<MachineId>>,
+    ) {
+        let Some(h) = self.fleet.scale_out_requests.remove(idempotency_key) else {
             return;
         };
-        let got = hosts.as_ref().map_or(0, Vec::len) as u32;
+        let got = machine_ids.as_ref().map_or(0, Vec::len) as u32;
         if got < h.count {
             let wait = self
                 .fleet
                 .refused
                 .get(&h.kind)
                 .map_or(REFUSED.0, |r| Millis(r.1 .0 * 2).min(REFUSED.1));
-            tracing::debug!(hire, got, asked = h.count, "refused for want of capacity");
+            tracing::debug!(
+                idempotency_key,
+                got,
+                asked = h.count,
+                "refused for want of capacity"
+            );
             self.fleet
                 .refused
                 .insert(h.kind.clone(), (now + wait, wait));
@@ -196,16 +211,16 @@
             self.fleet.refused.remove(&h.kind);
         }
         let (machine_type, zone, spot) = h.kind;
-        for id in hosts.into_iter().flatten() {
+        for id in machine_ids.into_iter().flatten() {
             if !self.gone.contains(&id) {
                 self.enter_machine(now, &id, &machine_type, &zone, spot, h.asked, true);
             }
         }
-        self.dirty = true;
+        self.placement_due = true;
     }
 
-    pub(crate) fn rent_unclear(&mut self, now: Millis, hire: &str) {
-        if let Some(h) = self.fleet.hires.get_mut(hire) {
+    pub(crate) fn rent_unclear(&mut self, now: Millis, idempotency_key: &str) {
+        if let Some(h) = self.fleet.scale_out_requests.get_mut(idempotency_key) {
             h.again_at = Some(now + HIRE_AGAIN);
         }
     }
--- a/src/coordination/standby.rs
+++ b/src/coordination/autoscaler/warm_pool.rs
@@ -2,15 +2,15 @@
 //! and their image fetched. How many follows from the arrivals seen: what comes in the time that a
 //! rental would take, and a little for chance.
 
-use super::Core;
-use crate::ids::{HostId, Millis};
+use crate::coordination::Scheduler;
+use crate::ids::{MachineId, Millis};
 use crate::protocol::users::JobSpec;
-use crate::storage::ledger::Amount;
+use crate::resources::Resources;
 use std::collections::BTreeMap;
 
-impl Core {
+impl Scheduler {
     /// How many tasks of each class there should be room for at once, beyond what runs.
-    pub(crate) fn standby_wanted(&self, now: Millis) -> Vec<(JobSpec, u32)> {
+    pub(crate) fn warm_pool_wanted(&self, now: Millis) -> Vec<(JobSpec, u32)> {
         let mut wanted = Vec::new();
         for (class, d) in &self.demand {
             let Some(within) = self.policy.started_within(class) else {
@@ -19,7 +19,7 @@
             let Some(spec) = d.last().last() else {
                 continue;
             };
-            let need = Amount::of(spec);
+            let request = Resources::of(spec);
             let soonest = self
                 .machine_types
                 .values()
@@ -28,7 +28,7 @@
                         .as_ref()
                         .is_none_or(|a| a.contains(&r.name))
                 })
-                .filter(|r| need.fits(&self.capacity(&r.name)))
+                .filter(|r| request.fits(&self.capacity(&r.name)))
                 .map(|r| r.boot_s + spec.image_gb / r.fetch_gb_per_s.max(0.01))
                 .fold(f64::INFINITY, f64::min);
             if !soonest.is_finite() || soonest <= within || !self.bulk(spec) {
@@ -48,30 +48,30 @@
     }
 
     /// Chooses the machines that stand by, and says what is missing.
-    pub(crate) fn choose_standby(&mut self, now: Millis) {
-        let mut reserved: BTreeMap<HostId, String> = BTreeMap::new();
+    pub(crate) fn choose_warm_pool(&mut self, now: Millis) {
+        let mut warm_pool: BTreeMap<MachineId, String> = BTreeMap::new();
         let mut missing = Vec::new();
-        for (spec, n) in self.standby_wanted(now) {
-            let need = Amount::of(&spec);
-            let mut fit: Vec<(bool, &HostId)> = self
+        for (spec, n) in self.warm_pool_wanted(now) {
+            let request = Resources::of(&spec);
+            let mut fit: Vec<(bool, &MachineId)> = self
                 .indexes
                 .spacious
                 .iter()
                 .filter_map(|h| self.machines.get(h))
-                .filter(|m| need.fits(&m.free) && Self::allows(&spec, m) && self.usable(m, now))
-                .filter(|m| !reserved.contains_key(&m.id))
+                .filter(|m| request.fits(&m.free) && Self::allows(&spec, m) && self.usable(m, now))
+                .filter(|m| !warm_pool.contains_key(&m.id))
                 .map(|m| (!m.has_image(&spec.image), &m.id))
                 .collect();
             fit.sort();
             let short = n.saturating_sub(fit.len() as u32);
-            for (_, host) in fit.into_iter().take(n as usize) {
-                reserved.insert(host.clone(), spec.class.clone());
+            for (_, machine_id) in fit.into_iter().take(n as usize) {
+                warm_pool.insert(machine_id.clone(), spec.class.clone());
             }
             if short > 0 {
                 missing.push((spec, short));
             }
         }
-        self.reserved = reserved;
-        self.standby_missing = missing;
+        self.warm_pool = warm_pool;
+        self.warm_pool_missing = missing;
     }
 }
--- /dev/null
+++ b/src/coordination/event.rs
@@ -0,0 +1,79 @@
+//! What the scheduler takes in.
+
+use crate::ids::{JobId, KeyRevision, MachineId, Millis, StoreRevision};
+use crate::protocol::cloud::{ListedMachine, MachineTypeInfo};
+use crate::protocol::state::KeyValue;
+use crate::protocol::workers::WorkerStatus;
+use crate::storage::records::{OpenJobRecord, TerminalRecord};
+
+/// What happened.
+#[derive(Debug)]
+pub enum Event {
+    /// An open job appeared.
+    JobOpened {
+        record: Box<OpenJobRecord>,
+        revision: KeyRevision,
+        submitted: Millis,
+    },
+    /// A job is no longer open: cancelled, or finished by us.
+    JobClosed { id: JobId },
+    /// A controller has confirmed that a job is cancelled: its mark is written.
+    JobCancelled { id: JobId },
+    /// Finish marks as read; None: the job has none.
+    TerminalRecordsRead {
+        terminal_records: Vec<(JobId, Option<TerminalRecord>)>,
+    },
+    /// The whole list of open jobs, as read anew (after a gap in the watch).
+    OpenJobs {
+        jobs: Vec<(OpenJobRecord, KeyRevision, Millis)>,
+    },
+    /// A direct command was answered: 200 (executed) or 409 (not).
+    PushAnswered {
+        machine_id: MachineId,
+        seq: u64,
+        status: Box<WorkerStatus>,
+    },
+    /// A direct command was not answered. `sent` is false if it certainly never left.
+    PushFailed {
+        machine_id: MachineId,
+        seq: u64,
+        sent: bool,
+    },
+    /// Machine types and their prices.
+    MachineTypes(Vec<MachineTypeInfo>),
+    /// The whole machine list, asked for at the given moment.
+    MachinesListed {
+        asked: Millis,
+        machines: Vec<ListedMachine>,
+    },
+    /// A rental was answered: machines, or None for no capacity.
+    ScaleOutAnswered {
+        idempotency_key: String,
+        machine_ids: Option<Vec<MachineId>>,
+    },
+    /// A rental's outcome is unclear; it is asked again under the same name.
+    ScaleOutUnclear { idempotency_key: String },
+    /// The cloud confirmed that the machines are gone.
+    MachinesTerminated { machine_ids: Vec<MachineId> },
+    /// Returning was not confirmed.
+    ScaleInFailed { machine_ids: Vec<MachineId> },
+    /// A write is known to be done.
+    Written {
+        seq: u64,
+        store_revision: StoreRevision,
+    },
+    /// A write was certainly not executed, nor will be.
+    NotWritten { seq: u64 },
+    /// A write was not executed since there were too many changes; none for so long.
+    WriteLimited { seq: u64, pause: Millis },
+    /// A write was refused for what it is, and would be each time: too many operations, too large a value.
+    WriteRejected { seq: u64 },
+    /// A write's guards failed (these, if the service said which), or its outcome is unclear: the
+    /// keys must be read again.
+    WriteUnclear { seq: u64, failed: Vec<String> },
+    /// The keys read again.
+    Reread {
+        seq: u64,
+        items: Vec<(String, Option<KeyValue>)>,
+    },
+}
--- a/src/coordination/ageing.rs
+++ b/src/coordination/jobs/aging.rs
@@ -5,16 +5,16 @@
 //! jobs must begin in time. So a job past its time goes first only if its kind is in danger:
 //! otherwise it would only make others late that can still meet their aims.
 
-use super::Core;
-use crate::ids::{JobId, Millis, TeamNo};
-use crate::storage::ledger::Job;
+use crate::coordination::jobs::job::Job;
+use crate::coordination::Scheduler;
+use crate::ids::{JobId, Millis, TeamIndex};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Jobs of which most must begin in time.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Group {
     Class(String),
-    Team(TeamNo),
+    Team(TeamIndex),
     /// Those of a class with more tasks than most.
     Largest(String),
 }
@@ -40,8 +40,8 @@
 
 /// What is remembered of beginnings.
 #[derive(Debug, Default)]
-pub struct Ageing {
-    begun: BTreeMap<Group, Begun>,
+pub struct Aging {
+    has_run: BTreeMap<Group, Begun>,
     /// Task counts of the last jobs of each class.
     sizes: BTreeMap<String, VecDeque<u32>>,
     endangered: BTreeSet<Group>,
@@ -57,7 +57,7 @@
 /// Sizes remembered of each class.
 const SIZES: usize = 99;
 
-impl Core {
+impl Scheduler {
     fn late_after(&self) -> Millis {
         Millis::from_secs(self.policy.operator.begin_within_s * LATE)
     }
@@ -66,7 +66,7 @@
         let class = &job.spec.class;
         let mut groups = vec![Group::Class(class.clone())];
         groups.extend(job.team.map(Group::Team));
-        let larger = self.ageing.sizes.get(class).is_some_and(|s| {
+        let larger = self.aging.sizes.get(class).is_some_and(|s| {
             let mut s: Vec<u32> = s.iter().copied().collect();
             s.sort_unstable();
             s.get(s.len() / 2).is_some_and(|m| job.spec.tasks > *m)
@@ -79,7 +79,7 @@
 
     /// Notes the size of a job that was opened.
     pub(crate) fn note_size(&mut self, class: &str, tasks: u32) {
-        let sizes = self.ageing.sizes.entry(class.to_string()).or_default();
+        let sizes = self.aging.sizes.entry(class.to_string()).or_default();
         sizes.push_back(tasks);
         if sizes.len() > SIZES {
             sizes.pop_front();
@@ -98,7 +98,7 @@
                 late: 0.0,
                 at: now,
             };
-            let b = self.ageing.begun.entry(group).or_insert(none);
+            let b = self.aging.has_run.entry(group).or_insert(none);
             *b = b.at(now);
             if late {
                 b.late += 1.0;
@@ -109,7 +109,7 @@
     }
 
     /// Once a second: which groups are in danger, those that still wait counted as late.
-    pub(crate) fn recheck_ageing(&mut self, now: Millis) {
+    pub(crate) fn recheck_aging(&mut self, now: Millis) {
         let bound = self.late_after();
         let mut sums: BTreeMap<Group, (f64, f64)> = BTreeMap::new();
         for job in self
@@ -118,30 +118,30 @@
             .iter()
             .filter_map(|id| self.jobs.get(id))
         {
-            if !job.begun && now - job.ready > bound {
+            if !job.has_run && now - job.ready > bound {
                 for group in self.groups_of(job) {
                     sums.entry(group).or_default().1 += 1.0;
                 }
             }
         }
-        let begun = &self.ageing.begun;
+        let begun = &self.aging.has_run;
         let endangered = sums.into_iter().filter(|(group, (_, waiting))| {
             let b = begun.get(group).map(|b| b.at(now));
             let (in_time, late) = b.map_or((0.0, 0.0), |b| (b.in_time, b.late));
             let late = late + waiting;
             late > (in_time + late) * LATE_SHARE_LIMIT
         });
-        self.ageing.endangered = endangered.map(|(group, _)| group).collect();
+        self.aging.endangered = endangered.map(|(group, _)| group).collect();
     }
 
     /// Whether a job goes ahead of all others.
     pub(crate) fn aged(&self, job: &Job, now: Millis) -> bool {
-        !self.ageing.endangered.is_empty()
-            && !job.begun
+        !self.aging.endangered.is_empty()
+            && !job.has_run
             && now - job.ready > self.late_after()
             && self
                 .groups_of(job)
                 .iter()
-                .any(|g| self.ageing.endangered.contains(g))
+                .any(|g| self.aging.endangered.contains(g))
     }
 }
--- a/src/coordination/estimates.rs
+++ b/src/coordination/jobs/estimates.rs
@@ -1,9 +1,9 @@
 //! How long tasks run, and how much work a job is: the owners' guesses, corrected by what was seen.
 
-use super::Core;
-use crate::ids::{Attempt, HostId, Millis, TaskId};
+use crate::coordination::jobs::job::Job;
+use crate::coordination::Scheduler;
+use crate::ids::{AttemptId, MachineId, Millis, TaskId};
 use crate::protocol::users::JobSpec;
-use crate::storage::ledger::Job;
 use serde::{Deserialize, Serialize};
 
 /// Run times seen against those guessed, for one class.
@@ -23,12 +23,20 @@
 /// A task past its estimate is taken to run on for this part of what it has run.
 const TAIL: f64 = 0.35;
 
-impl Core {
-    pub(crate) fn note_run_time(&mut self, now: Millis, host: &HostId, key: &(TaskId, Attempt)) {
-        let start = self.machines.get(host).and_then(|m| m.starts.get(key));
+impl Scheduler {
+    pub(crate) fn note_run_time(
+        &mut self,
+        now: Millis,
+        machine_id: &MachineId,
+        key: &(TaskId, AttemptId),
+    ) {
+        let attempt = self
+            .machines
+            .get(machine_id)
+            .and_then(|m| m.attempts.get(key));
         // Guards against estimates that shrink with each takeover: when a start of a former leader began
         // to run is not known, and it seemed to have run only since we saw it.
-        let known = start.filter(|s| !s.inherited);
+        let known = attempt.filter(|s| !s.recovered);
         let Some(since) = known.and_then(|s| s.running_since) else {
             return;
         };
@@ -89,7 +97,7 @@
     }
 
     /// How long the longest task of the job should run.
-    pub(super) fn longest_of(&self, job: &Job) -> f64 {
+    pub(crate) fn longest_of(&self, job: &Job) -> f64 {
         let longer = self
             .observed
             .get(&job.spec.class)
@@ -105,14 +113,14 @@
     /// the order matters little; when there is too much to do, going by the least slack made every
     /// job just late: on the grown site's rough day half of all deadlines were missed for hours of
     /// machine time that went to a fifth of the jobs.
-    pub(super) fn work_of(&self, job: &Job) -> f64 {
+    pub(crate) fn work_of(&self, job: &Job) -> f64 {
         let tasks = job.pending.len() as f64;
         self.part_of_machine(&job.spec) * tasks * self.estimate_of(job)
     }
 
     /// The largest part that a task takes of the machine type which it takes least of.
-    pub(super) fn part_of_machine(&self, spec: &JobSpec) -> f64 {
-        let part = |need: f64, have: f64| if have > 0.0 { need / have } else { 0.0 };
+    pub(crate) fn part_of_machine(&self, spec: &JobSpec) -> f64 {
+        let part = |request: f64, have: f64| if have > 0.0 { request / have } else { 0.0 };
         self.machine_types
             .values()
             .filter(|r| {
--- a/src/coordination/graph.rs
+++ b/src/coordination/jobs/graph.rs
@@ -8,7 +8,7 @@
 //! finish mark.
 
 use crate::ids::{JobId, Millis};
-use crate::protocol::users::Urgency;
+use crate::protocol::users::Priority;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// How a job is to be served.
@@ -31,7 +31,7 @@
     /// How long it should take from its release to its end.
     pub run: Millis,
     /// Its own priority.
-    pub urgency: Urgency,
+    pub priority: Priority,
 }
 
 /// What follows for a job from its own traits and those of all jobs that need it.
@@ -42,7 +42,7 @@
     label: Label,
     /// The time by which it has to be done for every deadline behind it.
     due: Option<Millis>,
-    urgency: Urgency,
+    priority: Priority,
 }
 
 impl Derived {
@@ -55,7 +55,7 @@
                 None => Label::Throughput,
             },
             due: traits.due,
-            urgency: traits.urgency,
+            priority: traits.priority,
         }
     }
 }
@@ -308,8 +308,8 @@
     }
 
     /// The highest priority of the job and of all that need it; None if it is not held here.
-    pub fn urgency(&self, id: &JobId) -> Option<Urgency> {
-        self.derived(id).map(|d| d.urgency)
+    pub fn priority(&self, id: &JobId) -> Option<Priority> {
+        self.derived(id).map(|d| d.priority)
     }
 
     /// The task group: parallel latency jobs at one stage before the same consumers. A job without
@@ -366,9 +366,9 @@
                 node.derived = Derived::alone(&node.traits);
             }
         }
-        let order = self.topological_order();
-        self.derive_backwards(&order);
-        self.linked = order.into_iter().collect();
+        let command = self.topological_order();
+        self.derive_backwards(&command);
+        self.linked = command.into_iter().collect();
     }
 
     /// Open producers of an open job.
@@ -399,7 +399,7 @@
                 n => drop(before.insert(id, n)),
             }
         }
-        let mut order = Vec::new();
+        let mut command = Vec::new();
         while let Some(id) = ready.pop_front() {
             let next_depth = self.depth(&id) + 1;
             for consumer in self.open_consumers(&id).cloned().collect::<Vec<_>>() {
@@ -413,17 +413,17 @@
                     }
                 }
             }
-            order.push(id);
+            command.push(id);
         }
-        order
+        command
     }
 
     /// Backwards from outputs: each producer has to be done before its consumers must begin, and has
     /// the highest of their priorities; the latency label goes to the producers of an output with a
     /// deadline and their immediate predecessors.
-    fn derive_backwards(&mut self, order: &[JobId]) {
+    fn derive_backwards(&mut self, command: &[JobId]) {
         let mut steps: BTreeMap<JobId, u32> = BTreeMap::new();
-        for id in order.iter().rev() {
+        for id in command.iter().rev() {
             let output = self.open_consumers(id).next().is_none();
             let Some(node) = self.nodes.get_mut(id) else {
                 continue;
@@ -440,7 +440,7 @@
             let begin_by = derived.due.map(|due| due - node.traits.run);
             for producer in self.open_producers(id).cloned().collect::<Vec<_>>() {
                 if let Some(p) = self.nodes.get_mut(&producer) {
-                    p.derived.urgency = p.derived.urgency.max(derived.urgency);
+                    p.derived.priority = p.derived.priority.max(derived.priority);
                     p.derived.due = match (p.derived.due, begin_by) {
                         (Some(a), Some(b)) => Some(a.min(b)),
                         (a, b) => a.or(b),
--- a/src/coordination/chains.rs
+++ b/src/coordination/jobs/lifecycle.rs
@@ -5,12 +5,12 @@
 //! has written, or one that was read. A report, a write without an answer, or an open record that is
 //! gone decide nothing.
 
-use super::graph::{Changes, JobTraits, Release};
-use super::{Core, Effect};
-use crate::ids::{HostId, JobId, Millis, Stamp};
+use crate::coordination::jobs::graph::{Changes, JobTraits, Release};
+use crate::coordination::jobs::job::Job;
+use crate::coordination::{Effect, Scheduler};
+use crate::ids::{JobId, KeyRevision, MachineId, Millis};
 use crate::protocol::users::JobPhase;
-use crate::storage::ledger::Job;
-use crate::storage::records::{FinalRecord, OpenRecord};
+use crate::storage::records::{OpenJobRecord, TerminalRecord};
 use std::collections::BTreeSet;
 
 /// How a job came to be no longer open.
@@ -26,15 +26,15 @@
 }
 
 /// Finish marks read in one go.
-const MARKS_READ_AT_ONCE: usize = 32;
+const MAX_TERMINAL_RECORDS_PER_READ: usize = 32;
 /// The pause after a read in which a job had no mark: its open record is on the way to us.
-const MARK_MISSING_PAUSE: Millis = Millis(1_000);
+const MISSING_RECORD_RETRY_DELAY: Millis = Millis(1_000);
 /// A read that is not answered within this is made again, should the runtime have lost it.
-const MARK_READ_LOST: Millis = Millis(30_000);
+const READ_TIMEOUT: Millis = Millis(30_000);
 
 /// The reading of finish marks.
 #[derive(Debug)]
-pub struct MarkReads {
+pub struct TerminalRecordReads {
     /// Since when a read is under way.
     asked: Option<Millis>,
     not_before: Millis,
@@ -42,9 +42,9 @@
     last: Option<JobId>,
 }
 
-impl Default for MarkReads {
-    fn default() -> MarkReads {
-        MarkReads {
+impl Default for TerminalRecordReads {
+    fn default() -> TerminalRecordReads {
+        TerminalRecordReads {
             asked: None,
             not_before: Millis(i64::MIN / 4),
             last: None,
@@ -52,29 +52,29 @@
     }
 }
 
-impl Core {
-    pub(super) fn job_opened(
+impl Scheduler {
+    pub(crate) fn job_opened(
         &mut self,
         now: Millis,
-        record: OpenRecord,
-        stamp: Stamp,
+        record: OpenJobRecord,
+        revision: KeyRevision,
         submitted: Millis,
     ) {
         let id = record.spec.id.clone();
         match self.jobs.get_mut(&id) {
             // A job that is over here never opens again: the finish mark stands for ever.
-            Some(job) if job.over => {}
-            Some(job) => job.stamp = stamp,
+            Some(job) if job.closed => {}
+            Some(job) => job.revision = revision,
             None => {
                 let team = self.team_of(&record.spec);
-                let mut job = Job::new(record.spec, team, stamp, submitted);
-                job.edge_pages = record.edge_pages;
+                let mut job = Job::new(record.spec, team, revision, submitted);
+                job.dependency_pages = record.dependency_pages;
                 let traits = self.traits_of(&job, &record.after);
                 self.jobs.insert(id.clone(), job);
                 self.index_job(&id);
                 self.graph.add(&id, &record.after, traits);
                 self.apply_graph_changes(now);
-                self.dirty = true;
+                self.placement_due = true;
             }
         }
     }
@@ -93,7 +93,7 @@
         JobTraits {
             due: due_s.map(|s| job.submitted + Millis::from_secs(s)),
             run: Millis::from_secs(run_s),
-            urgency: spec.urgency,
+            priority: spec.priority,
         }
     }
 
@@ -117,26 +117,26 @@
 
     /// Nothing of the job may start any more, and what runs is stopped.
     fn end_job(&mut self, now: Millis, id: &JobId) {
-        let Some(job) = self.jobs.get_mut(id).filter(|j| !j.over) else {
+        let Some(job) = self.jobs.get_mut(id).filter(|j| !j.closed) else {
             return;
         };
-        if !job.complete() {
+        if !job.is_complete() {
             tracing::debug!(job = %id, "cancelled");
         }
-        job.over = true;
+        job.closed = true;
         job.pending.clear();
-        self.writer.orphan_edges(id, job.edge_pages);
-        self.dirty = true;
-        let hosts: BTreeSet<HostId> = job.places.values().flatten().cloned().collect();
-        for h in hosts {
+        self.writer.orphan_edges(id, job.dependency_pages);
+        self.placement_due = true;
+        let machine_ids: BTreeSet<MachineId> = job.placements.values().flatten().cloned().collect();
+        for h in machine_ids {
             self.drop_untouched(now, &h, id);
-            self.to_review.insert(h);
+            self.machines_to_review.insert(h);
         }
         self.index_job(id);
     }
 
     /// Carries over to the jobs what the graph says.
-    pub(super) fn apply_graph_changes(&mut self, now: Millis) {
+    pub(crate) fn apply_graph_changes(&mut self, now: Millis) {
         let Changes {
             released,
             cancelled,
@@ -168,40 +168,48 @@
         self.note_arrival(&spec, ready);
         self.note_size(&spec.class, spec.tasks);
         self.index_job(&release.id);
-        self.dirty = true;
+        self.placement_due = true;
     }
 
     /// Asks for the finish marks of producers of which nothing is known here.
-    pub(super) fn read_marks(&mut self, now: Millis) {
-        let reads = &mut self.mark_reads;
-        let under_way = reads.asked.is_some_and(|t| now - t < MARK_READ_LOST);
+    pub(crate) fn read_terminal_records(&mut self, now: Millis) {
+        let reads = &mut self.terminal_record_reads;
+        let under_way = reads.asked.is_some_and(|t| now - t < READ_TIMEOUT);
         if under_way || now < reads.not_before {
             return;
         }
         let last = reads.last.as_ref();
-        let ids = self.graph.unknown_after(last, MARKS_READ_AT_ONCE);
+        let ids = self
+            .graph
+            .unknown_after(last, MAX_TERMINAL_RECORDS_PER_READ);
         if ids.is_empty() {
             return;
         }
         reads.asked = Some(now);
         reads.last = ids.last().cloned();
-        self.effects.push(Effect::ReadMarks { ids });
+        self.effects.push(Effect::ReadTerminalRecords { ids });
     }
 
     /// Finish marks as they stand.
-    pub(super) fn marks_read(&mut self, now: Millis, marks: Vec<(JobId, Option<FinalRecord>)>) {
-        self.mark_reads.asked = None;
-        for (id, mark) in marks {
-            match mark {
-                Some(mark) if mark.phase == JobPhase::Done => {
-                    let at = mark
+    pub(crate) fn terminal_records_read(
+        &mut self,
+        now: Millis,
+        terminal_records: Vec<(JobId, Option<TerminalRecord>)>,
+    ) {
+        self.terminal_record_reads.asked = None;
+        for (id, terminal_record) in terminal_records {
+            match terminal_record {
+                Some(terminal_record) if terminal_record.phase == JobPhase::Done => {
+                    let at = terminal_record
                         .at_ms
                         .map(|ms| Millis(ms as i64) - Millis(self.day_ms as i64));
                     self.graph.finished(&id, at.map_or(now, |at| at.min(now)));
                 }
-                Some(mark) if mark.phase == JobPhase::Cancelled => self.graph.cancelled(&id),
+                Some(terminal_record) if terminal_record.phase == JobPhase::Cancelled => {
+                    self.graph.cancelled(&id)
+                }
                 // Still open as far as the service goes: its record comes with the next changes.
-                _ => self.mark_reads.not_before = now + MARK_MISSING_PAUSE,
+                _ => self.terminal_record_reads.not_before = now + MISSING_RECORD_RETRY_DELAY,
             }
         }
         self.apply_graph_changes(now);
--- /dev/null
+++ b/src/coordination/jobs/mod.rs
@@ -0,0 +1,9 @@
+//! Jobs: their table, the graph of what needs what, their life from submission to the end, and what is known
+//! of how long they take.
+
+pub mod aging;
+pub mod estimates;
+pub mod graph;
+pub mod job;
+pub mod lifecycle;
+pub mod pending;
--- a/src/coordination/waiting.rs
+++ b/src/coordination/jobs/pending.rs
@@ -1,14 +1,14 @@
 //! Why jobs wait, for the log: an operator who sees work standing must not have to guess.
 
-use super::Core;
+use crate::coordination::jobs::job::Job;
+use crate::coordination::Scheduler;
 use crate::ids::{JobId, Millis};
 use crate::protocol::users::Shape;
-use crate::storage::ledger::Job;
 use std::collections::BTreeMap;
 
 /// What a job with tasks that are nowhere waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum WaitReason {
+pub enum PendingReason {
     /// A job that it depends on has not finished.
     Producers,
     /// It has failed on several machines and tries again later, or one task at a time.
@@ -23,7 +23,7 @@
 
 /// The jobs that wait for one reason.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct WaitingJobs {
+pub struct PendingJobs {
     /// How many jobs, and how many of their tasks.
     pub jobs: usize,
     pub tasks: usize,
@@ -33,15 +33,15 @@
     pub since: Millis,
 }
 
-impl Core {
+impl Scheduler {
     /// The jobs that wait, by what they wait for.
-    pub fn waiting_jobs(&self, now: Millis) -> BTreeMap<WaitReason, WaitingJobs> {
-        let mut by_reason: BTreeMap<WaitReason, WaitingJobs> = BTreeMap::new();
+    pub fn pending_jobs(&self, now: Millis) -> BTreeMap<PendingReason, PendingJobs> {
+        let mut by_reason: BTreeMap<PendingReason, PendingJobs> = BTreeMap::new();
         let waiting = self.indexes.waiting.iter();
         let waiting = waiting.chain(&self.indexes.unreleased);
         for (id, job) in waiting.filter_map(|id| Some((id, self.jobs.get(id)?))) {
-            let reason = self.wait_reason(now, job);
-            let entry = by_reason.entry(reason).or_insert_with(|| WaitingJobs {
+            let reason = self.pending_reason(now, job);
+            let entry = by_reason.entry(reason).or_insert_with(|| PendingJobs {
                 jobs: 0,
                 tasks: 0,
                 oldest: id.clone(),
@@ -57,27 +57,27 @@
         by_reason
     }
 
-    fn wait_reason(&self, now: Millis, job: &Job) -> WaitReason {
+    fn pending_reason(&self, now: Millis, job: &Job) -> PendingReason {
         if !job.released {
-            return WaitReason::Producers;
+            return PendingReason::Producers;
         }
-        if now < job.not_before || job.mistaken() {
-            return WaitReason::Failures;
+        if now < job.not_before || job.fails_everywhere() {
+            return PendingReason::Failures;
         }
         let gang = job.spec.shape == Shape::Gang;
-        if gang && !job.places.is_empty() {
-            return WaitReason::LastAttempt;
+        if gang && !job.placements.is_empty() {
+            return PendingReason::LastAttempt;
         }
         let needed = if gang { job.pending.len() as u32 } else { 1 };
         if self.headroom(&job.spec, job.team, &self.used) < needed {
-            return WaitReason::TeamLimit;
+            return PendingReason::TeamLimit;
         }
-        WaitReason::Room
+        PendingReason::Room
     }
 
     /// A line for each reason for which jobs wait.
-    pub(super) fn log_waiting(&self, now: Millis) {
-        for (reason, waiting) in self.waiting_jobs(now) {
+    pub(crate) fn log_waiting(&self, now: Millis) {
+        for (reason, waiting) in self.pending_jobs(now) {
             tracing::info!(
                 ?reason,
                 jobs = waiting.jobs,
--- a/src/coordination/leadership.rs
+++ b/src/coordination/leadership/authority.rs
@@ -1,19 +1,19 @@
 //! Authority: until when a leader may act, on its own steady clock; and what it holds on the state
 //! service.
 
-use crate::ids::{LeaseId, Millis, Stamp, Token};
+use crate::ids::{FencingToken, KeyRevision, LeaseId, Millis};
 use crate::settings::LeaderTimes;
 use std::sync::atomic::{AtomicBool, AtomicI64, Ordering};
 
 /// What a leader holds on the state service.
 #[derive(Debug, Clone)]
-pub struct Lead {
+pub struct LeadershipTerm {
     /// The token in force, and the one this leadership began with: a leader may raise its own.
-    pub token: Token,
-    pub first: Token,
+    pub token: FencingToken,
+    pub first: FencingToken,
     /// Versions of the leader key and of the counter of tokens.
-    pub stamp: Stamp,
-    pub token_stamp: Stamp,
+    pub revision: KeyRevision,
+    pub token_stamp: KeyRevision,
     /// The lease that the leader key is on, and the name it carries.
     pub lease: LeaseId,
     pub host_name: String,
@@ -21,11 +21,11 @@
 
 /// Why a leader may not act.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Lapse {
+pub enum AuthorityLoss {
     /// It gave its authority up, or a record or a worker showed it that somebody else leads.
     Resigned,
     /// No touch of its lease that was sent lately has succeeded.
-    LeaseOver,
+    LeaseExpired,
     /// What it knows of the open jobs is too old.
     ViewTooOld,
 }
@@ -86,19 +86,19 @@
 
     /// Whether the leader may act at this moment.
     pub fn holds(&self, now: Millis) -> bool {
-        self.lapse(now).is_none()
+        self.authority_loss(now).is_none()
     }
 
     /// Why the leader may not act at this moment; None if it may.
-    pub fn lapse(&self, now: Millis) -> Option<Lapse> {
+    pub fn authority_loss(&self, now: Millis) -> Option<AuthorityLoss> {
         if self.resigned.load(Ordering::Relaxed) {
-            return Some(Lapse::Resigned);
+            return Some(AuthorityLoss::Resigned);
         }
         if now.0 >= self.leased_until.load(Ordering::Relaxed) {
-            return Some(Lapse::LeaseOver);
+            return Some(AuthorityLoss::LeaseExpired);
         }
         let too_old = now.0 >= self.known_until.load(Ordering::Relaxed);
-        too_old.then_some(Lapse::ViewTooOld)
+        too_old.then_some(AuthorityLoss::ViewTooOld)
     }
 
     /// How long ago the last answered request for the open jobs was sent.
--- a/src/coordination/recovery.rs
+++ b/src/coordination/leadership/recovery.rs
@@ -2,34 +2,36 @@
 //! and machines. Whatever has an intent counts as running until proven otherwise; what has none
 //! was never launched and may start at once.
 
-use super::ageing::Ageing;
-use super::chains::MarkReads;
-use super::fleet::Fleet;
-use super::graph::Graph;
-use super::leadership::Lead;
-use super::starts::Indexes;
-use super::writer::Writer;
-use super::{Core, Policy};
-use crate::ids::{HostId, Millis, Stamp};
+use crate::coordination::attempts::ledger::Indexes;
+use crate::coordination::autoscaler::Autoscaler;
+use crate::coordination::jobs::aging::Aging;
+use crate::coordination::jobs::graph::Graph;
+use crate::coordination::jobs::lifecycle::TerminalRecordReads;
+use crate::coordination::leadership::authority::LeadershipTerm;
+use crate::coordination::machines::machine::{Machine, MachineState};
+use crate::coordination::persistence::Writer;
+use crate::coordination::{Policy, Scheduler};
+use crate::ids::{KeyRevision, MachineId, Millis};
 use crate::protocol::cloud::MachineTypeInfo;
-use crate::protocol::state::Item;
-use crate::storage::ledger::{Amount, Machine, MachineState};
-use crate::storage::pages::StartKey;
+use crate::protocol::state::KeyValue;
+use crate::resources::Resources;
+use crate::storage::pages::PlacedAttempt;
 use crate::storage::records::{
-    parse_page, parse_progress_key, HostsPage, IntentsPage, OpenRecord, HOSTS, INTENTS,
+    parse_page, parse_progress_key, IntentPage, MachinePage, OpenJobRecord, INTENT_PAGE_PREFIX,
+    MACHINE_PAGE_PREFIX,
 };
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
 /// What a new leader has read, all of it after its own leader key was written.
 #[derive(Debug, Default)]
-pub struct Inheritance {
-    pub open: Vec<(OpenRecord, Stamp, Millis)>,
-    pub progress: Vec<Item>,
-    pub intents: Vec<Item>,
-    pub hosts: Vec<Item>,
+pub struct RecoveredState {
+    pub open: Vec<(OpenJobRecord, KeyRevision, Millis)>,
+    pub progress: Vec<KeyValue>,
+    pub intents: Vec<KeyValue>,
+    pub machine_pages: Vec<KeyValue>,
     pub machine_types: Vec<MachineTypeInfo>,
-    pub hints: Option<Item>,
+    pub hints: Option<KeyValue>,
     /// The time of day at the steady clock's zero, in milliseconds.
     pub day_ms: u64,
 }
@@ -37,77 +39,77 @@
 /// Why a page can't be taken over.
 #[derive(Debug, thiserror::Error)]
 #[error("{key}: {why}")]
-pub struct Unreadable {
+pub struct UnreadableRecord {
     pub key: String,
     pub why: String,
 }
 
-fn read<T: serde::de::DeserializeOwned>(item: &Item) -> Result<T, Unreadable> {
-    serde_json::from_value(item.data.clone()).map_err(|e| Unreadable {
+fn read<T: serde::de::DeserializeOwned>(item: &KeyValue) -> Result<T, UnreadableRecord> {
+    serde_json::from_value(item.data.clone()).map_err(|e| UnreadableRecord {
         key: item.key.clone(),
         why: e.to_string(),
     })
 }
 
-impl Core {
+impl Scheduler {
     /// The core of a new leadership. An unreadable page stops it: whatever stands on it would be
     /// taken for never launched.
-    pub fn take_over(
+    pub fn recover(
         policy: Arc<Policy>,
-        lead: Lead,
+        term: LeadershipTerm,
         now: Millis,
-        found: Inheritance,
-    ) -> Result<Core, Unreadable> {
+        found: RecoveredState,
+    ) -> Result<Scheduler, UnreadableRecord> {
         let state = &policy.facts.state;
         let teams = policy.facts.teams.len();
-        let mut core = Core {
-            fleet: Fleet::new(policy.facts.cloud.rps),
+        let mut core = Scheduler {
+            fleet: Autoscaler::new(policy.facts.cloud.rps),
             writer: Writer::new(state, now),
             policy: policy.clone(),
-            lead,
+            term,
             day_ms: found.day_ms,
-            began: now,
+            term_began_at: now,
             machine_types: BTreeMap::new(),
             jobs: BTreeMap::new(),
             graph: Graph::default(),
-            mark_reads: MarkReads::default(),
+            terminal_record_reads: TerminalRecordReads::default(),
             machines: BTreeMap::new(),
-            used: vec![Amount::default(); teams],
+            used: vec![Resources::default(); teams],
             indexes: Indexes {
                 by_team: vec![BTreeSet::new(); teams],
                 ..Indexes::default()
             },
-            ageing: Ageing::default(),
+            aging: Aging::default(),
             gone: BTreeSet::new(),
             effects: Vec::new(),
             next_seq: 0,
             next_attempt: 0,
-            dirty: true,
+            placement_due: true,
             last_recheck: now,
-            placement_budget: Core::placement_budget(policy.facts.quota.cores),
+            placement_budget: Scheduler::placement_budget(policy.facts.quota.cores),
             last_pass: Millis(i64::MIN / 4),
             last_preempt: Millis(i64::MIN / 4),
             reviewed: 0,
-            to_review: BTreeSet::new(),
-            gangs_due: BTreeSet::new(),
-            direct_due: BTreeSet::new(),
-            directs: 0,
+            machines_to_review: BTreeSet::new(),
+            gangs_to_check: BTreeSet::new(),
+            pushes_due: BTreeSet::new(),
+            pushes_in_flight: 0,
             observed: BTreeMap::new(),
             demand: BTreeMap::new(),
-            reserved: BTreeMap::new(),
-            standby_missing: Vec::new(),
-            image_room: BTreeMap::new(),
+            warm_pool: BTreeMap::new(),
+            warm_pool_missing: Vec::new(),
+            gpus_by_cached_image: BTreeMap::new(),
         };
         core.machine_types = found
             .machine_types
             .into_iter()
             .map(|r| (r.name.clone(), r))
             .collect();
-        for (record, stamp, submitted) in found.open {
-            core.job_opened(now, record, stamp, submitted);
+        for (record, revision, submitted) in found.open {
+            core.job_opened(now, record, revision, submitted);
         }
         if let Some(item) = found.hints {
-            core.writer.hints = item.stamp;
+            core.writer.hints = item.revision;
             if let Ok(hints) = serde_json::from_value(item.data) {
                 core.load_hints(now, hints);
             }
@@ -115,36 +117,38 @@
         for item in found.progress {
             core.load_progress(item);
         }
-        core.load_host_pages(now, found.hosts)?;
+        core.load_machine_pages(now, found.machine_pages)?;
         for item in &found.intents {
             core.load_intents(now, item)?;
         }
         for id in core.machines.keys().cloned().collect::<Vec<_>>() {
             core.index_machine(&id);
-            if let Some(m) = core.machines.get_mut(&id).filter(|m| m.live == 0) {
+            if let Some(m) = core.machines.get_mut(&id).filter(|m| m.live_count == 0) {
                 m.idle_since = Some(now);
             }
         }
         Ok(core)
     }
 
-    fn load_progress(&mut self, item: Item) {
+    fn load_progress(&mut self, item: KeyValue) {
         let Some((id, chunk)) = parse_progress_key(&item.key) else {
             return;
         };
-        let open = self.jobs.get_mut(&id).filter(|j| !j.over);
+        let open = self.jobs.get_mut(&id).filter(|j| !j.closed);
         let Some(job) = open else {
-            self.writer.orphaned_progress.insert(item.key, item.stamp);
+            self.writer
+                .orphaned_progress
+                .insert(item.key, item.revision);
             return;
         };
         if let Some(text) = item.data.as_str() {
             job.done.load(chunk, text);
             let done = &job.done;
             job.pending.retain(|i| !done.has(*i));
-            job.begun |= done.count() > 0;
+            job.has_run |= done.count() > 0;
             self.index_job(&id);
         }
-        self.writer.progress.insert((id, chunk), item.stamp);
+        self.writer.progress.insert((id, chunk), item.revision);
     }
 
     /// A time of day on record, in seconds since 1970, on this process's steady clock. Only hints rest on
@@ -155,39 +159,46 @@
 
     /// Small pages first: a machine that a former leader was moving from a page that had grown too large
     /// is on both, and stays on the small one.
-    fn load_host_pages(&mut self, now: Millis, mut pages: Vec<Item>) -> Result<(), Unreadable> {
-        let listed = |page: &Item| {
+    fn load_machine_pages(
+        &mut self,
+        now: Millis,
+        mut pages: Vec<KeyValue>,
+    ) -> Result<(), UnreadableRecord> {
+        let listed = |page: &KeyValue| {
             page.data
                 .get("hosts")
                 .and_then(|h| h.as_object()?.len().into())
         };
         pages.sort_by_key(|page| listed(page).unwrap_or(0));
         for page in &pages {
-            self.load_hosts(now, page)?;
+            self.load_machine_page(now, page)?;
         }
-        self.split_host_pages();
+        self.split_machine_pages();
         Ok(())
     }
 
-    fn load_hosts(&mut self, now: Millis, item: &Item) -> Result<(), Unreadable> {
-        let Some(page) = parse_page(&item.key, HOSTS) else {
+    fn load_machine_page(&mut self, now: Millis, item: &KeyValue) -> Result<(), UnreadableRecord> {
+        let Some(page) = parse_page(&item.key, MACHINE_PAGE_PREFIX) else {
             return Ok(());
         };
-        let record: HostsPage = read(item)?;
-        let all = record.hosts.len();
-        let new = |id: &&HostId| !self.machines.contains_key(*id);
-        let hosts: BTreeSet<HostId> = record.hosts.keys().filter(new).cloned().collect();
-        let twice = hosts.len() < all;
-        self.writer.hosts.found(page, item.stamp, hosts.clone());
+        let record: MachinePage = read(item)?;
+        let all = record.machines.len();
+        let new = |id: &&MachineId| !self.machines.contains_key(*id);
+        let machine_ids: BTreeSet<MachineId> =
+            record.machines.keys().filter(new).cloned().collect();
+        let twice = machine_ids.len() < all;
+        self.writer
+            .machine_pages
+            .found(page, item.revision, machine_ids.clone());
         if twice {
-            self.writer.hosts.changed(now, page);
+            self.writer.machine_pages.changed(now, page);
         }
-        for (id, note) in record.hosts {
-            if !hosts.contains(&id) {
+        for (id, note) in record.machines {
+            if !machine_ids.contains(&id) {
                 continue;
             }
             let Some((machine_type, zone, spot)) = record.kinds.get(note.0).cloned() else {
-                return Err(Unreadable {
+                return Err(UnreadableRecord {
                     key: item.key.clone(),
                     why: format!("{id} is of no kind that the page names"),
                 });
@@ -204,11 +215,11 @@
                 self.capacity(&machine_type),
                 since,
             );
-            m.answered = now;
-            m.direct_after = now;
-            m.full_until = now;
+            m.last_response_at = now;
+            m.push_not_before = now;
+            m.unschedulable_until = now;
             m.page = Some(page);
-            m.noted = true;
+            m.is_recorded = true;
             if note.2 {
                 m.state = MachineState::Up;
             }
@@ -222,14 +233,14 @@
         Ok(())
     }
 
-    fn load_intents(&mut self, now: Millis, item: &Item) -> Result<(), Unreadable> {
-        let Some(page) = parse_page(&item.key, INTENTS) else {
+    fn load_intents(&mut self, now: Millis, item: &KeyValue) -> Result<(), UnreadableRecord> {
+        let Some(page) = parse_page(&item.key, INTENT_PAGE_PREFIX) else {
             return Ok(());
         };
-        let record: IntentsPage = read(item)?;
-        self.writer.intents.found(page, item.stamp);
-        for (host, task, attempt) in record.starts() {
-            let Some(m) = self.machines.get_mut(&host) else {
+        let record: IntentPage = read(item)?;
+        self.writer.intents.found(page, item.revision);
+        for (machine_id, task, attempt_id) in record.attempts() {
+            let Some(m) = self.machines.get_mut(&machine_id) else {
                 // Proof 4, on record: a start is written only once its machine's page is, and a
                 // machine leaves its page only once the cloud has confirmed that it is gone.
                 self.writer.intents.outdated(now, page);
@@ -237,23 +248,25 @@
             };
             // It had been given work: its worker has reported.
             m.state = MachineState::Up;
-            let key = (task.clone(), attempt);
-            let known = self.machines.get(&host);
-            if known.is_some_and(|m| m.starts.contains_key(&key)) {
+            let key = (task.clone(), attempt_id);
+            let known = self.machines.get(&machine_id);
+            if known.is_some_and(|m| m.attempts.contains_key(&key)) {
                 continue;
             }
-            let placed = record.placed_s.get(&attempt);
+            let placed = record.placed_s.get(&attempt_id);
             let since = placed.map_or(now, |s| self.on_steady_clock(*s).min(now));
-            let mut s = self.new_start(&host, task.clone(), attempt, since);
+            let mut s = self.new_attempt(&machine_id, task.clone(), attempt_id, since);
             if let Some(takes) = record.jobs.get(&task.job) {
-                s.need = takes.amount();
-                s.team = self.policy.team_no(&takes.0);
+                s.request = takes.amount();
+                s.team = self.policy.team_index(&takes.0);
             }
             s.page = Some(page);
-            s.inherited = true;
-            self.put_start(&host, s);
-            self.add_place(&host, &task);
-            self.writer.intents.holds(page, StartKey::new(&host, &key));
+            s.recovered = true;
+            self.insert_attempt(&machine_id, s);
+            self.add_place(&machine_id, &task);
+            self.writer
+                .intents
+                .holds(page, PlacedAttempt::new(&machine_id, &key));
         }
         Ok(())
     }
--- a/src/coordination/images.rs
+++ b/src/coordination/machines/images.rs
@@ -1,11 +1,11 @@
 //! Where images are, and which jobs go there: Parrot's preference for sharing, as far as it concerns
 //! waiting for it.
 
-use super::placement::{Need, Pass};
-use super::Core;
-use crate::ids::{HostId, Image, JobId, MachineType, Millis};
+use crate::coordination::machines::machine::{Machine, MachineState};
+use crate::coordination::placement::{Pass, ResourceRequest};
+use crate::coordination::Scheduler;
+use crate::ids::{Image, JobId, MachineId, MachineType, Millis};
 use crate::protocol::users::{JobSpec, Shape};
-use crate::storage::ledger::{Machine, MachineState};
 use std::collections::BTreeMap;
 
 /// A job waits for machines that have its image for this part of the time that a fetch takes.
@@ -14,14 +14,14 @@
 /// All that is left of it should find such machines within so many fetches.
 const MOST_WAIT: f64 = 2.0;
 
-impl Core {
+impl Scheduler {
     /// Whether a job leaves the room there is to jobs behind it that need not fetch their image, for
     /// machines that have its own should come free soon. It does so for no longer than a part of the
     /// fetch that it spares itself, counted from when it could first have taken something.
     ///
     /// Guards against every image being fetched to every machine while there is too much to do: what
     /// came free was taken at once by the first job in the queue, and half of all starts fetched.
-    pub(super) fn waits_for_image(&mut self, now: Millis, id: &JobId, pass: &Pass) -> bool {
+    pub(crate) fn waits_for_image(&mut self, now: Millis, id: &JobId, pass: &Pass) -> bool {
         let Some(job) = self.jobs.get(id) else {
             return false;
         };
@@ -29,12 +29,17 @@
         if spec.shape != Shape::Array || job.pending.is_empty() || self.aged(job, now) {
             return false;
         }
-        let need = Need::of(spec);
-        if pass.full.iter().any(|f| need.covers(f)) {
+        let request = ResourceRequest::of(spec);
+        if pass.full.iter().any(|f| request.covers(f)) {
             return false;
         }
         let fetch_s = self.shortest_fetch_s(spec);
-        let slots = self.image_room.get(&spec.image).copied().unwrap_or(0.0) / spec.gpus.max(0.1);
+        let slots = self
+            .gpus_by_cached_image
+            .get(&spec.image)
+            .copied()
+            .unwrap_or(0.0)
+            / spec.gpus.max(0.1);
         let soon_s = job.pending.len() as f64 * self.estimate_of(job) / slots.max(1e-9);
         let limit = Millis::from_secs(fetch_s * WAIT_PART);
         let over = job.waits_since.is_some_and(|t| now - t > limit);
@@ -54,7 +59,7 @@
     }
 
     /// Seconds that the image takes to fetch on the type of machine that is quickest at it.
-    pub(super) fn shortest_fetch_s(&self, spec: &JobSpec) -> f64 {
+    pub(crate) fn shortest_fetch_s(&self, spec: &JobSpec) -> f64 {
         self.machine_types
             .keys()
             .filter(|r| spec.machine_types.as_ref().is_none_or(|a| a.contains(r)))
@@ -66,7 +71,7 @@
     pub(crate) fn recheck_images(&mut self) {
         let mut room: BTreeMap<Image, f64> = BTreeMap::new();
         for m in self.machines.values() {
-            if m.state != MachineState::Up || m.drain || m.recall_at.is_some() {
+            if m.state != MachineState::Up || m.draining || m.reclaim_at.is_some() {
                 continue;
             }
             let gpus = self.capacity(&m.machine_type).gpus;
@@ -77,7 +82,7 @@
                 }
             }
         }
-        self.image_room = room;
+        self.gpus_by_cached_image = room;
     }
 
     /// Seconds until the image would be there: none if cached, the rest if being fetched.
@@ -88,7 +93,7 @@
         let whole = self.fetch_s(&m.machine_type, spec.image_gb);
         let fetching = |image: &Option<Image>| image.as_ref() == Some(&spec.image);
         let under_way = m
-            .going()
+            .live_attempts()
             .filter(|s| s.running_since.is_none() && fetching(&s.image))
             .map(|s| s.since)
             .min();
@@ -99,8 +104,8 @@
     }
 
     /// Seconds that the machine takes to fetch the image of a job that is known.
-    pub(super) fn longest_fetch_s(&self, host: &HostId, job: &JobId) -> f64 {
-        match (self.machines.get(host), self.jobs.get(job)) {
+    pub(crate) fn longest_fetch_s(&self, machine_id: &MachineId, job: &JobId) -> f64 {
+        match (self.machines.get(machine_id), self.jobs.get(job)) {
             (Some(machine), Some(job)) => self.fetch_s(&machine.machine_type, job.spec.image_gb),
             _ => 0.0,
         }
--- /dev/null
+++ b/src/coordination/machines/machine.rs
@@ -0,0 +1,218 @@
+//! A machine as the leader holds it.
+
+use crate::coordination::attempts::task_attempt::TaskAttempt;
+use crate::ids::{
+    AttemptId, FencingToken, Image, JobId, MachineId, MachineType, Millis, PageNumber, Session,
+    TaskId, Tick, Zone,
+};
+use crate::resources::Resources;
+use std::collections::{BTreeMap, BTreeSet};
+
+/// Check-ins in a row that show nothing of what we answered before: the machine counts as deaf.
+pub const MAX_UNACKNOWLEDGED_RESPONSES: u32 = 2;
+
+/// Where a machine is in its life, as far as the leader knows.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum MachineState {
+    /// Rented, its worker hasn't reported yet.
+    Booting,
+    /// Reports.
+    Up,
+    /// Being given back; never used again.
+    Returning,
+}
+
+/// A machine.
+#[derive(Debug)]
+pub struct Machine {
+    pub id: MachineId,
+    pub endpoint: String,
+    pub machine_type: MachineType,
+    pub zone: Zone,
+    pub spot: bool,
+    pub state: MachineState,
+    /// When we first knew of it.
+    pub since: Millis,
+    pub session: Session,
+    pub tick: Tick,
+    /// The last check-in: any with a place not above it is a copy.
+    pub last_heartbeat: (Session, Tick),
+    /// Known from our records, from a rental of ours, from the cloud, or by having shown our token: a
+    /// late copy of a report alone proves nothing.
+    pub verified: bool,
+    /// A report with a token of this leadership has been seen.
+    pub confirmed: bool,
+    /// The highest token that we answered it with, and that it has shown.
+    pub token_sent: FencingToken,
+    pub token_acknowledged: FencingToken,
+    /// Check-ins in a row that showed nothing of what we had answered, and since when it has counted
+    /// as deaf.
+    pub unacknowledged_responses: u32,
+    pub unreachable_since: Option<Millis>,
+    /// Deliberately not answered any more, so that its lease runs out.
+    pub lease_withheld: bool,
+    /// When its last message arrived, of any kind, and its last check-in.
+    pub last_message_at: Option<Millis>,
+    pub last_heartbeat_at: Option<Millis>,
+    /// When an entitled controller may last have answered it (our takeover, for former leaders).
+    pub last_response_at: Millis,
+    /// When its present session was first seen: its lease counts from no later than this, or than its
+    /// last answer.
+    pub session_first_seen_at: Millis,
+    /// Every start that may be on it, tombstones included.
+    pub attempts: BTreeMap<(TaskId, AttemptId), TaskAttempt>,
+    /// What is free on it, and how many starts have not ended: kept in step by `attempts.rs`.
+    pub free: Resources,
+    pub live_count: u32,
+    /// The page on the state service that lists it, and whether that is written.
+    pub page: Option<PageNumber>,
+    pub is_recorded: bool,
+    /// The cloud takes it away at this time.
+    pub reclaim_at: Option<Millis>,
+    /// No new work (sick, silent too often, or to be returned).
+    pub draining: bool,
+    pub draining_since: Option<Millis>,
+    /// Emptied for this job, which alone may use it until then.
+    pub reservation: Option<(JobId, Millis)>,
+    /// Images that should be in its cache, least recently used first.
+    pub images: Vec<(Image, f64)>,
+    /// Idle since.
+    pub idle_since: Option<Millis>,
+    /// Jobs whose tasks failed here with no success between, and whether it is emptied for that.
+    pub failed_jobs: BTreeSet<JobId>,
+    pub quarantined: bool,
+    /// The direct command under way, and no further one before this time.
+    pub push_in_flight: Option<u64>,
+    pub push_not_before: Millis,
+    /// No new work before this time (refused a start for want of room).
+    pub unschedulable_until: Millis,
+    /// Listed by the cloud as failed; missing from its lists since.
+    pub listed_as_failed: bool,
+    pub unlisted_since: Option<Millis>,
+}
+
+impl Machine {
+    /// A machine of which nothing is known but its name and kind, and what such a machine offers.
+    pub fn new(
+        id: MachineId,
+        machine_type: MachineType,
+        zone: Zone,
+        spot: bool,
+        whole: Resources,
+        now: Millis,
+    ) -> Machine {
+        Machine {
+            id,
+            endpoint: String::new(),
+            machine_type,
+            zone,
+            spot,
+            state: MachineState::Booting,
+            since: now,
+            session: Session(0),
+            tick: Tick(0),
+            last_heartbeat: (Session(0), Tick(0)),
+            verified: true,
+            confirmed: false,
+            token_sent: FencingToken(0),
+            token_acknowledged: FencingToken(0),
+            unacknowledged_responses: 0,
+            unreachable_since: None,
+            lease_withheld: false,
+            last_message_at: None,
+            last_heartbeat_at: None,
+            last_response_at: now,
+            session_first_seen_at: Millis(i64::MIN / 4),
+            attempts: BTreeMap::new(),
+            free: whole,
+            live_count: 0,
+            page: None,
+            is_recorded: false,
+            reclaim_at: None,
+            draining: false,
+            draining_since: None,
+            reservation: None,
+            images: Vec::new(),
+            idle_since: None,
+            failed_jobs: BTreeSet::new(),
+            quarantined: false,
+            push_in_flight: None,
+            push_not_before: now,
+            unschedulable_until: now,
+            listed_as_failed: false,
+            unlisted_since: None,
+        }
+    }
+
+    /// Starts that have not ended.
+    pub fn live_attempts(&self) -> impl Iterator<Item = &TaskAttempt> {
+        self.attempts.values().filter(|s| !s.ended())
+    }
+
+    /// Whether nothing that we say seems to reach it.
+    pub fn is_unreachable(&self) -> bool {
+        self.unacknowledged_responses >= MAX_UNACKNOWLEDGED_RESPONSES
+    }
+
+    /// It has shown that it hears us.
+    pub fn mark_reachable(&mut self) {
+        self.unacknowledged_responses = 0;
+        self.unreachable_since = None;
+    }
+
+    /// Takes it out of use.
+    pub fn start_draining(&mut self, now: Millis) {
+        self.draining = true;
+        self.draining_since.get_or_insert(now);
+    }
+
+    /// Whether no check-in of it has come for longer than the given time. Answers to direct commands
+    /// don't count: they renew no lease, so that a machine from which only they come is about to lose
+    /// its tasks.
+    pub fn silent(&self, now: Millis, bound: Millis) -> bool {
+        self.state == MachineState::Up && self.last_heartbeat_at.is_none_or(|h| now - h > bound)
+    }
+
+    /// The latest moment from which the lease that a start lives by can count.
+    ///
+    /// Guards against a machine that reaches no controller while direct commands reach it: a session
+    /// that began after its last answer has a lease of its own, and what was launched in it was taken
+    /// for gone with the session before, and started elsewhere. What a former leader launched is in a
+    /// session that had begun when we took over, unless it is seen in a later one.
+    pub fn lease_from(&self, s: &TaskAttempt) -> Millis {
+        let here = s.launched_in == Some(self.session)
+            || s.last_status.is_some_and(|x| x.at.0 == self.session);
+        if here {
+            self.last_response_at.max(self.session_first_seen_at)
+        } else {
+            self.last_response_at
+        }
+    }
+
+    /// A job has turned out to fail everywhere: what it did here says nothing of the machine.
+    pub fn forget_failures_of(&mut self, job: &JobId, most: usize) {
+        let removed = self.failed_jobs.remove(job);
+        // One that is given up for another reason stays so.
+        let in_use = self.state == MachineState::Up && !self.lease_withheld;
+        if removed && self.quarantined && in_use && self.failed_jobs.len() < most {
+            self.quarantined = false;
+            self.draining = false;
+            self.draining_since = None;
+        }
+    }
+
+    /// Whether the image should be in the cache.
+    pub fn has_image(&self, image: &Image) -> bool {
+        self.images.iter().any(|(i, _)| i == image)
+    }
+
+    /// Notes the use of an image; the least recently used make room.
+    pub fn use_image(&mut self, image: &Image, gb: f64, cache_gb: f64) {
+        self.images.retain(|(i, _)| i != image);
+        self.images.push((image.clone(), gb));
+        let mut held: f64 = self.images.iter().map(|(_, g)| g).sum();
+        while held > cache_gb && self.images.len() > 1 {
+            held -= self.images.remove(0).1;
+        }
+    }
+}
--- /dev/null
+++ b/src/coordination/machines/mod.rs
@@ -0,0 +1,4 @@
+//! Machines: what is known of each, and the images in their caches.
+
+pub mod images;
+pub mod machine;
--- a/src/coordination/writer/ends.rs
+++ b/src/coordination/persistence/ends.rs
@@ -1,15 +1,15 @@
 //! Ends of jobs: finish marks, and the cancellations that follow from that of another job.
 
-use super::super::Core;
 use super::draft::{Draft, FINISH_OPS};
 use super::Work;
+use crate::coordination::jobs::job::Job;
+use crate::coordination::Scheduler;
 use crate::ids::{JobId, Millis};
 use crate::protocol::users::JobPhase;
-use crate::storage::ledger::Job;
-use crate::storage::records::FinalRecord;
+use crate::storage::records::TerminalRecord;
 
-impl Core {
-    pub(super) fn draft_finishes(&self, now: Millis, draft: &mut Draft) {
+impl Scheduler {
+    pub(crate) fn draft_finishes(&self, now: Millis, draft: &mut Draft) {
         for (id, job) in self.jobs_in(&self.indexes.complete) {
             if !self.graph.has_consumers(id) && !self.draft_finish(now, id, job, draft) {
                 return;
@@ -19,10 +19,10 @@
 
     /// Finishes of jobs that others wait for, in at most half of a transaction: a burst of them must not
     /// hold up launches.
-    pub(super) fn draft_finishes_of_producers(&self, now: Millis, draft: &mut Draft) {
+    pub(crate) fn draft_finishes_of_producers(&self, now: Millis, draft: &mut Draft) {
         let most = (draft.most_ops / 2).max(FINISH_OPS);
         for (id, job) in self.jobs_in(&self.indexes.complete) {
-            if draft.apply.len() + FINISH_OPS > most {
+            if draft.changes.len() + FINISH_OPS > most {
                 return;
             }
             if self.graph.has_consumers(id) && !self.draft_finish(now, id, job, draft) {
@@ -31,14 +31,14 @@
         }
     }
 
-    pub(super) fn draft_finish(
+    pub(crate) fn draft_finish(
         &self,
         now: Millis,
         id: &JobId,
         job: &Job,
         draft: &mut Draft,
     ) -> bool {
-        let mark = FinalRecord {
+        let terminal_record = TerminalRecord {
             phase: JobPhase::Done,
             tasks: job.spec.tasks,
             at_ms: self
@@ -46,14 +46,24 @@
                 .has_consumers(id)
                 .then(|| self.day_ms.saturating_add_signed(now.0)),
         };
-        draft.close(id, job.stamp, &mark, Work::Finish { job: id.clone() })
+        draft.close(
+            id,
+            job.revision,
+            &terminal_record,
+            Work::Finish { job: id.clone() },
+        )
     }
 
     /// Jobs that need a cancelled one, directly or through others.
-    pub(super) fn draft_cancellations(&self, draft: &mut Draft) {
+    pub(crate) fn draft_cancellations(&self, draft: &mut Draft) {
         for (id, job) in self.jobs_in(&self.indexes.ancestor_cancelled) {
-            let mark = FinalRecord::cancelled(job.spec.tasks);
-            if !draft.close(id, job.stamp, &mark, Work::Cancel { job: id.clone() }) {
+            let terminal_record = TerminalRecord::cancelled(job.spec.tasks);
+            if !draft.close(
+                id,
+                job.revision,
+                &terminal_record,
+                Work::Cancel { job: id.clone() },
+            ) {
                 return;
             }
         }
--- a/src/coordination/writer/launches.rs
+++ b/src/coordination/persistence/launches.rs
@@ -1,69 +1,73 @@
 //! Launch intents, packed into pages.
 
-use super::super::Core;
 use super::draft::Draft;
 use super::Work;
-use crate::ids::{JobId, Millis, PageNo, Stamp};
+use crate::coordination::Scheduler;
+use crate::ids::{JobId, KeyRevision, Millis, PageNumber};
 use crate::protocol::state::Change;
-use crate::storage::pages::{IntentPages, Measure, StartKey};
-use crate::storage::records::{intents_key, open_key, IntentsPage, JobTakes};
+use crate::storage::pages::{IntentPages, Measure, PlacedAttempt};
+use crate::storage::records::{intent_page_key, open_key, IntentPage, JobResources};
 use std::collections::BTreeSet;
 
-impl Core {
+impl Scheduler {
     /// Whether a start is planned and not yet written.
-    pub(super) fn unwritten(&self, key: &StartKey) -> bool {
-        let m = self.machines.get(&key.host);
-        let start = m.and_then(|m| m.starts.get(&(key.task.clone(), key.attempt)));
-        start.is_some_and(|s| s.page.is_none() && s.untouched())
+    pub(crate) fn unwritten(&self, key: &PlacedAttempt) -> bool {
+        let m = self.machines.get(&key.machine_id);
+        let attempt = m.and_then(|m| m.attempts.get(&(key.task.clone(), key.attempt_id)));
+        attempt.is_some_and(|s| s.page.is_none() && s.untouched())
     }
 
     /// Starts that wait for their intent, in the order in which they were planned, packed into pages;
     /// `spare` operations are left to others.
-    pub(super) fn draft_launches(&mut self, draft: &mut Draft, spare: usize) {
+    pub(crate) fn draft_launches(&mut self, draft: &mut Draft, spare: usize) {
         let mut intents = std::mem::take(&mut self.writer.intents);
         intents.drop_settled(|k| self.unwritten(k));
         self.pack_launches(&intents, draft, spare);
         self.writer.intents = intents;
     }
 
-    pub(super) fn pack_launches(&self, intents: &IntentPages, draft: &mut Draft, spare: usize) {
+    pub(crate) fn pack_launches(&self, intents: &IntentPages, draft: &mut Draft, spare: usize) {
         let most_bytes = self.writer.limits.value_bytes;
-        let drafted: BTreeSet<StartKey> = draft.launches().cloned().collect();
+        let drafted: BTreeSet<PlacedAttempt> = draft.launches().cloned().collect();
         let mut waiting = intents
             .waiting()
             .filter(|k| !drafted.contains(*k) && self.unwritten(k))
             .peekable();
-        let mut taken: BTreeSet<PageNo> = draft.intent_pages().collect();
-        while waiting.peek().is_some() && draft.apply.len() + spare < draft.most_ops {
+        let mut taken: BTreeSet<PageNumber> = draft.intent_pages().collect();
+        while waiting.peek().is_some() && draft.changes.len() + spare < draft.most_ops {
             let mut page = intents.emptiest(&taken);
-            let (mut keys, mut stamp) = page.map_or((Vec::new(), Stamp(0)), |p| intents.page(p));
+            let (mut keys, mut revision) =
+                page.map_or((Vec::new(), KeyRevision(0)), |p| intents.page(p));
             let mut size = self.measure(&keys);
             if size.bytes() > most_bytes / 2 {
                 // Most of it still stands: a new page costs no more.
                 page = None;
-                (keys, stamp) = (Vec::new(), Stamp(0));
+                (keys, revision) = (Vec::new(), KeyRevision(0));
                 size = Measure::default();
             }
             let page = page.unwrap_or_else(|| intents.fresh(&taken));
             taken.insert(page);
-            let mut guards = vec![(intents_key(page), stamp)];
+            let mut preconditions = vec![(intent_page_key(page), revision)];
             let mut jobs: BTreeSet<JobId> = BTreeSet::new();
             let before = keys.len();
             while let Some(k) = waiting.peek() {
                 let id = &k.task.job;
-                let noted = self.machines.get(&k.host).is_some_and(|m| m.noted);
-                let Some(job) = self.jobs.get(id).filter(|j| !j.over && noted) else {
+                let is_recorded = self
+                    .machines
+                    .get(&k.machine_id)
+                    .is_some_and(|m| m.is_recorded);
+                let Some(job) = self.jobs.get(id).filter(|j| !j.closed && is_recorded) else {
                     // Its machine's page comes first; its job is over: it is dropped elsewhere.
                     waiting.next();
                     continue;
                 };
                 if !jobs.contains(id) {
-                    if !draft.guards_fit(guards.len() + 1) {
+                    if !draft.guards_fit(preconditions.len() + 1) {
                         break;
                     }
                     // The open record's version is the guard: a job that its user cancelled
                     // meanwhile can't be launched.
-                    guards.push((open_key(id), job.stamp));
+                    preconditions.push((open_key(id), job.revision));
                     jobs.insert(id.clone());
                 }
                 size.add(k, &job.spec.team);
@@ -77,14 +81,14 @@
                 return;
             }
             let data = self.intents_page(&keys);
-            let apply = vec![Change::put(intents_key(page), data)];
-            if !draft.add(guards, apply, Work::Intents { page, keys }) {
+            let changes = vec![Change::put(intent_page_key(page), data)];
+            if !draft.add(preconditions, changes, Work::Intents { page, keys }) {
                 return;
             }
         }
     }
 
-    pub(super) fn measure(&self, keys: &[StartKey]) -> Measure {
+    pub(crate) fn measure(&self, keys: &[PlacedAttempt]) -> Measure {
         let mut size = Measure::default();
         for k in keys {
             let team = self.jobs.get(&k.task.job).map(|j| j.spec.team.as_str());
@@ -93,13 +97,13 @@
         size
     }
 
-    pub(super) fn intents_page(&self, keys: &[StartKey]) -> serde_json::Value {
-        let mut page = IntentsPage::default();
+    pub(crate) fn intents_page(&self, keys: &[PlacedAttempt]) -> serde_json::Value {
+        let mut page = IntentPage::default();
         for k in keys {
-            page.add(&k.host, &k.task, k.attempt);
+            page.add(&k.machine_id, &k.task, k.attempt_id);
             if let Some(since) = self.placed_at(k) {
                 let placed_s = self.day_ms.saturating_add_signed(since.0) / 1000;
-                page.placed_s.entry(k.attempt).or_insert(placed_s);
+                page.placed_s.entry(k.attempt_id).or_insert(placed_s);
             }
             if !page.jobs.contains_key(&k.task.job) {
                 page.jobs.insert(k.task.job.clone(), self.takes(k));
@@ -109,26 +113,26 @@
     }
 
     /// When a start that is on a page was placed.
-    pub(super) fn placed_at(&self, key: &StartKey) -> Option<Millis> {
-        let machine = self.machines.get(&key.host)?;
-        let start = machine.starts.get(&(key.task.clone(), key.attempt))?;
-        Some(start.since)
+    pub(crate) fn placed_at(&self, key: &PlacedAttempt) -> Option<Millis> {
+        let machine = self.machines.get(&key.machine_id)?;
+        let attempt = machine.attempts.get(&(key.task.clone(), key.attempt_id))?;
+        Some(attempt.since)
     }
 
     /// What a start's job takes: from the job, or, if that is over and forgotten, from the start.
-    pub(super) fn takes(&self, k: &StartKey) -> JobTakes {
+    pub(crate) fn takes(&self, k: &PlacedAttempt) -> JobResources {
         if let Some(j) = self.jobs.get(&k.task.job) {
-            return JobTakes::of(&j.spec);
+            return JobResources::of(&j.spec);
         }
-        let m = self.machines.get(&k.host);
-        let s = m.and_then(|m| m.starts.get(&(k.task.clone(), k.attempt)));
+        let m = self.machines.get(&k.machine_id);
+        let s = m.and_then(|m| m.attempts.get(&(k.task.clone(), k.attempt_id)));
         let team = self.policy.team(s.and_then(|s| s.team));
-        let need = s.map(|s| s.need).unwrap_or_default();
-        JobTakes(
+        let request = s.map(|s| s.request).unwrap_or_default();
+        JobResources(
             team.map(|t| t.name.clone()).unwrap_or_default(),
-            need.cpus,
-            need.gpus,
-            need.ram_gb,
+            request.cpus,
+            request.gpus,
+            request.ram_gb,
         )
     }
 }
--- a/src/coordination/writer/limits.rs
+++ b/src/coordination/persistence/limits.rs
@@ -1,11 +1,11 @@
 //! How large a transaction and a value may be. The settings say; should the service refuse something for
 //! its size all the same, less is tried.
 
-use super::super::Core;
 use super::draft::FINISH_OPS;
 use super::{Flight, REFUSED};
+use crate::coordination::Scheduler;
 use crate::ids::Millis;
-use crate::protocol::state::{Change, Txn};
+use crate::protocol::state::{Change, Transaction};
 use crate::settings::StateLimits;
 
 /// The part of the service's limit on values that is used: a little room.
@@ -15,7 +15,7 @@
 
 /// What the writer keeps to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct WriteLimits {
+pub(crate) struct WriteLimits {
     /// Puts and deletes in one transaction.
     pub ops: usize,
     /// Bytes of one value.
@@ -32,15 +32,15 @@
 
     /// The limits to try after a transaction was refused for what it is: fewer operations, or, if it had
     /// the fewest already, smaller values.
-    fn below(self, refused: &Txn) -> WriteLimits {
-        let ops = refused.apply.len();
+    fn below(self, refused: &Transaction) -> WriteLimits {
+        let ops = refused.changes.len();
         if ops > FINISH_OPS {
             return WriteLimits {
                 ops: (ops / 2).max(FINISH_OPS),
                 ..self
             };
         }
-        let largest = refused.apply.iter().map(value_size).max().unwrap_or(0);
+        let largest = refused.changes.iter().map(value_size).max().unwrap_or(0);
         WriteLimits {
             value_bytes: (largest.min(self.value_bytes) / 2).max(LEAST_VALUE_BYTES),
             ..self
@@ -55,31 +55,35 @@
     }
 }
 
-impl Core {
+impl Scheduler {
     /// The service refuses a transaction for what it is, and would each time. Guards against a leader that
     /// sends it again and again while nothing else is written: its limits may be lower than the settings
     /// say.
     pub(crate) fn write_rejected(&mut self, now: Millis, seq: u64) {
-        let txn = match &self.writer.flight {
-            Flight::Writing { seq: s, txn, .. } if *s == seq => txn.clone(),
+        let transaction = match &self.writer.flight {
+            Flight::Writing {
+                seq: s,
+                transaction,
+                ..
+            } if *s == seq => transaction.clone(),
             _ => return,
         };
         self.writer.flight = Flight::None;
         self.writer.not_before = now + REFUSED;
-        let limits = self.writer.limits.below(&txn);
+        let limits = self.writer.limits.below(&transaction);
         tracing::info!(
             ?limits,
             "the state service takes no such transaction: trying less"
         );
         self.writer.limits = limits;
-        self.writer.hosts.hold_at_most(limits.value_bytes);
-        self.split_host_pages();
+        self.writer.machine_pages.hold_at_most(limits.value_bytes);
+        self.split_machine_pages();
     }
 
     /// Machines of pages that are too large to be written go to further pages.
-    pub(crate) fn split_host_pages(&mut self) {
-        for (host, page) in self.writer.hosts.split() {
-            if let Some(m) = self.machines.get_mut(&host) {
+    pub(crate) fn split_machine_pages(&mut self) {
+        for (machine_id, page) in self.writer.machine_pages.split() {
+            if let Some(m) = self.machines.get_mut(&machine_id) {
                 m.page = Some(page);
             }
         }
--- a/src/coordination/writer/machine_pages.rs
+++ b/src/coordination/persistence/machine_pages.rs
@@ -1,53 +1,57 @@
 //! Pages of machines.
 
-use super::super::Core;
 use super::draft::Draft;
 use super::Work;
-use crate::ids::{HostId, Image, MachineType, Millis, Zone};
+use crate::coordination::machines::machine::MachineState;
+use crate::coordination::Scheduler;
+use crate::ids::{Image, MachineId, MachineType, Millis, Zone};
 use crate::protocol::state::Change;
-use crate::storage::ledger::MachineState;
-use crate::storage::records::{hosts_key, HostNote, HostsPage};
+use crate::storage::records::{machine_page_key, MachineEntry, MachinePage};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Hints about machines wait longer.
-const STALE_HOSTS: Millis = Millis(15_000);
+const STALE_MACHINE_PAGE: Millis = Millis(15_000);
 /// Images named for each machine: the most that fits.
-const HOST_IMAGES: [usize; 4] = [16, 10, 6, 3];
+const IMAGES_PER_MACHINE: [usize; 4] = [16, 10, 6, 3];
 
-impl Core {
-    pub(super) fn draft_hosts(&self, now: Millis, lazy: bool, draft: &mut Draft) {
-        for page in self.writer.hosts.due(now, STALE_HOSTS, lazy) {
-            let (hosts, stamp) = self.writer.hosts.page(page);
-            let key = hosts_key(page);
-            let data = self.hosts_page(&hosts);
-            let apply = vec![Change::put(key.clone(), data)];
-            if !draft.add(vec![(key, stamp)], apply, Work::Hosts { page, hosts }) {
+impl Scheduler {
+    pub(crate) fn draft_machine_pages(&self, now: Millis, lazy: bool, draft: &mut Draft) {
+        for page in self.writer.machine_pages.due(now, STALE_MACHINE_PAGE, lazy) {
+            let (machine_ids, revision) = self.writer.machine_pages.page(page);
+            let key = machine_page_key(page);
+            let data = self.machine_page(&machine_ids);
+            let changes = vec![Change::put(key.clone(), data)];
+            if !draft.add(
+                vec![(key, revision)],
+                changes,
+                Work::MachinePage { page, machine_ids },
+            ) {
                 return;
             }
         }
     }
 
     /// A page of machines as it is written: with hints about images, if they fit.
-    pub(super) fn hosts_page(&self, hosts: &BTreeSet<HostId>) -> serde_json::Value {
+    pub(crate) fn machine_page(&self, machine_ids: &BTreeSet<MachineId>) -> serde_json::Value {
         let most = self.writer.limits.value_bytes;
-        for images in HOST_IMAGES {
-            let page = self.hosts_page_with(hosts, images);
+        for images in IMAGES_PER_MACHINE {
+            let page = self.machine_page_with(machine_ids, images);
             if page.to_string().len() <= most {
                 return page;
             }
         }
-        self.hosts_page_with(hosts, 0)
+        self.machine_page_with(machine_ids, 0)
     }
 
-    pub(super) fn hosts_page_with(
+    pub(crate) fn machine_page_with(
         &self,
-        hosts: &BTreeSet<HostId>,
+        machine_ids: &BTreeSet<MachineId>,
         most_images: usize,
     ) -> serde_json::Value {
-        let mut page = HostsPage::default();
+        let mut page = MachinePage::default();
         let mut kinds: BTreeMap<(MachineType, Zone, bool), usize> = BTreeMap::new();
         let mut images: BTreeMap<Image, usize> = BTreeMap::new();
-        for m in hosts.iter().filter_map(|h| self.machines.get(h)) {
+        for m in machine_ids.iter().filter_map(|h| self.machines.get(h)) {
             let kind = (m.machine_type.clone(), m.zone.clone(), m.spot);
             let kind = *kinds.entry(kind.clone()).or_insert_with(|| {
                 page.kinds.push(kind);
@@ -64,8 +68,8 @@
                 .collect();
             let rented_s = self.day_ms.saturating_add_signed(m.since.0) / 1000;
             let up = m.state != MachineState::Booting;
-            page.hosts
-                .insert(m.id.clone(), HostNote(kind, rented_s, up, held));
+            page.machines
+                .insert(m.id.clone(), MachineEntry(kind, rented_s, up, held));
         }
         serde_json::to_value(&page).unwrap_or_default()
     }
--- a/src/coordination/writer.rs
+++ b/src/coordination/persistence/mod.rs
@@ -6,20 +6,23 @@
 
 mod draft;
 mod ends;
+mod garbage_collection;
 mod launches;
 mod limits;
 mod machine_pages;
 mod outcomes;
-mod sweeping;
 
-use super::{Core, Effect};
-use crate::ids::{HostId, JobId, Millis, PageNo, Stamp, Token};
-use crate::protocol::state::{Change, Guard, Txn};
+use crate::coordination::attempts::task_attempt::{PushDelivery, TaskAttempt};
+use crate::coordination::jobs::job::Job;
+use crate::coordination::machines::machine::Machine;
+use crate::coordination::{Effect, Scheduler};
+use crate::ids::{FencingToken, JobId, KeyRevision, MachineId, Millis, PageNumber};
+use crate::protocol::state::{Change, Precondition, Transaction};
 use crate::settings::StateLimits;
-use crate::storage::ledger::{DirectCarrier, Job, Machine, Start};
-use crate::storage::pages::{HostPages, IntentPages, StartKey};
+use crate::storage::pages::{IntentPages, MachinePages, PlacedAttempt};
 use crate::storage::records::{
-    edge_list_key, edge_page_key, open_key, progress_key, LeadRecord, CHUNK, HINTS, LEAD, TOKEN,
+    dependency_list_key, dependency_page_key, open_key, progress_key, LeaderRecord,
+    FENCING_TOKEN_KEY, HINTS_KEY, LEADER_KEY, TASKS_PER_PROGRESS_RECORD,
 };
 use crate::transport::budget::Budget;
 use draft::{Draft, FINISH_OPS};
@@ -29,15 +32,18 @@
 
 /// One thing that a transaction does.
 #[derive(Debug, Clone)]
-enum Work {
+pub(crate) enum Work {
     /// A page of intents holds these, and nothing else.
-    Intents { page: PageNo, keys: Vec<StartKey> },
+    Intents {
+        page: PageNumber,
+        keys: Vec<PlacedAttempt>,
+    },
     /// A page of intents goes: nothing on it is true any more.
-    DropIntents { page: PageNo },
+    DropIntents { page: PageNumber },
     /// A page of machines lists these.
-    Hosts {
-        page: PageNo,
-        hosts: BTreeSet<HostId>,
+    MachinePage {
+        page: PageNumber,
+        machine_ids: BTreeSet<MachineId>,
     },
     /// Done tasks of one chunk.
     Progress {
@@ -56,7 +62,7 @@
     /// What was seen of classes.
     Hints,
     /// Our own token is raised.
-    Raise { token: Token },
+    Raise { token: FencingToken },
 }
 
 #[derive(Debug)]
@@ -64,7 +70,7 @@
     None,
     Writing {
         seq: u64,
-        txn: Txn,
+        transaction: Transaction,
         works: Vec<Work>,
         at: Millis,
     },
@@ -86,16 +92,16 @@
     last: Millis,
     /// Where starts and machines are recorded.
     pub(crate) intents: IntentPages,
-    pub(crate) hosts: HostPages,
+    pub(crate) machine_pages: MachinePages,
     /// Versions of progress records, and when progress was last written.
-    pub(crate) progress: BTreeMap<(JobId, u32), Stamp>,
+    pub(crate) progress: BTreeMap<(JobId, u32), KeyRevision>,
     progress_at: Millis,
     /// Progress records of jobs that are over.
-    pub(crate) orphaned_progress: BTreeMap<String, Stamp>,
+    pub(crate) orphaned_progress: BTreeMap<String, KeyRevision>,
     /// Pages of producers of jobs that are over.
     orphaned_edges: BTreeSet<String>,
     /// The version of the hints, when they were last written, and whether there is news.
-    pub(crate) hints: Stamp,
+    pub(crate) hints: KeyRevision,
     hints_at: Millis,
     pub(crate) hints_news: bool,
     /// When our token was last raised.
@@ -131,12 +137,12 @@
             not_before: Millis(0),
             last: Millis(i64::MIN / 4),
             intents: IntentPages::default(),
-            hosts: HostPages::new(limits.value_bytes),
+            machine_pages: MachinePages::new(limits.value_bytes),
             progress: BTreeMap::new(),
             progress_at: Millis(0),
             orphaned_progress: BTreeMap::new(),
             orphaned_edges: BTreeSet::new(),
-            hints: Stamp(0),
+            hints: KeyRevision(0),
             hints_at: Millis(0),
             hints_news: false,
             raised_at: now,
@@ -146,8 +152,8 @@
     /// The pages of producers of a job that is over are swept when there is time.
     pub(crate) fn orphan_edges(&mut self, id: &JobId, pages: u32) {
         if pages > 0 {
-            self.orphaned_edges.insert(edge_list_key(id));
-            let keys = (0..pages).map(|page| edge_page_key(id, page));
+            self.orphaned_edges.insert(dependency_list_key(id));
+            let keys = (0..pages).map(|page| dependency_page_key(id, page));
             self.orphaned_edges.extend(keys);
         }
     }
@@ -166,7 +172,7 @@
     }
 }
 
-impl Core {
+impl Scheduler {
     /// Starts the next transaction if none is under way and there is something to write.
     pub(crate) fn write(&mut self, now: Millis) {
         match &self.writer.flight {
@@ -187,14 +193,14 @@
             return;
         }
         let mut draft = Draft {
-            guards: BTreeMap::from([(LEAD.to_string(), self.lead.stamp)]),
-            apply: Vec::new(),
+            preconditions: BTreeMap::from([(LEADER_KEY.to_string(), self.term.revision)]),
+            changes: Vec::new(),
             works: Vec::new(),
             most_ops: self.writer.limits.ops,
             bytes: 0,
         };
         self.draft_raise(now, &mut draft);
-        self.draft_hosts(now, false, &mut draft);
+        self.draft_machine_pages(now, false, &mut draft);
         // Every step of a chain waits for a finish mark: those go first.
         self.draft_finishes_of_producers(now, &mut draft);
         // Launches leave room for finishes: neither starves the other.
@@ -206,29 +212,29 @@
         if self.writer.budget.left(now) > 0.4 {
             self.draft_progress(now, &mut draft);
             self.draft_sweeping(now, &mut draft);
-            self.draft_hosts(now, true, &mut draft);
+            self.draft_machine_pages(now, true, &mut draft);
             self.draft_hints(now, &mut draft);
         }
-        if draft.apply.is_empty() || !self.writer.budget.take(now, draft.apply.len() as f64) {
+        if draft.changes.is_empty() || !self.writer.budget.take(now, draft.changes.len() as f64) {
             return;
         }
-        let txn = Txn {
-            guards: draft
-                .guards
+        let transaction = Transaction {
+            preconditions: draft
+                .preconditions
                 .into_iter()
-                .map(|(key, stamp)| Guard { key, stamp })
+                .map(|(key, revision)| Precondition { key, revision })
                 .collect(),
-            apply: draft.apply,
+            changes: draft.changes,
         };
         let seq = self.seq();
         self.writer.last = now;
         self.writer.flight = Flight::Writing {
             seq,
-            txn: txn.clone(),
+            transaction: transaction.clone(),
             works: draft.works,
             at: now,
         };
-        self.effects.push(Effect::Write { seq, txn });
+        self.effects.push(Effect::Write { seq, transaction });
     }
 
     /// A leader raises its own token from time to time, so that tombstones of direct launches can be
@@ -238,40 +244,40 @@
         if since < RAISE_SOON {
             return;
         }
-        let tombs = |m: &Machine| m.starts.len() - m.live as usize;
-        let blocked = |s: &Start| s.ended() && s.launched_with == Some(self.lead.token);
+        let tombs = |m: &Machine| m.attempts.len() - m.live_count as usize;
+        let blocked = |s: &TaskAttempt| s.ended() && s.launched_with == Some(self.term.token);
         let lost = |m: &Machine| {
-            m.starts
+            m.attempts
                 .values()
-                .any(|s| matches!(s.direct, DirectCarrier::Lost(..)))
+                .any(|s| matches!(s.push, PushDelivery::Lost(..)))
         };
         let soon = self.machines.values().any(|m| tombs(m) >= RAISE_AT);
         let due = since >= RAISE_EVERY
             && self
                 .machines
                 .values()
-                .any(|m| lost(m) || (tombs(m) > 0 && m.starts.values().any(blocked)));
+                .any(|m| lost(m) || (tombs(m) > 0 && m.attempts.values().any(blocked)));
         if !soon && !due {
             return;
         }
-        let token = Token(self.lead.token.0 + 1);
-        let record = LeadRecord {
-            host_name: self.lead.host_name.clone(),
+        let token = FencingToken(self.term.token.0 + 1);
+        let record = LeaderRecord {
+            host_name: self.term.host_name.clone(),
             token,
         };
         let Ok(data) = serde_json::to_value(&record) else {
             return;
         };
-        let apply = vec![
+        let changes = vec![
             Change::Put {
-                put: LEAD.into(),
+                put: LEADER_KEY.into(),
                 data,
-                lease: Some(self.lead.lease),
+                lease: Some(self.term.lease),
             },
-            Change::put(TOKEN.into(), token.0.into()),
+            Change::put(FENCING_TOKEN_KEY.into(), token.0.into()),
         ];
-        let guards = vec![(TOKEN.to_string(), self.lead.token_stamp)];
-        draft.add(guards, apply, Work::Raise { token });
+        let preconditions = vec![(FENCING_TOKEN_KEY.to_string(), self.term.token_stamp)];
+        draft.add(preconditions, changes, Work::Raise { token });
     }
 
     fn jobs_in<'a>(
@@ -286,26 +292,32 @@
             return;
         }
         // Most unsaved first: it is they whose tombstones fill reports.
-        let mut jobs: Vec<(&JobId, &Job)> = self.jobs_in(&self.indexes.unsaved).collect();
-        jobs.sort_by_key(|(id, j)| (Reverse(j.unsaved.len()), *id));
+        let mut jobs: Vec<(&JobId, &Job)> = self.jobs_in(&self.indexes.unpersisted).collect();
+        jobs.sort_by_key(|(id, j)| (Reverse(j.unpersisted.len()), *id));
         for (id, job) in jobs {
-            if job.complete() {
+            if job.is_complete() {
                 continue;
             }
-            let chunks: BTreeSet<u32> = job.unsaved.iter().map(|i| i / CHUNK).collect();
+            let chunks: BTreeSet<u32> = job
+                .unpersisted
+                .iter()
+                .map(|i| i / TASKS_PER_PROGRESS_RECORD)
+                .collect();
             for chunk in chunks {
                 let key = progress_key(id, chunk);
-                let stamp = self
+                let revision = self
                     .writer
                     .progress
                     .get(&(id.clone(), chunk))
                     .copied()
                     .unwrap_or_default();
-                let guards = vec![(open_key(id), job.stamp), (key.clone(), stamp)];
-                let apply = vec![Change::put(key, job.done.chunk(chunk).into())];
+                let preconditions = vec![(open_key(id), job.revision), (key.clone(), revision)];
+                let changes = vec![Change::put(key, job.done.chunk(chunk).into())];
                 let tasks = job
-                    .unsaved
-                    .range(chunk * CHUNK..(chunk + 1) * CHUNK)
+                    .unpersisted
+                    .range(
+                        chunk * TASKS_PER_PROGRESS_RECORD..(chunk + 1) * TASKS_PER_PROGRESS_RECORD,
+                    )
                     .copied()
                     .collect();
                 let work = Work::Progress {
@@ -313,7 +325,7 @@
                     chunk,
                     tasks,
                 };
-                if !draft.add(guards, apply, work) {
+                if !draft.add(preconditions, changes, work) {
                     return;
                 }
             }
@@ -325,8 +337,12 @@
         if let (true, Ok(data)) = (due, serde_json::to_value(self.hints(now))) {
             let small = data.to_string().len() <= self.writer.limits.value_bytes;
             if small {
-                let apply = vec![Change::put(HINTS.into(), data)];
-                draft.add(vec![(HINTS.into(), self.writer.hints)], apply, Work::Hints);
+                let changes = vec![Change::put(HINTS_KEY.into(), data)];
+                draft.add(
+                    vec![(HINTS_KEY.into(), self.writer.hints)],
+                    changes,
+                    Work::Hints,
+                );
             }
         }
     }
--- a/src/coordination/writer/outcomes.rs
+++ b/src/coordination/persistence/outcomes.rs
@@ -1,19 +1,20 @@
 //! What became of the writer's transactions: done, refused, or unclear and to be read again.
 
-use super::super::chains::Closure;
-use super::super::{Core, Effect};
 use super::{Flight, Work, REFUSED};
-use crate::ids::{Epoch, JobId, Millis, PageNo, Stamp};
-use crate::protocol::state::Item;
-use crate::storage::pages::StartKey;
+use crate::coordination::jobs::lifecycle::Closure;
+use crate::coordination::{Effect, Scheduler};
+use crate::ids::{JobId, KeyRevision, Millis, PageNumber, StoreRevision};
+use crate::protocol::state::KeyValue;
+use crate::storage::pages::PlacedAttempt;
 use crate::storage::records::{
-    parse_page, parse_progress_key, progress_key, LeadRecord, EDGES, HINTS, HOSTS, INTENTS, LEAD,
-    OPEN, TOKEN,
+    parse_page, parse_progress_key, progress_key, LeaderRecord, DEPENDENCY_PREFIX,
+    FENCING_TOKEN_KEY, HINTS_KEY, INTENT_PAGE_PREFIX, LEADER_KEY, MACHINE_PAGE_PREFIX,
+    OPEN_JOB_PREFIX,
 };
 use std::collections::BTreeSet;
 
-impl Core {
-    pub(crate) fn written(&mut self, now: Millis, seq: u64, epoch: Epoch) {
+impl Scheduler {
+    pub(crate) fn written(&mut self, now: Millis, seq: u64, store_revision: StoreRevision) {
         if !matches!(&self.writer.flight, Flight::Writing { seq: s, .. } if *s == seq) {
             return;
         }
@@ -22,32 +23,34 @@
         else {
             return;
         };
-        let stamp = Stamp(epoch.0);
+        let revision = KeyRevision(store_revision.0);
         for work in works {
             match work {
-                Work::Intents { page, keys } => self.intents_written(now, page, stamp, keys),
+                Work::Intents { page, keys } => self.intents_written(now, page, revision, keys),
                 Work::DropIntents { page } => self.writer.intents.deleted(page),
-                Work::Hosts { page, hosts } => {
-                    self.writer.hosts.written(now, page, stamp, &hosts);
-                    for h in &hosts {
+                Work::MachinePage { page, machine_ids } => {
+                    self.writer
+                        .machine_pages
+                        .written(now, page, revision, &machine_ids);
+                    for h in &machine_ids {
                         if let Some(m) = self.machines.get_mut(h) {
-                            m.noted = true;
+                            m.is_recorded = true;
                         }
                     }
                 }
                 Work::Raise { token } => {
                     tracing::debug!(token = %token, "our token is raised");
-                    self.lead.token = token;
-                    self.lead.stamp = stamp;
-                    self.lead.token_stamp = stamp;
+                    self.term.token = token;
+                    self.term.revision = revision;
+                    self.term.token_stamp = revision;
                     self.writer.raised_at = now;
                 }
                 Work::Progress { job, chunk, tasks } => {
-                    self.writer.progress.insert((job.clone(), chunk), stamp);
+                    self.writer.progress.insert((job.clone(), chunk), revision);
                     self.writer.progress_at = now;
                     if let Some(j) = self.jobs.get_mut(&job) {
-                        j.unsaved.retain(|i| !tasks.contains(i));
-                        if j.over {
+                        j.unpersisted.retain(|i| !tasks.contains(i));
+                        if j.closed {
                             self.collect_orphaned_progress(&job);
                         }
                         self.index_job(&job);
@@ -69,7 +72,7 @@
                     self.writer.orphaned_progress.remove(&key);
                 }
                 Work::Hints => {
-                    self.writer.hints = stamp;
+                    self.writer.hints = revision;
                     self.writer.hints_at = now;
                     self.writer.hints_news = false;
                 }
@@ -78,23 +81,23 @@
     }
 
     /// A page is written: its new starts may be launched.
-    pub(super) fn intents_written(
+    pub(crate) fn intents_written(
         &mut self,
         now: Millis,
-        page: PageNo,
-        stamp: Stamp,
-        keys: Vec<StartKey>,
+        page: PageNumber,
+        revision: KeyRevision,
+        keys: Vec<PlacedAttempt>,
     ) {
-        let mut hosts = BTreeSet::new();
+        let mut machine_ids = BTreeSet::new();
         let mut live = Vec::new();
         let mut gone = false;
         for k in keys {
-            let m = self.machines.get_mut(&k.host);
-            let start = m.and_then(|m| m.starts.get_mut(&(k.task.clone(), k.attempt)));
-            match start.filter(|s| !s.ended()) {
+            let m = self.machines.get_mut(&k.machine_id);
+            let attempt = m.and_then(|m| m.attempts.get_mut(&(k.task.clone(), k.attempt_id)));
+            match attempt.filter(|s| !s.ended()) {
                 Some(s) => {
                     if s.page.is_none() {
-                        hosts.insert(k.host.clone());
+                        machine_ids.insert(k.machine_id.clone());
                     }
                     s.page = Some(page);
                     live.push(k);
@@ -102,8 +105,8 @@
                 None => gone = true,
             }
         }
-        self.writer.intents.written(now, page, stamp, live, gone);
-        self.direct_due.extend(hosts);
+        self.writer.intents.written(now, page, revision, live, gone);
+        self.pushes_due.extend(machine_ids);
     }
 
     /// Progress records of a job that is over are swept when there is time.
@@ -116,10 +119,10 @@
             .cloned()
             .collect();
         for k in keys {
-            if let Some(stamp) = self.writer.progress.remove(&k) {
+            if let Some(revision) = self.writer.progress.remove(&k) {
                 self.writer
                     .orphaned_progress
-                    .insert(progress_key(&k.0, k.1), stamp);
+                    .insert(progress_key(&k.0, k.1), revision);
             }
         }
     }
@@ -143,25 +146,34 @@
 
     /// A write whose guards failed (these, if it is known which), or of which nothing is known.
     pub(crate) fn write_unclear(&mut self, now: Millis, seq: u64, failed: &[String]) {
-        let Flight::Writing { seq: s, txn, .. } = &self.writer.flight else {
+        let Flight::Writing {
+            seq: s,
+            transaction,
+            ..
+        } = &self.writer.flight
+        else {
             return;
         };
         if *s != seq {
             return;
         }
-        let mut keys: BTreeSet<String> = txn.apply.iter().map(|c| c.key().to_string()).collect();
-        keys.insert(LEAD.into());
+        let mut keys: BTreeSet<String> = transaction
+            .changes
+            .iter()
+            .map(|c| c.key().to_string())
+            .collect();
+        keys.insert(LEADER_KEY.into());
         // Of open jobs only those that failed, if the service said which; else all of them.
-        let guards = txn.guards.iter().map(|g| &g.key);
+        let preconditions = transaction.preconditions.iter().map(|g| &g.key);
         keys.extend(
-            guards
+            preconditions
                 .filter(|k| failed.is_empty() || failed.contains(k))
                 .cloned(),
         );
         self.read_again(now, keys.into_iter().collect());
     }
 
-    pub(super) fn read_again(&mut self, now: Millis, keys: Vec<String>) {
+    pub(crate) fn read_again(&mut self, now: Millis, keys: Vec<String>) {
         let seq = self.seq();
         self.writer.flight = Flight::Reading {
             seq,
@@ -174,68 +186,68 @@
     /// The keys as they stand: versions are taken over, and what still differs is written again.
     /// A transaction that may yet be applied late carries the old versions: if it is, our next one
     /// fails and we come here again; if ours is first, the late one does nothing.
-    pub(crate) fn reread(&mut self, now: Millis, seq: u64, items: Vec<(String, Option<Item>)>) {
+    pub(crate) fn reread(&mut self, now: Millis, seq: u64, items: Vec<(String, Option<KeyValue>)>) {
         if !matches!(&self.writer.flight, Flight::Reading { seq: s, .. } if *s == seq) {
             return;
         }
         self.writer.flight = Flight::None;
         for (key, item) in items {
-            let stamp = item.as_ref().map_or(Stamp(0), |i| i.stamp);
-            if key == LEAD {
+            let revision = item.as_ref().map_or(KeyRevision(0), |i| i.revision);
+            if key == LEADER_KEY {
                 self.lead_reread(now, item);
-            } else if key == TOKEN {
-                self.lead.token_stamp = stamp;
-            } else if key == HINTS {
-                self.writer.hints = stamp;
-            } else if let Some(id) = key.strip_prefix(OPEN) {
-                self.open_reread(now, id, stamp);
-            } else if let Some(page) = parse_page(&key, INTENTS) {
-                self.writer.intents.reread(now, page, stamp);
-            } else if let Some(page) = parse_page(&key, HOSTS) {
-                self.writer.hosts.reread(now, page, stamp);
-            } else if key.starts_with(EDGES) {
-                if stamp == Stamp(0) {
+            } else if key == FENCING_TOKEN_KEY {
+                self.term.token_stamp = revision;
+            } else if key == HINTS_KEY {
+                self.writer.hints = revision;
+            } else if let Some(id) = key.strip_prefix(OPEN_JOB_PREFIX) {
+                self.open_reread(now, id, revision);
+            } else if let Some(page) = parse_page(&key, INTENT_PAGE_PREFIX) {
+                self.writer.intents.reread(now, page, revision);
+            } else if let Some(page) = parse_page(&key, MACHINE_PAGE_PREFIX) {
+                self.writer.machine_pages.reread(now, page, revision);
+            } else if key.starts_with(DEPENDENCY_PREFIX) {
+                if revision == KeyRevision(0) {
                     self.writer.orphaned_edges.remove(&key);
                 }
             } else if let Some((job, chunk)) = parse_progress_key(&key) {
                 if self.writer.orphaned_progress.remove(&key).is_some() {
-                    if stamp != Stamp(0) {
-                        self.writer.orphaned_progress.insert(key, stamp);
+                    if revision != KeyRevision(0) {
+                        self.writer.orphaned_progress.insert(key, revision);
                     }
                 } else {
-                    self.writer.progress.insert((job, chunk), stamp);
+                    self.writer.progress.insert((job, chunk), revision);
                 }
             }
         }
-        self.dirty = true;
+        self.placement_due = true;
     }
 
-    pub(super) fn open_reread(&mut self, now: Millis, id: &str, stamp: Stamp) {
+    pub(crate) fn open_reread(&mut self, now: Millis, id: &str, revision: KeyRevision) {
         let id = JobId::from(id);
-        if stamp == Stamp(0) {
+        if revision == KeyRevision(0) {
             self.job_closed(now, &id, Closure::Unknown);
             self.collect_orphaned_progress(&id);
         } else if let Some(job) = self.jobs.get_mut(&id) {
-            job.stamp = stamp;
+            job.revision = revision;
         }
     }
 
     /// The leader key is ours as long as it is on our lease. It may carry a token that we raised
     /// without learning of it.
-    pub(super) fn lead_reread(&mut self, now: Millis, item: Option<Item>) {
+    pub(crate) fn lead_reread(&mut self, now: Millis, item: Option<KeyValue>) {
         let ours = item
-            .filter(|i| i.lease == Some(self.lead.lease))
+            .filter(|i| i.lease == Some(self.term.lease))
             .and_then(|i| {
-                let record: LeadRecord = serde_json::from_value(i.data).ok()?;
-                (record.host_name == self.lead.host_name).then_some((record.token, i.stamp))
+                let record: LeaderRecord = serde_json::from_value(i.data).ok()?;
+                (record.host_name == self.term.host_name).then_some((record.token, i.revision))
             });
         match ours {
-            Some((token, stamp)) => {
-                if token > self.lead.token {
-                    self.lead.token = token;
+            Some((token, revision)) => {
+                if token > self.term.token {
+                    self.term.token = token;
                     self.writer.raised_at = now;
                 }
-                self.lead.stamp = stamp;
+                self.term.revision = revision;
             }
             None => self.effects.push(Effect::StepDown {
                 why: "the leader key is no longer ours",
