--- a/src/coordination/candidates.rs
+++ b/src/coordination/placement/candidates.rs
@@ -1,13 +1,14 @@
 //! Which machines take the tasks of a job, among those that may: the cheapest first, all preferences in
 //! seconds of waiting.
 
-use super::graph::Label;
-use super::placement::Pass;
-use super::worker_sessions::MAX_LISTED;
-use super::Core;
-use crate::ids::{HostId, JobId, Millis, Zone};
+use crate::coordination::attempts::reconciliation::MAX_LISTED;
+use crate::coordination::jobs::graph::Label;
+use crate::coordination::machines::machine::Machine;
+use crate::coordination::placement::Pass;
+use crate::coordination::Scheduler;
+use crate::ids::{JobId, MachineId, Millis, Zone};
 use crate::protocol::users::JobSpec;
-use crate::storage::ledger::{Amount, Machine};
+use crate::resources::Resources;
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BinaryHeap};
 
@@ -25,10 +26,10 @@
 struct Candidate {
     cost: f64,
     fixed: f64,
-    room: Amount,
-    host: HostId,
+    room: Resources,
+    machine_id: MachineId,
     zone: Zone,
-    whole: Amount,
+    whole: Resources,
     listed: usize,
 }
 
@@ -54,19 +55,19 @@
     fn cmp(&self, o: &Self) -> Ordering {
         o.cost
             .total_cmp(&self.cost)
-            .then_with(|| o.host.cmp(&self.host))
+            .then_with(|| o.machine_id.cmp(&self.machine_id))
     }
 }
 
 /// The larger part of a machine that is free.
-pub(super) fn emptiness(room: &Amount, whole: &Amount) -> f64 {
+pub(crate) fn emptiness(room: &Resources, whole: &Resources) -> f64 {
     let part = |free: f64, all: f64| if all > 0.0 { free / all } else { 0.0 };
     part(room.gpus, whole.gpus).max(part(room.cpus, whole.cpus))
 }
 
-impl Core {
+impl Scheduler {
     /// Chooses machines for as many of the tasks as fit.
-    pub(super) fn plan(
+    pub(crate) fn plan(
         &self,
         now: Millis,
         id: &JobId,
@@ -74,11 +75,11 @@
         pending: &[u32],
         zone: Option<&Zone>,
         pass: &Pass,
-    ) -> Vec<(u32, HostId)> {
+    ) -> Vec<(u32, MachineId)> {
         let Some(job) = self.jobs.get(id) else {
             return Vec::new();
         };
-        let need = Amount::of(spec);
+        let request = Resources::of(spec);
         let latency = self.graph.label(id) == Label::Latency;
         let avoid = job.failed_on.len() <= AVOID;
         let aged = self.aged(job, now);
@@ -91,31 +92,31 @@
         // Machines that may take it, with what does not change as tasks are added.
         let mut heap: BinaryHeap<Candidate> = self
             .with_room_for(spec)
-            .filter(|m| need.fits(&m.free) && m.starts.len() < MAX_LISTED)
+            .filter(|m| request.fits(&m.free) && m.attempts.len() < MAX_LISTED)
             .filter(|m| Self::allows(spec, m) && zone.is_none_or(|z| *z == m.zone))
             .filter(|m| self.usable(m, now) && !pass.kept.contains(&m.id))
             .filter(|m| !pass.cached || m.has_image(&spec.image))
             .filter(|m| !(avoid && job.failed_on.contains(&m.id)))
             .filter(|m| {
-                m.kept_for
+                m.reservation
                     .as_ref()
                     .is_none_or(|(j, t)| j == id || now >= *t)
             })
-            .filter(|m| aged || self.reserved.get(&m.id).is_none_or(|c| *c == spec.class))
+            .filter(|m| aged || self.warm_pool.get(&m.id).is_none_or(|c| *c == spec.class))
             .map(|m| {
                 Candidate {
                     cost: 0.0,
                     fixed: self.wait_for_image(now, m, spec) + Self::dislike(m, spec, latency),
                     room: m.free,
-                    host: m.id.clone(),
+                    machine_id: m.id.clone(),
                     zone: m.zone.clone(),
                     whole: self.capacity(&m.machine_type),
-                    listed: m.starts.len(),
+                    listed: m.attempts.len(),
                 }
                 .price()
             })
             .collect();
-        let mut plan: Vec<(u32, HostId)> = Vec::new();
+        let mut plan: Vec<(u32, MachineId)> = Vec::new();
         for index in pending {
             let Some(mut best) = heap.pop() else { break };
             while spec.scatter && zones.get(&best.zone).copied().unwrap_or(0) >= most_in_zone {
@@ -125,11 +126,11 @@
                     None => return plan,
                 }
             }
-            plan.push((*index, best.host.clone()));
-            best.room.sub(&need);
+            plan.push((*index, best.machine_id.clone()));
+            best.room.sub(&request);
             best.listed += 1;
             *zones.entry(best.zone.clone()).or_default() += 1;
-            if need.fits(&best.room) && best.listed < MAX_LISTED {
+            if request.fits(&best.room) && best.listed < MAX_LISTED {
                 heap.push(best.price());
             }
         }
@@ -141,7 +142,7 @@
         if spec.spot && !m.spot {
             cost += ORDINARY_S;
         }
-        if m.going().any(|s| s.latency != latency) {
+        if m.live_attempts().any(|s| s.latency != latency) {
             cost += OTHER_LABEL_S;
         }
         cost
--- a/src/coordination/placement.rs
+++ b/src/coordination/placement/mod.rs
@@ -4,20 +4,25 @@
 //! that run tasks of the same label are preferred. Within one depth of the graph, work inside its
 //! team's guarantee comes first, then priority, then the least slack.
 
+pub(crate) mod candidates;
+mod preemption;
 mod queue;
+mod reservations;
 
-use super::graph::Label;
-use super::Core;
-use crate::ids::{Attempt, HostId, JobId, MachineType, Millis, TaskId, TeamNo, Zone};
-use crate::protocol::users::{JobSpec, Shape, Urgency};
-use crate::storage::ledger::{Amount, Job, Machine, MachineState};
-use crate::storage::pages::StartKey;
+use crate::coordination::jobs::graph::Label;
+use crate::coordination::jobs::job::Job;
+use crate::coordination::machines::machine::{Machine, MachineState};
+use crate::coordination::Scheduler;
+use crate::ids::{AttemptId, JobId, MachineId, MachineType, Millis, TaskId, TeamIndex, Zone};
+use crate::protocol::users::{JobSpec, Priority, Shape};
+use crate::resources::Resources;
+use crate::storage::pages::PlacedAttempt;
 use crate::transport::budget::Budget;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What is left to place after a pass, in queue order.
 #[derive(Debug, Clone)]
-pub struct Unmet {
+pub struct UnplacedTasks {
     pub job: JobId,
     pub count: u32,
 }
@@ -43,40 +48,40 @@
 const MOST_PLACED: usize = 400;
 
 /// What a pass works with.
-pub(super) struct Pass {
-    attempt: Attempt,
+pub(crate) struct Pass {
+    attempt_id: AttemptId,
     /// What teams use, and what is kept for jobs that their team's limit holds up.
-    pub(super) used: Vec<Amount>,
+    pub(crate) used: Vec<Resources>,
     /// Machines kept for large tasks.
-    pub(super) kept: BTreeSet<HostId>,
+    pub(crate) kept: BTreeSet<MachineId>,
     /// Jobs for which a machine was emptied.
-    pub(super) favoured: BTreeSet<JobId>,
+    pub(crate) favoured: BTreeSet<JobId>,
     /// Needs for which there was no room: nothing as large or larger has to look again.
-    pub(super) full: Vec<Need>,
+    pub(crate) full: Vec<ResourceRequest>,
     placed: usize,
     most_placed: usize,
     /// Only machines that have the image will do for now.
-    pub(super) cached: bool,
+    pub(crate) cached: bool,
     /// The least urgent of all open jobs.
-    least_urgent: Option<Urgency>,
+    least_urgent: Option<Priority>,
     /// Jobs for which it was looked whether machines with their image can be emptied.
-    pub(super) looked_for_image: usize,
+    pub(crate) looked_for_image: usize,
 }
 
 /// What a task asks of a machine, as far as the machine's kind and room go.
 #[derive(Clone)]
-pub(super) struct Need {
-    amount: Amount,
+pub(crate) struct ResourceRequest {
+    amount: Resources,
     class: String,
     spot: bool,
     zone: Option<Zone>,
     machine_types: Option<Vec<MachineType>>,
 }
 
-impl Need {
-    pub(super) fn of(spec: &JobSpec) -> Need {
-        Need {
-            amount: Amount::of(spec),
+impl ResourceRequest {
+    pub(crate) fn of(spec: &JobSpec) -> ResourceRequest {
+        ResourceRequest {
+            amount: Resources::of(spec),
             class: spec.class.clone(),
             spot: spec.spot,
             zone: spec.zone.clone(),
@@ -84,7 +89,7 @@
         }
     }
     /// Whether a task with this need is at least as hard to place as `o`.
-    pub(super) fn covers(&self, o: &Need) -> bool {
+    pub(crate) fn covers(&self, o: &ResourceRequest) -> bool {
         o.amount.fits(&self.amount)
             && self.class == o.class
             && (o.spot || !self.spot)
@@ -93,26 +98,26 @@
     }
 }
 
-impl Core {
+impl Scheduler {
     /// Whether a machine may be given new work at all.
     pub(crate) fn usable(&self, m: &Machine, now: Millis) -> bool {
         m.state == MachineState::Up
             && m.verified
-            && !m.deaf()
-            && !m.drain
-            && m.recall_at.is_none()
-            && m.full_until <= now
+            && !m.is_unreachable()
+            && !m.draining
+            && m.reclaim_at.is_none()
+            && m.unschedulable_until <= now
             && !m.silent(now, self.policy.silence())
     }
 
     /// One pass: places what fits and says what does not.
-    pub(crate) fn place(&mut self, now: Millis) -> Vec<Unmet> {
+    pub(crate) fn place(&mut self, now: Millis) -> Vec<UnplacedTasks> {
         if self.machine_types.is_empty() {
             return Vec::new();
         }
         let most_placed = MOST_PLACED.min(self.placement_budget.available(now) as usize);
         if most_placed < LEAST_PLACED {
-            self.dirty = true;
+            self.placement_due = true;
             return Vec::new();
         }
         let queue = self.queue(now);
@@ -121,13 +126,13 @@
         }
         let mut pass = Pass {
             most_placed,
-            attempt: self.fresh_attempt(),
+            attempt_id: self.fresh_attempt(),
             used: self.used.clone(),
             kept: BTreeSet::new(),
             favoured: self
                 .machines
                 .values()
-                .filter_map(|m| m.kept_for.as_ref())
+                .filter_map(|m| m.reservation.as_ref())
                 .filter(|(_, until)| now < *until)
                 .map(|(job, _)| job.clone())
                 .collect(),
@@ -138,7 +143,7 @@
             looked_for_image: 0,
         };
         // By place in the queue: what is left of each job.
-        let mut unmet: BTreeMap<usize, Unmet> = BTreeMap::new();
+        let mut unplaced: BTreeMap<usize, UnplacedTasks> = BTreeMap::new();
         let mut later = Vec::new();
         let mut at = 0;
         for round in queue {
@@ -156,24 +161,24 @@
                 if self.waits_for_image(now, &id, &pass) {
                     later.push((at, id));
                 } else {
-                    self.place_rest(now, at, id, &mut pass, &mut unmet);
+                    self.place_rest(now, at, id, &mut pass, &mut unplaced);
                 }
             }
         }
         // What nobody with the image at hand has taken.
         for (at, id) in later {
-            self.place_rest(now, at, id, &mut pass, &mut unmet);
+            self.place_rest(now, at, id, &mut pass, &mut unplaced);
         }
         // What is left of a job of many tasks has its turn in the next pass.
-        self.dirty |= pass.placed >= pass.most_placed;
+        self.placement_due |= pass.placed >= pass.most_placed;
         // A gang is placed as a whole, even if that is a little more than the rate allows.
         let spent = self.placement_budget.available(now).min(pass.placed as f64);
         self.placement_budget.take(now, spent);
-        unmet.into_values().collect()
+        unplaced.into_values().collect()
     }
 
     /// The rate at which a process with so many cores can place tasks and keep up with what comes of them.
-    pub(super) fn placement_budget(cores: f64) -> Budget {
+    pub(crate) fn placement_budget(cores: f64) -> Budget {
         let per_s = (cores * PLACED_PER_CORE_S).max(LEAST_PLACED_S);
         let burst = (per_s * PLACED_BURST_S).max(MOST_PLACED as f64);
         Budget::new(per_s, burst)
@@ -185,10 +190,10 @@
         at: usize,
         id: JobId,
         pass: &mut Pass,
-        unmet: &mut BTreeMap<usize, Unmet>,
+        unplaced: &mut BTreeMap<usize, UnplacedTasks>,
     ) {
         if pass.placed >= pass.most_placed {
-            self.dirty = true;
+            self.placement_due = true;
             return;
         }
         if self.may_take_machines(now, &id, pass) && self.takes_machines_with_image(now, &id, pass)
@@ -197,7 +202,7 @@
         }
         let count = self.place_job(now, &id, pass);
         if count > 0 {
-            unmet.insert(at, Unmet { job: id, count });
+            unplaced.insert(at, UnplacedTasks { job: id, count });
         }
     }
 
@@ -213,33 +218,38 @@
         // Guards against a job for which machine after machine is emptied in vain: it goes anywhere then.
         let young = now - job.ready < LONGEST_IMAGE_WAIT;
         let candidate =
-            young && above_others && job.spec.shape == Shape::Gang && job.places.is_empty();
+            young && above_others && job.spec.shape == Shape::Gang && job.placements.is_empty();
         let head = || self.headroom(&job.spec, job.team, &pass.used) as usize;
         candidate && head() >= job.pending.len()
     }
 
     /// How many more tasks the team's limit lets start.
-    pub(crate) fn headroom(&self, spec: &JobSpec, team: Option<TeamNo>, used: &[Amount]) -> u32 {
+    pub(crate) fn headroom(
+        &self,
+        spec: &JobSpec,
+        team: Option<TeamIndex>,
+        used: &[Resources],
+    ) -> u32 {
         let (Some(no), Some(team)) = (team, self.policy.team(team)) else {
             return 0;
         };
         let used = used.get(no.0).copied().unwrap_or_default();
         let bound = |max: f64, used: f64| if max > 0.0 { max - used } else { f64::INFINITY };
-        let room = Amount {
+        let room = Resources {
             cpus: bound(team.cpus_max, used.cpus),
             gpus: bound(team.gpus_max, used.gpus),
             ram_gb: f64::INFINITY,
         };
-        Amount::of(spec).count_in(&room, spec.tasks)
+        Resources::of(spec).count_in(&room, spec.tasks)
     }
 
     /// Whether a task of the job has run for long enough to say that the job can run.
     fn has_run_long_enough(&self, now: Millis, id: &JobId, job: &Job) -> bool {
-        let hosts = job.places.values().flatten();
-        let starts = hosts
+        let machine_ids = job.placements.values().flatten();
+        let attempts = machine_ids
             .filter_map(|h| self.machines.get(h))
-            .flat_map(Machine::going);
-        let mut since = starts
+            .flat_map(Machine::live_attempts);
+        let mut since = attempts
             .filter(|s| s.task.job == *id)
             .filter_map(|s| s.running_since);
         since.any(|t| now - t > PROVEN)
@@ -258,23 +268,23 @@
         if pass.cached && (gang || job.pending.is_empty()) {
             return 0;
         }
-        if gang && !job.places.is_empty() {
+        if gang && !job.placements.is_empty() {
             // Nothing while a task of the last attempt lingers anywhere.
             return 0;
         }
         let mut could = head.min(job.pending.len() as u32);
-        if !gang && job.mistaken() && !self.has_run_long_enough(now, id, job) {
+        if !gang && job.fails_everywhere() && !self.has_run_long_enough(now, id, job) {
             // Guards against a job submitted with a mistake whose tasks all start and fail again and
             // again, with a write for each and machines rented for all: one task tries, the rest wait
             // for how it fares.
-            could = could.min(u32::from(job.places.is_empty()));
+            could = could.min(u32::from(job.placements.is_empty()));
             if could == 0 {
                 return 0;
             }
         }
         let keep = |pass: &mut Pass, n: f64| {
             if let Some(u) = team.and_then(|t| pass.used.get_mut(t.0)) {
-                u.add(&Amount::of(&spec).times(n));
+                u.add(&Resources::of(&spec).times(n));
             }
         };
         if pass.cached && could == 0 {
@@ -288,8 +298,8 @@
             return 0;
         }
         let aged = self.aged(job, now);
-        let need = Need::of(&spec);
-        if !pass.favoured.contains(id) && pass.full.iter().any(|f| need.covers(f)) {
+        let request = ResourceRequest::of(&spec);
+        if !pass.favoured.contains(id) && pass.full.iter().any(|f| request.covers(f)) {
             if pass.cached {
                 return could;
             }
@@ -303,7 +313,7 @@
         };
         let pending: Vec<u32> = job.pending.iter().take(most as usize).copied().collect();
         let zones = self.zone_choices(now, &spec, job, pass);
-        let mut plan: Vec<(u32, HostId)> = Vec::new();
+        let mut plan: Vec<(u32, MachineId)> = Vec::new();
         for zone in zones {
             plan = self.plan(now, id, &spec, &pending, zone.as_ref(), pass);
             if !plan.is_empty() && (!gang || plan.len() == pending.len()) {
@@ -319,7 +329,7 @@
             // Whether there is room depends on the job itself only if it avoids machines, or must
             // spread or stay together.
             if job.failed_on.is_empty() && !spec.scatter && (!gang || spec.tasks == 1) {
-                pass.full.push(need);
+                pass.full.push(request);
             }
             self.hold_for(now, &spec, gang, aged, pass);
             return left;
@@ -333,28 +343,28 @@
             job.waits_since = None;
         }
         let latency = self.graph.label(id) == Label::Latency;
-        for (index, host) in plan {
+        for (index, machine_id) in plan {
             let task = TaskId {
                 job: id.clone(),
                 index,
             };
-            tracing::debug!(task = %task, host = %host, "placed");
-            if let Some(m) = self.machines.get_mut(&host) {
+            tracing::debug!(task = %task, machine = %machine_id, "placed");
+            if let Some(m) = self.machines.get_mut(&machine_id) {
                 m.idle_since = None;
-                if m.kept_for.as_ref().is_some_and(|(j, _)| j == id) {
-                    m.kept_for = None;
+                if m.reservation.as_ref().is_some_and(|(j, _)| j == id) {
+                    m.reservation = None;
                 }
             }
-            let mut start = self.new_start(&host, task.clone(), pass.attempt, now);
+            let mut attempt = self.new_attempt(&machine_id, task.clone(), pass.attempt_id, now);
             let several = gang && spec.tasks > 1;
-            let m = self.machines.get(&host).filter(|_| several);
-            start.image_s = m.map(|m| self.wait_for_image(now, m, &spec));
-            start.latency = latency;
-            self.put_start(&host, start);
-            self.add_place(&host, &task);
+            let m = self.machines.get(&machine_id).filter(|_| several);
+            attempt.image_s = m.map(|m| self.wait_for_image(now, m, &spec));
+            attempt.latency = latency;
+            self.insert_attempt(&machine_id, attempt);
+            self.add_place(&machine_id, &task);
             self.writer
                 .intents
-                .wait(StartKey::new(&host, &(task, pass.attempt)));
+                .wait(PlacedAttempt::new(&machine_id, &(task, pass.attempt_id)));
             keep(pass, 1.0);
         }
         left
@@ -378,10 +388,10 @@
             return vec![Some(zone)];
         }
         let mut fit: BTreeMap<Zone, u32> = BTreeMap::new();
-        let need = Amount::of(spec);
+        let request = Resources::of(spec);
         for m in self.with_room_for(spec) {
             if self.usable(m, now) && Self::allows(spec, m) && !pass.kept.contains(&m.id) {
-                let n = need.count_in(&m.free, spec.tasks);
+                let n = request.count_in(&m.free, spec.tasks);
                 *fit.entry(m.zone.clone()).or_default() += n;
             }
         }
@@ -393,8 +403,8 @@
     /// How many tasks of the job may be in each zone, lingering ones included.
     pub(crate) fn zones_of(&self, job: &Job) -> BTreeMap<Zone, u32> {
         let mut zones = BTreeMap::new();
-        for host in job.places.values().flatten() {
-            if let Some(m) = self.machines.get(host) {
+        for machine_id in job.placements.values().flatten() {
+            if let Some(m) = self.machines.get(machine_id) {
                 *zones.entry(m.zone.clone()).or_default() += 1;
             }
         }
--- a/src/coordination/preemption.rs
+++ b/src/coordination/placement/preemption.rs
@@ -1,10 +1,13 @@
 //! Stopping tasks to make room, as far as the protocol allows it: for a job of higher priority, or
 //! to give a team its guarantee at the cost of work that another team runs beyond its own.
 
-use super::placement::{Pass, Unmet};
-use super::Core;
-use crate::ids::{Attempt, HostId, JobId, Millis, TaskId};
-use crate::storage::ledger::{Amount, Job, Machine, Start, StopRequest};
+use crate::coordination::attempts::task_attempt::{StopRequest, TaskAttempt};
+use crate::coordination::jobs::job::Job;
+use crate::coordination::machines::machine::Machine;
+use crate::coordination::placement::{Pass, UnplacedTasks};
+use crate::coordination::Scheduler;
+use crate::ids::{AttemptId, JobId, MachineId, Millis, TaskId};
+use crate::resources::Resources;
 use std::collections::BTreeSet;
 
 /// Machines emptied in one look, and one more for each so many that there are: the effect of the
@@ -26,14 +29,14 @@
 /// The tasks to be stopped on one machine to make room, and what that costs.
 struct Eviction {
     cost_s: f64,
-    host: HostId,
-    victims: Vec<(TaskId, Attempt, f64)>,
+    machine_id: MachineId,
+    victims: Vec<(TaskId, AttemptId, f64)>,
 }
 
-impl Core {
+impl Scheduler {
     /// Makes room for waiting jobs that would otherwise start too late.
-    pub(crate) fn preempt(&mut self, now: Millis, unmet: &[Unmet]) {
-        if unmet.is_empty() || now - self.last_preempt < LOOK_EVERY {
+    pub(crate) fn preempt(&mut self, now: Millis, unplaced: &[UnplacedTasks]) {
+        if unplaced.is_empty() || now - self.last_preempt < LOOK_EVERY {
             return;
         }
         self.last_preempt = now;
@@ -41,7 +44,7 @@
         let mut emptied = 0;
         let most = MOST_AT_ONCE + self.machines.len() / MACHINES_PER_EXTRA;
         let mut looked = 0;
-        for u in unmet {
+        for u in unplaced {
             if emptied >= most || looked >= MOST_JOBS {
                 return;
             }
@@ -69,9 +72,9 @@
         inside: &BTreeSet<JobId>,
     ) -> Option<Vec<Eviction>> {
         let job = self.jobs.get(id)?;
-        let need = Amount::of(&job.spec);
+        let request = Resources::of(&job.spec);
         let kept = |m: &Machine| {
-            let kept = m.kept_for.as_ref().filter(|(_, t)| now < *t);
+            let kept = m.reservation.as_ref().filter(|(_, t)| now < *t);
             kept.map(|(j, _)| j == id)
         };
         // What is free already, or is being made free.
@@ -80,10 +83,10 @@
             .values()
             .filter(|m| match kept(m) {
                 Some(mine) => mine,
-                None => need.fits(&m.free) && Self::allows(&job.spec, m) && self.usable(m, now),
+                None => request.fits(&m.free) && Self::allows(&job.spec, m) && self.usable(m, now),
             })
             .count() as u32;
-        let wanted = if job.stands_together() {
+        let wanted = if job.is_all_or_nothing() {
             count.saturating_sub(there)
         } else {
             1u32.saturating_sub(there)
@@ -102,7 +105,7 @@
         evictions.sort_by(|a, b| {
             a.cost_s
                 .total_cmp(&b.cost_s)
-                .then_with(|| a.host.cmp(&b.host))
+                .then_with(|| a.machine_id.cmp(&b.machine_id))
         });
         evictions.truncate(wanted as usize);
         Some(evictions)
@@ -114,7 +117,7 @@
     /// Guards against large jobs that fetch their image again and again while it is at hand: on the recorded
     /// day 0a7c a team without a guarantee filled every machine that had come free, and the part of starts
     /// that found their image there fell from a half to a tenth.
-    pub(super) fn takes_machines_with_image(
+    pub(crate) fn takes_machines_with_image(
         &mut self,
         now: Millis,
         id: &JobId,
@@ -142,13 +145,13 @@
             return false;
         };
         let mut kept = self.machines.values().filter(|m| {
-            let kept_for = m.kept_for.as_ref();
-            kept_for.is_some_and(|(j, until)| j == id && now < *until)
+            let reservation = m.reservation.as_ref();
+            reservation.is_some_and(|(j, until)| j == id && now < *until)
         });
         kept.any(|m| {
             m.has_image(&job.spec.image)
                 && self.usable(m, now)
-                && m.going().any(|s| s.stop.is_some())
+                && m.live_attempts().any(|s| s.stop.is_some())
         })
     }
 
@@ -161,10 +164,10 @@
         if !self.bulk(spec) || fetch_s < WORTH_EMPTYING_S || !job.failed_on.is_empty() {
             return None;
         }
-        let need = Amount::of(spec);
+        let request = Resources::of(spec);
         let with_image = |m: &&Machine| m.has_image(&spec.image) && self.usable(m, now);
         let here = || self.machines.values().filter(with_image);
-        let ready = |m: &&Machine| need.fits(&m.free) && Self::allows(spec, m);
+        let ready = |m: &&Machine| request.fits(&m.free) && Self::allows(spec, m);
         if here().any(|m| ready(&m)) {
             return None;
         }
@@ -186,7 +189,7 @@
         evictions.sort_by(|a, b| {
             a.cost_s
                 .total_cmp(&b.cost_s)
-                .then_with(|| a.host.cmp(&b.host))
+                .then_with(|| a.machine_id.cmp(&b.machine_id))
         });
         evictions.truncate(wanted);
         Some(evictions)
@@ -194,8 +197,8 @@
 
     /// Whether anything may be stopped for the job at all.
     fn may_preempt(&self, id: &JobId, inside: &BTreeSet<JobId>) -> bool {
-        let urgency = self.jobs.get(id).map(|j| self.urgency_of(id, &j.spec));
-        let above = urgency > self.least_urgent();
+        let priority = self.jobs.get(id).map(|j| self.urgency_of(id, &j.spec));
+        let above = priority > self.least_urgent();
         above || inside.contains(id)
     }
 
@@ -210,11 +213,11 @@
             return !self.may_rent(now, spec);
         };
         let waited = (now - job.ready).secs();
-        let need = Amount::of(spec);
+        let request = Resources::of(spec);
         let rental = self
             .machine_types
             .values()
-            .filter(|r| need.fits(&self.capacity(&r.name)))
+            .filter(|r| request.fits(&self.capacity(&r.name)))
             .map(|r| r.boot_s)
             .fold(f64::INFINITY, f64::min);
         waited + rental > within || !self.may_rent(now, spec)
@@ -229,24 +232,24 @@
     ) -> Option<Eviction> {
         let job = self.jobs.get(id)?;
         let spec = &job.spec;
-        let need = Amount::of(spec);
+        let request = Resources::of(spec);
         let free_to_use = self.usable(m, now)
             && Self::allows(spec, m)
-            && need.fits(&self.capacity(&m.machine_type))
-            && self.reserved.get(&m.id).is_none_or(|c| *c == spec.class)
-            && m.kept_for.as_ref().is_none_or(|(_, t)| now >= *t);
+            && request.fits(&self.capacity(&m.machine_type))
+            && self.warm_pool.get(&m.id).is_none_or(|c| *c == spec.class)
+            && m.reservation.as_ref().is_none_or(|(_, t)| now >= *t);
         if !free_to_use {
             return None;
         }
-        let mut victims: Vec<(f64, &Start, f64)> = m
-            .starts
+        let mut victims: Vec<(f64, &TaskAttempt, f64)> = m
+            .attempts
             .values()
             .filter(|s| !s.ended())
             .filter_map(|s| {
                 let other = self.jobs.get(&s.task.job)?;
                 let may = s.stop.is_none() && self.may_stop(job, id, other, &s.task.job, inside);
                 // All of a gang goes down with its member.
-                let members = if other.stands_together() {
+                let members = if other.is_all_or_nothing() {
                     f64::from(other.spec.tasks)
                 } else {
                     1.0
@@ -269,16 +272,16 @@
         let mut chosen = Vec::new();
         let mut cost_s = self.wait_for_image(now, m, spec);
         for (cost, s, grace) in victims {
-            if need.fits(&room) {
+            if request.fits(&room) {
                 break;
             }
-            room.add(&s.need);
+            room.add(&s.request);
             cost_s += cost;
-            chosen.push((s.task.clone(), s.attempt, grace));
+            chosen.push((s.task.clone(), s.attempt_id, grace));
         }
-        (need.fits(&room) && !chosen.is_empty()).then(|| Eviction {
+        (request.fits(&room) && !chosen.is_empty()).then(|| Eviction {
             cost_s,
-            host: m.id.clone(),
+            machine_id: m.id.clone(),
             victims: chosen,
         })
     }
@@ -291,9 +294,9 @@
         other_id: &JobId,
         inside: &BTreeSet<JobId>,
     ) -> bool {
-        let urgency = self.urgency_of(id, &job.spec);
+        let priority = self.urgency_of(id, &job.spec);
         let other_urgency = self.urgency_of(other_id, &other.spec);
-        if other_urgency < urgency {
+        if other_urgency < priority {
             return true;
         }
         let borrowed = || {
@@ -308,7 +311,7 @@
         // urgent gangs were stopped for single tasks, some gangs five times, while what ends by
         // itself every second had room for thousands.
         inside.contains(id)
-            && other_urgency <= urgency
+            && other_urgency <= priority
             && other.spec.class != job.spec.class
             && other.team != job.team
             && !inside.contains(other_id)
@@ -316,20 +319,20 @@
     }
 
     fn evict(&mut self, now: Millis, id: &JobId, eviction: Eviction) {
-        tracing::debug!(job = %id, host = %eviction.host, tasks = eviction.victims.len(), cost_s = eviction.cost_s, "making room");
-        let Some(m) = self.machines.get_mut(&eviction.host) else {
+        tracing::debug!(job = %id, machine = %eviction.machine_id, tasks = eviction.victims.len(), cost_s = eviction.cost_s, "making room");
+        let Some(m) = self.machines.get_mut(&eviction.machine_id) else {
             return;
         };
-        m.kept_for = Some((id.clone(), now + KEPT));
-        for (task, attempt, grace_s) in eviction.victims {
-            if let Some(s) = m.starts.get_mut(&(task, attempt)) {
+        m.reservation = Some((id.clone(), now + KEPT));
+        for (task, attempt_id, grace_s) in eviction.victims {
+            if let Some(s) = m.attempts.get_mut(&(task, attempt_id)) {
                 s.stop = Some(StopRequest {
                     grace_s,
-                    sent_direct: false,
+                    pushed: false,
                 });
             }
         }
-        self.to_review.insert(eviction.host.clone());
-        self.direct_due.insert(eviction.host);
+        self.machines_to_review.insert(eviction.machine_id.clone());
+        self.pushes_due.insert(eviction.machine_id);
     }
 }
--- a/src/coordination/placement/queue.rs
+++ b/src/coordination/placement/queue.rs
@@ -1,26 +1,27 @@
 //! The order in which waiting jobs are placed.
 
-use super::super::Core;
-use crate::ids::{JobId, Millis, TeamNo};
-use crate::protocol::users::{JobSpec, Urgency};
-use crate::storage::ledger::{within, Amount, Job};
+use crate::coordination::jobs::job::Job;
+use crate::coordination::Scheduler;
+use crate::ids::{JobId, Millis, TeamIndex};
+use crate::protocol::users::{JobSpec, Priority};
+use crate::resources::{within_limit, Resources};
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
 
-impl Core {
+impl Scheduler {
     /// Jobs that fit into their team's guarantee together with the team's earlier unfinished ones.
     pub(crate) fn guaranteed(&self) -> BTreeSet<JobId> {
         let mut inside = BTreeSet::new();
         for (n, jobs) in self.indexes.by_team.iter().enumerate() {
-            let Some(team) = self.policy.team(Some(TeamNo(n))) else {
+            let Some(team) = self.policy.team(Some(TeamIndex(n))) else {
                 continue;
             };
             let any = team.cpus > 0.0 || team.gpus > 0.0;
-            let mut sum = Amount::default();
+            let mut sum = Resources::default();
             for (_, id) in jobs {
                 let Some(j) = self.jobs.get(id) else { continue };
                 sum.add(&j.left());
-                if any && within(sum.cpus, team.cpus) && within(sum.gpus, team.gpus) {
+                if any && within_limit(sum.cpus, team.cpus) && within_limit(sum.gpus, team.gpus) {
                     inside.insert(id.clone());
                 }
             }
@@ -31,12 +32,12 @@
     /// Which of its aims the job can still meet: the sooner ones come first, and one that can't be
     /// met any more gives way to the next. A job past all of them goes last; otherwise, when there is
     /// too much to do, jobs already late would make every other late as well.
-    pub(super) fn aim_of(&self, id: &JobId, job: &Job, now: Millis) -> u8 {
+    pub(crate) fn aim_of(&self, id: &JobId, job: &Job, now: Millis) -> u8 {
         let class = &job.spec.class;
         let after = |s: f64| job.ready + Millis::from_secs(s);
         let run = Millis::from_secs(self.longest_of(job));
-        let starts = self.policy.of_class("wait", class);
-        let mut aims: Vec<Millis> = starts.filter_map(|o| o.within_s).map(after).collect();
+        let attempts = self.policy.of_class("wait", class);
+        let mut aims: Vec<Millis> = attempts.filter_map(|o| o.within_s).map(after).collect();
         let finishes = self.policy.of_class("finished", class);
         aims.extend(finishes.filter_map(|o| o.within_s).map(|s| after(s) - run));
         let has_deadline = job.spec.due_s.is_some() || self.graph.has_consumers(id);
@@ -49,7 +50,7 @@
 
     /// The deadline that a job has, of its own or for the jobs that need it, and the multiples of the
     /// time that it allows itself which its class's objectives name.
-    pub(super) fn deadline_aims(&self, job: &Job, due: Millis) -> impl Iterator<Item = Millis> {
+    pub(crate) fn deadline_aims(&self, job: &Job, due: Millis) -> impl Iterator<Item = Millis> {
         let (submitted, class) = (job.submitted, &job.spec.class);
         let mut times = Vec::new();
         if job.spec.due_s.is_some() {
@@ -65,9 +66,9 @@
     }
 
     /// The priority that a job is treated with: the highest of its own and of all that need it.
-    pub(crate) fn urgency_of(&self, id: &JobId, spec: &JobSpec) -> Urgency {
-        let derived = self.graph.urgency(id);
-        derived.map_or(spec.urgency, |u| u.max(spec.urgency))
+    pub(crate) fn urgency_of(&self, id: &JobId, spec: &JobSpec) -> Priority {
+        let derived = self.graph.priority(id);
+        derived.map_or(spec.priority, |u| u.max(spec.priority))
     }
 
     /// Whether a task takes most of a machine: large ones are placed first, small ones fill what is
@@ -76,7 +77,7 @@
         self.part_of_machine(spec) > 0.5
     }
 
-    pub(super) fn queue(&self, now: Millis) -> Vec<Vec<JobId>> {
+    pub(crate) fn queue(&self, now: Millis) -> Vec<Vec<JobId>> {
         if self.indexes.waiting.is_empty() {
             return Vec::new();
         }
@@ -95,7 +96,7 @@
                     aged.then_some(j.ready),
                     self.graph.depth(id),
                     !inside.contains(id),
-                    Reverse::<Urgency>(self.urgency_of(id, &j.spec)),
+                    Reverse::<Priority>(self.urgency_of(id, &j.spec)),
                     self.graph.label(id),
                     self.aim_of(id, j, now),
                     !self.bulk(&j.spec),
@@ -129,8 +130,8 @@
     }
 
     /// The lowest priority among the jobs that may run.
-    pub(crate) fn least_urgent(&self) -> Option<Urgency> {
-        let open = self.jobs.iter().filter(|(_, j)| !j.over && j.released);
+    pub(crate) fn least_urgent(&self) -> Option<Priority> {
+        let open = self.jobs.iter().filter(|(_, j)| !j.closed && j.released);
         open.map(|(id, j)| self.urgency_of(id, &j.spec)).min()
     }
 }
--- a/src/coordination/reservations.rs
+++ b/src/coordination/placement/reservations.rs
@@ -1,20 +1,20 @@
 //! Machines kept during one placement pass for jobs that could not be placed, so that those behind them in
 //! the queue don't take what they wait for.
 
-use super::candidates::emptiness;
-use super::placement::Pass;
-use super::Core;
-use crate::ids::{HostId, Millis, Zone};
+use crate::coordination::placement::candidates::emptiness;
+use crate::coordination::placement::Pass;
+use crate::coordination::Scheduler;
+use crate::ids::{MachineId, Millis, Zone};
 use crate::protocol::users::JobSpec;
-use crate::storage::ledger::Amount;
+use crate::resources::Resources;
 use std::collections::BTreeMap;
 
-impl Core {
+impl Scheduler {
     /// Guards against a task of a whole machine that never finds one, because small tasks fill
     /// every gap and no more machines are to be had: the emptiest that it may use takes nothing
     /// more from jobs behind it.
     fn keep_a_machine(&self, now: Millis, spec: &JobSpec, pass: &mut Pass) {
-        let need = Amount::of(spec);
+        let request = Resources::of(spec);
         let best = self
             .indexes
             .spacious
@@ -23,16 +23,16 @@
             .filter_map(|h| self.machines.get(h))
             .filter(|m| Self::allows(spec, m) && self.usable(m, now))
             .map(|m| (m, self.capacity(&m.machine_type)))
-            .filter(|(_, whole)| need.fits(whole))
+            .filter(|(_, whole)| request.fits(whole))
             .map(|(m, whole)| (emptiness(&m.free, &whole), &m.id))
             .max_by(|a, b| a.0.total_cmp(&b.0).then_with(|| b.1.cmp(a.1)));
-        if let Some((_, host)) = best {
-            pass.kept.insert(host.clone());
+        if let Some((_, machine_id)) = best {
+            pass.kept.insert(machine_id.clone());
         }
     }
 
     /// Holds machines for a job that could not be placed.
-    pub(super) fn hold_for(
+    pub(crate) fn hold_for(
         &self,
         now: Millis,
         spec: &JobSpec,
@@ -55,23 +55,23 @@
     /// Guards against a gang of several machines that never finds them at once, because what comes
     /// free is taken by whatever needs less: those that it could use are held for it.
     fn hold_machines(&self, now: Millis, spec: &JobSpec, pass: &mut Pass) {
-        let need = Amount::of(spec);
-        let mut fit: BTreeMap<Option<&Zone>, Vec<&HostId>> = BTreeMap::new();
+        let request = Resources::of(spec);
+        let mut fit: BTreeMap<Option<&Zone>, Vec<&MachineId>> = BTreeMap::new();
         for m in self
             .indexes
             .spacious
             .iter()
             .filter_map(|h| self.machines.get(h))
         {
-            let free = need.fits(&m.free) && Self::allows(spec, m) && self.usable(m, now);
+            let free = request.fits(&m.free) && Self::allows(spec, m) && self.usable(m, now);
             if free && !pass.kept.contains(&m.id) {
                 let zone = spec.together.then_some(&m.zone);
                 fit.entry(zone).or_default().push(&m.id);
             }
         }
         let most = fit.into_values().max_by_key(Vec::len).unwrap_or_default();
-        for host in most.into_iter().take(spec.tasks as usize) {
-            pass.kept.insert(host.clone());
+        for machine_id in most.into_iter().take(spec.tasks as usize) {
+            pass.kept.insert(machine_id.clone());
         }
     }
 }
--- a/src/ids.rs
+++ b/src/ids.rs
@@ -51,27 +51,27 @@
 }
 
 number!(/// Names the controller entitled to command; unique and increasing for ever.
-    Token);
+    FencingToken);
 number!(/// A worker's session; a new one begins when its lease ran out.
     Session);
 number!(/// Orders a worker's messages within a session.
     Tick);
 number!(/// Tells one start of a task from another; never used twice for a task.
-    Attempt);
+    AttemptId);
 number!(/// The version of one key on the state service; 0 means absent.
-    Stamp);
+    KeyRevision);
 number!(/// The revision of the whole state service.
-    Epoch);
+    StoreRevision);
 number!(/// A lease held on the state service.
     LeaseId);
 
 /// One page of records that are packed together on the state service.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct PageNo(pub u32);
+pub struct PageNumber(pub u32);
 
 /// A team's place in the settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct TeamNo(pub usize);
+pub struct TeamIndex(pub usize);
 
 macro_rules! name {
     ($(#[$m:meta])* $name:ident) => {
@@ -101,7 +101,7 @@
 name!(/// A job's id, chosen by its user.
     JobId);
 name!(/// A rented machine.
-    HostId);
+    MachineId);
 name!(/// A machine type.
     MachineType);
 name!(/// A zone.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -13,6 +13,7 @@
 pub mod coordination;
 pub mod ids;
 pub mod protocol;
+pub mod resources;
 pub mod runtime;
 pub mod settings;
 pub mod storage;
--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -1,6 +1,6 @@
 //! Controllers -> cloud.
 
-use crate::ids::{HostId, MachineType, Zone};
+use crate::ids::{MachineId, MachineType, Zone};
 use serde::{Deserialize, Serialize};
 
 /// A machine type.
@@ -34,10 +34,11 @@
     pub machine_types: Vec<MachineTypeInfo>,
 }
 
-/// A request to rent; `hire` is never reused for anything else.
+/// A request to rent; `idempotency_key` is never reused for anything else.
 #[derive(Clone, Debug, Serialize)]
 pub struct RentRequest {
-    pub hire: String,
+    #[serde(rename = "hire")]
+    pub idempotency_key: String,
     #[serde(rename = "rig")]
     pub machine_type: MachineType,
     #[serde(rename = "site")]
@@ -51,13 +52,15 @@
 /// The machines rented.
 #[derive(Clone, Debug, Deserialize)]
 pub struct RentReply {
-    pub hosts: Vec<HostId>,
+    #[serde(rename = "hosts")]
+    pub machine_ids: Vec<MachineId>,
 }
 
 /// A request to give machines back.
 #[derive(Clone, Debug, Serialize)]
 pub struct ReturnRequest {
-    pub hosts: Vec<HostId>,
+    #[serde(rename = "hosts")]
+    pub machine_ids: Vec<MachineId>,
 }
 
 /// How the cloud sees a machine.
@@ -72,9 +75,9 @@
 
 /// One line of the machine list.
 #[derive(Clone, Debug, Deserialize)]
-pub struct CloudHost {
+pub struct ListedMachine {
     #[serde(rename = "ref")]
-    pub id: HostId,
+    pub id: MachineId,
     #[serde(default)]
     pub endpoint: String,
     #[serde(rename = "rig")]
@@ -90,8 +93,9 @@
 
 /// One page of the machine list.
 #[derive(Clone, Debug, Deserialize)]
-pub struct HostPage {
-    pub hosts: Vec<CloudHost>,
+pub struct MachineListPage {
+    #[serde(rename = "hosts")]
+    pub machines: Vec<ListedMachine>,
     #[serde(rename = "hasNext", default)]
     pub more: bool,
 }
--- a/src/protocol/state.rs
+++ b/src/protocol/state.rs
@@ -1,34 +1,37 @@
 //! Controllers -> state service.
 
-use crate::ids::{Epoch, LeaseId, Stamp};
+use crate::ids::{KeyRevision, LeaseId, StoreRevision};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
 /// One key as it stands.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Item {
+pub struct KeyValue {
     pub key: String,
     #[serde(default)]
     pub data: Value,
-    pub stamp: Stamp,
+    #[serde(rename = "stamp")]
+    pub revision: KeyRevision,
     #[serde(rename = "hold", default)]
     pub lease: Option<LeaseId>,
 }
 
 /// One page of a listing.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Page {
-    pub pairs: Vec<Item>,
+pub struct KeyValuePage {
+    pub pairs: Vec<KeyValue>,
     #[serde(rename = "hasNext", default)]
     pub more: bool,
-    pub epoch: Epoch,
+    #[serde(rename = "epoch")]
+    pub store_revision: StoreRevision,
 }
 
 /// A condition: the key has this version (0: absent).
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Guard {
+pub struct Precondition {
     pub key: String,
-    pub stamp: Stamp,
+    #[serde(rename = "stamp")]
+    pub revision: KeyRevision,
 }
 
 /// A change.
@@ -66,15 +69,18 @@
 
 /// All or nothing.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Txn {
-    pub guards: Vec<Guard>,
-    pub apply: Vec<Change>,
+pub struct Transaction {
+    #[serde(rename = "guards")]
+    pub preconditions: Vec<Precondition>,
+    #[serde(rename = "apply")]
+    pub changes: Vec<Change>,
 }
 
 /// The revision in force, in many answers.
 #[derive(Clone, Copy, Debug, Deserialize)]
-pub struct AtEpoch {
-    pub epoch: Epoch,
+pub struct AtRevision {
+    #[serde(rename = "epoch")]
+    pub store_revision: StoreRevision,
 }
 
 /// The answer to a transaction whose guards failed.
@@ -93,20 +99,23 @@
 
 /// One change told by a watch.
 #[derive(Clone, Debug, Deserialize)]
-pub struct News {
+pub struct WatchEvent {
     #[serde(default)]
     pub put: Option<String>,
     #[serde(default)]
     pub delete: Option<String>,
     #[serde(default)]
     pub data: Value,
-    pub stamp: Stamp,
+    #[serde(rename = "stamp")]
+    pub revision: KeyRevision,
 }
 
 /// The answer of a watch.
 #[derive(Clone, Debug, Deserialize)]
-pub struct NewsPage {
-    pub epoch: Epoch,
+pub struct WatchResponse {
+    #[serde(rename = "epoch")]
+    pub store_revision: StoreRevision,
     #[serde(default)]
-    pub news: Vec<News>,
+    #[serde(rename = "news")]
+    pub events: Vec<WatchEvent>,
 }
--- a/src/protocol/users.rs
+++ b/src/protocol/users.rs
@@ -21,7 +21,7 @@
 /// Priority, lowest first so that the derived order is the order of precedence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Urgency {
+pub enum Priority {
     Low,
     Normal,
     Urgent,
@@ -38,7 +38,8 @@
     #[serde(rename = "crew")]
     pub team: String,
     pub shape: Shape,
-    pub urgency: Urgency,
+    #[serde(rename = "urgency")]
+    pub priority: Priority,
     #[serde(rename = "pieces")]
     pub tasks: u32,
     pub cpus: f64,
--- a/src/protocol/workers.rs
+++ b/src/protocol/workers.rs
@@ -1,12 +1,13 @@
 //! Workers <-> controllers: reports and orders.
 
-use crate::ids::{Attempt, HostId, MachineType, Session, TaskId, Tick, Token, Zone};
+use crate::ids::{AttemptId, FencingToken, MachineId, MachineType, Session, TaskId, Tick, Zone};
 use serde::{Deserialize, Serialize};
 
 /// What a worker says of itself, in check-ins and in the answers of `/commands` and `/inspect`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Report {
-    pub host: HostId,
+pub struct WorkerStatus {
+    #[serde(rename = "host")]
+    pub machine_id: MachineId,
     pub endpoint: String,
     #[serde(rename = "rig")]
     pub machine_type: MachineType,
@@ -18,20 +19,20 @@
     pub session: Session,
     pub tick: Tick,
     #[serde(rename = "baton", default)]
-    pub token: Token,
+    pub token: FencingToken,
     #[serde(rename = "recallS", default)]
     pub recall_s: Option<f64>,
     #[serde(rename = "pieces", default)]
-    pub tasks: Vec<TaskReport>,
+    pub tasks: Vec<TaskStatus>,
 }
 
 /// One task on a machine.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct TaskReport {
+pub struct TaskStatus {
     #[serde(rename = "piece")]
     pub task: TaskId,
     #[serde(rename = "try")]
-    pub attempt: Attempt,
+    pub attempt_id: AttemptId,
     pub phase: TaskPhase,
     #[serde(default)]
     pub cause: Option<Cause>,
@@ -74,18 +75,18 @@
 /// One order to a worker.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "verb", rename_all = "lowercase")]
-pub enum Order {
+pub enum Command {
     Launch {
         #[serde(rename = "piece")]
         task: TaskId,
         #[serde(rename = "try")]
-        attempt: Attempt,
+        attempt_id: AttemptId,
     },
     Stop {
         #[serde(rename = "piece")]
         task: TaskId,
         #[serde(rename = "try")]
-        attempt: Attempt,
+        attempt_id: AttemptId,
         #[serde(rename = "windDownS")]
         grace_s: f64,
     },
@@ -93,16 +94,17 @@
         #[serde(rename = "piece")]
         task: TaskId,
         #[serde(rename = "try")]
-        attempt: Attempt,
+        attempt_id: AttemptId,
     },
 }
 
 /// The body of a 200 to a check-in.
 #[derive(Serialize)]
-pub struct CheckInReply {
+pub struct HeartbeatResponse {
     #[serde(rename = "baton")]
-    pub token: Token,
-    pub orders: Vec<Order>,
+    pub token: FencingToken,
+    #[serde(rename = "orders")]
+    pub commands: Vec<Command>,
 }
 
 /// The body of a 421.
@@ -114,10 +116,11 @@
 
 /// The body of `POST /commands`.
 #[derive(Clone, Debug, Serialize)]
-pub struct Commands {
+pub struct CommandBatch {
     #[serde(rename = "baton")]
-    pub token: Token,
+    pub token: FencingToken,
     #[serde(rename = "tenure")]
     pub session: Session,
-    pub orders: Vec<Order>,
+    #[serde(rename = "orders")]
+    pub commands: Vec<Command>,
 }
--- a/src/runtime/activity.rs
+++ b/src/runtime/activity.rs
@@ -4,7 +4,7 @@
 use super::lock;
 use crate::coordination::Effect;
 use crate::ids::Millis;
-use crate::protocol::workers::Order;
+use crate::protocol::workers::Command;
 use std::sync::Mutex;
 
 /// Between two lines of the log.
@@ -39,11 +39,11 @@
     }
 
     /// A check-in was answered with these orders, on a view of the open jobs of that age.
-    pub fn answered(&self, orders: &[Order], view_age: Millis) {
+    pub fn answered(&self, commands: &[Command], view_age: Millis) {
         let mut counts = lock(&self.counts);
         counts.answers += 1;
         counts.oldest_view = counts.oldest_view.max(view_age);
-        counts.add_orders(orders);
+        counts.add_orders(commands);
     }
 
     /// A step took so long, and began so much later than it was due.
@@ -53,9 +53,9 @@
         counts.longest_lag = counts.longest_lag.max(lag);
         for effect in effects {
             match effect {
-                Effect::Direct { orders, .. } => {
+                Effect::Push { commands, .. } => {
                     counts.commands += 1;
-                    counts.add_orders(orders);
+                    counts.add_orders(commands);
                 }
                 Effect::Write { .. } => counts.writes += 1,
                 _ => {}
@@ -98,12 +98,12 @@
         }
     }
 
-    fn add_orders(&mut self, orders: &[Order]) {
-        for order in orders {
+    fn add_orders(&mut self, commands: &[Command]) {
+        for order in commands {
             match order {
-                Order::Launch { .. } => self.launches += 1,
-                Order::Stop { .. } => self.stops += 1,
-                Order::Clear { .. } => {}
+                Command::Launch { .. } => self.launches += 1,
+                Command::Stop { .. } => self.stops += 1,
+                Command::Clear { .. } => {}
             }
         }
     }
--- a/src/runtime/campaign.rs
+++ b/src/runtime/campaign.rs
@@ -4,10 +4,10 @@
 use super::leader::{lead, STAND_BACK};
 use super::state_client::{StateError, TxnOutcome};
 use super::{lock, Node};
-use crate::coordination::leadership::{Authority, Lead};
-use crate::ids::{LeaseId, Millis, Stamp, Token};
-use crate::protocol::state::{Change, Guard, Txn};
-use crate::storage::records::{LeadRecord, LEAD, TOKEN};
+use crate::coordination::leadership::authority::{Authority, LeadershipTerm};
+use crate::ids::{FencingToken, KeyRevision, LeaseId, Millis};
+use crate::protocol::state::{Change, Precondition, Transaction};
+use crate::storage::records::{LeaderRecord, FENCING_TOKEN_KEY, LEADER_KEY};
 use rand::Rng;
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,10 +19,10 @@
 pub async fn campaign(node: Arc<Node>) {
     while !node.stop.is_cancelled() {
         let asked = node.now();
-        match node.state.get(LEAD).await {
+        match node.state.get(LEADER_KEY).await {
             Ok(item) => {
                 let held = item.as_ref().and_then(|i| {
-                    serde_json::from_value::<LeadRecord>(i.data.clone())
+                    serde_json::from_value::<LeaderRecord>(i.data.clone())
                         .ok()
                         .map(|r| r.host_name)
                 });
@@ -35,8 +35,8 @@
                 let wait = back
                     .is_some_and(|until| item.is_none() && until - now > STAND_BACK - NOBODY_ELSE);
                 if (item.is_none() || mine) && !wait {
-                    let stamp = item.map(|i| i.stamp).unwrap_or_default();
-                    if let Some(won) = take_lead(&node, stamp).await {
+                    let revision = item.map(|i| i.revision).unwrap_or_default();
+                    if let Some(won) = take_lead(&node, revision).await {
                         *lock(&node.leader.other) = None;
                         lead(&node, won).await;
                         continue;
@@ -55,12 +55,12 @@
 
 /// The leader key is ours.
 pub(super) struct Won {
-    pub lead: Lead,
+    pub lead: LeadershipTerm,
     pub authority: Arc<Authority>,
 }
 
 /// Tries to take the leader key, raising the durable token in the same transaction.
-async fn take_lead(node: &Node, lead_stamp: Stamp) -> Option<Won> {
+async fn take_lead(node: &Node, lead_stamp: KeyRevision) -> Option<Won> {
     let life = node.settings.leader.life;
     let sent = node.now();
     let lease = node.state.grant(life.0 as u64).await.ok()?;
@@ -72,56 +72,63 @@
     won
 }
 
-async fn take_with(node: &Node, lead_stamp: Stamp, lease: LeaseId, sent: Millis) -> Option<Won> {
-    let old = node.state.get(TOKEN).await.ok()?;
+async fn take_with(
+    node: &Node,
+    lead_stamp: KeyRevision,
+    lease: LeaseId,
+    sent: Millis,
+) -> Option<Won> {
+    let old = node.state.get(FENCING_TOKEN_KEY).await.ok()?;
     let (last, token_stamp) = match old {
-        Some(i) => (i.data.as_u64()?, i.stamp),
-        None => (0, Stamp(0)),
+        Some(i) => (i.data.as_u64()?, i.revision),
+        None => (0, KeyRevision(0)),
     };
-    let token = Token(last + 1);
-    let record = LeadRecord {
+    let token = FencingToken(last + 1);
+    let record = LeaderRecord {
         host_name: node.settings.platform.host_name.clone(),
         token,
     };
-    let txn = Txn {
-        guards: vec![
-            Guard {
-                key: LEAD.into(),
-                stamp: lead_stamp,
+    let transaction = Transaction {
+        preconditions: vec![
+            Precondition {
+                key: LEADER_KEY.into(),
+                revision: lead_stamp,
             },
-            Guard {
-                key: TOKEN.into(),
-                stamp: token_stamp,
+            Precondition {
+                key: FENCING_TOKEN_KEY.into(),
+                revision: token_stamp,
             },
         ],
-        apply: vec![
+        changes: vec![
             Change::Put {
-                put: LEAD.into(),
+                put: LEADER_KEY.into(),
                 data: serde_json::to_value(&record).ok()?,
                 lease: Some(lease),
             },
-            Change::put(TOKEN.into(), token.0.into()),
+            Change::put(FENCING_TOKEN_KEY.into(), token.0.into()),
         ],
     };
-    let (stamp, token_stamp) = match node.state.txn(&txn).await {
-        Ok(TxnOutcome::Applied(epoch)) => (Stamp(epoch.0), Stamp(epoch.0)),
+    let (revision, token_stamp) = match node.state.transaction(&transaction).await {
+        Ok(TxnOutcome::Applied(store_revision)) => {
+            (KeyRevision(store_revision.0), KeyRevision(store_revision.0))
+        }
         Err(StateError::Unclear) => {
             // Only what is read settles it: the key carries our lease and this token, or not.
-            let item = node.state.get(LEAD).await.ok()??;
-            let record: LeadRecord = serde_json::from_value(item.data).ok()?;
+            let item = node.state.get(LEADER_KEY).await.ok()??;
+            let record: LeaderRecord = serde_json::from_value(item.data).ok()?;
             if item.lease != Some(lease) || record.token != token {
                 return None;
             }
             // Both keys were written by the same transaction.
-            (item.stamp, item.stamp)
+            (item.revision, item.revision)
         }
         _ => return None,
     };
     Some(Won {
-        lead: Lead {
+        lead: LeadershipTerm {
             token,
             first: token,
-            stamp,
+            revision,
             token_stamp,
             lease,
             host_name: record.host_name,
--- a/src/runtime/catalog.rs
+++ b/src/runtime/catalog.rs
@@ -5,8 +5,8 @@
 use super::{lock, Node};
 use crate::coordination::Event;
 use crate::protocol::cloud::{MachineTypeInfo, MachineTypeList};
-use crate::protocol::state::{Change, Guard, Txn};
-use crate::storage::records::CATALOG;
+use crate::protocol::state::{Change, Precondition, Transaction};
+use crate::storage::records::CATALOG_KEY;
 use hyper::Method;
 use rand::Rng;
 use std::sync::Arc;
@@ -56,7 +56,7 @@
 }
 
 async fn from_state(node: &Node) -> Option<Vec<MachineTypeInfo>> {
-    let item = node.state.get(CATALOG).await.ok()??;
+    let item = node.state.get(CATALOG_KEY).await.ok()??;
     let list: MachineTypeList = serde_json::from_value(item.data).ok()?;
     (!list.machine_types.is_empty()).then_some(list.machine_types)
 }
@@ -83,16 +83,16 @@
     let Ok(data) = serde_json::to_value(&list) else {
         return;
     };
-    let stamp = match node.state.get(CATALOG).await {
-        Ok(item) => item.map(|i| i.stamp).unwrap_or_default(),
+    let revision = match node.state.get(CATALOG_KEY).await {
+        Ok(item) => item.map(|i| i.revision).unwrap_or_default(),
         Err(_) => return,
     };
-    let txn = Txn {
-        guards: vec![Guard {
-            key: CATALOG.into(),
-            stamp,
+    let transaction = Transaction {
+        preconditions: vec![Precondition {
+            key: CATALOG_KEY.into(),
+            revision,
         }],
-        apply: vec![Change::put(CATALOG.into(), data)],
+        changes: vec![Change::put(CATALOG_KEY.into(), data)],
     };
-    let _ = node.state.txn(&txn).await;
+    let _ = node.state.transaction(&transaction).await;
 }
--- a/src/runtime/cloud.rs
+++ b/src/runtime/cloud.rs
@@ -2,7 +2,7 @@
 
 use super::Node;
 use crate::coordination::Event;
-use crate::protocol::cloud::{CloudHost, HostPage, RentReply, RentRequest};
+use crate::protocol::cloud::{ListedMachine, MachineListPage, RentReply, RentRequest};
 use crate::transport::client::NoAnswer;
 use hyper::Method;
 use rand::Rng;
@@ -20,9 +20,10 @@
     while !end.is_cancelled() {
         let asked = node.now();
         let mut listed = 0;
-        if let Some(hosts) = whole_list(&node).await {
-            listed = hosts.len();
-            node.leader.event(node.now(), Event::Hosts { asked, hosts });
+        if let Some(machines) = whole_list(&node).await {
+            listed = machines.len();
+            node.leader
+                .event(node.now(), Event::MachinesListed { asked, machines });
         }
         // Rentals and returns come first: a list of many pages is read less often.
         let pages = (listed / LIST_PAGE + 1) as f64;
@@ -36,10 +37,10 @@
     }
 }
 
-async fn whole_list(node: &Node) -> Option<Vec<CloudHost>> {
-    let mut hosts: Vec<CloudHost> = Vec::new();
+async fn whole_list(node: &Node) -> Option<Vec<ListedMachine>> {
+    let mut machines: Vec<ListedMachine> = Vec::new();
     loop {
-        let since = hosts
+        let since = machines
             .last()
             .map_or(String::new(), |h| format!("since={}&", h.id));
         let path = format!("/rentals?{since}most={LIST_PAGE}");
@@ -47,29 +48,32 @@
         if a.0 != 200 {
             return None;
         }
-        let page: HostPage = serde_json::from_slice(&a.1).ok()?;
-        let more = page.more && !page.hosts.is_empty();
-        hosts.extend(page.hosts);
+        let page: MachineListPage = serde_json::from_slice(&a.1).ok()?;
+        let more = page.more && !page.machines.is_empty();
+        machines.extend(page.machines);
         if !more {
-            return Some(hosts);
+            return Some(machines);
         }
     }
 }
 
-pub(super) async fn rent(node: &Node, hire: String, request: &RentRequest) -> Event {
+pub(super) async fn rent(node: &Node, idempotency_key: String, request: &RentRequest) -> Event {
     let body = serde_json::to_vec(request).unwrap_or_default();
     match cloud(node, Method::POST, "/rentals", Some(body)).await {
         Ok((200, body)) => match serde_json::from_slice::<RentReply>(&body) {
-            Ok(r) => Event::Rented {
-                hire,
-                hosts: Some(r.hosts),
+            Ok(r) => Event::ScaleOutAnswered {
+                idempotency_key,
+                machine_ids: Some(r.machine_ids),
             },
-            Err(_) => Event::RentUnclear { hire },
+            Err(_) => Event::ScaleOutUnclear { idempotency_key },
         },
         Ok((503, body)) if String::from_utf8_lossy(&body).contains("no capacity") => {
-            Event::Rented { hire, hosts: None }
+            Event::ScaleOutAnswered {
+                idempotency_key,
+                machine_ids: None,
+            }
         }
-        _ => Event::RentUnclear { hire },
+        _ => Event::ScaleOutUnclear { idempotency_key },
     }
 }
 
@@ -79,8 +83,11 @@
     path: &str,
     body: Option<Vec<u8>>,
 ) -> Result<(u16, bytes::Bytes), NoAnswer> {
-    let host = node.settings.platform.endpoints.cloud.to_string();
+    let machine_id = node.settings.platform.endpoints.cloud.to_string();
     let deadline = Duration::from_secs(4);
-    let a = node.cloud.send(method, &host, path, body, deadline).await?;
+    let a = node
+        .cloud
+        .send(method, &machine_id, path, body, deadline)
+        .await?;
     Ok((a.status, a.body))
 }
--- a/src/runtime/copy.rs
+++ b/src/runtime/copy.rs
@@ -7,8 +7,8 @@
 use super::edges;
 use super::state_client::StateError;
 use super::{lock, Node};
-use crate::ids::{Epoch, JobId, Stamp};
-use crate::storage::records::{OpenRecord, OPEN};
+use crate::ids::{JobId, KeyRevision, StoreRevision};
+use crate::storage::records::{OpenJobRecord, OPEN_JOB_PREFIX};
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex};
@@ -18,7 +18,7 @@
 /// An open job, as far as users' questions need it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OpenNote {
-    pub stamp: Stamp,
+    pub revision: KeyRevision,
     pub tasks: u32,
     /// The jobs that it needs.
     pub after: Vec<JobId>,
@@ -27,7 +27,7 @@
 /// An open job, and how the jobs stand that it needs directly or through others.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OpenJob {
-    pub stamp: Stamp,
+    pub revision: KeyRevision,
     pub tasks: u32,
     /// Ancestors that are no longer open: the finish marks of these say whether the job is cancelled
     /// with them.
@@ -88,7 +88,7 @@
 struct State {
     open: BTreeMap<JobId, OpenNote>,
     /// The revision that the copy stands for; None: to be listed anew.
-    epoch: Option<Epoch>,
+    store_revision: Option<StoreRevision>,
 }
 
 impl OpenNote {
@@ -96,20 +96,20 @@
     /// same. None if it is open no more.
     pub async fn read(
         node: &Node,
-        stamp: Stamp,
+        revision: KeyRevision,
         data: &Value,
     ) -> Result<Option<OpenNote>, StateError> {
-        let Ok(mut record) = serde_json::from_value::<OpenRecord>(data.clone()) else {
+        let Ok(mut record) = serde_json::from_value::<OpenJobRecord>(data.clone()) else {
             let n = data.pointer("/spec/pieces").and_then(Value::as_u64);
             return Ok(Some(OpenNote {
-                stamp,
+                revision,
                 tasks: n.and_then(|n| u32::try_from(n).ok()).unwrap_or(1),
                 after: Vec::new(),
             }));
         };
-        let open = edges::complete(node, &mut record).await?;
+        let open = edges::is_complete(node, &mut record).await?;
         Ok(open.then_some(OpenNote {
-            stamp,
+            revision,
             tasks: record.spec.tasks,
             after: record.after,
         }))
@@ -118,33 +118,37 @@
 
 impl State {
     async fn update(&mut self, node: &Node) -> Result<(), StateError> {
-        let since = match self.epoch {
+        let since = match self.store_revision {
             Some(e) => e,
             None => {
-                let (items, epoch) = node.state.list(OPEN).await?;
+                let (items, store_revision) = node.state.list(OPEN_JOB_PREFIX).await?;
                 self.open.clear();
                 for i in items {
-                    self.put(node, &i.key, &i.data, i.stamp).await?;
+                    self.put(node, &i.key, &i.data, i.revision).await?;
                 }
-                epoch
+                store_revision
             }
         };
-        let page = match node.state.changes(OPEN, since).await {
+        let page = match node.state.changes(OPEN_JOB_PREFIX, since).await {
             Ok(page) => page,
             Err(e) => {
                 // A list without the changes since isn't of one moment: it is made again.
-                self.epoch = self.epoch.filter(|_| e != StateError::TooOld);
+                self.store_revision = self.store_revision.filter(|_| e != StateError::TooOld);
                 return Err(e);
             }
         };
-        for n in page.news {
+        for n in page.events {
             if let Some(key) = &n.put {
-                self.put(node, key, &n.data, n.stamp).await?;
-            } else if let Some(id) = n.delete.as_deref().and_then(|k| k.strip_prefix(OPEN)) {
+                self.put(node, key, &n.data, n.revision).await?;
+            } else if let Some(id) = n
+                .delete
+                .as_deref()
+                .and_then(|k| k.strip_prefix(OPEN_JOB_PREFIX))
+            {
                 self.open.remove(&JobId::from(id));
             }
         }
-        self.epoch = Some(page.epoch);
+        self.store_revision = Some(page.store_revision);
         Ok(())
     }
 
@@ -154,12 +158,12 @@
         node: &Node,
         key: &str,
         data: &Value,
-        stamp: Stamp,
+        revision: KeyRevision,
     ) -> Result<(), StateError> {
-        let Some(id) = key.strip_prefix(OPEN) else {
+        let Some(id) = key.strip_prefix(OPEN_JOB_PREFIX) else {
             return Ok(());
         };
-        let note = OpenNote::read(node, stamp, data).await?;
+        let note = OpenNote::read(node, revision, data).await?;
         self.open.extend(note.map(|note| (JobId::from(id), note)));
         Ok(())
     }
@@ -180,7 +184,7 @@
             }
         }
         Some(OpenJob {
-            stamp: note.stamp,
+            revision: note.revision,
             tasks: note.tasks,
             closed_ancestors,
         })
--- a/src/runtime/edges.rs
+++ b/src/runtime/edges.rs
@@ -6,9 +6,11 @@
 
 use super::state_client::{StateError, TxnOutcome};
 use super::Node;
-use crate::ids::{JobId, Stamp};
-use crate::protocol::state::{Change, Guard, Txn};
-use crate::storage::records::{edge_list_key, edge_page_key, final_key, open_key, OpenRecord};
+use crate::ids::{JobId, KeyRevision};
+use crate::protocol::state::{Change, Precondition, Transaction};
+use crate::storage::records::{
+    dependency_list_key, dependency_page_key, open_key, terminal_key, OpenJobRecord,
+};
 use serde_json::Value;
 
 /// Writes the pages; the guards that the open record needs are what it answers with.
@@ -16,59 +18,62 @@
     node: &Node,
     id: &JobId,
     pages: &[Vec<JobId>],
-) -> Result<Result<Vec<Guard>, TxnOutcome>, StateError> {
-    let mut guards = vec![absent(open_key(id)), absent(final_key(id))];
+) -> Result<Result<Vec<Precondition>, TxnOutcome>, StateError> {
+    let mut preconditions = vec![absent(open_key(id)), absent(terminal_key(id))];
     if pages.is_empty() {
-        return Ok(Ok(guards));
+        return Ok(Ok(preconditions));
     }
-    let begin = Txn {
-        guards: guards.clone(),
-        apply: vec![Change::put(edge_list_key(id), pages.len().into())],
+    let begin = Transaction {
+        preconditions: preconditions.clone(),
+        changes: vec![Change::put(dependency_list_key(id), pages.len().into())],
     };
-    let stamp = match node.state.txn(&begin).await? {
-        TxnOutcome::Applied(epoch) => Stamp(epoch.0),
+    let revision = match node.state.transaction(&begin).await? {
+        TxnOutcome::Applied(store_revision) => KeyRevision(store_revision.0),
         conflict => return Ok(Err(conflict)),
     };
-    guards.push(Guard {
-        key: edge_list_key(id),
-        stamp,
+    preconditions.push(Precondition {
+        key: dependency_list_key(id),
+        revision,
     });
     let puts: Vec<Change> = (0..)
         .zip(pages)
         .map(|(n, page)| put_page(id, n, page))
         .collect();
-    for apply in puts.chunks(node.policy.facts.state.txn_ops) {
-        let txn = Txn {
-            guards: guards.clone(),
-            apply: apply.to_vec(),
+    for changes in puts.chunks(node.policy.facts.state.txn_ops) {
+        let transaction = Transaction {
+            preconditions: preconditions.clone(),
+            changes: changes.to_vec(),
         };
-        if let conflict @ TxnOutcome::Conflict(_) = node.state.txn(&txn).await? {
+        if let conflict @ TxnOutcome::Conflict(_) = node.state.transaction(&transaction).await? {
             return Ok(Err(conflict));
         }
     }
-    Ok(Ok(guards))
+    Ok(Ok(preconditions))
 }
 
 fn put_page(id: &JobId, number: u32, page: &[JobId]) -> Change {
     let names = page.iter().map(|p| Value::from(p.as_str()));
-    Change::put(edge_page_key(id, number), names.collect())
+    Change::put(dependency_page_key(id, number), names.collect())
 }
 
-fn absent(key: String) -> Guard {
-    Guard {
+fn absent(key: String) -> Precondition {
+    Precondition {
         key,
-        stamp: Stamp(0),
+        revision: KeyRevision(0),
     }
 }
 
 /// Reads the producers that stand on pages. False: the job is no longer open, and its pages are swept.
-pub(super) async fn complete(node: &Node, record: &mut OpenRecord) -> Result<bool, StateError> {
-    if record.edge_pages == 0 {
+pub(super) async fn is_complete(
+    node: &Node,
+    record: &mut OpenJobRecord,
+) -> Result<bool, StateError> {
+    if record.dependency_pages == 0 {
         return Ok(true);
     }
     let id = record.spec.id.clone();
     let (items, _) = node.state.list(&edge_page_key_prefix(&id)).await?;
-    if items.len() < record.edge_pages as usize {
+    if items.len() < record.dependency_pages as usize {
         let open = node.state.get(&open_key(&id)).await?;
         return match open {
             None => Ok(false),
@@ -76,8 +81,8 @@
             Some(_) => Err(StateError::Unclear),
         };
     }
-    for page in 0..record.edge_pages {
-        let key = edge_page_key(&id, page);
+    for page in 0..record.dependency_pages {
+        let key = dependency_page_key(&id, page);
         let item = items.iter().find(|i| i.key == key);
         let names = item.and_then(|i| serde_json::from_value::<Vec<JobId>>(i.data.clone()).ok());
         let Some(names) = names else {
@@ -90,5 +95,5 @@
 }
 
 fn edge_page_key_prefix(id: &JobId) -> String {
-    format!("{}/", edge_list_key(id))
+    format!("{}/", dependency_list_key(id))
 }
--- a/src/runtime/effects.rs
+++ b/src/runtime/effects.rs
@@ -3,13 +3,13 @@
 use super::cloud::{cloud, rent};
 use super::state_client::{StateError, TxnOutcome};
 use super::Node;
-use crate::coordination::leadership::Authority;
+use crate::coordination::leadership::authority::Authority;
 use crate::coordination::{Effect, Event};
-use crate::ids::{HostId, Millis};
+use crate::ids::{MachineId, Millis};
 use crate::protocol::cloud::{RentRequest, ReturnRequest};
-use crate::protocol::state::Item;
-use crate::protocol::workers::{Commands, Report};
-use crate::storage::records::final_key;
+use crate::protocol::state::KeyValue;
+use crate::protocol::workers::{CommandBatch, WorkerStatus};
+use crate::storage::records::terminal_key;
 use crate::transport::client::NoAnswer;
 use hyper::Method;
 use rand::Rng;
@@ -23,21 +23,26 @@
 
 pub(super) async fn carry_out(node: &Node, authority: &Authority, effect: Effect) -> Option<Event> {
     match effect {
-        Effect::Write { seq, txn } => Some(match node.state.txn(&txn).await {
-            Ok(TxnOutcome::Applied(epoch)) => Event::Written { seq, epoch },
-            Ok(TxnOutcome::Conflict(failed)) => Event::WriteUnclear { seq, failed },
-            Err(StateError::Refused) => Event::NotWritten { seq },
-            Err(StateError::Limited) => {
-                let ms = rand::rng().random_range(LIMITED_PAUSE_MS);
-                let pause = Millis(ms);
-                Event::WriteLimited { seq, pause }
-            }
-            Err(StateError::Rejected) => Event::WriteRejected { seq },
-            Err(_) => Event::WriteUnclear {
-                seq,
-                failed: Vec::new(),
-            },
-        }),
+        Effect::Write { seq, transaction } => {
+            Some(match node.state.transaction(&transaction).await {
+                Ok(TxnOutcome::Applied(store_revision)) => Event::Written {
+                    seq,
+                    store_revision,
+                },
+                Ok(TxnOutcome::Conflict(failed)) => Event::WriteUnclear { seq, failed },
+                Err(StateError::Refused) => Event::NotWritten { seq },
+                Err(StateError::Limited) => {
+                    let ms = rand::rng().random_range(LIMITED_PAUSE_MS);
+                    let pause = Millis(ms);
+                    Event::WriteLimited { seq, pause }
+                }
+                Err(StateError::Rejected) => Event::WriteRejected { seq },
+                Err(_) => Event::WriteUnclear {
+                    seq,
+                    failed: Vec::new(),
+                },
+            })
+        }
         Effect::Reread { seq, keys } => {
             let mut items = Vec::new();
             for key in keys {
@@ -45,55 +50,55 @@
             }
             Some(Event::Reread { seq, items })
         }
-        Effect::ReadMarks { ids } => {
-            let mut marks = Vec::new();
+        Effect::ReadTerminalRecords { ids } => {
+            let mut terminal_records = Vec::new();
             for id in ids {
-                let item = read_surely(node, authority, &final_key(&id)).await?;
-                marks.push((id, item.and_then(|i| serde_json::from_value(i.data).ok())));
+                let item = read_surely(node, authority, &terminal_key(&id)).await?;
+                terminal_records.push((id, item.and_then(|i| serde_json::from_value(i.data).ok())));
                 tokio::time::sleep(BETWEEN_MARKS).await;
             }
-            Some(Event::MarksRead { marks })
+            Some(Event::TerminalRecordsRead { terminal_records })
         }
-        Effect::Direct {
-            host,
+        Effect::Push {
+            machine_id,
             endpoint,
             seq,
             token,
             session,
-            orders,
+            commands,
         } => {
-            let commands = Commands {
+            let commands = CommandBatch {
                 token,
                 session,
-                orders,
+                commands,
             };
-            Some(direct(node, host, &endpoint, seq, &commands).await)
+            Some(direct(node, machine_id, &endpoint, seq, &commands).await)
         }
-        Effect::Rent {
-            hire,
+        Effect::ScaleOut {
+            idempotency_key,
             machine_type,
             zone,
             spot,
             count,
         } => {
             let request = RentRequest {
-                hire: hire.clone(),
+                idempotency_key: idempotency_key.clone(),
                 machine_type,
                 zone,
                 spot,
                 count,
             };
-            Some(rent(node, hire, &request).await)
+            Some(rent(node, idempotency_key, &request).await)
         }
-        Effect::Return { hosts } => {
+        Effect::ScaleIn { machine_ids } => {
             let request = ReturnRequest {
-                hosts: hosts.clone(),
+                machine_ids: machine_ids.clone(),
             };
             let body = serde_json::to_vec(&request).ok()?;
             Some(
                 match cloud(node, Method::POST, "/rentals/return", Some(body)).await {
-                    Ok((200, _)) => Event::Returned { hosts },
-                    _ => Event::ReturnFailed { hosts },
+                    Ok((200, _)) => Event::MachinesTerminated { machine_ids },
+                    _ => Event::ScaleInFailed { machine_ids },
                 },
             )
         }
@@ -102,7 +107,7 @@
 }
 
 /// Reads a key, again and again while we lead.
-async fn read_surely(node: &Node, authority: &Authority, key: &str) -> Option<Option<Item>> {
+async fn read_surely(node: &Node, authority: &Authority, key: &str) -> Option<Option<KeyValue>> {
     loop {
         match node.state.get(key).await {
             Ok(item) => return Some(item),
@@ -115,7 +120,13 @@
     }
 }
 
-async fn direct(node: &Node, host: HostId, endpoint: &str, seq: u64, commands: &Commands) -> Event {
+async fn direct(
+    node: &Node,
+    machine_id: MachineId,
+    endpoint: &str,
+    seq: u64,
+    commands: &CommandBatch,
+) -> Event {
     let body = serde_json::to_vec(commands).unwrap_or_default();
     let deadline = Duration::from_millis(2500);
     let sent = node
@@ -124,26 +135,26 @@
         .await;
     match sent {
         Ok(a) if a.status == 200 || a.status == 409 => {
-            match serde_json::from_slice::<Report>(&a.body) {
-                Ok(report) => Event::DirectAnswered {
-                    host,
+            match serde_json::from_slice::<WorkerStatus>(&a.body) {
+                Ok(report) => Event::PushAnswered {
+                    machine_id,
                     seq,
-                    report: Box::new(report),
+                    status: Box::new(report),
                 },
-                Err(_) => Event::DirectFailed {
-                    host,
+                Err(_) => Event::PushFailed {
+                    machine_id,
                     seq,
                     sent: true,
                 },
             }
         }
-        Ok(_) => Event::DirectFailed {
-            host,
+        Ok(_) => Event::PushFailed {
+            machine_id,
             seq,
             sent: true,
         },
-        Err(e) => Event::DirectFailed {
-            host,
+        Err(e) => Event::PushFailed {
+            machine_id,
             seq,
             sent: e != NoAnswer::NotSent,
         },
--- a/src/runtime/http_api.rs
+++ b/src/runtime/http_api.rs
@@ -1,10 +1,10 @@
 //! The HTTP API: one place where users', workers' and health requests come in.
 
-use super::leader::CheckIn;
+use super::leader::Heartbeat;
 use super::peers::STATE_FRESH;
 use super::{users, Node};
 use crate::protocol::peers::{PeerReply, PeerRequest};
-use crate::protocol::workers::{CheckInReply, Redirect, Report};
+use crate::protocol::workers::{HeartbeatResponse, Redirect, WorkerStatus};
 use crate::transport::server::{self, ConnectionHandle, ConnectionTable, Rank};
 use bytes::{Buf, BytesMut};
 use futures_util::{Stream, TryStreamExt};
@@ -134,7 +134,7 @@
         Err(status) => return Reply::error(status, "the body can't be taken"),
     };
     if path == CHECK_IN {
-        return check_in(node, &body).await;
+        return heartbeat(node, &body).await;
     }
     // Reports of workers come first: users' requests beyond what fits are told to come back.
     let Ok(_slot) = node.user_slots.try_acquire() else {
@@ -143,21 +143,23 @@
     user_request(node, method.as_str(), path, &body, false).await
 }
 
-async fn check_in(node: &Node, body: &[u8]) -> Reply {
-    let report: Report = match serde_json::from_slice(body) {
+async fn heartbeat(node: &Node, body: &[u8]) -> Reply {
+    let report: WorkerStatus = match serde_json::from_slice(body) {
         Ok(r) => r,
         Err(e) => return Reply::error(400, &e.to_string()),
     };
     node.last_check_in.store(node.now().0, Ordering::Relaxed);
-    let mut said = node.leader.check_in(node.now(), &report);
-    if matches!(said, CheckIn::TakingOver) {
+    let mut said = node.leader.heartbeat(node.now(), &report);
+    if matches!(said, Heartbeat::TakingOver) {
         node.leader.taken_over().await;
-        said = node.leader.check_in(node.now(), &report);
+        said = node.leader.heartbeat(node.now(), &report);
     }
     match said {
-        CheckIn::Orders { token, orders } => Reply::json(200, &CheckInReply { token, orders }),
-        CheckIn::TakingOver => Reply::json(421, &Redirect { leader: None }),
-        CheckIn::GoTo(leader) => Reply::json(
+        Heartbeat::Commands { token, commands } => {
+            Reply::json(200, &HeartbeatResponse { token, commands })
+        }
+        Heartbeat::TakingOver => Reply::json(421, &Redirect { leader: None }),
+        Heartbeat::GoTo(leader) => Reply::json(
             421,
             &Redirect {
                 leader: leader.as_deref(),
--- a/src/runtime/leader.rs
+++ b/src/runtime/leader.rs
@@ -9,12 +9,12 @@
 use super::following::{inherit, watch_jobs};
 use super::state_client::StateError;
 use super::{lock, Node};
-use crate::coordination::leadership::{should_hand_over, silence_bound, Authority};
-use crate::coordination::worker_sessions::CheckInAnswer;
-use crate::coordination::{Core, Effect, Event};
-use crate::ids::{HostId, JobId, LeaseId, Millis, Token};
+use crate::coordination::attempts::reconciliation::HeartbeatOutcome;
+use crate::coordination::leadership::authority::{should_hand_over, silence_bound, Authority};
+use crate::coordination::{Effect, Event, Scheduler};
+use crate::ids::{FencingToken, JobId, LeaseId, MachineId, Millis};
 use crate::protocol::peers::{PeerReply, PeerRequest};
-use crate::protocol::workers::{Order, Report};
+use crate::protocol::workers::{Command, WorkerStatus};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 use tokio::sync::{watch, Notify};
@@ -22,7 +22,7 @@
 
 /// A leadership that is going on.
 struct Active {
-    core: Core,
+    core: Scheduler,
     authority: Arc<Authority>,
     activity: Arc<Activity>,
 }
@@ -30,34 +30,42 @@
 /// What carries orders to a worker.
 #[derive(Clone, Copy, Debug)]
 enum Carrier {
-    CheckIn,
+    Heartbeat,
     Command,
 }
 
 impl Active {
     /// Each launch and stop as it leaves, and what it rests on.
-    fn log_orders(&self, now: Millis, carrier: Carrier, host: &HostId, orders: &[Order]) {
+    fn log_orders(
+        &self,
+        now: Millis,
+        carrier: Carrier,
+        machine_id: &MachineId,
+        commands: &[Command],
+    ) {
         let token = self.core.token();
         let view_age_ms = self.authority.view_age(now).0;
-        for order in orders {
+        for order in commands {
             match order {
-                Order::Launch { task, attempt } => {
-                    tracing::debug!(%host, %task, %attempt, ?carrier, %token, view_age_ms, "launch leaves");
+                Command::Launch { task, attempt_id } => {
+                    tracing::debug!(machine = %machine_id, %task, attempt = %attempt_id, ?carrier, %token, view_age_ms, "launch leaves");
                 }
-                Order::Stop { task, attempt, .. } => {
-                    tracing::debug!(%host, %task, %attempt, ?carrier, %token, view_age_ms, "stop leaves");
+                Command::Stop {
+                    task, attempt_id, ..
+                } => {
+                    tracing::debug!(machine = %machine_id, %task, attempt = %attempt_id, ?carrier, %token, view_age_ms, "stop leaves");
                 }
-                Order::Clear { .. } => {}
+                Command::Clear { .. } => {}
             }
         }
     }
 }
 
 /// What a worker's check-in is answered with.
-pub enum CheckIn {
-    Orders {
-        token: Token,
-        orders: Vec<Order>,
+pub enum Heartbeat {
+    Commands {
+        token: FencingToken,
+        commands: Vec<Command>,
     },
     GoTo(Option<String>),
     /// This controller has the leader key and is about to take over.
@@ -108,24 +116,24 @@
     }
 
     /// Answers a check-in. Authority is checked before the core acts and again on what it says.
-    pub fn check_in(&self, now: Millis, report: &Report) -> CheckIn {
+    pub fn heartbeat(&self, now: Millis, report: &WorkerStatus) -> Heartbeat {
         if *self.taking.borrow() {
-            return CheckIn::TakingOver;
+            return Heartbeat::TakingOver;
         }
         if let Some(a) = lock(&self.active).as_mut() {
             if a.authority.holds(now) {
-                let answer = a.core.check_in(now, report);
+                let answer = a.core.heartbeat(now, report);
                 self.wake.notify_one();
                 return match answer {
-                    CheckInAnswer::Orders(orders) => {
-                        a.log_orders(now, Carrier::CheckIn, &report.host, &orders);
-                        a.activity.answered(&orders, a.authority.view_age(now));
-                        CheckIn::Orders {
+                    HeartbeatOutcome::Commands(commands) => {
+                        a.log_orders(now, Carrier::Heartbeat, &report.machine_id, &commands);
+                        a.activity.answered(&commands, a.authority.view_age(now));
+                        Heartbeat::Commands {
                             token: a.core.token(),
-                            orders,
+                            commands,
                         }
                     }
-                    CheckInAnswer::Refuse => CheckIn::GoTo(None),
+                    HeartbeatOutcome::Refused => Heartbeat::GoTo(None),
                 };
             }
         }
@@ -133,7 +141,7 @@
         // whoever led when it last knew.
         let other = lock(&self.other).clone();
         let fresh = other.filter(|(_, read)| now - *read < OTHER_FRESH);
-        CheckIn::GoTo(fresh.map(|(name, _)| name))
+        Heartbeat::GoTo(fresh.map(|(name, _)| name))
     }
 
     /// Counts of one job, if this controller leads.
@@ -164,19 +172,19 @@
     node.leader.taking.send_replace(true);
     let asked = node.now();
     let found = inherit(node).await;
-    let core = found.and_then(|(found, epoch)| {
+    let core = found.and_then(|(found, store_revision)| {
         let jobs = found.open.len();
-        let taken = Core::take_over(node.policy.clone(), won.lead, node.now(), found);
+        let taken = Scheduler::recover(node.policy.clone(), won.lead, node.now(), found);
         // Guards against taking a start for never launched because its record can't be read.
         taken
             .map_err(|e| tracing::error!(error = %e, "a record can't be read: not leading"))
             .ok()
-            .map(|core| (core, epoch, jobs))
+            .map(|core| (core, store_revision, jobs))
     });
     match core {
-        Some((core, epoch, jobs)) if won.authority.holds(node.now()) => {
+        Some((core, store_revision, jobs)) if won.authority.holds(node.now()) => {
             won.authority.knows(asked);
-            let (machines, starts) = (core.machines_up(), core.starts_listed());
+            let (machines, attempts) = (core.machines_up(), core.attempt_counts());
             let activity = Arc::new(Activity::new(node.now()));
             *lock(&node.leader.active) = Some(Active {
                 core,
@@ -187,12 +195,12 @@
             let read_ms = (node.now() - asked).0;
             tracing::info!(
                 token = %first,
-                epoch = %epoch,
+                store_revision = %store_revision,
                 read_ms,
                 jobs,
                 machines,
-                starts = starts.all,
-                starts_of_closed_jobs = starts.of_closed_jobs,
+                attempts = attempts.all,
+                starts_of_closed_jobs = attempts.of_closed_jobs,
                 "took over"
             );
             let mut tasks = tokio::task::JoinSet::new();
@@ -204,7 +212,12 @@
                 end.clone(),
             ));
             let authority = won.authority.clone();
-            tasks.spawn(watch_jobs(node.clone(), authority, epoch, end.clone()));
+            tasks.spawn(watch_jobs(
+                node.clone(),
+                authority,
+                store_revision,
+                end.clone(),
+            ));
             tasks.spawn(list_hosts(node.clone(), end.clone()));
             tasks.spawn(tell_counts(node.clone(), end.clone()));
             let authority = won.authority.clone();
@@ -265,8 +278,12 @@
 /// nothing any more.
 fn end_lapsed(authority: &Authority, now: Millis, end: &CancellationToken) {
     if !end.is_cancelled() {
-        let (lapse, view_age) = (authority.lapse(now), authority.view_age(now));
-        tracing::info!(?lapse, view_age_ms = view_age.0, "authority lapsed");
+        let (authority_loss, view_age) = (authority.authority_loss(now), authority.view_age(now));
+        tracing::info!(
+            ?authority_loss,
+            view_age_ms = view_age.0,
+            "authority lapsed"
+        );
     }
     end.cancel();
 }
@@ -395,10 +412,15 @@
 impl LeaderCell {
     /// An effect with what is known as it leaves, which may be some time after it was decided.
     fn as_it_leaves(&self, now: Millis, mut effect: Effect) -> Effect {
-        if let Effect::Direct { host, orders, .. } = &mut effect {
+        if let Effect::Push {
+            machine_id,
+            commands,
+            ..
+        } = &mut effect
+        {
             if let Some(active) = lock(&self.active).as_ref() {
-                *orders = active.core.still_wanted(std::mem::take(orders));
-                active.log_orders(now, Carrier::Command, host, orders);
+                *commands = active.core.still_wanted(std::mem::take(commands));
+                active.log_orders(now, Carrier::Command, machine_id, commands);
             }
         }
         effect
--- a/src/runtime/peers.rs
+++ b/src/runtime/peers.rs
@@ -71,7 +71,7 @@
 #[derive(Default)]
 pub struct CancelNews {
     untold: Mutex<Vec<(JobId, u32)>>,
-    news: Notify,
+    events: Notify,
 }
 
 /// Siblings are told of so many at most at once; what is beyond they learn from the state service.
@@ -84,7 +84,7 @@
         let mut untold = lock(&self.cancel_news.untold);
         if untold.len() < MOST_NEWS {
             untold.push((id.clone(), tasks));
-            self.cancel_news.news.notify_one();
+            self.cancel_news.events.notify_one();
         }
     }
 
@@ -105,7 +105,7 @@
     loop {
         tokio::select! {
             _ = node.stop.cancelled() => return,
-            _ = node.cancel_news.news.notified() => {}
+            _ = node.cancel_news.events.notified() => {}
         }
         let jobs = std::mem::take(&mut *lock(&node.cancel_news.untold));
         if jobs.is_empty() {
--- a/src/runtime/producers.rs
+++ b/src/runtime/producers.rs
@@ -66,7 +66,9 @@
                     ancestors.extend(after);
                     outcome.unfinished.extend(named.then_some(id));
                 }
-                Single::Final(mark) => outcome.cancelled |= mark.phase == JobPhase::Cancelled,
+                Single::Final(terminal_record) => {
+                    outcome.cancelled |= terminal_record.phase == JobPhase::Cancelled
+                }
                 Single::Never if named => outcome.never = Some(id),
                 Single::Never => {}
             }
@@ -104,12 +106,12 @@
 
 async fn read_one(node: &Node, id: &JobId) -> Result<Single, StateError> {
     if let Some(item) = node.state.get(&open_key(id)).await? {
-        if let Some(note) = OpenNote::read(node, item.stamp, &item.data).await? {
+        if let Some(note) = OpenNote::read(node, item.revision, &item.data).await? {
             return Ok(Single::Open(note.after));
         }
     }
-    let mark = find_final(node, id).await?;
-    Ok(mark.map_or(Single::Never, Single::Final))
+    let terminal_record = find_final(node, id).await?;
+    Ok(terminal_record.map_or(Single::Never, Single::Final))
 }
 
 /// All questions share the copy's next read; what is not open needs a read of its finish mark each,
@@ -129,14 +131,19 @@
         }
     }
     closed.extend(named_closed.iter().cloned());
-    let marks = stream::iter(closed).map(|id| async {
-        let mark = find_final(node, &id).await?;
-        Ok::<_, StateError>((id, mark))
+    let terminal_records = stream::iter(closed).map(|id| async {
+        let terminal_record = find_final(node, &id).await?;
+        Ok::<_, StateError>((id, terminal_record))
     });
-    let marks: Vec<_> = marks.buffer_unordered(MARKS_AT_ONCE).try_collect().await?;
-    for (id, mark) in marks {
-        match mark {
-            Some(mark) => outcome.cancelled |= mark.phase == JobPhase::Cancelled,
+    let terminal_records: Vec<_> = terminal_records
+        .buffer_unordered(MARKS_AT_ONCE)
+        .try_collect()
+        .await?;
+    for (id, terminal_record) in terminal_records {
+        match terminal_record {
+            Some(terminal_record) => {
+                outcome.cancelled |= terminal_record.phase == JobPhase::Cancelled
+            }
             None if named_closed.contains(&id) => outcome.never = Some(id),
             None => {}
         }
--- a/src/runtime/state_client.rs
+++ b/src/runtime/state_client.rs
@@ -1,7 +1,9 @@
 //! Typed calls to the state service. Every failure says whether the request can have been executed.
 
-use crate::ids::{Epoch, LeaseId, Millis};
-use crate::protocol::state::{AtEpoch, Conflict, Granted, Item, NewsPage, Page, Txn};
+use crate::ids::{LeaseId, Millis, StoreRevision};
+use crate::protocol::state::{
+    AtRevision, Conflict, Granted, KeyValue, KeyValuePage, Transaction, WatchResponse,
+};
 use crate::transport::client::{Answer, Client, NoAnswer};
 use hyper::Method;
 use serde::de::DeserializeOwned;
@@ -28,7 +30,7 @@
 /// The outcome of a transaction that was answered.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum TxnOutcome {
-    Applied(Epoch),
+    Applied(StoreRevision),
     /// Guards failed, these at least.
     Conflict(Vec<String>),
 }
@@ -101,7 +103,7 @@
     }
 
     /// One key; None if it is absent. Linearizable.
-    pub async fn get(&self, key: &str) -> Result<Option<Item>, StateError> {
+    pub async fn get(&self, key: &str) -> Result<Option<KeyValue>, StateError> {
         let a = self
             .call(Method::GET, &format!("/store/{key}"), None, CALL)
             .await?;
@@ -114,8 +116,8 @@
 
     /// All keys with the prefix, and the epoch before which every change is included. Later
     /// changes may be too: take changes from that epoch on, they are the same again.
-    pub async fn list(&self, prefix: &str) -> Result<(Vec<Item>, Epoch), StateError> {
-        let mut items: Vec<Item> = Vec::new();
+    pub async fn list(&self, prefix: &str) -> Result<(Vec<KeyValue>, StoreRevision), StateError> {
+        let mut items: Vec<KeyValue> = Vec::new();
         let mut first = None;
         loop {
             let since = items
@@ -128,22 +130,24 @@
             if a.status != 200 {
                 return Err(StateError::Refused);
             }
-            let page: Page = Self::read(&a)?;
-            let epoch = *first.get_or_insert(page.epoch);
+            let page: KeyValuePage = Self::read(&a)?;
+            let store_revision = *first.get_or_insert(page.store_revision);
             let more = page.more && !page.pairs.is_empty();
             items.extend(page.pairs);
             if !more {
-                return Ok((items, epoch));
+                return Ok((items, store_revision));
             }
         }
     }
 
     /// All or nothing.
-    pub async fn txn(&self, txn: &Txn) -> Result<TxnOutcome, StateError> {
-        let body = serde_json::to_vec(txn).map_err(|_| StateError::Refused)?;
+    pub async fn transaction(&self, transaction: &Transaction) -> Result<TxnOutcome, StateError> {
+        let body = serde_json::to_vec(transaction).map_err(|_| StateError::Refused)?;
         let a = self.call(Method::POST, "/multi", Some(body), CALL).await?;
         match a.status {
-            200 => Ok(TxnOutcome::Applied(Self::read::<AtEpoch>(&a)?.epoch)),
+            200 => Ok(TxnOutcome::Applied(
+                Self::read::<AtRevision>(&a)?.store_revision,
+            )),
             409 => {
                 let conflict: Option<Conflict> = serde_json::from_slice(&a.body).ok();
                 Ok(TxnOutcome::Conflict(
@@ -192,7 +196,11 @@
     }
 
     /// Changes under the prefix after the epoch, as they stand now.
-    pub async fn changes(&self, prefix: &str, since: Epoch) -> Result<NewsPage, StateError> {
+    pub async fn changes(
+        &self,
+        prefix: &str,
+        since: StoreRevision,
+    ) -> Result<WatchResponse, StateError> {
         let patience = Millis(2000);
         self.watch(prefix, since, Millis(0), patience).await
     }
@@ -201,10 +209,10 @@
     pub async fn watch(
         &self,
         prefix: &str,
-        since: Epoch,
+        since: StoreRevision,
         hold: Millis,
         patience: Millis,
-    ) -> Result<NewsPage, StateError> {
+    ) -> Result<WatchResponse, StateError> {
         let path = format!("/watch?prefix={prefix}&since={since}&holdMs={}", hold.0);
         let deadline = Duration::from_millis((hold + patience).0 as u64);
         let a = self.call(Method::GET, &path, None, deadline).await?;
--- a/src/runtime/users.rs
+++ b/src/runtime/users.rs
@@ -8,15 +8,15 @@
 use super::producers::{self, Producers};
 use super::state_client::{StateError, TxnOutcome};
 use super::{lock, time_of_day_ms, Node};
-use crate::ids::{JobId, Stamp};
+use crate::ids::{JobId, KeyRevision};
 use crate::protocol::cloud::MachineTypeInfo;
-use crate::protocol::state::{Change, Guard, Txn};
+use crate::protocol::state::{Change, Precondition, Transaction};
 use crate::protocol::users::{
     parse_submission, Accepted, JobPhase, JobSpec, Malformed, Shape, Status, Submission,
 };
+use crate::resources::{within_limit, Resources};
 use crate::settings::Team;
-use crate::storage::ledger::{within, Amount};
-use crate::storage::records::{final_key, open_key, FinalRecord, OpenRecord};
+use crate::storage::records::{open_key, terminal_key, OpenJobRecord, TerminalRecord};
 use std::collections::{BTreeMap, VecDeque};
 use std::time::{Duration, Instant};
 
@@ -78,12 +78,12 @@
         return Ok(Found::Final(known));
     }
     let Some(job) = node.copy.ask(id).await? else {
-        let mark = find_final(node, id).await?;
-        return Ok(mark.map_or(Found::Never, Found::Final));
+        let terminal_record = find_final(node, id).await?;
+        return Ok(terminal_record.map_or(Found::Never, Found::Final));
     };
     for ancestor in &job.closed_ancestors {
-        let mark = find_final(node, ancestor).await?;
-        if mark.is_some_and(|m| m.phase == JobPhase::Cancelled) {
+        let terminal_record = find_final(node, ancestor).await?;
+        if terminal_record.is_some_and(|m| m.phase == JobPhase::Cancelled) {
             let cancelled = Final {
                 phase: JobPhase::Cancelled,
                 tasks: job.tasks,
@@ -100,17 +100,17 @@
     if let Some(known) = lock(&node.finals).get(id) {
         return Ok(Some(known));
     }
-    let Some(item) = node.state.get(&final_key(id)).await? else {
+    let Some(item) = node.state.get(&terminal_key(id)).await? else {
         return Ok(None);
     };
-    let mark: FinalRecord = serde_json::from_value(item.data).map_err(|e| {
+    let terminal_record: TerminalRecord = serde_json::from_value(item.data).map_err(|e| {
         tracing::error!(job = %id, error = %e, "a finish mark can't be read");
         StateError::Refused
     })?;
-    lock(&node.finals).put(id, mark.phase, mark.tasks);
+    lock(&node.finals).put(id, terminal_record.phase, terminal_record.tasks);
     Ok(Some(Final {
-        phase: mark.phase,
-        tasks: mark.tasks,
+        phase: terminal_record.phase,
+        tasks: terminal_record.tasks,
     }))
 }
 
@@ -157,9 +157,9 @@
     let Some(team) = teams.iter().find(|t| t.name == spec.team) else {
         return Some("unknown team".into());
     };
-    let need = Amount::of(spec);
+    let need = Resources::of(spec);
     let fits = machine_types.iter().any(|r| {
-        let room = Amount {
+        let room = Resources {
             cpus: r.cpus,
             gpus: r.gpus,
             ram_gb: r.ram_gb,
@@ -179,7 +179,7 @@
         Shape::Gang | Shape::Service => spec.tasks,
     };
     let all = need.times(f64::from(n));
-    if !within(all.cpus, team.cpus_max) || !within(all.gpus, team.gpus_max) {
+    if !within_limit(all.cpus, team.cpus_max) || !within_limit(all.gpus, team.gpus_max) {
         return Some("needs more than the team's limit".into());
     }
     None
@@ -229,32 +229,37 @@
 async fn open_job(node: &Node, spec: JobSpec, after: Vec<JobId>) -> Reply {
     let id = spec.id.clone();
     let (class, team, producers) = (spec.class.clone(), spec.team.clone(), after.len());
-    let mut record = OpenRecord {
+    let mut record = OpenJobRecord {
         spec,
         at_ms: time_of_day_ms(),
         after,
-        edge_pages: 0,
+        dependency_pages: 0,
     };
     let most_bytes = (node.policy.facts.state.value_kb * 1024.0 * 0.9) as usize;
-    let Some(pages) = record.move_edges_to_pages(most_bytes) else {
+    let Some(pages) = record.move_dependencies_to_pages(most_bytes) else {
         return if_known(node, Some(&id), Reply::error(400, "too long a description")).await;
     };
     let Ok(data) = serde_json::to_value(&record) else {
         return Reply::error(400, "can't be stored");
     };
     let outcome = match edges::write_pages(node, &id, &pages).await {
-        Ok(Ok(guards)) => {
-            let apply = vec![Change::put(open_key(&id), data)];
-            node.state.txn(&Txn { guards, apply }).await
+        Ok(Ok(preconditions)) => {
+            let changes = vec![Change::put(open_key(&id), data)];
+            node.state
+                .transaction(&Transaction {
+                    preconditions,
+                    changes,
+                })
+                .await
         }
         Ok(Err(conflict)) => Ok(conflict),
         // The open record was certainly not written.
         Err(_) => Err(StateError::Refused),
     };
     match outcome {
-        Ok(TxnOutcome::Applied(epoch)) => {
+        Ok(TxnOutcome::Applied(store_revision)) => {
             node.leader.nudge();
-            tracing::debug!(job = %id, epoch = %epoch, class, team, producers, "accepted");
+            tracing::debug!(job = %id, store_revision = %store_revision, class, team, producers, "accepted");
             accepted(201, &id, JobPhase::Queued)
         }
         failed => settle(node, &id, failed).await,
@@ -264,18 +269,18 @@
 /// Accepts a job that needs a cancelled one: it is cancelled from the start.
 async fn accept_cancelled(node: &Node, spec: &JobSpec) -> Reply {
     let id = &spec.id;
-    let Ok(data) = serde_json::to_value(FinalRecord::cancelled(spec.tasks)) else {
+    let Ok(data) = serde_json::to_value(TerminalRecord::cancelled(spec.tasks)) else {
         return Reply::error(400, "can't be stored");
     };
-    let absent = |key| Guard {
+    let absent = |key| Precondition {
         key,
-        stamp: Stamp(0),
+        revision: KeyRevision(0),
     };
-    let txn = Txn {
-        guards: vec![absent(open_key(id)), absent(final_key(id))],
-        apply: vec![Change::put(final_key(id), data)],
+    let transaction = Transaction {
+        preconditions: vec![absent(open_key(id)), absent(terminal_key(id))],
+        changes: vec![Change::put(terminal_key(id), data)],
     };
-    match node.state.txn(&txn).await {
+    match node.state.transaction(&transaction).await {
         Ok(TxnOutcome::Applied(_)) => {
             tracing::debug!(job = %id, "accepted and cancelled with a job that it needs");
             lock(&node.finals).put(id, JobPhase::Cancelled, spec.tasks);
@@ -342,7 +347,9 @@
     let began = Instant::now();
     let mut unclear = false;
     while began.elapsed() < SUBMIT / 2 {
-        let OpenJob { stamp, tasks, .. } = match find(node, &id).await {
+        let OpenJob {
+            revision, tasks, ..
+        } = match find(node, &id).await {
             Ok(Found::Open(job)) => job,
             Ok(Found::Final(Final { phase, tasks })) => {
                 // Perhaps a transaction of ours that got no answer: nobody has been told yet.
@@ -354,31 +361,31 @@
             Ok(Found::Never) => return Reply::error(404, "no such job"),
             Err(_) => break,
         };
-        let mark = FinalRecord::cancelled(tasks);
-        let Ok(data) = serde_json::to_value(&mark) else {
+        let terminal_record = TerminalRecord::cancelled(tasks);
+        let Ok(data) = serde_json::to_value(&terminal_record) else {
             break;
         };
-        let txn = Txn {
-            guards: vec![
-                Guard {
+        let transaction = Transaction {
+            preconditions: vec![
+                Precondition {
                     key: open_key(&id),
-                    stamp,
+                    revision,
                 },
-                Guard {
-                    key: final_key(&id),
-                    stamp: Stamp(0),
+                Precondition {
+                    key: terminal_key(&id),
+                    revision: KeyRevision(0),
                 },
             ],
-            apply: vec![
+            changes: vec![
                 Change::Delete {
                     delete: open_key(&id),
                 },
-                Change::put(final_key(&id), data),
+                Change::put(terminal_key(&id), data),
             ],
         };
-        match node.state.txn(&txn).await {
-            Ok(TxnOutcome::Applied(epoch)) => {
-                tracing::debug!(job = %id, epoch = %epoch, opened = %stamp, "cancellation confirmed");
+        match node.state.transaction(&transaction).await {
+            Ok(TxnOutcome::Applied(store_revision)) => {
+                tracing::debug!(job = %id, store_revision = %store_revision, opened = %revision, "cancellation confirmed");
                 node.cancelled(&id, tasks);
                 return accepted(200, &id, JobPhase::Cancelled);
             }
--- a/src/storage/mod.rs
+++ b/src/storage/mod.rs
@@ -1,5 +1,4 @@
 //! What is known: durable records on the state service, and ledgers in memory.
 
-pub mod ledger;
 pub mod pages;
 pub mod records;
--- a/src/storage/pages.rs
+++ b/src/storage/pages.rs
@@ -2,34 +2,34 @@
 //! true, and what is new. So reclaiming costs no change of its own, and there are never many more
 //! pages than what is true needs.
 
-use crate::ids::{Attempt, HostId, JobId, Millis, PageNo, Stamp, TaskId};
+use crate::ids::{AttemptId, JobId, KeyRevision, MachineId, Millis, PageNumber, TaskId};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// One start, wherever it is.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct StartKey {
-    pub host: HostId,
+pub struct PlacedAttempt {
+    pub machine_id: MachineId,
     pub task: TaskId,
-    pub attempt: Attempt,
+    pub attempt_id: AttemptId,
 }
 
-impl StartKey {
+impl PlacedAttempt {
     /// From a machine and a key of its ledger.
-    pub fn new(host: &HostId, key: &(TaskId, Attempt)) -> StartKey {
-        StartKey {
-            host: host.clone(),
+    pub fn new(machine_id: &MachineId, key: &(TaskId, AttemptId)) -> PlacedAttempt {
+        PlacedAttempt {
+            machine_id: machine_id.clone(),
             task: key.0.clone(),
-            attempt: key.1,
+            attempt_id: key.1,
         }
     }
 }
 
 /// One page of intents, as far as it is written.
 #[derive(Debug, Default)]
-struct IntentsState {
-    stamp: Stamp,
+struct IntentPageState {
+    revision: KeyRevision,
     /// What it holds that may still be true.
-    live: BTreeSet<StartKey>,
+    live: BTreeSet<PlacedAttempt>,
     /// Since when it has held something that no longer is.
     stale_since: Option<Millis>,
 }
@@ -37,8 +37,8 @@
 /// The pages of launch intents, and the starts that wait to be written.
 #[derive(Debug, Default)]
 pub struct IntentPages {
-    pages: BTreeMap<PageNo, IntentsState>,
-    waiting: VecDeque<StartKey>,
+    pages: BTreeMap<PageNumber, IntentPageState>,
+    waiting: VecDeque<PlacedAttempt>,
 }
 
 /// What a page takes beyond its starts.
@@ -49,9 +49,9 @@
 #[derive(Default)]
 pub struct Measure {
     bytes: usize,
-    seen: BTreeSet<(Attempt, JobId, HostId)>,
-    tries: BTreeSet<Attempt>,
-    tried: BTreeSet<(Attempt, JobId)>,
+    seen: BTreeSet<(AttemptId, JobId, MachineId)>,
+    tries: BTreeSet<AttemptId>,
+    tried: BTreeSet<(AttemptId, JobId)>,
     jobs: BTreeSet<JobId>,
 }
 
@@ -61,22 +61,22 @@
         self.bytes + PAGE_BYTES
     }
     /// Takes a start in.
-    pub fn add(&mut self, key: &StartKey, team: &str) {
+    pub fn add(&mut self, key: &PlacedAttempt, team: &str) {
         let job = &key.task.job;
         // A task's number and a comma; numbers have at most six digits.
         self.bytes += 7;
-        if self.tries.insert(key.attempt) {
+        if self.tries.insert(key.attempt_id) {
             // Once for its starts, and once for when it was placed.
             self.bytes += 26 + 36;
         }
-        if self.tried.insert((key.attempt, job.clone())) {
+        if self.tried.insert((key.attempt_id, job.clone())) {
             self.bytes += job.as_str().len() + 6;
         }
         if self
             .seen
-            .insert((key.attempt, job.clone(), key.host.clone()))
+            .insert((key.attempt_id, job.clone(), key.machine_id.clone()))
         {
-            self.bytes += key.host.as_str().len() + 6;
+            self.bytes += key.machine_id.as_str().len() + 6;
         }
         if self.jobs.insert(job.clone()) {
             // Three decimal numbers, written with at most 18 characters each.
@@ -87,41 +87,41 @@
 
 impl IntentPages {
     /// A start joins those that wait to be written.
-    pub fn wait(&mut self, key: StartKey) {
+    pub fn wait(&mut self, key: PlacedAttempt) {
         self.waiting.push_back(key);
     }
 
     /// Those that wait, the longest first.
-    pub fn waiting(&self) -> impl Iterator<Item = &StartKey> {
+    pub fn waiting(&self) -> impl Iterator<Item = &PlacedAttempt> {
         self.waiting.iter()
     }
 
     /// Drops from the front of those that wait whatever no longer does.
-    pub fn drop_settled(&mut self, still: impl Fn(&StartKey) -> bool) {
+    pub fn drop_settled(&mut self, still: impl Fn(&PlacedAttempt) -> bool) {
         while self.waiting.front().is_some_and(|k| !still(k)) {
             self.waiting.pop_front();
         }
     }
 
     /// A page as a new leader found it.
-    pub fn found(&mut self, page: PageNo, stamp: Stamp) {
-        self.pages.entry(page).or_default().stamp = stamp;
+    pub fn found(&mut self, page: PageNumber, revision: KeyRevision) {
+        self.pages.entry(page).or_default().revision = revision;
     }
 
     /// A start that a page holds.
-    pub fn holds(&mut self, page: PageNo, key: StartKey) {
+    pub fn holds(&mut self, page: PageNumber, key: PlacedAttempt) {
         self.pages.entry(page).or_default().live.insert(key);
     }
 
     /// A page holds something that is no longer true.
-    pub fn outdated(&mut self, now: Millis, page: PageNo) {
+    pub fn outdated(&mut self, now: Millis, page: PageNumber) {
         if let Some(p) = self.pages.get_mut(&page) {
             p.stale_since.get_or_insert(now);
         }
     }
 
     /// A start is no longer true: its page may be written without it.
-    pub fn gone(&mut self, now: Millis, page: PageNo, key: &StartKey) {
+    pub fn gone(&mut self, now: Millis, page: PageNumber, key: &PlacedAttempt) {
         if let Some(p) = self.pages.get_mut(&page) {
             p.live.remove(key);
             p.stale_since.get_or_insert(now);
@@ -129,31 +129,33 @@
     }
 
     /// The page to be written next: the emptiest that there is, if any; none of `taken`.
-    pub fn emptiest(&self, taken: &BTreeSet<PageNo>) -> Option<PageNo> {
+    pub fn emptiest(&self, taken: &BTreeSet<PageNumber>) -> Option<PageNumber> {
         let free = self.pages.iter().filter(|(n, _)| !taken.contains(n));
         free.min_by_key(|(n, p)| (p.live.len(), **n))
             .map(|(n, _)| *n)
     }
 
     /// The first page that does not exist; none of `taken`.
-    pub fn fresh(&self, taken: &BTreeSet<PageNo>) -> PageNo {
+    pub fn fresh(&self, taken: &BTreeSet<PageNumber>) -> PageNumber {
         let mut n = 0;
-        while self.pages.contains_key(&PageNo(n)) || taken.contains(&PageNo(n)) {
+        while self.pages.contains_key(&PageNumber(n)) || taken.contains(&PageNumber(n)) {
             n += 1;
         }
-        PageNo(n)
+        PageNumber(n)
     }
 
     /// What of a page is still true, and the page's version.
-    pub fn page(&self, page: PageNo) -> (Vec<StartKey>, Stamp) {
-        self.pages.get(&page).map_or((Vec::new(), Stamp(0)), |p| {
-            (p.live.iter().cloned().collect(), p.stamp)
-        })
+    pub fn page(&self, page: PageNumber) -> (Vec<PlacedAttempt>, KeyRevision) {
+        self.pages
+            .get(&page)
+            .map_or((Vec::new(), KeyRevision(0)), |p| {
+                (p.live.iter().cloned().collect(), p.revision)
+            })
     }
 
     /// Pages that have held what is no longer true for longer than the bound.
-    pub fn stale(&self, now: Millis, bound: Millis) -> impl Iterator<Item = PageNo> + '_ {
-        let ripe = move |p: &IntentsState| p.stale_since.is_some_and(|t| now - t > bound);
+    pub fn stale(&self, now: Millis, bound: Millis) -> impl Iterator<Item = PageNumber> + '_ {
+        let ripe = move |p: &IntentPageState| p.stale_since.is_some_and(|t| now - t > bound);
         self.pages
             .iter()
             .filter(move |(_, p)| ripe(p))
@@ -164,27 +166,27 @@
     pub fn written(
         &mut self,
         now: Millis,
-        page: PageNo,
-        stamp: Stamp,
-        keys: Vec<StartKey>,
+        page: PageNumber,
+        revision: KeyRevision,
+        keys: Vec<PlacedAttempt>,
         gone: bool,
     ) {
         let p = self.pages.entry(page).or_default();
-        p.stamp = stamp;
+        p.revision = revision;
         p.live = keys.into_iter().collect();
         p.stale_since = gone.then_some(now);
     }
 
     /// A page is deleted.
-    pub fn deleted(&mut self, page: PageNo) {
+    pub fn deleted(&mut self, page: PageNumber) {
         self.pages.remove(&page);
     }
 
     /// A page was read again: what it holds beyond what is true is not known, so it is stale.
-    pub fn reread(&mut self, now: Millis, page: PageNo, stamp: Stamp) {
+    pub fn reread(&mut self, now: Millis, page: PageNumber, revision: KeyRevision) {
         let p = self.pages.entry(page).or_default();
-        p.stamp = stamp;
-        if stamp != Stamp(0) {
+        p.revision = revision;
+        if revision != KeyRevision(0) {
             p.stale_since.get_or_insert(now);
         } else if p.live.is_empty() {
             self.pages.remove(&page);
@@ -198,38 +200,38 @@
 }
 
 /// Bytes that a machine takes on its page, beyond its name, with some images named.
-const HOST_BYTES: usize = 60;
+const MACHINE_ENTRY_BYTES: usize = 60;
 /// Bytes of a machine's name on its page, and of the kinds and images that a page names, at most.
-const HOST_NAME_BYTES: usize = 16;
-const HOST_PAGE_NAMES: usize = 1000;
+const MACHINE_NAME_BYTES: usize = 16;
+const MACHINE_PAGE_NAMES: usize = 1000;
 /// A page out of date since then is written as soon as there is time.
 const LONG_AGO: Millis = Millis(i64::MIN / 4);
 
 /// One page of machines.
 #[derive(Debug, Default)]
-struct HostsState {
-    stamp: Stamp,
-    hosts: BTreeSet<HostId>,
+struct MachinePageState {
+    revision: KeyRevision,
+    machine_ids: BTreeSet<MachineId>,
     /// A machine on it isn't written yet.
     urgent: bool,
     /// Since when it has been out of date.
     stale_since: Option<Millis>,
     /// Machines that it lists as stored, and that are to be listed on other pages. It isn't written before
     /// they are: no machine is ever on no page.
-    moving: BTreeSet<HostId>,
+    moving: BTreeSet<MachineId>,
 }
 
 /// The pages of machines.
 #[derive(Debug)]
-pub struct HostPages {
-    pages: BTreeMap<PageNo, HostsState>,
+pub struct MachinePages {
+    pages: BTreeMap<PageNumber, MachinePageState>,
     most: usize,
 }
 
-impl HostPages {
+impl MachinePages {
     /// Pages of at most so many bytes each.
-    pub fn new(value_bytes: usize) -> HostPages {
-        let mut pages = HostPages {
+    pub fn new(value_bytes: usize) -> MachinePages {
+        let mut pages = MachinePages {
             pages: BTreeMap::new(),
             most: 1,
         };
@@ -239,68 +241,76 @@
 
     /// From now on a page is to take at most so many bytes: `split` makes room on those that are larger.
     pub fn hold_at_most(&mut self, value_bytes: usize) {
-        let for_machines = value_bytes - (value_bytes / 4).min(HOST_PAGE_NAMES);
-        self.most = (for_machines / (HOST_BYTES + HOST_NAME_BYTES)).max(1);
+        let for_machines = value_bytes - (value_bytes / 4).min(MACHINE_PAGE_NAMES);
+        self.most = (for_machines / (MACHINE_ENTRY_BYTES + MACHINE_NAME_BYTES)).max(1);
     }
 
     /// A page as a new leader found it.
-    pub fn found(&mut self, page: PageNo, stamp: Stamp, hosts: BTreeSet<HostId>) {
-        let state = HostsState {
-            stamp,
-            hosts,
-            ..HostsState::default()
+    pub fn found(
+        &mut self,
+        page: PageNumber,
+        revision: KeyRevision,
+        machine_ids: BTreeSet<MachineId>,
+    ) {
+        let state = MachinePageState {
+            revision,
+            machine_ids,
+            ..MachinePageState::default()
         };
         self.pages.insert(page, state);
     }
 
     /// Finds a page for a new machine.
-    pub fn enter(&mut self, host: &HostId) -> PageNo {
+    pub fn enter(&mut self, machine_id: &MachineId) -> PageNumber {
         let most = self.most;
         let page = self.page_with_room(most);
         let p = self.pages.entry(page).or_default();
-        p.hosts.insert(host.clone());
+        p.machine_ids.insert(machine_id.clone());
         p.urgent = true;
         page
     }
 
-    fn page_with_room(&self, most: usize) -> PageNo {
-        let has_room = |p: &HostsState| p.hosts.len() < most && p.moving.is_empty();
+    fn page_with_room(&self, most: usize) -> PageNumber {
+        let has_room = |p: &MachinePageState| p.machine_ids.len() < most && p.moving.is_empty();
         let found = self.pages.iter().find(|(_, p)| has_room(p));
         let next = || self.pages.keys().next_back().map_or(0, |n| n.0 + 1);
-        found.map_or_else(|| PageNo(next()), |(n, _)| *n)
+        found.map_or_else(|| PageNumber(next()), |(n, _)| *n)
     }
 
     /// Spreads the machines of pages that list more than may be written now over further pages; says
     /// which go where. The new pages are written when there is time, the old ones after them.
     ///
     /// Guards against pages written under a larger limit on values, which could never be written again.
-    pub fn split(&mut self) -> Vec<(HostId, PageNo)> {
+    pub fn split(&mut self) -> Vec<(MachineId, PageNumber)> {
         let mut moved = Vec::new();
-        let large = self.pages.iter().filter(|(_, p)| p.hosts.len() > self.most);
+        let large = self
+            .pages
+            .iter()
+            .filter(|(_, p)| p.machine_ids.len() > self.most);
         for old in large.map(|(n, _)| *n).collect::<Vec<_>>() {
             let Some(p) = self.pages.get_mut(&old) else {
                 continue;
             };
-            let surplus: Vec<HostId> = p.hosts.iter().skip(self.most).cloned().collect();
+            let surplus: Vec<MachineId> = p.machine_ids.iter().skip(self.most).cloned().collect();
             // Only what is stored here keeps the page from being written.
-            let stored = surplus.iter().filter(|_| p.stamp != Stamp(0));
+            let stored = surplus.iter().filter(|_| p.revision != KeyRevision(0));
             p.moving.extend(stored.cloned());
-            p.hosts.retain(|h| !surplus.contains(h));
+            p.machine_ids.retain(|h| !surplus.contains(h));
             let urgent = p.urgent;
-            for host in surplus {
+            for machine_id in surplus {
                 let page = self.page_with_room(self.most);
                 let p = self.pages.entry(page).or_default();
-                p.hosts.insert(host.clone());
+                p.machine_ids.insert(machine_id.clone());
                 p.stale_since = Some(LONG_AGO);
                 p.urgent |= urgent;
-                moved.push((host, page));
+                moved.push((machine_id, page));
             }
         }
         moved
     }
 
     /// Machines that are on a page of their own now, or gone, keep no other page from being written.
-    fn settle_moving(&mut self, now: Millis, settled: impl Fn(&HostId) -> bool) {
+    fn settle_moving(&mut self, now: Millis, settled: impl Fn(&MachineId) -> bool) {
         for p in self.pages.values_mut().filter(|p| !p.moving.is_empty()) {
             p.moving.retain(|h| !settled(h));
             if p.moving.is_empty() {
@@ -310,16 +320,16 @@
     }
 
     /// A machine is gone.
-    pub fn leave(&mut self, now: Millis, page: PageNo, host: &HostId) {
+    pub fn leave(&mut self, now: Millis, page: PageNumber, machine_id: &MachineId) {
         if let Some(p) = self.pages.get_mut(&page) {
-            p.hosts.remove(host);
+            p.machine_ids.remove(machine_id);
             p.stale_since.get_or_insert(now);
         }
-        self.settle_moving(now, |h| h == host);
+        self.settle_moving(now, |h| h == machine_id);
     }
 
     /// What is known of a machine has changed.
-    pub fn changed(&mut self, now: Millis, page: PageNo) {
+    pub fn changed(&mut self, now: Millis, page: PageNumber) {
         if let Some(p) = self.pages.get_mut(&page) {
             p.stale_since.get_or_insert(now);
         }
@@ -327,8 +337,8 @@
 
     /// Pages to be written: those with new machines, and those out of date for longer than the
     /// bound, if `lazy` ones are wanted.
-    pub fn due(&self, now: Millis, bound: Millis, lazy: bool) -> Vec<PageNo> {
-        let due = |p: &HostsState| {
+    pub fn due(&self, now: Millis, bound: Millis, lazy: bool) -> Vec<PageNumber> {
+        let due = |p: &MachinePageState| {
             let due = p.urgent || p.stale_since.is_some_and(|t| now - t > bound);
             due && p.urgent != lazy && p.moving.is_empty()
         };
@@ -340,25 +350,31 @@
     }
 
     /// The machines of a page and its version.
-    pub fn page(&self, page: PageNo) -> (BTreeSet<HostId>, Stamp) {
+    pub fn page(&self, page: PageNumber) -> (BTreeSet<MachineId>, KeyRevision) {
         let p = self.pages.get(&page);
-        p.map_or_else(Default::default, |p| (p.hosts.clone(), p.stamp))
+        p.map_or_else(Default::default, |p| (p.machine_ids.clone(), p.revision))
     }
 
     /// A page is written with these machines.
-    pub fn written(&mut self, now: Millis, page: PageNo, stamp: Stamp, hosts: &BTreeSet<HostId>) {
+    pub fn written(
+        &mut self,
+        now: Millis,
+        page: PageNumber,
+        revision: KeyRevision,
+        machine_ids: &BTreeSet<MachineId>,
+    ) {
         let p = self.pages.entry(page).or_default();
-        p.stamp = stamp;
-        p.urgent = !p.hosts.is_subset(hosts);
-        p.stale_since = (p.hosts != *hosts).then_some(now);
-        self.settle_moving(now, |h| hosts.contains(h));
+        p.revision = revision;
+        p.urgent = !p.machine_ids.is_subset(machine_ids);
+        p.stale_since = (p.machine_ids != *machine_ids).then_some(now);
+        self.settle_moving(now, |h| machine_ids.contains(h));
     }
 
     /// A page was read again.
-    pub fn reread(&mut self, now: Millis, page: PageNo, stamp: Stamp) {
+    pub fn reread(&mut self, now: Millis, page: PageNumber, revision: KeyRevision) {
         let p = self.pages.entry(page).or_default();
-        p.stamp = stamp;
-        p.urgent = !p.hosts.is_empty();
+        p.revision = revision;
+        p.urgent = !p.machine_ids.is_empty();
         p.stale_since.get_or_insert(now);
     }
 }
--- a/tests/demand.rs
+++ b/tests/demand.rs
@@ -1,6 +1,6 @@
 //! What is expected to arrive, by the arrivals seen.
 
-use chalklug::coordination::demand::Demand;
+use chalklug::coordination::autoscaler::arrivals::ArrivalRate;
 use chalklug::ids::Millis;
 use chalklug::protocol::users::{parse_submission, JobSpec};
 
@@ -13,7 +13,7 @@
 
 #[test]
 fn what_had_gathered_is_no_rate_but_a_burst_is() {
-    let mut d = Demand::new(&spec(10));
+    let mut d = ArrivalRate::new(&spec(10));
     for _ in 0..100 {
         d.note(&spec(10), Millis(500));
     }
@@ -28,7 +28,7 @@
     }
     let burst = d.jobs_per_s(Millis(140_000));
     assert!((burst - 4.0).abs() < 0.2, "{burst}");
-    let mut ebb = Demand::new(&spec(10));
+    let mut ebb = ArrivalRate::new(&spec(10));
     for i in 0..100 {
         ebb.note(&spec(10), Millis(i * 1000));
     }
--- a/tests/encodings.rs
+++ b/tests/encodings.rs
@@ -26,23 +26,23 @@
 fn keys() {
     let job = JobId::from("wk-000412");
     assert_eq!(open_key(&job), "o/wk-000412");
-    assert_eq!(final_key(&job), "f/wk-000412");
+    assert_eq!(terminal_key(&job), "f/wk-000412");
     assert_eq!(progress_key(&job, 3), "p/wk-000412/3");
-    assert_eq!(intents_key(PageNo(7)), "i/7");
-    assert_eq!(hosts_key(PageNo(7)), "h/7");
+    assert_eq!(intent_page_key(PageNumber(7)), "i/7");
+    assert_eq!(machine_page_key(PageNumber(7)), "h/7");
     assert_eq!(
-        (LEAD, TOKEN, CATALOG, HINTS),
+        (LEADER_KEY, FENCING_TOKEN_KEY, CATALOG_KEY, HINTS_KEY),
         ("lead", "baton", "catalog", "hints")
     );
     assert_eq!(parse_progress_key("p/wk-000412/3"), Some((job, 3)));
-    assert_eq!(parse_page("i/7", INTENTS), Some(PageNo(7)));
+    assert_eq!(parse_page("i/7", INTENT_PAGE_PREFIX), Some(PageNumber(7)));
 }
 
 #[test]
 fn leader_and_jobs() {
-    let lead = LeadRecord {
+    let lead = LeaderRecord {
         host_name: "chalkbox-2".into(),
-        token: Token(41),
+        token: FencingToken(41),
     };
     stored(&lead, r#"{"host_name":"chalkbox-2","baton":41}"#);
     let text = concat!(
@@ -50,69 +50,69 @@
         r#""pieces":2,"cpus":8.0,"gpus":1.0,"ramGb":64.0,"bundle":"img-07","pullGb":6.2,"rigs":["g8"],"site":"a","#,
         r#""together":true,"scatter":false,"loaners":true,"guessS":240.0,"markEveryS":30.0,"markCostS":4.0,"dueS":900.0}"#
     );
-    let open = OpenRecord {
+    let open = OpenJobRecord {
         spec: parse_submission(text.as_bytes()).unwrap().spec,
         at_ms: 1_700_000_000_123,
         after: vec![JobId::from("wk-000001")],
-        edge_pages: 0,
+        dependency_pages: 0,
     };
     let example = format!(r#"{{"spec":{text},"at_ms":1700000000123,"after":["wk-000001"]}}"#);
     stored(&open, &example);
     let alone = format!(r#"{{"spec":{text},"at_ms":5}}"#);
     stored(
-        &OpenRecord {
+        &OpenJobRecord {
             at_ms: 5,
             after: Vec::new(),
             ..open
         },
         &alone,
     );
-    let done = FinalRecord {
+    let done = TerminalRecord {
         phase: JobPhase::Done,
         tasks: 16,
         at_ms: None,
     };
     stored(&done, r#"{"phase":"done","pieces":16}"#);
-    let waited_for = FinalRecord {
+    let waited_for = TerminalRecord {
         at_ms: Some(7),
         ..done
     };
     stored(&waited_for, r#"{"phase":"done","pieces":16,"at_ms":7}"#);
-    let cancelled = FinalRecord::cancelled(16);
+    let cancelled = TerminalRecord::cancelled(16);
     stored(&cancelled, r#"{"phase":"aborted","pieces":16}"#);
 }
 
 #[test]
 fn progress() {
-    let mut set = DoneSet::new(20);
+    let mut set = CompletedTasks::new(20);
     for task in [0, 3, 17] {
         set.add(task);
     }
     assert_eq!(set.chunk(0), "CQAC");
-    let mut back = DoneSet::new(20);
+    let mut back = CompletedTasks::new(20);
     back.load(0, "CQAC");
     assert_eq!((back.count(), back.has(17)), (3, true));
 }
 
 #[test]
 fn launch_intents() {
-    let mut page = IntentsPage::default();
-    let host = HostId::from("host-000231");
+    let mut page = IntentPage::default();
+    let machine_id = MachineId::from("host-000231");
     for index in [0, 4] {
         let task = TaskId {
             job: JobId::from("wk-000412"),
             index,
         };
-        page.add(&host, &task, Attempt(9));
+        page.add(&machine_id, &task, AttemptId(9));
     }
-    let takes = JobTakes("vision".into(), 8.0, 1.0, 64.0);
+    let takes = JobResources("vision".into(), 8.0, 1.0, 64.0);
     page.jobs.insert(JobId::from("wk-000412"), takes);
     let without_times = concat!(
         r#"{"starts":{"9":{"wk-000412":{"host-000231":[0,4]}}},"#,
         r#""jobs":{"wk-000412":["vision",8.0,1.0,64.0]}}"#
     );
     stored(&page, without_times);
-    page.placed_s.insert(Attempt(9), 1_700_000_000);
+    page.placed_s.insert(AttemptId(9), 1_700_000_000);
     stored(
         &page,
         concat!(
@@ -124,13 +124,13 @@
 
 #[test]
 fn machines() {
-    let mut page = HostsPage {
+    let mut page = MachinePage {
         kinds: vec![(MachineType::from("g8"), Zone::from("a"), true)],
         images: vec![(Image::from("img-07"), 6.2)],
-        ..HostsPage::default()
+        ..MachinePage::default()
     };
-    let note = HostNote(0, 1_700_000_000, true, vec![0]);
-    page.hosts.insert(HostId::from("host-000231"), note);
+    let note = MachineEntry(0, 1_700_000_000, true, vec![0]);
+    page.machines.insert(MachineId::from("host-000231"), note);
     stored(
         &page,
         concat!(
@@ -181,16 +181,19 @@
     let after: Vec<JobId> = (0..4600)
         .map(|n| JobId::from(format!("wk-{n:06}").as_str()))
         .collect();
-    let mut record = OpenRecord {
+    let mut record = OpenJobRecord {
         spec,
         at_ms: 5,
         after: after.clone(),
-        edge_pages: 0,
+        dependency_pages: 0,
     };
-    assert_eq!(record.clone().move_edges_to_pages(100_000), Some(vec![]));
-    assert_eq!(record.clone().move_edges_to_pages(200), None);
-    let pages = record.move_edges_to_pages(1800).unwrap();
-    assert_eq!(record.edge_pages as usize, pages.len());
+    assert_eq!(
+        record.clone().move_dependencies_to_pages(100_000),
+        Some(vec![])
+    );
+    assert_eq!(record.clone().move_dependencies_to_pages(200), None);
+    let pages = record.move_dependencies_to_pages(1800).unwrap();
+    assert_eq!(record.dependency_pages as usize, pages.len());
     assert!(serde_json::to_string(&record).unwrap().len() <= 1800);
     for page in &pages {
         assert!(serde_json::to_string(page).unwrap().len() <= 1800);
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -10,14 +10,14 @@
 #[path = "support/wire_digest.rs"]
 mod wire_digest;
 
-use chalklug::coordination::recovery::Inheritance;
-use chalklug::coordination::waiting::WaitReason;
-use chalklug::coordination::worker_sessions::CheckInAnswer;
+use chalklug::coordination::attempts::reconciliation::HeartbeatOutcome;
+use chalklug::coordination::jobs::pending::PendingReason;
+use chalklug::coordination::leadership::recovery::RecoveredState;
 use chalklug::coordination::{Effect, Event, Policy};
 use chalklug::ids::*;
-use chalklug::protocol::state::{Change, Item};
+use chalklug::protocol::state::{Change, KeyValue};
 use chalklug::protocol::users::{parse_submission, JobPhase};
-use chalklug::protocol::workers::{Order, Report, TaskPhase, TaskReport};
+use chalklug::protocol::workers::{Command, TaskPhase, TaskStatus, WorkerStatus};
 use chalklug::storage::records::*;
 use leader::lead;
 use machine_type::machine_type;
@@ -34,18 +34,19 @@
     leader::policy(18000.0, 100)
 }
 
-fn host(n: u64) -> HostId {
-    HostId::from(format!("host-{n:06}").as_str())
+fn machine_id(n: u64) -> MachineId {
+    MachineId::from(format!("host-{n:06}").as_str())
 }
 
 /// Machines and a page of intents each, as a former leader left them: every GPU of them runs a task.
-fn inherited() -> Inheritance {
+fn recovered() -> RecoveredState {
     let mut pages = Vec::new();
-    let mut hosts: BTreeMap<u64, HostsPage> = BTreeMap::new();
+    let mut machine_ids: BTreeMap<u64, MachinePage> = BTreeMap::new();
     for n in 0..MACHINES {
-        let page = hosts.entry(n / MACHINES_A_PAGE).or_default();
+        let page = machine_ids.entry(n / MACHINES_A_PAGE).or_default();
         page.kinds = vec![(MachineType::from("box"), Zone::from("a"), false)];
-        page.hosts.insert(host(n), HostNote(0, 0, true, vec![]));
+        page.machines
+            .insert(machine_id(n), MachineEntry(0, 0, true, vec![]));
     }
     let mut open = Vec::new();
     for j in 0..MACHINES / 10 {
@@ -55,57 +56,57 @@
             "pullGb": 1, "together": false, "scatter": false, "loaners": false, "guessS": 50,
             "markEveryS": 0, "markCostS": 0});
         let spec = parse_submission(body.to_string().as_bytes()).unwrap().spec;
-        let mut page = IntentsPage::default();
+        let mut page = IntentPage::default();
         for t in 0..10 * GPUS {
             let task = TaskId::parse(&format!("{id}/{t}")).unwrap();
-            page.add(&host(j * 10 + t / GPUS), &task, Attempt(7));
+            page.add(&machine_id(j * 10 + t / GPUS), &task, AttemptId(7));
         }
-        page.jobs.insert(spec.id.clone(), JobTakes::of(&spec));
+        page.jobs.insert(spec.id.clone(), JobResources::of(&spec));
         pages.push(page);
-        let record = OpenRecord {
+        let record = OpenJobRecord {
             spec,
             at_ms: 0,
             after: Vec::new(),
-            edge_pages: 0,
+            dependency_pages: 0,
         };
-        open.push((record, Stamp(1), Millis(0)));
+        open.push((record, KeyRevision(1), Millis(0)));
     }
-    let item = |key: String, data| Item {
+    let item = |key: String, data| KeyValue {
         key,
         data,
-        stamp: Stamp(1),
+        revision: KeyRevision(1),
         lease: None,
     };
-    Inheritance {
+    RecoveredState {
         open,
         intents: pages
             .iter()
             .enumerate()
             .map(|(n, p)| {
-                let key = intents_key(PageNo(n as u32));
+                let key = intent_page_key(PageNumber(n as u32));
                 item(key, serde_json::to_value(p).unwrap())
             })
             .collect(),
-        hosts: hosts
+        machine_pages: machine_ids
             .iter()
             .map(|(n, p)| {
                 item(
-                    hosts_key(PageNo(*n as u32)),
+                    machine_page_key(PageNumber(*n as u32)),
                     serde_json::to_value(p).unwrap(),
                 )
             })
             .collect(),
         machine_types: vec![machine_type(GPUS as f64)],
-        ..Inheritance::default()
+        ..RecoveredState::default()
     }
 }
 
-fn report(n: u64, tick: u64, token: u64, ended: usize) -> Report {
+fn report(n: u64, tick: u64, token: u64, ended: usize) -> WorkerStatus {
     let tasks = (0..GPUS).map(|t| {
         let ends = (t as usize) < ended;
-        TaskReport {
+        TaskStatus {
             task: TaskId::parse(&format!("wk-{:06}/{}", n / 10, (n % 10) * GPUS + t)).unwrap(),
-            attempt: Attempt(7),
+            attempt_id: AttemptId(7),
             phase: if ends {
                 TaskPhase::Ended
             } else {
@@ -115,15 +116,15 @@
             stored: false,
         }
     });
-    Report {
-        host: host(n),
+    WorkerStatus {
+        machine_id: machine_id(n),
         endpoint: format!("10.1.{}.{}:9000", n / 250, n % 250),
         machine_type: MachineType::from("box"),
         zone: Zone::from("a"),
         spot: false,
         session: Session(1),
         tick: Tick(tick),
-        token: Token(token),
+        token: FencingToken(token),
         recall_s: None,
         tasks: tasks.collect(),
     }
@@ -131,7 +132,7 @@
 
 fn writes(effects: &[Effect]) -> usize {
     let of = |e: &Effect| match e {
-        Effect::Write { txn, .. } => txn.apply.len(),
+        Effect::Write { transaction, .. } => transaction.changes.len(),
         _ => 0,
     };
     effects.iter().map(of).sum()
@@ -140,7 +141,7 @@
 #[test]
 fn a_large_fleet_is_taken_over_and_reports_without_news_cost_nothing() {
     let mut now = Millis(1000);
-    let mut core = RecordedCore::take_over(policy(), lead(9), now, inherited()).unwrap();
+    let mut core = RecordedCore::recover(policy(), lead(9), now, recovered()).unwrap();
     core.audit().unwrap();
     assert_eq!(core.machines_up(), MACHINES as usize);
     // Everything may be running: nothing of it is started, stopped, returned or rented for.
@@ -156,15 +157,21 @@
         for n in 0..MACHINES {
             now = now + Millis(2);
             let r = report(n, round, if round == 1 { 8 } else { 9 }, 0);
-            let answer = core.check_in(now, &r);
-            assert_eq!(answer, CheckInAnswer::Orders(Vec::new()), "{n}");
+            let answer = core.heartbeat(now, &r);
+            assert_eq!(answer, HeartbeatOutcome::Commands(Vec::new()), "{n}");
             if n % 50 == 0 {
                 let effects = core.step(now);
                 asked += effects.len();
                 for e in effects {
                     if let Effect::Write { seq, .. } = e {
-                        let epoch = Epoch(100 + seq);
-                        core.on(now, Event::Written { seq, epoch });
+                        let store_revision = StoreRevision(100 + seq);
+                        core.on(
+                            now,
+                            Event::Written {
+                                seq,
+                                store_revision,
+                            },
+                        );
                     }
                 }
             }
@@ -177,9 +184,9 @@
 #[test]
 fn what_a_wave_of_endings_asks_for_follows_the_wave() {
     let mut now = Millis(1000);
-    let mut core = RecordedCore::take_over(policy(), lead(9), now, inherited()).unwrap();
+    let mut core = RecordedCore::recover(policy(), lead(9), now, recovered()).unwrap();
     for n in 0..MACHINES {
-        core.check_in(now, &report(n, 1, 9, 0));
+        core.heartbeat(now, &report(n, 1, 9, 0));
     }
     core.step(now);
     // A tenth of all machines end what they run at once: 3,600 tasks of 45 jobs.
@@ -188,7 +195,7 @@
     let mut finished = 0;
     for n in 0..MACHINES / 10 {
         now = now + Millis(1);
-        core.check_in(now, &report(n, 2, 9, GPUS as usize));
+        core.heartbeat(now, &report(n, 2, 9, GPUS as usize));
     }
     // What is durable may be cleared: it takes a write for each job done, none for each task.
     for _ in 0..200 {
@@ -196,12 +203,17 @@
         let effects = core.step(now);
         changes += writes(&effects);
         for e in effects {
-            if let Effect::Write { seq, txn } = e {
-                let finish =
-                    |c: &&Change| matches!(c, Change::Put { put, .. } if put.starts_with(FINAL));
-                finished += txn.apply.iter().filter(finish).count();
-                let epoch = Epoch(1000 + seq);
-                core.on(now, Event::Written { seq, epoch });
+            if let Effect::Write { seq, transaction } = e {
+                let finish = |c: &&Change| matches!(c, Change::Put { put, .. } if put.starts_with(TERMINAL_PREFIX));
+                finished += transaction.changes.iter().filter(finish).count();
+                let store_revision = StoreRevision(1000 + seq);
+                core.on(
+                    now,
+                    Event::Written {
+                        seq,
+                        store_revision,
+                    },
+                );
             }
         }
     }
@@ -214,30 +226,30 @@
     let pages = MACHINES.div_ceil(MACHINES_A_PAGE) as usize;
     let most = ending_jobs * 2 + pages + 47;
     assert!(changes <= most, "{changes} changes");
-    let cleared = match core.check_in(now, &report(3, 3, 9, GPUS as usize)) {
-        CheckInAnswer::Orders(o) => o
+    let cleared = match core.heartbeat(now, &report(3, 3, 9, GPUS as usize)) {
+        HeartbeatOutcome::Commands(o) => o
             .iter()
-            .filter(|o| matches!(o, Order::Clear { .. }))
+            .filter(|o| matches!(o, Command::Clear { .. }))
             .count(),
-        CheckInAnswer::Refuse => 0,
+        HeartbeatOutcome::Refused => 0,
     };
     assert_eq!(cleared, GPUS as usize, "and its tombstones are cleared");
 }
 
-fn job(id: &str, urgency: &str, tasks: u32) -> Event {
+fn job(id: &str, priority: &str, tasks: u32) -> Event {
     let body = serde_json::json!({"ref": id, "jobclass": id, "crew": "blue", "shape": "array",
-        "urgency": urgency, "pieces": tasks, "cpus": 0.25, "gpus": 0, "ramGb": 0.9, "bundle": "i",
+        "urgency": priority, "pieces": tasks, "cpus": 0.25, "gpus": 0, "ramGb": 0.9, "bundle": "i",
         "pullGb": 1, "together": false, "scatter": false, "loaners": false, "guessS": 4,
         "markEveryS": 0, "markCostS": 0});
-    let record = OpenRecord {
+    let record = OpenJobRecord {
         spec: parse_submission(body.to_string().as_bytes()).unwrap().spec,
         at_ms: 0,
         after: Vec::new(),
-        edge_pages: 0,
+        dependency_pages: 0,
     };
     Event::JobOpened {
         record: Box::new(record),
-        stamp: Stamp(5),
+        revision: KeyRevision(5),
         submitted: Millis(0),
     }
 }
@@ -252,22 +264,28 @@
     while *now < until {
         *now = *now + Millis(50);
         for e in core.step(*now) {
-            let Effect::Write { seq, txn } = e else {
+            let Effect::Write { seq, transaction } = e else {
                 continue;
             };
-            for change in txn.apply {
+            for change in transaction.changes {
                 let Change::Put { put, data, .. } = change else {
                     continue;
                 };
-                if put.starts_with(INTENTS) {
-                    let page: IntentsPage = serde_json::from_value(data).unwrap();
-                    for (_, task, _) in page.starts() {
+                if put.starts_with(INTENT_PAGE_PREFIX) {
+                    let page: IntentPage = serde_json::from_value(data).unwrap();
+                    for (_, task, _) in page.attempts() {
                         tasks.entry(task.job).or_default().insert(task.index);
                     }
                 }
             }
-            let epoch = Epoch(1000 + seq);
-            core.on(*now, Event::Written { seq, epoch });
+            let store_revision = StoreRevision(1000 + seq);
+            core.on(
+                *now,
+                Event::Written {
+                    seq,
+                    store_revision,
+                },
+            );
         }
     }
     tasks.into_iter().map(|(job, t)| (job, t.len())).collect()
@@ -275,14 +293,14 @@
 
 /// The core of a new leader to which every machine has reported that nothing is on it.
 fn idle_fleet(policy: Arc<Policy>, now: Millis) -> RecordedCore {
-    let mut found = inherited();
+    let mut found = recovered();
     found.open.clear();
     found.intents.clear();
-    let mut core = RecordedCore::take_over(policy, lead(9), now, found).unwrap();
+    let mut core = RecordedCore::recover(policy, lead(9), now, found).unwrap();
     for n in 0..MACHINES {
         let mut empty = report(n, 1, 9, 0);
         empty.tasks.clear();
-        core.check_in(now, &empty);
+        core.heartbeat(now, &empty);
     }
     core
 }
@@ -323,20 +341,20 @@
 #[test]
 fn each_waiting_job_has_a_reason() {
     let now = Millis(1000);
-    let mut core = RecordedCore::take_over(policy(), lead(9), now, inherited()).unwrap();
+    let mut core = RecordedCore::recover(policy(), lead(9), now, recovered()).unwrap();
     // Every GPU of the team's limit may be in use, and no machine has reported yet.
     core.on(now, gpu_job("wk-900001", 4, Vec::new()));
     let small = JobId::from("wk-900001");
     core.on(now, gpu_job("wk-900002", 4, vec![small.clone()]));
     core.on(now, job("wk-900003", "low", 100));
     core.step(now + Millis(100));
-    let waiting = core.waiting_jobs(now);
+    let waiting = core.pending_jobs(now);
     let oldest = |reason| waiting.get(&reason).map(|w| (w.jobs, w.oldest.clone()));
-    assert_eq!(oldest(WaitReason::TeamLimit), Some((1, small)));
+    assert_eq!(oldest(PendingReason::TeamLimit), Some((1, small)));
     let consumer = JobId::from("wk-900002");
-    assert_eq!(oldest(WaitReason::Producers), Some((1, consumer)));
+    assert_eq!(oldest(PendingReason::Producers), Some((1, consumer)));
     let cpu_only = JobId::from("wk-900003");
-    assert_eq!(oldest(WaitReason::Room), Some((1, cpu_only)));
+    assert_eq!(oldest(PendingReason::Room), Some((1, cpu_only)));
     assert_eq!(waiting.len(), 3);
 }
 
@@ -348,7 +366,7 @@
     record.after = after;
     Event::JobOpened {
         record,
-        stamp: Stamp(5),
+        revision: KeyRevision(5),
         submitted: Millis(0),
     }
 }
@@ -367,36 +385,45 @@
         let id = format!("wk-{}", 900_000 + n);
         core.on(now, gpu_job(&id, 100, vec![producer.clone()]));
     }
-    let mark = FinalRecord::cancelled(1);
-    let mut marks = 0;
+    let terminal_record = TerminalRecord::cancelled(1);
+    let mut terminal_records = 0;
     let mut deletes = 0;
     let mut reads = 0;
     for _ in 0..2000 {
         now = now + Millis(100);
         for effect in core.step(now) {
             match effect {
-                Effect::ReadMarks { ids } => {
+                Effect::ReadTerminalRecords { ids } => {
                     assert_eq!(ids, std::slice::from_ref(&producer));
                     reads += 1;
-                    let marks = vec![(producer.clone(), Some(mark.clone()))];
-                    core.on(now, Event::MarksRead { marks });
+                    let terminal_records = vec![(producer.clone(), Some(terminal_record.clone()))];
+                    core.on(now, Event::TerminalRecordsRead { terminal_records });
                 }
-                Effect::Write { seq, txn } => {
-                    assert!(txn.apply.len() <= 8);
-                    let mark = |c: &&Change| matches!(c, Change::Put { put, .. } if put.starts_with(FINAL));
-                    let open = |c: &&Change| matches!(c, Change::Delete { delete } if delete.starts_with(OPEN));
-                    marks += txn.apply.iter().filter(mark).count();
-                    deletes += txn.apply.iter().filter(open).count();
-                    let epoch = Epoch(1000 + seq);
-                    core.on(now, Event::Written { seq, epoch });
+                Effect::Write { seq, transaction } => {
+                    assert!(transaction.changes.len() <= 8);
+                    let terminal_record = |c: &&Change| matches!(c, Change::Put { put, .. } if put.starts_with(TERMINAL_PREFIX));
+                    let open = |c: &&Change| matches!(c, Change::Delete { delete } if delete.starts_with(OPEN_JOB_PREFIX));
+                    terminal_records += transaction.changes.iter().filter(terminal_record).count();
+                    deletes += transaction.changes.iter().filter(open).count();
+                    let store_revision = StoreRevision(1000 + seq);
+                    core.on(
+                        now,
+                        Event::Written {
+                            seq,
+                            store_revision,
+                        },
+                    );
                 }
-                Effect::Rent { .. } => panic!("rented for jobs that wait for another"),
+                Effect::ScaleOut { .. } => panic!("rented for jobs that wait for another"),
                 _ => {}
             }
         }
     }
     core.audit().unwrap();
-    assert_eq!((reads, marks, deletes), (1, CONSUMERS, CONSUMERS));
+    assert_eq!(
+        (reads, terminal_records, deletes),
+        (1, CONSUMERS, CONSUMERS)
+    );
 }
 
 /// A new leader tells from the finish marks of its producers how long a job has been ready; without a time
@@ -404,22 +431,22 @@
 #[test]
 fn a_new_leader_learns_when_a_job_was_released() {
     let now = Millis(100_000);
-    let mut core = RecordedCore::take_over(policy(), lead(9), now, inherited()).unwrap();
+    let mut core = RecordedCore::recover(policy(), lead(9), now, recovered()).unwrap();
     let producers = ["wk-800001", "wk-800002"].map(JobId::from).to_vec();
     core.on(now, gpu_job("wk-900001", 4, producers.clone()));
     core.on(now, gpu_job("wk-900002", 4, vec![JobId::from("wk-800003")]));
-    let done = |at_ms| FinalRecord {
+    let done = |at_ms| TerminalRecord {
         phase: JobPhase::Done,
         tasks: 1,
         at_ms,
     };
     let [first, second] = [Some(60_000), Some(80_000)].map(done);
-    let marks = producers.into_iter().zip([Some(first), Some(second)]);
-    let mut marks: Vec<_> = marks.collect();
-    marks.push((JobId::from("wk-800003"), Some(done(None))));
-    core.on(now, Event::MarksRead { marks });
-    let waiting = core.waiting_jobs(now);
-    let limited = &waiting[&WaitReason::TeamLimit];
+    let terminal_records = producers.into_iter().zip([Some(first), Some(second)]);
+    let mut terminal_records: Vec<_> = terminal_records.collect();
+    terminal_records.push((JobId::from("wk-800003"), Some(done(None))));
+    core.on(now, Event::TerminalRecordsRead { terminal_records });
+    let waiting = core.pending_jobs(now);
+    let limited = &waiting[&PendingReason::TeamLimit];
     assert_eq!((limited.jobs, limited.since), (2, Millis(80_000)));
     assert_eq!(limited.oldest, JobId::from("wk-900001"));
 }
--- a/tests/graph.rs
+++ b/tests/graph.rs
@@ -1,8 +1,8 @@
 //! The job graph: release, labels, groups.
 
-use chalklug::coordination::graph::{Graph, JobTraits, Label, Release};
+use chalklug::coordination::jobs::graph::{Graph, JobTraits, Label, Release};
 use chalklug::ids::{JobId, Millis};
-use chalklug::protocol::users::Urgency;
+use chalklug::protocol::users::Priority;
 
 fn id(n: u32) -> JobId {
     JobId::from(format!("wk-{n}").as_str())
@@ -13,14 +13,14 @@
     JobTraits {
         due,
         run: Millis(1000),
-        urgency: Urgency::Low,
+        priority: Priority::Low,
     }
 }
 
 const PLAIN: JobTraits = JobTraits {
     due: None,
     run: Millis(1000),
-    urgency: Urgency::Low,
+    priority: Priority::Low,
 };
 
 #[test]
@@ -81,17 +81,17 @@
     let last = JobTraits {
         due: Some(Millis(9000)),
         run: Millis(500),
-        urgency: Urgency::Urgent,
+        priority: Priority::Urgent,
     };
     g.add(&id(3), &[id(2)], last);
     g.refresh();
-    let seen = |g: &Graph, n| (g.due(&id(n)), g.urgency(&id(n)));
-    assert_eq!(seen(&g, 2), (Some(Millis(8500)), Some(Urgency::Urgent)));
-    assert_eq!(seen(&g, 1), (Some(Millis(7500)), Some(Urgency::Urgent)));
+    let seen = |g: &Graph, n| (g.due(&id(n)), g.priority(&id(n)));
+    assert_eq!(seen(&g, 2), (Some(Millis(8500)), Some(Priority::Urgent)));
+    assert_eq!(seen(&g, 1), (Some(Millis(7500)), Some(Priority::Urgent)));
     g.cancelled(&id(3));
     g.refresh();
-    assert_eq!(seen(&g, 2), (None, Some(Urgency::Low)));
-    assert_eq!(seen(&g, 1), (None, Some(Urgency::Low)));
+    assert_eq!(seen(&g, 2), (None, Some(Priority::Low)));
+    assert_eq!(seen(&g, 1), (None, Some(Priority::Low)));
 }
 
 /// Thousands of jobs in one chain, and before one consumer, are no danger to the stack.
--- a/tests/leadership.rs
+++ b/tests/leadership.rs
@@ -1,6 +1,8 @@
 //! A leader's right to act, and when it hands over.
 
-use chalklug::coordination::leadership::{should_hand_over, silence_bound, Authority, Lapse};
+use chalklug::coordination::leadership::authority::{
+    should_hand_over, silence_bound, Authority, AuthorityLoss,
+};
 use chalklug::ids::Millis;
 use chalklug::settings::{LeaderTimes, Operator, Workers};
 
@@ -107,15 +109,24 @@
 #[test]
 fn the_reason_for_which_authority_ended_is_told() {
     let a = Authority::new(times(), Millis(0));
-    assert_eq!(a.lapse(Millis(3000)), None);
-    assert_eq!(a.lapse(Millis(4000)), Some(Lapse::LeaseOver));
+    assert_eq!(a.authority_loss(Millis(3000)), None);
+    assert_eq!(
+        a.authority_loss(Millis(4000)),
+        Some(AuthorityLoss::LeaseExpired)
+    );
     a.renewed(Millis(19_000));
-    assert_eq!(a.lapse(Millis(19_999)), None);
+    assert_eq!(a.authority_loss(Millis(19_999)), None);
     assert_eq!(a.view_age(Millis(19_999)), Millis(19_999));
-    assert_eq!(a.lapse(Millis(20_000)), Some(Lapse::ViewTooOld));
+    assert_eq!(
+        a.authority_loss(Millis(20_000)),
+        Some(AuthorityLoss::ViewTooOld)
+    );
     a.knows(Millis(18_000));
-    assert_eq!(a.lapse(Millis(20_000)), None);
+    assert_eq!(a.authority_loss(Millis(20_000)), None);
     assert_eq!(a.view_age(Millis(20_000)), Millis(2000));
     a.resign();
-    assert_eq!(a.lapse(Millis(20_000)), Some(Lapse::Resigned));
+    assert_eq!(
+        a.authority_loss(Millis(20_000)),
+        Some(AuthorityLoss::Resigned)
+    );
 }
--- a/tests/production.rs
+++ b/tests/production.rs
@@ -141,17 +141,17 @@
 fn open_jobs_with_and_without_producers() {
     let submission = parse_submission(body().to_string().as_bytes()).expect("a submission");
     for after in [submission.waits_on, Vec::new()] {
-        let record = records::OpenRecord {
+        let record = records::OpenJobRecord {
             spec: submission.spec.clone(),
             at_ms: 5,
             after: after.clone(),
-            edge_pages: 0,
+            dependency_pages: 0,
         };
         let old: OpenRecord = old_reads(&record);
         let names: Vec<String> = after.iter().map(ToString::to_string).collect();
         assert_eq!((old.at_ms, &old.after), (5, &names));
         assert_eq!((old.spec.pieces, old.spec.due_s), (16, Some(900.0)));
-        let back: records::OpenRecord = new_keeps(&old);
+        let back: records::OpenJobRecord = new_keeps(&old);
         assert_eq!((back.spec, back.after), (record.spec, record.after));
     }
 }
@@ -160,14 +160,14 @@
 fn finish_marks() {
     for (phase, name) in [(JobPhase::Done, "done"), (JobPhase::Cancelled, "aborted")] {
         for at_ms in [None, Some(1_700_000_000_000)] {
-            let mark = records::FinalRecord {
+            let mark = records::TerminalRecord {
                 phase,
                 tasks: 16,
                 at_ms,
             };
             let old: FinalRecord = old_reads(&mark);
             assert_eq!((old.phase.as_str(), old.pieces), (name, 16));
-            let back: records::FinalRecord = new_keeps(&old);
+            let back: records::TerminalRecord = new_keeps(&old);
             assert_eq!((back.phase, back.at_ms), (phase, None));
         }
     }
@@ -175,46 +175,46 @@
 
 #[test]
 fn the_leader_key() {
-    let record = records::LeadRecord {
+    let record = records::LeaderRecord {
         host_name: "n0".into(),
-        token: Token(41),
+        token: FencingToken(41),
     };
     let old: LeadRecord = old_reads(&record);
     assert_eq!((old.host_name.as_str(), old.baton), ("n0", 41));
-    let back: records::LeadRecord = new_keeps(&old);
-    assert_eq!(back.token, Token(41));
+    let back: records::LeaderRecord = new_keeps(&old);
+    assert_eq!(back.token, FencingToken(41));
 }
 
 #[test]
 fn pages_of_starts_and_machines() {
     let job = JobId::from("wk-000412");
-    let host = HostId::from("host-000231");
-    let mut page = records::IntentsPage::default();
+    let host = MachineId::from("host-000231");
+    let mut page = records::IntentPage::default();
     let task = TaskId::parse("wk-000412/4").expect("a task");
-    page.add(&host, &task, Attempt(9));
-    let takes = records::JobTakes("vision".into(), 8.0, 1.0, 64.0);
+    page.add(&host, &task, AttemptId(9));
+    let takes = records::JobResources("vision".into(), 8.0, 1.0, 64.0);
     page.jobs.insert(job, takes);
-    page.placed_s.insert(Attempt(9), 1_700_000_000);
+    page.placed_s.insert(AttemptId(9), 1_700_000_000);
     let old: IntentsPage = old_reads(&page);
     assert_eq!(old.starts[&9]["wk-000412"]["host-000231"], [4]);
     assert_eq!(old.placed_s[&9], 1_700_000_000);
-    let back: records::IntentsPage = new_keeps(&old);
-    assert_eq!(back.starts, page.starts);
+    let back: records::IntentPage = new_keeps(&old);
+    assert_eq!(back.attempts, page.attempts);
 
-    let mut machines = records::HostsPage {
+    let mut machines = records::MachinePage {
         kinds: vec![(MachineType::from("g8"), Zone::from("a"), true)],
         images: vec![(Image::from("img-07"), 6.2)],
-        ..records::HostsPage::default()
+        ..records::MachinePage::default()
     };
-    let note = records::HostNote(0, 1_700_000_000, true, vec![0]);
-    machines.hosts.insert(host, note);
+    let note = records::MachineEntry(0, 1_700_000_000, true, vec![0]);
+    machines.machines.insert(host, note);
     let old: HostsPage = old_reads(&machines);
     assert_eq!(
         old.hosts["host-000231"],
         HostNote(0, 1_700_000_000, true, vec![0])
     );
-    let back: records::HostsPage = new_keeps(&old);
-    assert_eq!(back.hosts, machines.hosts);
+    let back: records::MachinePage = new_keeps(&old);
+    assert_eq!(back.machines, machines.machines);
 }
 
 /// The name of a message.
--- a/tests/protocol.rs
+++ b/tests/protocol.rs
@@ -1,11 +1,11 @@
 //! What goes over each wire, in the protocol's own words, and what is made of words not yet known.
 
 use chalklug::ids::*;
-use chalklug::protocol::cloud::{CloudPhase, HostPage};
+use chalklug::protocol::cloud::{CloudPhase, MachineListPage};
 use chalklug::protocol::peers::{PeerReply, PeerRequest};
-use chalklug::protocol::state::{Change, Guard, NewsPage, Txn};
-use chalklug::protocol::users::{parse_submission, Shape, Urgency};
-use chalklug::protocol::workers::{Cause, CheckInReply, Order, Report, TaskPhase};
+use chalklug::protocol::state::{Change, Precondition, Transaction, WatchResponse};
+use chalklug::protocol::users::{parse_submission, Priority, Shape};
+use chalklug::protocol::workers::{Cause, Command, HeartbeatResponse, TaskPhase, WorkerStatus};
 use serde_json::json;
 
 fn submission() -> serde_json::Value {
@@ -19,8 +19,8 @@
     let sent = submission();
     let spec = parse_submission(sent.to_string().as_bytes()).unwrap().spec;
     assert_eq!(
-        (spec.shape, spec.urgency),
-        (Shape::Service, Urgency::Urgent)
+        (spec.shape, spec.priority),
+        (Shape::Service, Priority::Urgent)
     );
     assert_eq!(serde_json::to_value(&spec).unwrap(), sent);
     let mut less = sent.clone();
@@ -33,7 +33,7 @@
         (spec.machine_types, spec.zone, spec.due_s),
         (None, None, None)
     );
-    assert!(Urgency::Low < Urgency::Normal && Urgency::Urgent < Urgency::Production);
+    assert!(Priority::Low < Priority::Normal && Priority::Urgent < Priority::Production);
 }
 
 #[test]
@@ -47,7 +47,7 @@
 
 #[test]
 fn reports_are_read_carefully() {
-    let r: Report = serde_json::from_value(
+    let r: WorkerStatus = serde_json::from_value(
         json!({"host":"host-000231","endpoint":"10.1.0.232:9000","rig":"g8","site":"a",
         "loaners":true,"tenure":1,"tick":88,"baton":41,"recallS":null,"pieces":[
             {"piece":"wk-000412/3","try":2,"phase":"pulling"},
@@ -61,27 +61,27 @@
     assert_eq!(phases[..2], [TaskPhase::Fetching, TaskPhase::Running]);
     assert_eq!(r.tasks[2].cause, Some(Cause::MatesGone));
     assert_eq!(r.tasks[3].cause, Some(Cause::Error));
-    assert!(r.tasks[2].stored && r.token == Token(41));
+    assert!(r.tasks[2].stored && r.token == FencingToken(41));
 }
 
 #[test]
 fn orders_and_transactions_are_written_as_the_protocol_says() {
     let task = TaskId::parse("wk-000377/1").unwrap();
-    let reply = CheckInReply {
-        token: Token(41),
-        orders: vec![
-            Order::Launch {
+    let reply = HeartbeatResponse {
+        token: FencingToken(41),
+        commands: vec![
+            Command::Launch {
                 task: task.clone(),
-                attempt: Attempt(2),
+                attempt_id: AttemptId(2),
             },
-            Order::Stop {
+            Command::Stop {
                 task: task.clone(),
-                attempt: Attempt(1),
+                attempt_id: AttemptId(1),
                 grace_s: 10.0,
             },
-            Order::Clear {
+            Command::Clear {
                 task,
-                attempt: Attempt(1),
+                attempt_id: AttemptId(1),
             },
         ],
     };
@@ -90,12 +90,12 @@
         json!({"baton":41,"orders":[{"verb":"launch","piece":"wk-000377/1","try":2},
             {"verb":"stop","piece":"wk-000377/1","try":1,"windDownS":10.0},{"verb":"clear","piece":"wk-000377/1","try":1}]})
     );
-    let txn = Txn {
-        guards: vec![Guard {
+    let transaction = Transaction {
+        preconditions: vec![Precondition {
             key: "a/b".into(),
-            stamp: Stamp(0),
+            revision: KeyRevision(0),
         }],
-        apply: vec![
+        changes: vec![
             Change::Put {
                 put: "a/b".into(),
                 data: json!(1),
@@ -108,26 +108,26 @@
         ],
     };
     assert_eq!(
-        serde_json::to_value(&txn).unwrap(),
+        serde_json::to_value(&transaction).unwrap(),
         json!({"guards":[{"key":"a/b","stamp":0}],"apply":[{"put":"a/b","data":1,"hold":7},{"put":"e","data":{}},{"delete":"c/d"}]})
     );
 }
 
 #[test]
 fn lists_and_news_are_read() {
-    let page: HostPage = serde_json::from_value(
+    let page: MachineListPage = serde_json::from_value(
         json!({"hosts":[{"ref":"host-000231","endpoint":"x","rig":"g8","site":"a",
         "loaners":true,"phase":"starting","heldS":61.5}],"hasNext":true}),
     )
     .unwrap();
-    assert!(page.more && page.hosts[0].phase == CloudPhase::Starting);
-    let news: NewsPage = serde_json::from_value(
+    assert!(page.more && page.machines[0].phase == CloudPhase::Starting);
+    let events: WatchResponse = serde_json::from_value(
         json!({"epoch":433,"news":[{"put":"c/9","data":{"x":1},"stamp":433},
         {"delete":"c/d","stamp":432}]}),
     )
     .unwrap();
-    assert_eq!(news.news[1].delete.as_deref(), Some("c/d"));
-    assert_eq!(news.news[0].put.as_deref(), Some("c/9"));
+    assert_eq!(events.events[1].delete.as_deref(), Some("c/d"));
+    assert_eq!(events.events[0].put.as_deref(), Some("c/9"));
 }
 
 #[test]
--- a/tests/random/chains.rs
+++ b/tests/random/chains.rs
@@ -62,8 +62,8 @@
         let tasks = self.rng.random_range(1..5).to_string();
         let run = self.rng.random_range(2..20).to_string();
         let team = ["blue", "red"][self.rng.random_range(0..2)];
-        let urgency = ["low", "normal", "urgent"][self.rng.random_range(0..3)];
-        let mut words = vec![name.as_str(), "team", team, "urgency", urgency];
+        let priority = ["low", "normal", "urgent"][self.rng.random_range(0..3)];
+        let mut words = vec![name.as_str(), "team", team, "urgency", priority];
         words.extend(["pieces", &tasks, "run", &run]);
         words.extend(match self.rng.random_range(0..4) {
             0 => vec!["shape", "gang", "together"],
--- a/tests/random/faults.rs
+++ b/tests/random/faults.rs
@@ -117,8 +117,9 @@
                 _ => vec!["together"],
             });
             w.submit(spec(&words), run.parse().unwrap(), Vec::new());
-            let hosts: Vec<HostId> = w.workers.keys().cloned().collect();
-            let pick = (!hosts.is_empty()).then(|| hosts[rng.random_range(0..hosts.len())].clone());
+            let machine_ids: Vec<MachineId> = w.workers.keys().cloned().collect();
+            let pick = (!machine_ids.is_empty())
+                .then(|| machine_ids[rng.random_range(0..machine_ids.len())].clone());
             let until = w.now + Millis(rng.random_range(2_000..30_000));
             match (rng.random_range(0..12), pick) {
                 (0, Some(h)) => w.workers.get_mut(&h).unwrap().hang_until(until),
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -16,9 +16,9 @@
 mod world;
 
 use chalklug::ids::*;
-use chalklug::protocol::state::{Change, Txn};
+use chalklug::protocol::state::{Change, Transaction};
 use chalklug::protocol::users::JobPhase;
-use chalklug::protocol::workers::Order;
+use chalklug::protocol::workers::Command;
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 use world::given::{defaults, given, spec, Words};
@@ -28,19 +28,19 @@
     Millis::from_secs(s.parse().unwrap_or_else(|_| panic!("not a time: {s}")))
 }
 
-fn host(s: &str) -> HostId {
-    HostId::from(format!("host-{:06}", s.parse::<u32>().unwrap()).as_str())
+fn machine_id(s: &str) -> MachineId {
+    MachineId::from(format!("host-{:06}", s.parse::<u32>().unwrap()).as_str())
 }
 
 /// The machine meant: by number, or the first one that a job is on.
-fn machine(w: &World, words: &Words) -> HostId {
+fn machine(w: &World, words: &Words) -> MachineId {
     match words.get("of") {
         Some(job) => w
             .hosts_of(&JobId::from(job))
             .into_iter()
             .next()
             .unwrap_or_else(|| panic!("{job} is on no machine at {:.1} s", w.now.secs())),
-        None => host(words.get("host").expect("host N or of JOB")),
+        None => machine_id(words.get("host").expect("host N or of JOB")),
     }
 }
 
@@ -116,9 +116,9 @@
         "boots-never" => w.boot_never = rest[0].parse().unwrap(),
         // What follows the service never does: it shows that the checker sees it.
         "rogue-launch" => {
-            let order = Order::Launch {
+            let order = Command::Launch {
                 task: TaskId::parse(rest[0]).unwrap(),
-                attempt: Attempt(1 << 50),
+                attempt_id: AttemptId(1 << 50),
             };
             let h = match words.get("not-of") {
                 Some(job) => {
@@ -146,37 +146,40 @@
         .get(&id)
         .cloned()
         .unwrap_or_else(|| spec(&[id.as_str()]));
-    use chalklug::storage::records::{final_key, open_key, FinalRecord, OpenRecord};
+    use chalklug::storage::records::{open_key, terminal_key, OpenJobRecord, TerminalRecord};
     let delete = |key| Change::Delete { delete: key };
-    let apply = match verb {
-        "rogue-delete" => vec![delete(open_key(&id)), delete(final_key(&id))],
+    let changes = match verb {
+        "rogue-delete" => vec![delete(open_key(&id)), delete(terminal_key(&id))],
         "rogue-done" => {
-            let mark = FinalRecord {
+            let terminal_record = TerminalRecord {
                 phase: JobPhase::Done,
                 tasks: spec.tasks,
                 at_ms: None,
             };
             vec![
                 delete(open_key(&id)),
-                Change::put(final_key(&id), serde_json::to_value(mark).unwrap()),
+                Change::put(
+                    terminal_key(&id),
+                    serde_json::to_value(terminal_record).unwrap(),
+                ),
             ]
         }
         _ => {
-            let open = OpenRecord {
+            let open = OpenJobRecord {
                 spec,
                 at_ms: 0,
                 after: Vec::new(),
-                edge_pages: 0,
+                dependency_pages: 0,
             };
             vec![
-                delete(final_key(&id)),
+                delete(terminal_key(&id)),
                 Change::put(open_key(&id), serde_json::to_value(open).unwrap()),
             ]
         }
     };
-    w.store.apply(&Txn {
-        guards: Vec::new(),
-        apply,
+    w.store.apply(&Transaction {
+        preconditions: Vec::new(),
+        changes,
     });
 }
 
@@ -209,12 +212,12 @@
         }
         "starts" => {
             let task = TaskId::parse(rest[1]).unwrap();
-            let n = w.checker.starts.get(&task).copied().unwrap_or(0);
+            let n = w.checker.attempts.get(&task).copied().unwrap_or(0);
             assert_eq!(n.to_string(), rest[2], "{file}: starts of {task}");
         }
         "tries" => {
             let of = |(p, _): &(&TaskId, &u32)| p.job == job();
-            let n: u32 = w.checker.starts.iter().filter(of).map(|(_, n)| n).sum();
+            let n: u32 = w.checker.attempts.iter().filter(of).map(|(_, n)| n).sum();
             let most = words.num("most", 1e9);
             assert!(f64::from(n) <= most, "{file}: {n} starts of {}", rest[1]);
         }
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -8,6 +8,6 @@
         let s = Sockets::divide(most, siblings, 64);
         assert!(s.sum(siblings) <= most, "{most}: {s:?}");
         assert!(s.front > most / 2, "{most}: {s:?}");
-        assert!(s.direct >= 4 && s.siblings_in >= siblings);
+        assert!(s.pushes >= 4 && s.siblings_in >= siblings);
     }
 }
--- a/tests/stale_knowledge.rs
+++ b/tests/stale_knowledge.rs
@@ -10,21 +10,21 @@
 #[path = "support/wire_digest.rs"]
 mod wire_digest;
 
-use chalklug::coordination::recovery::Inheritance;
-use chalklug::coordination::worker_sessions::CheckInAnswer;
+use chalklug::coordination::attempts::reconciliation::HeartbeatOutcome;
+use chalklug::coordination::leadership::recovery::RecoveredState;
 use chalklug::coordination::{Effect, Event};
 use chalklug::ids::*;
-use chalklug::protocol::state::{Change, Item};
+use chalklug::protocol::state::{Change, KeyValue};
 use chalklug::protocol::users::parse_submission;
-use chalklug::protocol::workers::{Cause, Order, Report, TaskPhase, TaskReport};
+use chalklug::protocol::workers::{Cause, Command, TaskPhase, TaskStatus, WorkerStatus};
 use chalklug::storage::records::*;
 use leader::{lead, policy};
 use machine_type::machine_type;
 use recorded_core::RecordedCore;
 
 const FORMER_TOKEN: u64 = 8;
-const TOKEN: u64 = 9;
-const ATTEMPT: Attempt = Attempt(7);
+const CURRENT_TOKEN: u64 = 9;
+const ATTEMPT: AttemptId = AttemptId(7);
 const BEGAN: Millis = Millis(1000);
 
 fn job(n: u32) -> JobId {
@@ -35,88 +35,90 @@
     TaskId::parse(&format!("wk-{n}/0")).unwrap()
 }
 
-fn host() -> HostId {
-    HostId::from("host-000001")
+fn machine_id() -> MachineId {
+    MachineId::from("host-000001")
 }
 
 /// The open record of a job of one task.
-fn record(n: u32, after: &[u32]) -> OpenRecord {
+fn record(n: u32, after: &[u32]) -> OpenJobRecord {
     let body = serde_json::json!({"ref": job(n).as_str(), "jobclass": "c", "crew": "blue",
         "shape": "array", "urgency": "normal", "pieces": 1, "cpus": 1, "gpus": 1, "ramGb": 1,
         "bundle": "i", "pullGb": 1, "together": false, "scatter": false, "loaners": false,
         "guessS": 50, "markEveryS": 0, "markCostS": 0});
-    OpenRecord {
+    OpenJobRecord {
         spec: parse_submission(body.to_string().as_bytes()).unwrap().spec,
         at_ms: 0,
         after: after.iter().map(|n| job(*n)).collect(),
-        edge_pages: 0,
+        dependency_pages: 0,
     }
 }
 
-fn item<T: serde::Serialize>(key: String, data: &T) -> Item {
-    Item {
+fn item<T: serde::Serialize>(key: String, data: &T) -> KeyValue {
+    KeyValue {
         key,
         data: serde_json::to_value(data).unwrap(),
-        stamp: Stamp(1),
+        revision: KeyRevision(1),
         lease: None,
     }
 }
 
 /// A new leader that finds these jobs open, and job 1 on record as running on the machine.
-fn leader(open: &[OpenRecord]) -> RecordedCore {
-    let mut machines = HostsPage {
+fn leader(open: &[OpenJobRecord]) -> RecordedCore {
+    let mut machines = MachinePage {
         kinds: vec![(MachineType::from("box"), Zone::from("a"), false)],
-        ..HostsPage::default()
+        ..MachinePage::default()
     };
-    machines.hosts.insert(host(), HostNote(0, 0, true, vec![]));
-    let mut starts = IntentsPage::default();
-    starts.add(&host(), &task(1), ATTEMPT);
-    starts
+    machines
+        .machines
+        .insert(machine_id(), MachineEntry(0, 0, true, vec![]));
+    let mut attempts = IntentPage::default();
+    attempts.add(&machine_id(), &task(1), ATTEMPT);
+    attempts
         .jobs
-        .insert(job(1), JobTakes::of(&record(1, &[]).spec));
-    let found = Inheritance {
+        .insert(job(1), JobResources::of(&record(1, &[]).spec));
+    let found = RecoveredState {
         open: open
             .iter()
-            .map(|r| (r.clone(), Stamp(1), Millis(0)))
+            .map(|r| (r.clone(), KeyRevision(1), Millis(0)))
             .collect(),
-        hosts: vec![item(hosts_key(PageNo(0)), &machines)],
-        intents: vec![item(intents_key(PageNo(0)), &starts)],
+        machine_pages: vec![item(machine_page_key(PageNumber(0)), &machines)],
+        intents: vec![item(intent_page_key(PageNumber(0)), &attempts)],
         machine_types: vec![machine_type(8.0)],
-        ..Inheritance::default()
+        ..RecoveredState::default()
     };
-    RecordedCore::take_over(policy(64.0, 10), lead(TOKEN), BEGAN, found).unwrap()
+    RecordedCore::recover(policy(64.0, 10), lead(CURRENT_TOKEN), BEGAN, found).unwrap()
 }
 
 /// A report with job 1 in that phase; None: the machine is empty.
-fn report(tick: u64, token: u64, phase: Option<TaskPhase>) -> Report {
-    let listed = phase.map(|phase| TaskReport {
+fn report(tick: u64, token: u64, phase: Option<TaskPhase>) -> WorkerStatus {
+    let listed = phase.map(|phase| TaskStatus {
         task: task(1),
-        attempt: ATTEMPT,
+        attempt_id: ATTEMPT,
         phase,
         cause: (phase == TaskPhase::Ended).then_some(Cause::Done),
         stored: false,
     });
-    Report {
-        host: host(),
+    WorkerStatus {
+        machine_id: machine_id(),
         endpoint: "10.1.0.1:9000".into(),
         machine_type: MachineType::from("box"),
         zone: Zone::from("a"),
         spot: false,
         session: Session(1),
         tick: Tick(tick),
-        token: Token(token),
+        token: FencingToken(token),
         recall_s: None,
         tasks: listed.into_iter().collect(),
     }
 }
 
 /// Whether the answer, which renews the machine's lease, says that job 1 is to stop.
-fn stops(answer: &CheckInAnswer) -> bool {
-    let CheckInAnswer::Orders(orders) = answer else {
+fn stops(answer: &HeartbeatOutcome) -> bool {
+    let HeartbeatOutcome::Commands(commands) = answer else {
         panic!("the report is answered: {answer:?}");
     };
-    let stop = |o: &Order| matches!(o, Order::Stop { task: t, grace_s, .. } if *t == task(1) && *grace_s == 0.0);
-    orders.iter().any(stop)
+    let stop = |o: &Command| matches!(o, Command::Stop { task: t, grace_s, .. } if *t == task(1) && *grace_s == 0.0);
+    commands.iter().any(stop)
 }
 
 /// Steps for so long, with every write carried out; what was written.
@@ -125,10 +127,16 @@
     for ms in (0..for_ms).step_by(100) {
         let now = from + Millis(ms);
         for effect in core.step(now) {
-            if let Effect::Write { seq, txn } = effect {
-                written.extend(txn.apply);
-                let epoch = Epoch(100 + seq);
-                core.on(now, Event::Written { seq, epoch });
+            if let Effect::Write { seq, transaction } = effect {
+                written.extend(transaction.changes);
+                let store_revision = StoreRevision(100 + seq);
+                core.on(
+                    now,
+                    Event::Written {
+                        seq,
+                        store_revision,
+                    },
+                );
             }
         }
     }
@@ -141,7 +149,7 @@
 fn a_new_leaders_first_answer_stops_tasks_of_jobs_that_are_over() {
     let mut core = leader(&[]);
     let first = report(1, FORMER_TOKEN, Some(TaskPhase::Running));
-    assert!(stops(&core.check_in(BEGAN, &first)));
+    assert!(stops(&core.heartbeat(BEGAN, &first)));
 }
 
 /// Guards against the time between a cancellation that the leader has learnt of and its next step: with the
@@ -150,45 +158,53 @@
 fn an_answer_between_a_cancellation_and_the_next_step_stops_the_task() {
     let mut core = leader(&[record(1, &[])]);
     let first = report(1, FORMER_TOKEN, Some(TaskPhase::Running));
-    assert!(!stops(&core.check_in(BEGAN, &first)));
+    assert!(!stops(&core.heartbeat(BEGAN, &first)));
     settle(&mut core, BEGAN, 300);
     let now = BEGAN + Millis(300);
     core.on(now, Event::JobClosed { id: job(1) });
-    let second = report(2, TOKEN, Some(TaskPhase::Running));
-    assert!(stops(&core.check_in(now, &second)));
+    let second = report(2, CURRENT_TOKEN, Some(TaskPhase::Running));
+    assert!(stops(&core.heartbeat(now, &second)));
     // One that a direct answer has overtaken renews the lease all the same.
-    let direct_answer = Event::DirectAnswered {
-        host: host(),
+    let direct_answer = Event::PushAnswered {
+        machine_id: machine_id(),
         seq: 0,
-        report: Box::new(report(4, TOKEN, Some(TaskPhase::Running))),
+        status: Box::new(report(4, CURRENT_TOKEN, Some(TaskPhase::Running))),
     };
     core.on(now, direct_answer);
-    let overtaken = report(3, TOKEN, Some(TaskPhase::Running));
-    assert!(stops(&core.check_in(now, &overtaken)));
+    let overtaken = report(3, CURRENT_TOKEN, Some(TaskPhase::Running));
+    assert!(stops(&core.heartbeat(now, &overtaken)));
 }
 
 /// Guards against a direct command that was decided before a cancellation and leaves after it.
 #[test]
 fn a_command_leaves_without_launches_of_jobs_that_closed_meanwhile() {
     let mut core = leader(&[record(1, &[]), record(2, &[])]);
-    core.check_in(BEGAN, &report(1, TOKEN, Some(TaskPhase::Running)));
+    core.heartbeat(BEGAN, &report(1, CURRENT_TOKEN, Some(TaskPhase::Running)));
     let mut commands = Vec::new();
     for ms in (0..3_000).step_by(100) {
         let now = BEGAN + Millis(ms);
         for effect in core.step(now) {
             match effect {
                 Effect::Write { seq, .. } => {
-                    let epoch = Epoch(100 + seq);
-                    core.on(now, Event::Written { seq, epoch });
+                    let store_revision = StoreRevision(100 + seq);
+                    core.on(
+                        now,
+                        Event::Written {
+                            seq,
+                            store_revision,
+                        },
+                    );
                 }
-                Effect::Direct { orders, .. } => commands.push(orders),
+                Effect::Push {
+                    commands: pushed, ..
+                } => commands.push(pushed),
                 _ => {}
             }
         }
     }
-    let launch = Order::Launch {
+    let launch = Command::Launch {
         task: task(2),
-        attempt: Attempt((TOKEN << 32) | 1),
+        attempt_id: AttemptId((CURRENT_TOKEN << 32) | 1),
     };
     assert_eq!(commands, [vec![launch.clone()]]);
     assert_eq!(core.still_wanted(commands[0].clone()), [launch]);
@@ -203,24 +219,24 @@
 #[test]
 fn changes_that_come_twice_cancel_nobody() {
     let mut core = leader(&[record(1, &[]), record(2, &[1])]);
-    core.check_in(BEGAN, &report(1, TOKEN, Some(TaskPhase::Running)));
-    core.check_in(BEGAN, &report(2, TOKEN, Some(TaskPhase::Ended)));
+    core.heartbeat(BEGAN, &report(1, CURRENT_TOKEN, Some(TaskPhase::Running)));
+    core.heartbeat(BEGAN, &report(2, CURRENT_TOKEN, Some(TaskPhase::Ended)));
     let written = settle(&mut core, BEGAN, 3_000);
-    let finishes = |c: &Change| c.key() == final_key(&job(1));
+    let finishes = |c: &Change| c.key() == terminal_key(&job(1));
     assert!(written.iter().any(finishes), "job 1 is done: {written:?}");
     // Cleared from its machine, job 1 is forgotten.
     let now = BEGAN + Millis(3_000);
-    core.check_in(now, &report(3, TOKEN, None));
+    core.heartbeat(now, &report(3, CURRENT_TOKEN, None));
     settle(&mut core, now, 3_000);
     let now = now + Millis(3_000);
     let again = Event::JobOpened {
         record: Box::new(record(1, &[])),
-        stamp: Stamp(1),
+        revision: KeyRevision(1),
         submitted: Millis(0),
     };
     core.on(now, again);
     core.on(now, Event::JobClosed { id: job(1) });
     let written = settle(&mut core, now, 5_000);
-    let of_consumer = |c: &Change| c.key() == final_key(&job(2));
+    let of_consumer = |c: &Change| c.key() == terminal_key(&job(2));
     assert!(!written.iter().any(of_consumer), "{written:?}");
 }
--- a/tests/support/leader.rs
+++ b/tests/support/leader.rs
@@ -1,13 +1,13 @@
 //! A leader's settings and leadership, for tests of the core alone.
 
-use chalklug::coordination::leadership::Lead;
+use chalklug::coordination::leadership::authority::LeadershipTerm;
 use chalklug::coordination::Policy;
-use chalklug::ids::{LeaseId, Stamp, Token};
+use chalklug::ids::{FencingToken, KeyRevision, LeaseId};
 use chalklug::settings::Operator;
 use std::sync::Arc;
 
 /// One team with so many GPUs guaranteed, and at most twice as many; so many direct commands at once.
-pub fn policy(gpus: f64, most_direct: usize) -> Arc<Policy> {
+pub fn policy(gpus: f64, max_pushes: usize) -> Arc<Policy> {
     let text = format!(
         r#"
         teams = [{{ name = "blue", gpus = {gpus:.1}, gpus_max = {:.1} }}]
@@ -21,17 +21,17 @@
     Arc::new(Policy {
         facts: toml::from_str(&text).unwrap(),
         operator: Operator::default(),
-        most_direct,
+        max_pushes,
     })
 }
 
 /// A leadership with that token.
-pub fn lead(token: u64) -> Lead {
-    Lead {
-        token: Token(token),
-        first: Token(token),
-        stamp: Stamp(2),
-        token_stamp: Stamp(2),
+pub fn lead(token: u64) -> LeadershipTerm {
+    LeadershipTerm {
+        token: FencingToken(token),
+        first: FencingToken(token),
+        revision: KeyRevision(2),
+        token_stamp: KeyRevision(2),
         lease: LeaseId(1),
         host_name: "n".into(),
     }
--- a/tests/support/recorded_core.rs
+++ b/tests/support/recorded_core.rs
@@ -1,30 +1,30 @@
 //! The decision core with a digest of all that it sends, for tests of the core alone.
 
 use super::wire_digest::WireDigest;
-use chalklug::coordination::leadership::Lead;
-use chalklug::coordination::recovery::{Inheritance, Unreadable};
-use chalklug::coordination::worker_sessions::CheckInAnswer;
-use chalklug::coordination::{Core, Effect, Policy};
+use chalklug::coordination::attempts::reconciliation::HeartbeatOutcome;
+use chalklug::coordination::leadership::authority::LeadershipTerm;
+use chalklug::coordination::leadership::recovery::{RecoveredState, UnreadableRecord};
+use chalklug::coordination::{Effect, Policy, Scheduler};
 use chalklug::ids::Millis;
-use chalklug::protocol::workers::Report;
+use chalklug::protocol::workers::WorkerStatus;
 use std::ops::{Deref, DerefMut};
 use std::sync::Arc;
 
 /// A core whose steps and answers go into a digest.
 pub struct RecordedCore {
-    core: Core,
+    core: Scheduler,
     digest: WireDigest,
 }
 
 impl RecordedCore {
-    /// Takes over as `Core::take_over` does.
-    pub fn take_over(
+    /// Takes over as `Scheduler::recover` does.
+    pub fn recover(
         policy: Arc<Policy>,
-        lead: Lead,
+        lead: LeadershipTerm,
         now: Millis,
-        found: Inheritance,
-    ) -> Result<RecordedCore, Unreadable> {
-        let core = Core::take_over(policy, lead, now, found)?;
+        found: RecoveredState,
+    ) -> Result<RecordedCore, UnreadableRecord> {
+        let core = Scheduler::recover(policy, lead, now, found)?;
         Ok(RecordedCore {
             core,
             digest: WireDigest::new(),
@@ -39,8 +39,9 @@
     }
 
     /// A worker's check-in.
-    pub fn check_in(&mut self, now: Millis, report: &Report) -> CheckInAnswer {
-        let answer = self.core.check_in(now, report);
+    #[allow(dead_code, reason = "not every test binary has workers")]
+    pub fn heartbeat(&mut self, now: Millis, report: &WorkerStatus) -> HeartbeatOutcome {
+        let answer = self.core.heartbeat(now, report);
         let token = self.core.token();
         self.digest.check_in_answer(now, token, &answer);
         answer
@@ -48,14 +49,14 @@
 }
 
 impl Deref for RecordedCore {
-    type Target = Core;
-    fn deref(&self) -> &Core {
+    type Target = Scheduler;
+    fn deref(&self) -> &Scheduler {
         &self.core
     }
 }
 
 impl DerefMut for RecordedCore {
-    fn deref_mut(&mut self) -> &mut Core {
+    fn deref_mut(&mut self) -> &mut Scheduler {
         &mut self.core
     }
 }
--- a/tests/support/wire_digest.rs
+++ b/tests/support/wire_digest.rs
@@ -1,12 +1,12 @@
 //! Digests of all that a leader sends: two versions of the decision core that behave alike give the
 //! same ones. Off unless `WIRE_DIGESTS` names a file, see `tests/scenarios/README.md`.
 
-use chalklug::coordination::worker_sessions::CheckInAnswer;
+use chalklug::coordination::attempts::reconciliation::HeartbeatOutcome;
 use chalklug::coordination::Effect;
-use chalklug::ids::{Millis, Token};
+use chalklug::ids::{FencingToken, Millis};
 use chalklug::protocol::cloud::{RentRequest, ReturnRequest};
-use chalklug::protocol::workers::{CheckInReply, Commands};
-use chalklug::storage::records::final_key;
+use chalklug::protocol::workers::{CommandBatch, HeartbeatResponse};
+use chalklug::storage::records::terminal_key;
 use sha2::{Digest, Sha256};
 use std::cell::Cell;
 use std::io::Write;
@@ -55,48 +55,48 @@
     }
 
     /// The answer to a worker's check-in.
-    pub fn check_in_answer(&mut self, now: Millis, token: Token, answer: &CheckInAnswer) {
+    pub fn check_in_answer(&mut self, now: Millis, token: FencingToken, answer: &HeartbeatOutcome) {
         match answer {
-            CheckInAnswer::Orders(orders) => {
-                let orders = orders.clone();
-                self.message(now, "answer", &CheckInReply { token, orders });
+            HeartbeatOutcome::Commands(commands) => {
+                let commands = commands.clone();
+                self.message(now, "answer", &HeartbeatResponse { token, commands });
             }
-            CheckInAnswer::Refuse => self.message(now, "refusal", &()),
+            HeartbeatOutcome::Refused => self.message(now, "refusal", &()),
         }
     }
 
     fn effect(&mut self, now: Millis, effect: &Effect) {
         match effect {
-            Effect::Write { txn, .. } => self.message(now, "transaction", txn),
+            Effect::Write { transaction, .. } => self.message(now, "transaction", transaction),
             Effect::Reread { keys, .. } => self.message(now, "read", keys),
-            Effect::ReadMarks { ids } => {
-                let keys: Vec<String> = ids.iter().map(final_key).collect();
+            Effect::ReadTerminalRecords { ids } => {
+                let keys: Vec<String> = ids.iter().map(terminal_key).collect();
                 self.message(now, "read", &keys);
             }
-            Effect::Direct {
-                host,
+            Effect::Push {
+                machine_id,
                 endpoint,
                 token,
                 session,
-                orders,
+                commands,
                 ..
             } => {
-                let commands = Commands {
+                let commands = CommandBatch {
                     token: *token,
                     session: *session,
-                    orders: orders.clone(),
+                    commands: commands.clone(),
                 };
-                self.message(now, "commands", &(host, endpoint, commands));
+                self.message(now, "commands", &(machine_id, endpoint, commands));
             }
-            Effect::Rent {
-                hire,
+            Effect::ScaleOut {
+                idempotency_key,
                 machine_type,
                 zone,
                 spot,
                 count,
             } => {
                 let request = RentRequest {
-                    hire: hire.clone(),
+                    idempotency_key: idempotency_key.clone(),
                     machine_type: machine_type.clone(),
                     zone: zone.clone(),
                     spot: *spot,
@@ -104,9 +104,9 @@
                 };
                 self.message(now, "rental", &request);
             }
-            Effect::Return { hosts } => {
-                let hosts = hosts.clone();
-                self.message(now, "return", &ReturnRequest { hosts });
+            Effect::ScaleIn { machine_ids } => {
+                let machine_ids = machine_ids.clone();
+                self.message(now, "return", &ReturnRequest { machine_ids });
             }
             Effect::StepDown { .. } => self.message(now, "step down", &()),
         }
