--- a/tests/upgrade/repacking.rs
+++ b/tests/upgrade/repacking.rs
@@ -4,11 +4,11 @@
 use super::machine_type::machine_type;
 use super::recorded_core::RecordedCore;
 use super::world::store::Store;
-use chalklug::coordination::leadership::Lead;
-use chalklug::coordination::recovery::Inheritance;
+use chalklug::coordination::leadership::authority::LeadershipTerm;
+use chalklug::coordination::leadership::recovery::RecoveredState;
 use chalklug::coordination::{Effect, Event, Policy};
 use chalklug::ids::*;
-use chalklug::protocol::state::{Change, Txn};
+use chalklug::protocol::state::{Change, Transaction};
 use chalklug::protocol::users::parse_submission;
 use chalklug::settings::Operator;
 use chalklug::storage::records::*;
@@ -39,95 +39,106 @@
     Arc::new(Policy {
         facts,
         operator: Operator::default(),
-        most_direct: 100,
+        max_pushes: 100,
     })
 }
 
-fn host(n: u32) -> HostId {
-    HostId::from(format!("host-{n:06}").as_str())
+fn machine_id(n: u32) -> MachineId {
+    MachineId::from(format!("host-{n:06}").as_str())
 }
 
 /// Pages as a leader with room for 8 KiB leaves them, without images.
 fn large_pages() -> Store {
     let mut store = Store::default();
     for first in (0..MACHINES).step_by(MACHINES_A_PAGE as usize) {
-        let mut page = HostsPage {
+        let mut page = MachinePage {
             kinds: vec![(MachineType::from("box"), Zone::from("a"), false)],
-            ..HostsPage::default()
+            ..MachinePage::default()
         };
         for n in first..(first + MACHINES_A_PAGE).min(MACHINES) {
-            let note = HostNote(0, 1_700_000_000, true, vec![]);
-            page.hosts.insert(host(n), note);
+            let note = MachineEntry(0, 1_700_000_000, true, vec![]);
+            page.machines.insert(machine_id(n), note);
         }
-        let key = hosts_key(PageNo(first / MACHINES_A_PAGE));
+        let key = machine_page_key(PageNumber(first / MACHINES_A_PAGE));
         let data = serde_json::to_value(&page).expect("a page");
-        let apply = vec![Change::put(key, data)];
-        let guards = Vec::new();
-        store.apply(&Txn { guards, apply }).expect("no guard");
+        let changes = vec![Change::put(key, data)];
+        let preconditions = Vec::new();
+        store
+            .apply(&Transaction {
+                preconditions,
+                changes,
+            })
+            .expect("no guard");
     }
     store
 }
 
-fn take_over(store: &Store, now: Millis, token: u64, next: &str) -> RecordedCore {
-    let lead = Lead {
-        token: Token(token),
-        first: Token(token),
-        stamp: Stamp(0),
-        token_stamp: Stamp(0),
+fn recover(store: &Store, now: Millis, token: u64, next: &str) -> RecordedCore {
+    let lead = LeadershipTerm {
+        token: FencingToken(token),
+        first: FencingToken(token),
+        revision: KeyRevision(0),
+        token_stamp: KeyRevision(0),
         lease: LeaseId(1),
         host_name: "controller-1".into(),
     };
-    let found = Inheritance {
-        hosts: store.list(HOSTS),
-        intents: store.list(INTENTS),
+    let found = RecoveredState {
+        machine_pages: store.list(MACHINE_PAGE_PREFIX),
+        intents: store.list(INTENT_PAGE_PREFIX),
         machine_types: vec![machine_type(8.0)],
         day_ms: 1_700_000_000_000,
-        ..Inheritance::default()
+        ..RecoveredState::default()
     };
-    RecordedCore::take_over(policy(next), lead, now, found).expect("all pages can be read")
+    RecordedCore::recover(policy(next), lead, now, found).expect("all pages can be read")
 }
 
 /// Machines on any page, and how often each is listed.
-fn listed(store: &Store) -> Vec<HostId> {
-    let pages = store.list(HOSTS).into_iter();
-    let pages = pages.map(|i| serde_json::from_value::<HostsPage>(i.data).expect("a page"));
-    pages.flat_map(|p| p.hosts.into_keys()).collect()
+fn listed(store: &Store) -> Vec<MachineId> {
+    let pages = store.list(MACHINE_PAGE_PREFIX).into_iter();
+    let pages = pages.map(|i| serde_json::from_value::<MachinePage>(i.data).expect("a page"));
+    pages.flat_map(|p| p.machines.into_keys()).collect()
 }
 
 fn sizes(store: &Store) -> Vec<usize> {
-    let pages = store.list(HOSTS);
+    let pages = store.list(MACHINE_PAGE_PREFIX);
     pages.iter().map(|i| i.data.to_string().len()).collect()
 }
 
 /// Whether the state service takes a transaction under its new limits.
-fn taken(txn: &Txn) -> bool {
+fn taken(transaction: &Transaction) -> bool {
     let large = |change: &Change| match change {
         Change::Put { data, .. } => data.to_string().len() > VALUE_BYTES,
         Change::Delete { .. } => false,
     };
-    txn.apply.len() <= TXN_OPS && !txn.apply.iter().any(large)
+    transaction.changes.len() <= TXN_OPS && !transaction.changes.iter().any(large)
 }
 
 /// Lets the core write for so long; after each transaction every machine must be listed. Says how many
 /// transactions the service has refused for their size.
 fn write_for(core: &mut RecordedCore, store: &mut Store, now: &mut Millis, span: Millis) -> usize {
-    let all: BTreeSet<HostId> = (0..MACHINES).map(host).collect();
+    let all: BTreeSet<MachineId> = (0..MACHINES).map(machine_id).collect();
     let end = *now + span;
     let mut rejected = 0;
     while *now < end {
         *now = *now + Millis(100);
         for effect in core.step(*now) {
-            let Effect::Write { seq, txn } = effect else {
+            let Effect::Write { seq, transaction } = effect else {
                 continue;
             };
-            if !taken(&txn) {
+            if !taken(&transaction) {
                 rejected += 1;
                 core.on(*now, Event::WriteRejected { seq });
                 continue;
             }
-            let epoch = store.apply(&txn).expect("nobody else writes");
-            core.on(*now, Event::Written { seq, epoch });
-            let on_some_page: BTreeSet<HostId> = listed(store).into_iter().collect();
+            let store_revision = store.apply(&transaction).expect("nobody else writes");
+            core.on(
+                *now,
+                Event::Written {
+                    seq,
+                    store_revision,
+                },
+            );
+            let on_some_page: BTreeSet<MachineId> = listed(store).into_iter().collect();
             assert_eq!(on_some_page, all, "a machine is on no page");
         }
     }
@@ -139,7 +150,7 @@
     let mut store = large_pages();
     assert!(sizes(&store).iter().any(|bytes| *bytes > VALUE_BYTES));
     let mut now = Millis(1_000);
-    let mut core = take_over(&store, now, 5, ANNOUNCED);
+    let mut core = recover(&store, now, 5, ANNOUNCED);
     let rejected = write_for(&mut core, &mut store, &mut now, Millis(60_000));
     assert_eq!(
         rejected, 0,
@@ -156,12 +167,12 @@
         let mut store = large_pages();
         let mut now = Millis(1_000);
         for token in 5..9 {
-            let mut core = take_over(&store, now, token, ANNOUNCED);
+            let mut core = recover(&store, now, token, ANNOUNCED);
             assert_eq!(core.machines_up(), MACHINES as usize);
             let rejected = write_for(&mut core, &mut store, &mut now, Millis(stage_ms));
             assert_eq!(rejected, 0);
         }
-        let mut core = take_over(&store, now, 9, ANNOUNCED);
+        let mut core = recover(&store, now, 9, ANNOUNCED);
         write_for(&mut core, &mut store, &mut now, Millis(90_000));
         assert!(sizes(&store).iter().all(|bytes| *bytes <= VALUE_BYTES));
         assert_eq!(listed(&store).len(), MACHINES as usize, "stage {stage_ms}");
@@ -178,15 +189,15 @@
         let spec = parse_submission(body.to_string().as_bytes())
             .expect("a job")
             .spec;
-        let record = OpenRecord {
+        let record = OpenJobRecord {
             spec,
             at_ms: 0,
             after: vec![JobId::from("wk-900")],
-            edge_pages: 0,
+            dependency_pages: 0,
         };
         let opened = Event::JobOpened {
             record: Box::new(record),
-            stamp: Stamp(0),
+            revision: KeyRevision(0),
             submitted: now,
         };
         core.on(now, opened);
@@ -199,15 +210,19 @@
 fn limits_lowered_without_notice_are_found() {
     let mut store = large_pages();
     let mut now = Millis(1_000);
-    let mut core = take_over(&store, now, 5, "");
+    let mut core = recover(&store, now, 5, "");
     // Jobs enough for transactions of many operations.
     open_consumers(&mut core, now, 40);
     // All of them are to be cancelled with the one that they need.
-    let marks = vec![(JobId::from("wk-900"), Some(FinalRecord::cancelled(1)))];
-    core.on(now, Event::MarksRead { marks });
+    let terminal_records = vec![(JobId::from("wk-900"), Some(TerminalRecord::cancelled(1)))];
+    core.on(now, Event::TerminalRecordsRead { terminal_records });
     let rejected = write_for(&mut core, &mut store, &mut now, Millis(120_000));
     assert!((1..=12).contains(&rejected), "{rejected} refused");
-    assert_eq!(store.list(FINAL).len(), 40, "all marks are written");
+    assert_eq!(
+        store.list(TERMINAL_PREFIX).len(),
+        40,
+        "all marks are written"
+    );
 }
 
 /// The service has had too many changes: the leader writes nothing for as long as it is told, and then first
@@ -216,10 +231,10 @@
 fn a_limited_rate_delays_what_may_wait() {
     let store = large_pages();
     let mut now = Millis(1_000);
-    let mut core = take_over(&store, now, 5, ANNOUNCED);
+    let mut core = recover(&store, now, 5, ANNOUNCED);
     open_consumers(&mut core, now, 1);
-    let marks = vec![(JobId::from("wk-900"), Some(FinalRecord::cancelled(1)))];
-    core.on(now, Event::MarksRead { marks });
+    let terminal_records = vec![(JobId::from("wk-900"), Some(TerminalRecord::cancelled(1)))];
+    core.on(now, Event::TerminalRecordsRead { terminal_records });
     let pause = Millis(250);
     let mut refused_at = Vec::new();
     let first = loop {
@@ -229,10 +244,10 @@
             .step(now)
             .into_iter()
             .filter_map(|effect| match effect {
-                Effect::Write { seq, txn } => Some((seq, txn)),
+                Effect::Write { seq, transaction } => Some((seq, transaction)),
                 _ => None,
             });
-        let Some((seq, txn)) = writes.last() else {
+        let Some((seq, transaction)) = writes.last() else {
             continue;
         };
         if refused_at.last().is_some_and(|t| now - *t < pause) {
@@ -242,17 +257,21 @@
             );
         }
         if refused_at.len() == 3 {
-            break txn;
+            break transaction;
         }
         refused_at.push(now);
         core.on(now, Event::WriteLimited { seq, pause });
     };
     let of = |prefix: &str| {
         first
-            .apply
+            .changes
             .iter()
             .filter(|c| c.key().starts_with(prefix))
             .count()
     };
-    assert_eq!((of(FINAL), of(HOSTS)), (1, 0), "{first:?}");
+    assert_eq!(
+        (of(TERMINAL_PREFIX), of(MACHINE_PAGE_PREFIX)),
+        (1, 0),
+        "{first:?}"
+    );
 }
--- a/tests/world/checker.rs
+++ b/tests/world/checker.rs
@@ -17,8 +17,8 @@
     done: BTreeMap<JobId, BTreeSet<u32>>,
     told: BTreeMap<JobId, JobPhase>,
     /// What was on which machine when last looked at.
-    on: BTreeSet<(TaskId, HostId, u64, Attempt)>,
-    pub starts: BTreeMap<TaskId, u32>,
+    on: BTreeSet<(TaskId, MachineId, u64, AttemptId)>,
+    pub attempts: BTreeMap<TaskId, u32>,
     pub broken: BTreeSet<String>,
     pub first: Option<String>,
     /// A job that nobody submits.
@@ -53,7 +53,7 @@
             done: BTreeMap::new(),
             told: BTreeMap::new(),
             on: BTreeSet::new(),
-            starts: BTreeMap::new(),
+            attempts: BTreeMap::new(),
             broken: BTreeSet::new(),
             first: None,
             stranger: JobId::from("wk-999999"),
@@ -131,7 +131,7 @@
             .get_or_insert(format!("{:.1} s: {rule}: {what}", now.secs()));
     }
 
-    pub fn look(&mut self, now: Millis, workers: &BTreeMap<HostId, Worker>, store: &Store) {
+    pub fn look(&mut self, now: Millis, workers: &BTreeMap<MachineId, Worker>, store: &Store) {
         self.look_at_machines(now, workers, store);
         self.look_at_users(now, store);
         if now.0 % 1000 == 0 {
@@ -140,7 +140,12 @@
     }
 
     /// Jobs that wait although there is room: after the troubles nobody may for long.
-    fn look_at_waiting(&mut self, now: Millis, workers: &BTreeMap<HostId, Worker>, store: &Store) {
+    fn look_at_waiting(
+        &mut self,
+        now: Millis,
+        workers: &BTreeMap<MachineId, Worker>,
+        store: &Store,
+    ) {
         let mut used: BTreeMap<&str, f64> = BTreeMap::new();
         let mut placed: BTreeSet<&TaskId> = BTreeSet::new();
         // Machines that report and do their work, with what is free.
@@ -191,7 +196,7 @@
             let mine: BTreeSet<&Zone> = workers
                 .values()
                 .filter(|w| {
-                    let going = |((p, _), t): (&(TaskId, Attempt), &super::worker::Task)| {
+                    let going = |((p, _), t): (&(TaskId, AttemptId), &super::worker::Task)| {
                         p.job == *id && t.phase != TaskPhase::Ended
                     };
                     w.tasks.iter().any(going)
@@ -234,7 +239,12 @@
         }
     }
 
-    fn look_at_machines(&mut self, now: Millis, workers: &BTreeMap<HostId, Worker>, store: &Store) {
+    fn look_at_machines(
+        &mut self,
+        now: Millis,
+        workers: &BTreeMap<MachineId, Worker>,
+        store: &Store,
+    ) {
         let mut on = BTreeSet::new();
         for w in workers.values() {
             for ((p, a), t) in &w.tasks {
@@ -248,21 +258,25 @@
             }
         }
         let new: Vec<_> = on.difference(&self.on).cloned().collect();
-        for (p, host, _, _) in new {
-            *self.starts.entry(p.clone()).or_default() += 1;
-            let w = &workers[&host];
+        for (p, machine_id, _, _) in new {
+            *self.attempts.entry(p.clone()).or_default() += 1;
+            let w = &workers[&machine_id];
             let spec = self.jobs[&p.job].clone();
             let others: Vec<&Worker> = on
                 .iter()
-                .filter(|(q, h, _, _)| q.job == p.job && (*q != p || *h != host))
+                .filter(|(q, h, _, _)| q.job == p.job && (*q != p || *h != machine_id))
                 .map(|(_, h, _, _)| &workers[h])
                 .collect();
             let done = |id: &JobId| store.phase(id) == Some(JobPhase::Done);
             if !self.after[&p.job].iter().all(done) {
-                self.breaks(now, "too_early", format!("{p} on {host}"));
+                self.breaks(now, "too_early", format!("{p} on {machine_id}"));
             }
-            if on.iter().any(|(q, h, _, _)| *q == p && *h != host) {
-                self.breaks(now, "ran_twice", format!("{p} on {host} and elsewhere"));
+            if on.iter().any(|(q, h, _, _)| *q == p && *h != machine_id) {
+                self.breaks(
+                    now,
+                    "ran_twice",
+                    format!("{p} on {machine_id} and elsewhere"),
+                );
             }
             let kind = (spec.spot || !w.spot)
                 && spec.zone.as_ref().is_none_or(|s| *s == w.zone)
@@ -274,18 +288,18 @@
             let here = others.iter().filter(|o| o.zone == w.zone).count() as u32 + 1;
             let crowded = spec.scatter && here > spec.tasks.div_ceil(2);
             if !kind || apart || crowded {
-                self.breaks(now, "wrong_place", format!("{p} on {host}"));
+                self.breaks(now, "wrong_place", format!("{p} on {machine_id}"));
             }
         }
         let mut used: BTreeMap<String, (f64, f64)> = BTreeMap::new();
-        for (p, host, _, _) in &on {
+        for (p, machine_id, _, _) in &on {
             let spec = &self.jobs[&p.job];
             let u = used.entry(spec.team.clone()).or_default();
             u.0 += spec.cpus;
             u.1 += spec.gpus;
             let since = self.cancelled.get(&p.job).copied();
             if since.is_some_and(|t| (now - t).secs() > self.facts.workers.cancel_s) {
-                self.breaks(now, "ran_cancelled", format!("{p} on {host}"));
+                self.breaks(now, "ran_cancelled", format!("{p} on {machine_id}"));
             }
         }
         for t in self.facts.teams.clone() {
@@ -337,7 +351,7 @@
     }
 
     pub fn at_end(&mut self, now: Millis) {
-        if self.starts.is_empty() {
+        if self.attempts.is_empty() {
             self.breaks(now, "nothing_ran", String::new());
         }
     }
--- a/tests/world/cloud.rs
+++ b/tests/world/cloud.rs
@@ -4,15 +4,15 @@
 use super::World;
 use chalklug::coordination::Event;
 use chalklug::ids::*;
-use chalklug::protocol::cloud::{CloudHost, CloudPhase};
+use chalklug::protocol::cloud::{CloudPhase, ListedMachine};
 
 impl World {
     pub(super) fn list_machines(&mut self) {
         let now = self.now;
-        let hosts = self
+        let machine_ids = self
             .workers
             .values()
-            .map(|w| CloudHost {
+            .map(|w| ListedMachine {
                 id: w.id.clone(),
                 endpoint: w.endpoint(),
                 machine_type: w.machine_type.clone(),
@@ -26,7 +26,7 @@
                 age_s: (now - w.rented_at).secs(),
             })
             .collect();
-        self.list_history.push((now, hosts));
+        self.list_history.push((now, machine_ids));
         if now < self.cloud_down {
             return;
         }
@@ -37,21 +37,27 @@
             .rev()
             .find(|(t, _)| now - *t >= lag)
             .cloned();
-        if let (Some((_, hosts)), Some(core)) = (old, self.core.as_mut()) {
-            core.on(now, Event::Hosts { asked: now, hosts });
+        if let (Some((_, machines)), Some(core)) = (old, self.core.as_mut()) {
+            core.on(
+                now,
+                Event::MachinesListed {
+                    asked: now,
+                    machines,
+                },
+            );
         }
     }
 
     pub(super) fn rent(
         &mut self,
-        hire: &str,
+        idempotency_key: &str,
         machine_type: &MachineType,
         zone: &Zone,
         spot: bool,
         n: u32,
-    ) -> Option<Vec<HostId>> {
-        if let Some(hosts) = self.hired.get(hire) {
-            return Some(hosts.clone());
+    ) -> Option<Vec<MachineId>> {
+        if let Some(machine_ids) = self.hired.get(idempotency_key) {
+            return Some(machine_ids.clone());
         }
         let free = self
             .capacity
@@ -65,10 +71,10 @@
             .iter()
             .find(|r| r.name == *machine_type)?
             .boot_s;
-        let hosts: Vec<HostId> = (0..free)
+        let machine_ids: Vec<MachineId> = (0..free)
             .map(|_| {
                 self.rented += 1;
-                let id = HostId::from(format!("host-{:06}", self.rented).as_str());
+                let id = MachineId::from(format!("host-{:06}", self.rented).as_str());
                 let never = self.rented <= self.boot_never;
                 let wait = if never { 1e6 } else { boot };
                 let up = self.now + Millis::from_secs(wait);
@@ -84,7 +90,8 @@
                 id
             })
             .collect();
-        self.hired.insert(hire.into(), hosts.clone());
-        Some(hosts)
+        self.hired
+            .insert(idempotency_key.into(), machine_ids.clone());
+        Some(machine_ids)
     }
 }
--- a/tests/world/given.rs
+++ b/tests/world/given.rs
@@ -4,11 +4,11 @@
 use chalklug::coordination::Policy;
 use chalklug::ids::*;
 use chalklug::protocol::cloud::MachineTypeInfo;
-use chalklug::protocol::users::{JobSpec, Shape, Urgency};
+use chalklug::protocol::users::{JobSpec, Priority, Shape};
 use chalklug::settings::*;
 
 /// Direct commands awaited at once.
-pub const MOST_DIRECT: usize = 96;
+pub const MAX_PUSHES: usize = 96;
 
 /// Words after the first, as `name value` pairs; bare flags have an empty value.
 pub struct Words<'a>(pub Vec<&'a str>);
@@ -136,11 +136,11 @@
             "standing" => Shape::Service,
             s => panic!("shape {s}"),
         },
-        urgency: match w.get("urgency").unwrap_or("normal") {
-            "low" => Urgency::Low,
-            "normal" => Urgency::Normal,
-            "urgent" => Urgency::Urgent,
-            _ => Urgency::Production,
+        priority: match w.get("urgency").unwrap_or("normal") {
+            "low" => Priority::Low,
+            "normal" => Priority::Normal,
+            "urgent" => Priority::Urgent,
+            _ => Priority::Production,
         },
         tasks: w.num("pieces", 1.0) as u32,
         cpus: w.num("cpus", 1.0),
@@ -166,7 +166,7 @@
         let policy = Policy {
             facts: self.facts,
             operator: Operator::default(),
-            most_direct: MOST_DIRECT,
+            max_pushes: MAX_PUSHES,
         };
         let mut world = World::new(policy, self.machine_types, self.machines, self.seed);
         world.campaigns = self.campaigns;
--- a/tests/world/leading.rs
+++ b/tests/world/leading.rs
@@ -1,12 +1,12 @@
 //! Who leads: leases, takeovers, and what reaches the leader of the jobs.
 
 use super::World;
-use chalklug::coordination::leadership::{Authority, Lead};
-use chalklug::coordination::recovery::Inheritance;
-use chalklug::coordination::{Core, Event};
+use chalklug::coordination::leadership::authority::{Authority, LeadershipTerm};
+use chalklug::coordination::leadership::recovery::RecoveredState;
+use chalklug::coordination::{Event, Scheduler};
 use chalklug::ids::*;
-use chalklug::protocol::state::{Change, Txn};
-use chalklug::protocol::workers::Order;
+use chalklug::protocol::state::{Change, Transaction};
+use chalklug::protocol::workers::Command;
 use chalklug::storage::records::*;
 
 impl World {
@@ -59,51 +59,51 @@
 
     /// A new leader takes over.
     pub fn lead(&mut self) {
-        let last = self.store.get(TOKEN);
-        let token = Token(last.as_ref().and_then(|i| i.data.as_u64()).unwrap_or(0) + 1);
+        let last = self.store.get(FENCING_TOKEN_KEY);
+        let token = FencingToken(last.as_ref().and_then(|i| i.data.as_u64()).unwrap_or(0) + 1);
         self.leases += 1;
         let lease = LeaseId(self.leases);
-        let record = LeadRecord {
+        let record = LeaderRecord {
             host_name: format!("controller-{}", self.leases),
             token,
         };
-        let txn = Txn {
-            guards: Vec::new(),
-            apply: vec![
+        let transaction = Transaction {
+            preconditions: Vec::new(),
+            changes: vec![
                 Change::Put {
-                    put: LEAD.into(),
+                    put: LEADER_KEY.into(),
                     data: serde_json::to_value(&record).unwrap(),
                     lease: Some(lease),
                 },
-                Change::put(TOKEN.into(), token.0.into()),
+                Change::put(FENCING_TOKEN_KEY.into(), token.0.into()),
             ],
         };
-        let stamp = Stamp(self.store.apply(&txn).unwrap().0);
+        let revision = KeyRevision(self.store.apply(&transaction).unwrap().0);
         let now = self.now;
         let open: Vec<_> = self
             .store
-            .list(OPEN)
+            .list(OPEN_JOB_PREFIX)
             .into_iter()
             .map(|i| {
-                let stamp = i.stamp;
-                (self.open_record(i), stamp, now)
+                let revision = i.revision;
+                (self.open_record(i), revision, now)
             })
             .collect();
-        let found = Inheritance {
+        let found = RecoveredState {
             open,
-            progress: self.store.list(PROGRESS),
-            intents: self.store.list(INTENTS),
-            hosts: self.store.list(HOSTS),
+            progress: self.store.list(PROGRESS_PREFIX),
+            intents: self.store.list(INTENT_PAGE_PREFIX),
+            machine_pages: self.store.list(MACHINE_PAGE_PREFIX),
             machine_types: self.machine_types.clone(),
-            hints: self.store.get(HINTS),
+            hints: self.store.get(HINTS_KEY),
             day_ms: 0,
         };
-        self.seen_epoch = self.store.epoch;
-        let lead = Lead {
+        self.seen_epoch = self.store.store_revision;
+        let lead = LeadershipTerm {
             token,
             first: token,
-            stamp,
-            token_stamp: stamp,
+            revision,
+            token_stamp: revision,
             lease,
             host_name: record.host_name,
         };
@@ -112,7 +112,7 @@
         self.touched = now;
         // The next to lead is another controller, which the service serves.
         self.leader_refused = Millis(0);
-        let core = Core::take_over(self.policy.clone(), lead, now, found);
+        let core = Scheduler::recover(self.policy.clone(), lead, now, found);
         self.core = Some(core.unwrap_or_else(|e| panic!("{e}")));
     }
 
@@ -129,10 +129,10 @@
         self.times.life
     }
 
-    pub(super) fn launches_leave(&mut self, orders: &[Order]) {
+    pub(super) fn launches_leave(&mut self, commands: &[Command]) {
         let (now, unheard) = (self.now, self.unheard());
-        for o in orders {
-            if let Order::Launch { task, .. } = o {
+        for o in commands {
+            if let Command::Launch { task, .. } = o {
                 self.checker.launch_leaves(now, task, unheard);
             }
         }
@@ -151,12 +151,12 @@
         }
         let mut events = Vec::new();
         for (key, item) in self.store.changes_since(self.seen_epoch) {
-            let Some(id) = key.strip_prefix(OPEN) else {
+            let Some(id) = key.strip_prefix(OPEN_JOB_PREFIX) else {
                 continue;
             };
             let event = match item {
                 Some(i) => Event::JobOpened {
-                    stamp: i.stamp,
+                    revision: i.revision,
                     record: Box::new(self.open_record(i)),
                     submitted: self.now,
                 },
@@ -171,6 +171,6 @@
                 core.on(self.now, event);
             }
         }
-        self.seen_epoch = self.store.epoch;
+        self.seen_epoch = self.store.store_revision;
     }
 }
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -11,14 +11,14 @@
 pub mod worker;
 
 use super::wire_digest::WireDigest;
-use chalklug::coordination::leadership::Authority;
-use chalklug::coordination::worker_sessions::CheckInAnswer;
-use chalklug::coordination::{Core, Effect, Event, Policy};
+use chalklug::coordination::attempts::reconciliation::HeartbeatOutcome;
+use chalklug::coordination::leadership::authority::Authority;
+use chalklug::coordination::{Effect, Event, Policy, Scheduler};
 use chalklug::ids::*;
-use chalklug::protocol::cloud::{CloudHost, MachineTypeInfo};
-use chalklug::protocol::state::{Change, Guard, Item, Txn};
+use chalklug::protocol::cloud::{ListedMachine, MachineTypeInfo};
+use chalklug::protocol::state::{Change, KeyValue, Precondition, Transaction};
 use chalklug::protocol::users::{JobPhase, JobSpec};
-use chalklug::protocol::workers::{Order, Report};
+use chalklug::protocol::workers::{Command, WorkerStatus};
 use chalklug::settings::LeaderTimes;
 use chalklug::storage::records::*;
 use checker::Checker;
@@ -44,32 +44,32 @@
 
 /// What is on its way.
 enum Message {
-    CheckIn(Report, Millis),
-    Orders {
-        host: HostId,
-        token: Token,
-        orders: Vec<Order>,
+    Heartbeat(WorkerStatus, Millis),
+    Commands {
+        machine_id: MachineId,
+        token: FencingToken,
+        commands: Vec<Command>,
         asked: Millis,
         session: Session,
     },
-    Direct {
-        leader: Token,
-        token: Token,
-        host: HostId,
+    Push {
+        leader: FencingToken,
+        token: FencingToken,
+        machine_id: MachineId,
         seq: u64,
         session: Session,
-        orders: Vec<Order>,
+        commands: Vec<Command>,
     },
-    ToCore(Token, Event),
+    ToCore(FencingToken, Event),
     Apply {
-        leader: Token,
+        leader: FencingToken,
         seq: u64,
-        txn: Txn,
+        transaction: Transaction,
         answer: bool,
     },
-    Returned {
-        leader: Token,
-        hosts: Vec<HostId>,
+    MachinesTerminated {
+        leader: FencingToken,
+        machine_ids: Vec<MachineId>,
     },
 }
 
@@ -79,14 +79,14 @@
     pub machine_types: Vec<MachineTypeInfo>,
     pub capacity: u32,
     pub store: Store,
-    pub workers: BTreeMap<HostId, Worker>,
+    pub workers: BTreeMap<MachineId, Worker>,
     pub specs: BTreeMap<JobId, JobSpec>,
     /// How long tasks of a job really run.
     pub runs: BTreeMap<JobId, f64>,
     pub progress: BTreeMap<TaskId, f64>,
     pub checker: Checker,
     pub rng: StdRng,
-    core: Option<Core>,
+    core: Option<Scheduler>,
     /// The right to act of that core. Before `campaigns` it lasts for ever.
     authority: Option<Authority>,
     /// Leaders come and go by their leases: whoever loses its authority ends, and another takes over
@@ -102,15 +102,15 @@
     pub watch_stuck: Millis,
     /// Controllers don't hear of each other until then.
     pub peers_cut: Millis,
-    seen_epoch: Epoch,
+    seen_epoch: StoreRevision,
     leases: u64,
     messages: Vec<(Millis, u64, Message)>,
     /// Direct commands that were answered: they aren't given up as well.
-    answered: BTreeSet<(Token, u64)>,
+    answered: BTreeSet<(FencingToken, u64)>,
     sent: u64,
-    hired: BTreeMap<String, Vec<HostId>>,
+    hired: BTreeMap<String, Vec<MachineId>>,
     rented: u32,
-    list_history: Vec<(Millis, Vec<CloudHost>)>,
+    list_history: Vec<(Millis, Vec<ListedMachine>)>,
     pub cloud_down: Millis,
     pub state_down: Millis,
     /// Answers of the state service are lost until then; its transactions come this late.
@@ -160,7 +160,7 @@
             progress: BTreeMap::new(),
             rng: StdRng::seed_from_u64(seed),
             core: None,
-            seen_epoch: Epoch(0),
+            seen_epoch: StoreRevision(0),
             leases: 0,
             messages: Vec::new(),
             answered: BTreeSet::new(),
@@ -187,44 +187,53 @@
         let id = spec.id.clone();
         self.runs.insert(id.clone(), run_s);
         self.specs.insert(id.clone(), spec.clone());
-        let mut record = OpenRecord {
+        let mut record = OpenJobRecord {
             spec: spec.clone(),
             at_ms: 0,
             after: after.clone(),
-            edge_pages: 0,
+            dependency_pages: 0,
         };
-        let pages = record.move_edges_to_pages(MOST_OPEN_BYTES);
+        let pages = record.move_dependencies_to_pages(MOST_OPEN_BYTES);
         for (page, names) in (0..).zip(pages.expect("a short description")) {
             let data = serde_json::to_value(names).unwrap();
-            let apply = vec![Change::put(edge_page_key(&id, page), data)];
-            let guards = Vec::new();
-            self.store.apply(&Txn { guards, apply });
+            let changes = vec![Change::put(dependency_page_key(&id, page), data)];
+            let preconditions = Vec::new();
+            self.store.apply(&Transaction {
+                preconditions,
+                changes,
+            });
         }
         // As controllers do: with a cancelled producer it is cancelled from the start.
         let named_cancelled = |p: &JobId| self.store.phase(p) == Some(JobPhase::Cancelled);
         let first = if after.iter().any(named_cancelled) {
-            let mark = FinalRecord::cancelled(spec.tasks);
-            Change::put(final_key(&id), serde_json::to_value(&mark).unwrap())
+            let terminal_record = TerminalRecord::cancelled(spec.tasks);
+            Change::put(
+                terminal_key(&id),
+                serde_json::to_value(&terminal_record).unwrap(),
+            )
         } else {
             Change::put(open_key(&id), serde_json::to_value(&record).unwrap())
         };
-        let absent = |key| Guard {
+        let absent = |key| Precondition {
             key,
-            stamp: Stamp(0),
+            revision: KeyRevision(0),
         };
-        let txn = Txn {
-            guards: vec![absent(open_key(&id)), absent(final_key(&id))],
-            apply: vec![first],
+        let transaction = Transaction {
+            preconditions: vec![absent(open_key(&id)), absent(terminal_key(&id))],
+            changes: vec![first],
         };
-        assert!(self.store.apply(&txn).is_some(), "a job is submitted once");
+        assert!(
+            self.store.apply(&transaction).is_some(),
+            "a job is submitted once"
+        );
         self.checker.accepted(self.now, spec, after);
     }
 
     /// An open record with all its producers, as controllers read it.
-    fn open_record(&self, item: Item) -> OpenRecord {
-        let mut record: OpenRecord = serde_json::from_value(item.data).unwrap();
-        for page in 0..record.edge_pages {
-            let item = self.store.get(&edge_page_key(&record.spec.id, page));
+    fn open_record(&self, item: KeyValue) -> OpenJobRecord {
+        let mut record: OpenJobRecord = serde_json::from_value(item.data).unwrap();
+        for page in 0..record.dependency_pages {
+            let item = self.store.get(&dependency_page_key(&record.spec.id, page));
             let names = item
                 .expect("a page is there as long as the job is open")
                 .data;
@@ -244,23 +253,26 @@
         let Some(open) = self.store.get(&open_key(id)) else {
             return false;
         };
-        let mark = FinalRecord::cancelled(self.specs[id].tasks);
-        let txn = Txn {
-            guards: vec![Guard {
+        let terminal_record = TerminalRecord::cancelled(self.specs[id].tasks);
+        let transaction = Transaction {
+            preconditions: vec![Precondition {
                 key: open_key(id),
-                stamp: open.stamp,
+                revision: open.revision,
             }],
-            apply: vec![
+            changes: vec![
                 Change::Delete {
                     delete: open_key(id),
                 },
-                Change::put(final_key(id), serde_json::to_value(&mark).unwrap()),
+                Change::put(
+                    terminal_key(id),
+                    serde_json::to_value(&terminal_record).unwrap(),
+                ),
             ],
         };
-        assert!(self.store.apply(&txn).is_some());
+        assert!(self.store.apply(&transaction).is_some());
         self.checker.cancelled(id, self.now);
         // Whoever confirmed it tells its siblings.
-        if let Some(leader) = self.core.as_ref().map(Core::first_token) {
+        if let Some(leader) = self.core.as_ref().map(Scheduler::first_token) {
             if self.campaigns && self.now >= self.peers_cut {
                 let cancelled = Event::JobCancelled { id: id.clone() };
                 self.send(10, Message::ToCore(leader, cancelled));
@@ -270,10 +282,10 @@
     }
 
     /// An order that the service itself would never send, to show that the checker sees it.
-    pub fn rogue(&mut self, host: &HostId, order: Order) {
+    pub fn rogue(&mut self, machine_id: &MachineId, order: Command) {
         self.launches_leave(std::slice::from_ref(&order));
         let (runs, specs, progress) = (&self.runs, &self.specs, &mut self.progress);
-        if let Some(w) = self.workers.get_mut(host) {
+        if let Some(w) = self.workers.get_mut(machine_id) {
             w.execute(self.now, &order, specs, runs, progress, &self.machine_types);
         }
     }
@@ -322,7 +334,7 @@
         if self.troubled() {
             self.checker.troubled = now;
         }
-        if let Some(Err(e)) = self.core.as_ref().map(Core::audit) {
+        if let Some(Err(e)) = self.core.as_ref().map(Scheduler::audit) {
             panic!("{:.1} s: the ledgers are out of step: {e}", now.secs());
         }
         self.checker.look(now, &self.workers, &self.store);
@@ -368,15 +380,15 @@
             &self.policy.facts.workers,
         );
         for r in reports {
-            if self.rng.random_bool(self.drop_reports) || self.workers[&r.host].mute(now) {
+            if self.rng.random_bool(self.drop_reports) || self.workers[&r.machine_id].mute(now) {
                 continue;
             }
-            let cut = self.workers[&r.host].cut(now).is_some();
+            let cut = self.workers[&r.machine_id].cut(now).is_some();
             if !cut && self.rng.random_bool(self.copies) {
                 let late = self.lateness();
-                self.send(late, Message::CheckIn(r.clone(), now));
+                self.send(late, Message::Heartbeat(r.clone(), now));
             }
-            self.through_cut(&r.host.clone(), 10, Message::CheckIn(r, now));
+            self.through_cut(&r.machine_id.clone(), 10, Message::Heartbeat(r, now));
         }
     }
 
@@ -387,9 +399,9 @@
     }
 
     /// Sends something to or from a machine, as the cut around it allows.
-    fn through_cut(&mut self, host: &HostId, delay: i64, m: Message) {
+    fn through_cut(&mut self, machine_id: &MachineId, delay: i64, m: Message) {
         let now = self.now;
-        match self.workers.get(host).map(|w| w.cut(now)) {
+        match self.workers.get(machine_id).map(|w| w.cut(now)) {
             Some(Some((until, Cut::Hold))) => {
                 let wait = (until - now).0 + delay;
                 self.send(wait, m);
@@ -402,34 +414,34 @@
     fn deliver(&mut self, m: Message) {
         let now = self.now;
         match m {
-            Message::CheckIn(report, asked) => {
+            Message::Heartbeat(report, asked) => {
                 let Some(core) = self.core.as_mut() else {
                     return;
                 };
-                let answer = core.check_in(now, &report);
+                let answer = core.heartbeat(now, &report);
                 let token = core.token();
                 self.digest.check_in_answer(now, token, &answer);
-                if let CheckInAnswer::Orders(orders) = answer {
-                    self.launches_leave(&orders);
-                    let host = report.host.clone();
-                    let m = Message::Orders {
-                        host: host.clone(),
+                if let HeartbeatOutcome::Commands(commands) = answer {
+                    self.launches_leave(&commands);
+                    let machine_id = report.machine_id.clone();
+                    let m = Message::Commands {
+                        machine_id: machine_id.clone(),
                         token,
-                        orders,
+                        commands,
                         asked,
                         session: report.session,
                     };
-                    self.through_cut(&host, 10, m);
+                    self.through_cut(&machine_id, 10, m);
                 }
             }
-            Message::Orders {
-                host,
+            Message::Commands {
+                machine_id,
                 token,
-                orders,
+                commands,
                 asked,
                 session,
             } => {
-                let Some(w) = self.workers.get_mut(&host) else {
+                let Some(w) = self.workers.get_mut(&machine_id) else {
                     return;
                 };
                 // The worker drops answers after 4 s, of earlier sessions, and of lower tokens.
@@ -443,7 +455,7 @@
                 }
                 w.token = token;
                 w.lease_from = asked;
-                for o in &orders {
+                for o in &commands {
                     w.execute(
                         now,
                         o,
@@ -454,15 +466,15 @@
                     );
                 }
             }
-            Message::Direct {
+            Message::Push {
                 leader,
                 token,
-                host,
+                machine_id,
                 seq,
                 session,
-                orders,
+                commands,
             } => {
-                let Some(w) = self.workers.get_mut(&host) else {
+                let Some(w) = self.workers.get_mut(&machine_id) else {
                     return;
                 };
                 if let Some(until) = w.asleep_until(now) {
@@ -470,13 +482,13 @@
                     let wait = (until - now).0 + 100;
                     self.send(
                         wait,
-                        Message::Direct {
+                        Message::Push {
                             leader,
                             token,
-                            host,
+                            machine_id,
                             seq,
                             session,
-                            orders,
+                            commands,
                         },
                     );
                     return;
@@ -486,7 +498,7 @@
                 }
                 if token >= w.token && session == w.session {
                     w.token = token;
-                    for o in &orders {
+                    for o in &commands {
                         w.execute(
                             now,
                             o,
@@ -497,18 +509,17 @@
                         );
                     }
                 }
-                let report = Box::new(w.report());
-                let answer = Event::DirectAnswered {
-                    host: host.clone(),
+                let status = Box::new(w.report());
+                let answer = Event::PushAnswered {
+                    machine_id: machine_id.clone(),
                     seq,
-                    report,
+                    status,
                 };
-                self.through_cut(&host, 10, Message::ToCore(leader, answer));
+                self.through_cut(&machine_id, 10, Message::ToCore(leader, answer));
             }
             Message::ToCore(leader, event) => {
                 // A direct command is answered or given up, whichever comes first.
-                if let Event::DirectAnswered { seq, .. } | Event::DirectFailed { seq, .. } = &event
-                {
+                if let Event::PushAnswered { seq, .. } | Event::PushFailed { seq, .. } = &event {
                     if !self.answered.insert((leader, *seq)) {
                         return;
                     }
@@ -520,20 +531,23 @@
             Message::Apply {
                 leader,
                 seq,
-                txn,
+                transaction,
                 answer,
             } => {
-                let current = self.core.as_ref().map(Core::first_token) == Some(leader);
+                let current = self.core.as_ref().map(Scheduler::first_token) == Some(leader);
                 if now < self.state_down || (current && now < self.leader_refused) {
                     if answer {
                         self.send(10, Message::ToCore(leader, Event::NotWritten { seq }));
                     }
                     return;
                 }
-                let outcome = self.store.apply(&txn);
+                let outcome = self.store.apply(&transaction);
                 if answer {
                     let event = match outcome {
-                        Some(epoch) => Event::Written { seq, epoch },
+                        Some(store_revision) => Event::Written {
+                            seq,
+                            store_revision,
+                        },
                         None => Event::WriteUnclear {
                             seq,
                             failed: Vec::new(),
@@ -542,22 +556,28 @@
                     self.send(10, Message::ToCore(leader, event));
                 }
             }
-            Message::Returned { leader, hosts } => {
-                for h in &hosts {
+            Message::MachinesTerminated {
+                leader,
+                machine_ids,
+            } => {
+                for h in &machine_ids {
                     self.workers.remove(h);
                 }
-                self.send(10, Message::ToCore(leader, Event::Returned { hosts }));
+                self.send(
+                    10,
+                    Message::ToCore(leader, Event::MachinesTerminated { machine_ids }),
+                );
             }
         }
     }
 
     fn carry_out(&mut self, e: Effect) {
-        let Some(leader) = self.core.as_ref().map(Core::first_token) else {
+        let Some(leader) = self.core.as_ref().map(Scheduler::first_token) else {
             return;
         };
         let now = self.now;
         match e {
-            Effect::Write { seq, txn } => {
+            Effect::Write { seq, transaction } => {
                 let mute = now < self.state_mute;
                 if mute {
                     let unclear = Event::WriteUnclear {
@@ -585,7 +605,7 @@
                     Message::Apply {
                         leader,
                         seq,
-                        txn,
+                        transaction,
                         answer,
                     },
                 );
@@ -603,68 +623,84 @@
                     Message::ToCore(leader, Event::Reread { seq, items }),
                 );
             }
-            Effect::ReadMarks { ids } => {
-                let mark = |id: &JobId| {
-                    let item = self.store.get(&final_key(id))?;
+            Effect::ReadTerminalRecords { ids } => {
+                let terminal_record = |id: &JobId| {
+                    let item = self.store.get(&terminal_key(id))?;
                     Some(serde_json::from_value(item.data).unwrap())
                 };
-                let marks = ids.iter().map(|id| (id.clone(), mark(id))).collect();
+                let terminal_records = ids
+                    .iter()
+                    .map(|id| (id.clone(), terminal_record(id)))
+                    .collect();
                 let wait = self.leader_refused.max(self.state_down) - now;
                 let wait = if self.campaigns { wait.0.max(0) } else { 0 };
                 self.send(
                     wait + 20,
-                    Message::ToCore(leader, Event::MarksRead { marks }),
+                    Message::ToCore(leader, Event::TerminalRecordsRead { terminal_records }),
                 );
             }
-            Effect::Direct {
-                host,
+            Effect::Push {
+                machine_id,
                 seq,
                 token,
                 session,
-                orders,
+                commands,
                 ..
             } => {
-                self.launches_leave(&orders);
-                let lost = Event::DirectFailed {
-                    host: host.clone(),
+                self.launches_leave(&commands);
+                let lost = Event::PushFailed {
+                    machine_id: machine_id.clone(),
                     seq,
                     sent: true,
                 };
                 self.send(2500, Message::ToCore(leader, lost));
-                let m = |orders| Message::Direct {
+                let m = |commands| Message::Push {
                     leader,
                     token,
-                    host: host.clone(),
+                    machine_id: machine_id.clone(),
                     seq,
                     session,
-                    orders,
+                    commands,
                 };
                 if self.rng.random_bool(self.repeats) {
                     let late = self.lateness();
-                    self.send(late, m(orders.clone()));
+                    self.send(late, m(commands.clone()));
                 }
-                self.through_cut(&host, 10, m(orders));
+                self.through_cut(&machine_id, 10, m(commands));
             }
-            Effect::Rent {
-                hire,
+            Effect::ScaleOut {
+                idempotency_key,
                 machine_type,
                 zone,
                 spot,
                 count,
             } => {
                 let event = if now < self.cloud_down {
-                    Event::RentUnclear { hire }
+                    Event::ScaleOutUnclear { idempotency_key }
                 } else {
-                    let hosts = self.rent(&hire, &machine_type, &zone, spot, count);
-                    Event::Rented { hire, hosts }
+                    let machine_ids =
+                        self.rent(&idempotency_key, &machine_type, &zone, spot, count);
+                    Event::ScaleOutAnswered {
+                        idempotency_key,
+                        machine_ids,
+                    }
                 };
                 self.send(120, Message::ToCore(leader, event));
             }
-            Effect::Return { hosts } => {
+            Effect::ScaleIn { machine_ids } => {
                 if now < self.cloud_down {
-                    self.send(120, Message::ToCore(leader, Event::ReturnFailed { hosts }));
+                    self.send(
+                        120,
+                        Message::ToCore(leader, Event::ScaleInFailed { machine_ids }),
+                    );
                 } else {
-                    self.send(120, Message::Returned { leader, hosts });
+                    self.send(
+                        120,
+                        Message::MachinesTerminated {
+                            leader,
+                            machine_ids,
+                        },
+                    );
                 }
             }
             Effect::StepDown { .. } => self.crash(),
@@ -677,7 +713,7 @@
     }
 
     /// Machines that tasks of the job are on.
-    pub fn hosts_of(&self, id: &JobId) -> BTreeSet<HostId> {
+    pub fn hosts_of(&self, id: &JobId) -> BTreeSet<MachineId> {
         self.workers
             .values()
             .filter(|w| w.on_machine().any(|(p, _)| p.job == *id))
--- a/tests/world/troubles.rs
+++ b/tests/world/troubles.rs
@@ -9,14 +9,15 @@
     let now = w.now;
     let short = now + Millis(rng.random_range(1_000..12_000));
     let long = now + Millis(rng.random_range(12_000..60_000));
-    let hosts: Vec<HostId> = w.workers.keys().cloned().collect();
-    let some = |rng: &mut rand::rngs::StdRng| hosts[rng.random_range(0..hosts.len())].clone();
-    let on_machine = !hosts.is_empty() && rng.random_bool(0.5);
+    let machine_ids: Vec<MachineId> = w.workers.keys().cloned().collect();
+    let some =
+        |rng: &mut rand::rngs::StdRng| machine_ids[rng.random_range(0..machine_ids.len())].clone();
+    let on_machine = !machine_ids.is_empty() && rng.random_bool(0.5);
     if on_machine {
         for _ in 0..rng.random_range(1..4) {
-            let host = some(rng);
+            let machine_id = some(rng);
             let until = if rng.random_bool(0.5) { short } else { long };
-            let m = w.workers.get_mut(&host).unwrap();
+            let m = w.workers.get_mut(&machine_id).unwrap();
             match rng.random_range(0..6) {
                 0 => m.hang_until(until),
                 1 => m.cut_until(until, Cut::Hold),
--- a/tests/world/worker.rs
+++ b/tests/world/worker.rs
@@ -4,7 +4,7 @@
 use chalklug::ids::*;
 use chalklug::protocol::cloud::MachineTypeInfo;
 use chalklug::protocol::users::{JobSpec, Shape};
-use chalklug::protocol::workers::{Cause, Order, Report, TaskPhase, TaskReport};
+use chalklug::protocol::workers::{Cause, Command, TaskPhase, TaskStatus, WorkerStatus};
 use chalklug::settings::Workers as Times;
 use rand::rngs::StdRng;
 use rand::Rng;
@@ -23,16 +23,16 @@
 }
 
 pub struct Worker {
-    pub id: HostId,
+    pub id: MachineId,
     pub machine_type: MachineType,
     pub zone: Zone,
     pub spot: bool,
     pub rented_at: Millis,
     pub up_at: Millis,
     pub session: Session,
-    pub token: Token,
+    pub token: FencingToken,
     pub lease_from: Millis,
-    pub tasks: BTreeMap<(TaskId, Attempt), Task>,
+    pub tasks: BTreeMap<(TaskId, AttemptId), Task>,
     pub sick: bool,
     /// Images take so many times as long.
     pub fetch_times: f64,
@@ -53,7 +53,7 @@
 
 impl Worker {
     pub fn new(
-        id: HostId,
+        id: MachineId,
         machine_type: MachineType,
         zone: Zone,
         spot: bool,
@@ -68,7 +68,7 @@
             rented_at: now,
             up_at: up,
             session: Session(1),
-            token: Token(0),
+            token: FencingToken(0),
             lease_from: up,
             tasks: BTreeMap::new(),
             sick: false,
@@ -131,10 +131,10 @@
             .map(|((p, _), t)| (p, t))
     }
 
-    pub fn report(&mut self) -> Report {
+    pub fn report(&mut self) -> WorkerStatus {
         self.tick += 1;
-        Report {
-            host: self.id.clone(),
+        WorkerStatus {
+            machine_id: self.id.clone(),
             endpoint: self.endpoint(),
             machine_type: self.machine_type.clone(),
             zone: self.zone.clone(),
@@ -146,9 +146,9 @@
             tasks: self
                 .tasks
                 .iter()
-                .map(|((task, attempt), t)| TaskReport {
+                .map(|((task, attempt_id), t)| TaskStatus {
                     task: task.clone(),
-                    attempt: *attempt,
+                    attempt_id: *attempt_id,
                     phase: t.phase,
                     cause: t.cause,
                     stored: t.stored,
@@ -157,7 +157,12 @@
         }
     }
 
-    pub fn report_due(&mut self, now: Millis, times: &Times, rng: &mut StdRng) -> Option<Report> {
+    pub fn report_due(
+        &mut self,
+        now: Millis,
+        times: &Times,
+        rng: &mut StdRng,
+    ) -> Option<WorkerStatus> {
         if !self.awake(now) {
             return None;
         }
@@ -250,7 +255,7 @@
     pub fn execute(
         &mut self,
         now: Millis,
-        order: &Order,
+        order: &Command,
         specs: &Specs,
         runs: &BTreeMap<JobId, f64>,
         progress: &mut BTreeMap<TaskId, f64>,
@@ -258,8 +263,8 @@
     ) {
         self.changed = true;
         match order {
-            Order::Launch { task, attempt } => {
-                if self.tasks.contains_key(&(task.clone(), *attempt)) {
+            Command::Launch { task, attempt_id } => {
+                if self.tasks.contains_key(&(task.clone(), *attempt_id)) {
                     return;
                 }
                 let spec = &specs[&task.job];
@@ -288,7 +293,7 @@
                     fails: runs[&task.job] < 0.0,
                     running_from: now,
                 };
-                let other = |(p, _): &(TaskId, Attempt)| p == task;
+                let other = |(p, _): &(TaskId, AttemptId)| p == task;
                 if self
                     .tasks
                     .iter()
@@ -305,14 +310,14 @@
                 if used + spec.gpus > machine_type.gpus + 1e-9 {
                     Self::end(&mut t, Cause::Full);
                 }
-                self.tasks.insert((task.clone(), *attempt), t);
+                self.tasks.insert((task.clone(), *attempt_id), t);
             }
-            Order::Stop {
+            Command::Stop {
                 task,
-                attempt,
+                attempt_id,
                 grace_s,
             } => {
-                let Some(t) = self.tasks.get_mut(&(task.clone(), *attempt)) else {
+                let Some(t) = self.tasks.get_mut(&(task.clone(), *attempt_id)) else {
                     return;
                 };
                 let spec = &specs[&task.job];
@@ -326,8 +331,8 @@
                     _ => Self::end(t, Cause::Stopped),
                 }
             }
-            Order::Clear { task, attempt } => {
-                let key = (task.clone(), *attempt);
+            Command::Clear { task, attempt_id } => {
+                let key = (task.clone(), *attempt_id);
                 if self
                     .tasks
                     .get(&key)
@@ -341,9 +346,9 @@
 }
 
 /// Gangs across machines: they start together, end together, and miss a member that is gone.
-pub fn gangs(now: Millis, workers: &mut BTreeMap<HostId, Worker>, specs: &Specs, times: &Times) {
-    let mut by_try: BTreeMap<(JobId, Attempt), Vec<TaskPhase>> = BTreeMap::new();
-    let mut done: BTreeSet<(JobId, Attempt)> = BTreeSet::new();
+pub fn gangs(now: Millis, workers: &mut BTreeMap<MachineId, Worker>, specs: &Specs, times: &Times) {
+    let mut by_try: BTreeMap<(JobId, AttemptId), Vec<TaskPhase>> = BTreeMap::new();
+    let mut done: BTreeSet<(JobId, AttemptId)> = BTreeSet::new();
     for w in workers.values() {
         for ((p, a), t) in &w.tasks {
             if specs[&p.job].shape != Shape::Gang {
