--- a/src/coordination/attempts/commands.rs
+++ b/src/coordination/attempts/commands.rs
@@ -3,8 +3,9 @@
 use crate::coordination::attempts::task_attempt::{PushDelivery, TaskAttempt};
 use crate::coordination::machines::machine::{Machine, MachineState};
 use crate::coordination::{Effect, Scheduler};
-use crate::ids::{MachineId, Millis, Session};
+use crate::ids::{MachineId, Session};
 use crate::protocol::workers::{Cause, Command, TaskPhase};
+use crate::time::Instant;
 use std::collections::BTreeSet;
 
 /// The part of the wait for a gang by which fetches may differ, as estimated: they take up to half as
@@ -79,7 +80,7 @@
     /// The orders that answer a check-in: all that the worker should know now.
     pub(crate) fn heartbeat_commands(
         &mut self,
-        now: Millis,
+        now: Instant,
         machine_id: &MachineId,
         fresh: bool,
     ) -> Vec<Command> {
@@ -140,7 +141,7 @@
 
     /// Launches and stops that needn't wait for the next check-in go straight to the worker: one
     /// command at a time on each machine, and a bounded number of them at once.
-    pub(crate) fn send_pushes(&mut self, now: Millis) {
+    pub(crate) fn send_pushes(&mut self, now: Instant) {
         let mut later = BTreeSet::new();
         while let Some(machine_id) = self.pushes_due.pop_first() {
             let Some(m) = self.machines.get(&machine_id) else {
@@ -161,7 +162,7 @@
         self.pushes_due = later;
     }
 
-    fn push_to(&mut self, now: Millis, machine_id: &MachineId) {
+    fn push_to(&mut self, now: Instant, machine_id: &MachineId) {
         let Some(m) = self.machines.get(machine_id) else {
             return;
         };
--- a/src/coordination/attempts/ledger.rs
+++ b/src/coordination/attempts/ledger.rs
@@ -5,10 +5,11 @@
 use crate::coordination::attempts::task_attempt::{LastStatus, TaskAttempt};
 use crate::coordination::machines::machine::{Machine, MachineState};
 use crate::coordination::Scheduler;
-use crate::ids::{AttemptId, JobId, MachineId, Millis, TaskId, TeamIndex};
+use crate::ids::{AttemptId, JobId, MachineId, TaskId, TeamIndex};
 use crate::protocol::users::JobSpec;
 use crate::resources::Resources;
 use crate::storage::pages::PlacedAttempt;
+use crate::time::{Instant, TimeSpan};
 use std::collections::BTreeSet;
 
 /// What is looked up again and again, kept in step with the ledgers.
@@ -21,7 +22,7 @@
     /// Open jobs that are to be cancelled because a job that they need is.
     pub ancestor_cancelled: BTreeSet<JobId>,
     /// Released jobs by team, in the order in which they were ready: for guarantees.
-    pub by_team: Vec<BTreeSet<(Millis, JobId)>>,
+    pub by_team: Vec<BTreeSet<(Instant, JobId)>>,
     /// Open jobs of which every task is done.
     pub complete: BTreeSet<JobId>,
     /// Open jobs with done tasks that aren't durable.
@@ -110,7 +111,7 @@
     /// A report says how a start is.
     pub(crate) fn update_status(
         &mut self,
-        now: Millis,
+        now: Instant,
         machine_id: &MachineId,
         key: &(TaskId, AttemptId),
         last_status: LastStatus,
@@ -124,7 +125,7 @@
         };
         let (was_on, ran) = (!s.ended(), s.runs());
         // What a former leader launched may have run for long: since its image was there, at the latest.
-        let fetched = s.since + Millis::from_secs(fetch_s);
+        let fetched = s.since + TimeSpan::from_secs(fetch_s);
         let running_since = if s.recovered { fetched.min(now) } else { now };
         s.last_status = Some(last_status);
         if last_status.phase == crate::protocol::workers::TaskPhase::Running
@@ -153,7 +154,7 @@
     /// Takes a start off the ledger. Only `remove_attempt` does this, for only proofs may.
     pub(crate) fn detach_attempt(
         &mut self,
-        now: Millis,
+        now: Instant,
         machine_id: &MachineId,
         key: &(TaskId, AttemptId),
     ) -> Option<TaskAttempt> {
@@ -351,7 +352,7 @@
         machine_id: &MachineId,
         task: TaskId,
         attempt_id: AttemptId,
-        now: Millis,
+        now: Instant,
     ) -> TaskAttempt {
         // Something of which we know nothing may take everything.
         let whole = self
--- a/src/coordination/attempts/placements.rs
+++ b/src/coordination/attempts/placements.rs
@@ -2,7 +2,8 @@
 
 use crate::coordination::attempts::task_attempt::TaskAttempt;
 use crate::coordination::Scheduler;
-use crate::ids::{AttemptId, JobId, MachineId, Millis, TaskId};
+use crate::ids::{AttemptId, JobId, MachineId, TaskId};
+use crate::time::Instant;
 
 impl Scheduler {
     pub(crate) fn attempt_mut(
@@ -56,7 +57,7 @@
     /// A start is proven gone. Callers name the proof.
     pub(crate) fn remove_attempt(
         &mut self,
-        now: Millis,
+        now: Instant,
         machine_id: &MachineId,
         key: &(TaskId, AttemptId),
     ) {
@@ -71,7 +72,7 @@
     }
 
     /// Notes since when a machine has had nothing to do.
-    pub(crate) fn note_idle(&mut self, now: Millis, machine_id: &MachineId) {
+    pub(crate) fn note_idle(&mut self, now: Instant, machine_id: &MachineId) {
         if let Some(m) = self.machines.get_mut(machine_id) {
             if m.live_count > 0 {
                 m.idle_since = None;
@@ -82,7 +83,7 @@
     }
 
     /// Starts of a closed job that were never launched by anybody are dropped at once.
-    pub(crate) fn drop_untouched(&mut self, now: Millis, machine_id: &MachineId, job: &JobId) {
+    pub(crate) fn drop_untouched(&mut self, now: Instant, machine_id: &MachineId, job: &JobId) {
         let Some(m) = self.machines.get(machine_id) else {
             return;
         };
@@ -99,7 +100,7 @@
     }
 
     /// All starts of a machine are proven gone at once: its lease is over, or the cloud said so.
-    pub(crate) fn empty_machine(&mut self, now: Millis, machine_id: &MachineId) {
+    pub(crate) fn empty_machine(&mut self, now: Instant, machine_id: &MachineId) {
         let Some(m) = self.machines.get(machine_id) else {
             return;
         };
--- a/src/coordination/attempts/reconciliation.rs
+++ b/src/coordination/attempts/reconciliation.rs
@@ -6,8 +6,9 @@
 use crate::coordination::attempts::task_attempt::{LastStatus, PushDelivery, TaskAttempt};
 use crate::coordination::machines::machine::{MachineState, MAX_UNACKNOWLEDGED_RESPONSES};
 use crate::coordination::{Effect, Scheduler};
-use crate::ids::{AttemptId, JobId, MachineId, Millis, Session, TaskId};
+use crate::ids::{AttemptId, JobId, MachineId, Session, TaskId};
 use crate::protocol::workers::{Cause, Command, TaskPhase, TaskStatus, WorkerStatus};
+use crate::time::{Instant, TimeSpan};
 
 /// How a report came.
 #[derive(Clone, Copy, PartialEq, Eq)]
@@ -17,10 +18,10 @@
 }
 
 /// How long a machine whose direct commands fail is left to its check-ins.
-const PUSH_RETRY_DELAY: Millis = Millis(3000);
+const PUSH_RETRY_DELAY: TimeSpan = TimeSpan(3000);
 /// A launch whose direct command was never answered, and which hasn't shown up either, keeps its
 /// place for this long before the whole machine is given up.
-const LOST_LAUNCH_TIMEOUT: Millis = Millis(45_000);
+const LOST_LAUNCH_TIMEOUT: TimeSpan = TimeSpan(45_000);
 /// Starts on one machine, tombstones included: keeps its reports well under 64 KiB.
 pub(crate) const MAX_LISTED: usize = 400;
 /// Machines reviewed each second beyond those that something happened to.
@@ -38,7 +39,7 @@
 impl Scheduler {
     /// A worker's check-in. The caller has made sure of the leader's authority, and sends the
     /// orders only if it still holds then.
-    pub fn heartbeat(&mut self, now: Millis, status: &WorkerStatus) -> HeartbeatOutcome {
+    pub fn heartbeat(&mut self, now: Instant, status: &WorkerStatus) -> HeartbeatOutcome {
         if status.token > self.term.token {
             self.effects.push(Effect::StepDown {
                 why: "a worker has seen a higher token",
@@ -82,7 +83,7 @@
 
     pub(crate) fn push_answered(
         &mut self,
-        now: Millis,
+        now: Instant,
         machine_id: &MachineId,
         seq: u64,
         status: &WorkerStatus,
@@ -107,7 +108,7 @@
 
     pub(crate) fn push_failed(
         &mut self,
-        now: Millis,
+        now: Instant,
         machine_id: &MachineId,
         seq: u64,
         sent: bool,
@@ -148,7 +149,7 @@
     }
 
     /// Takes a report in; false if it was no news. The list of an old report proves nothing.
-    fn take_report(&mut self, now: Millis, r: &WorkerStatus, channel: StatusSource) -> bool {
+    fn take_report(&mut self, now: Instant, r: &WorkerStatus, channel: StatusSource) -> bool {
         let machine_id = &r.machine_id;
         if !self.machines.contains_key(machine_id) {
             tracing::info!(machine = %r.machine_id, machine_type = %r.machine_type, "a machine reports that was not known");
@@ -205,7 +206,7 @@
         m.session = r.session;
         m.tick = r.tick;
         m.last_message_at = Some(now);
-        let recall = r.recall_s.map(|s| now + Millis::from_secs(s));
+        let recall = r.recall_s.map(|s| now + TimeSpan::from_secs(s));
         if m.reclaim_at.is_none() && recall.is_some() {
             tracing::debug!(machine = %m.id, "spot notice");
             self.placement_due = true;
@@ -231,7 +232,7 @@
     /// A start that a report lists.
     fn see(
         &mut self,
-        now: Millis,
+        now: Instant,
         machine_id: &MachineId,
         p: &TaskStatus,
         r: &WorkerStatus,
@@ -311,7 +312,7 @@
         }
     }
 
-    fn note_image(&mut self, now: Millis, machine_id: &MachineId, job: &JobId) {
+    fn note_image(&mut self, now: Instant, machine_id: &MachineId, job: &JobId) {
         let (Some(m), Some(job)) = (self.machines.get_mut(machine_id), self.jobs.get(job)) else {
             return;
         };
@@ -329,7 +330,7 @@
     /// Starts that a report does not list: which of them are proven gone.
     fn see_absent(
         &mut self,
-        now: Millis,
+        now: Instant,
         r: &WorkerStatus,
         channel: StatusSource,
         ended_session: bool,
@@ -407,7 +408,7 @@
 
     /// Once a second: leases that are over, machines that heed nothing, starts that make no
     /// progress.
-    pub(crate) fn recheck_machines(&mut self, now: Millis) {
+    pub(crate) fn recheck_machines(&mut self, now: Instant) {
         let lease_expiry_bound = self.policy.lease_expiry_bound();
         let quiet = self.machines.values().filter(|m| !m.attempts.is_empty());
         let quiet =
--- a/src/coordination/attempts/stops.rs
+++ b/src/coordination/attempts/stops.rs
@@ -4,14 +4,15 @@
 use crate::coordination::attempts::task_attempt::{StopRequest, TaskAttempt};
 use crate::coordination::machines::machine::Machine;
 use crate::coordination::Scheduler;
-use crate::ids::{MachineId, Millis};
+use crate::ids::MachineId;
 use crate::protocol::workers::{Command, TaskPhase};
+use crate::time::{Instant, TimeSpan};
 use std::collections::BTreeSet;
 
 impl Scheduler {
     /// Marks the starts that should end: of closed jobs, of done tasks, on machines to be emptied.
     /// Only on machines to which something has happened, and on each from time to time.
-    pub(crate) fn stop_unwanted(&mut self, now: Millis) {
+    pub(crate) fn stop_unwanted(&mut self, now: Instant) {
         for machine_id in std::mem::take(&mut self.machines_to_review) {
             self.review(now, &machine_id);
         }
@@ -24,7 +25,7 @@
     /// machines with tasks of jobs cancelled before its time, or one short of processor time answered
     /// between a cancellation and its next step; then nothing reached the machines any more, and the tasks
     /// outlived `cancel_s` (docs/incidents/production-size.md). So each check-in is answered after a review.
-    pub(crate) fn review(&mut self, now: Millis, machine_id: &MachineId) {
+    pub(crate) fn review(&mut self, now: Instant, machine_id: &MachineId) {
         let silence = self.policy.silence();
         let Some(m) = self.machines.get_mut(machine_id) else {
             return;
@@ -90,8 +91,8 @@
 
     /// A gang of which a member is stopped or lost stops as a whole: its members would only wait
     /// for each other, and an orderly stop must reach all of them within `gang_peer_s`.
-    fn stop_broken_gangs(&mut self, now: Millis) {
-        let lease = Millis::from_secs(self.policy.facts.workers.lease_s);
+    fn stop_broken_gangs(&mut self, now: Instant) {
+        let lease = TimeSpan::from_secs(self.policy.facts.workers.lease_s);
         let mut waiting = BTreeSet::new();
         for id in std::mem::take(&mut self.gangs_to_check) {
             let Some(job) = self.jobs.get(&id) else {
@@ -159,7 +160,7 @@
     /// A direct command went unanswered: what it should have stopped is told again. Check-ins tell it
     /// too, but from a machine that reaches no controller none comes. One that was not heard of at all
     /// lately is left alone: a zone beyond a cut would take the connections of all others.
-    pub(crate) fn stop_again(&mut self, now: Millis, machine_id: &MachineId) {
+    pub(crate) fn stop_again(&mut self, now: Instant, machine_id: &MachineId) {
         let silence = self.policy.silence();
         let near = |m: &&mut Machine| m.last_message_at.is_some_and(|h| now - h <= silence);
         if let Some(m) = self.machines.get_mut(machine_id).filter(near) {
@@ -169,7 +170,7 @@
         }
     }
 
-    pub(crate) fn stop_command(s: &TaskAttempt, now: Millis) -> Option<Command> {
+    pub(crate) fn stop_command(s: &TaskAttempt, now: Instant) -> Option<Command> {
         let wish = s.stop?;
         let saving = s.last_status.filter(|x| x.phase == TaskPhase::Saving);
         let grace_s = match saving {
--- a/src/coordination/attempts/task_attempt.rs
+++ b/src/coordination/attempts/task_attempt.rs
@@ -1,11 +1,10 @@
 //! One attempt of a task: how it was launched, and what its worker said of it.
 
 use crate::coordination::jobs::job::Job;
-use crate::ids::{
-    AttemptId, FencingToken, Image, Millis, PageNumber, Session, TaskId, TeamIndex, Tick,
-};
+use crate::ids::{AttemptId, FencingToken, Image, PageNumber, Session, TaskId, TeamIndex, Tick};
 use crate::protocol::workers::{Cause, TaskPhase};
 use crate::resources::Resources;
+use crate::time::Instant;
 
 /// A launch sent to `/commands`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -26,7 +25,7 @@
     pub cause: Option<Cause>,
     pub stored: bool,
     /// Since when it has been in this phase, as far as we know.
-    pub since: Millis,
+    pub since: Instant,
     /// The message that said so.
     pub at: (Session, Tick),
 }
@@ -67,9 +66,9 @@
     pub last_status: Option<LastStatus>,
     pub stop: Option<StopRequest>,
     /// Placed at.
-    pub since: Millis,
+    pub since: Instant,
     /// First seen running.
-    pub running_since: Option<Millis>,
+    pub running_since: Option<Instant>,
 }
 
 impl TaskAttempt {
@@ -80,7 +79,7 @@
         attempt_id: AttemptId,
         job: Option<&Job>,
         request: Resources,
-        now: Millis,
+        now: Instant,
     ) -> TaskAttempt {
         TaskAttempt {
             task,
--- a/src/coordination/attempts/task_ends.rs
+++ b/src/coordination/attempts/task_ends.rs
@@ -1,23 +1,24 @@
 //! What follows when a task has ended on its machine.
 
 use crate::coordination::Scheduler;
-use crate::ids::{AttemptId, MachineId, Millis, TaskId};
+use crate::ids::{AttemptId, MachineId, TaskId};
 use crate::protocol::workers::Cause;
+use crate::time::{Instant, TimeSpan};
 
 /// Errors of one job on several machines make it wait, doubling, between these.
-const JOB_BACKOFF: (Millis, Millis) = (Millis(2000), Millis(60_000));
+const JOB_BACKOFF: (TimeSpan, TimeSpan) = (TimeSpan(2000), TimeSpan(60_000));
 
 impl Scheduler {
     /// A start ended on its machine. It stays there as a tombstone until cleared.
     pub(crate) fn ended(
         &mut self,
-        now: Millis,
+        now: Instant,
         machine_id: &MachineId,
         key: &(TaskId, AttemptId),
         cause: Cause,
     ) {
         let (task, _) = key;
-        let lease = Millis::from_secs(self.policy.facts.workers.lease_s);
+        let lease = TimeSpan::from_secs(self.policy.facts.workers.lease_s);
         tracing::debug!(task = %task, machine = %machine_id, cause = ?cause, "ended");
         self.note_idle(now, machine_id);
         if cause == Cause::Done {
@@ -39,20 +40,20 @@
             Cause::Error => self.failed(now, machine_id, task),
             Cause::Full => {
                 if let Some(m) = self.machines.get_mut(machine_id) {
-                    m.unschedulable_until = now + Millis(3000);
+                    m.unschedulable_until = now + TimeSpan(3000);
                 }
             }
             Cause::Unknown => {
                 // The description isn't there yet; try again a little later.
                 if let Some(job) = self.jobs.get_mut(&task.job) {
-                    job.not_before = job.not_before.max(now + Millis(2000));
+                    job.not_before = job.not_before.max(now + TimeSpan(2000));
                 }
             }
             Cause::Busy => {
                 // Another try of this task is on the machine although we held it for empty: leave
                 // the machine to its next reports, which list that try.
                 if let Some(m) = self.machines.get_mut(machine_id) {
-                    m.unschedulable_until = now + Millis(6000);
+                    m.unschedulable_until = now + TimeSpan(6000);
                 }
             }
             Cause::Incomplete => {
@@ -69,7 +70,7 @@
     }
 
     /// A task failed: mostly the machine is faulty, but a job may be.
-    pub(crate) fn failed(&mut self, now: Millis, machine_id: &MachineId, task: &TaskId) {
+    pub(crate) fn failed(&mut self, now: Instant, machine_id: &MachineId, task: &TaskId) {
         let most = self.policy.operator.sick_errors as usize;
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
@@ -81,7 +82,7 @@
         let failed_on = job.failed_on.clone();
         if job.failed_on.len() > 1 {
             let step = JOB_BACKOFF.0 .0 << (job.failed_on.len() as u32 - 2).min(5);
-            job.not_before = now + Millis(step.min(JOB_BACKOFF.1 .0));
+            job.not_before = now + TimeSpan(step.min(JOB_BACKOFF.1 .0));
         }
         if fails_everywhere {
             // Guards against jobs submitted with a mistake that take machines down with them: the marks
@@ -97,7 +98,7 @@
             if !fails_everywhere {
                 m.failed_jobs.insert(task.job.clone());
             }
-            m.unschedulable_until = now + Millis(2000);
+            m.unschedulable_until = now + TimeSpan(2000);
             if m.failed_jobs.len() >= most && !m.draining {
                 tracing::info!(machine = %machine_id, "sick: tasks of different jobs fail here");
                 m.start_draining(now);
--- a/src/coordination/autoscaler/arrivals.rs
+++ b/src/coordination/autoscaler/arrivals.rs
@@ -2,8 +2,8 @@
 
 use crate::coordination::jobs::estimates::Observed;
 use crate::coordination::Scheduler;
-use crate::ids::Millis;
 use crate::protocol::users::JobSpec;
+use crate::time::{Instant, TimeSpan};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
@@ -24,7 +24,7 @@
     /// first, without gaps.
     intervals: VecDeque<(i64, u32)>,
     /// What a former leader had seen, and until when it is all that is known.
-    told: Option<(f64, Millis)>,
+    told: Option<(f64, Instant)>,
     /// Tasks of a job, on average of late.
     tasks: f64,
     /// The last jobs: the next ones are taken to look like them.
@@ -32,7 +32,7 @@
 }
 
 /// One interval, and how many are remembered.
-const INTERVAL: Millis = Millis(10_000);
+const INTERVAL: TimeSpan = TimeSpan(10_000);
 const INTERVALS_KEPT: i64 = 12;
 /// Jobs remembered for what they need.
 const LAST: usize = 12;
@@ -54,12 +54,12 @@
         }
     }
 
-    fn interval(at: Millis) -> i64 {
+    fn interval(at: Instant) -> i64 {
         at.0.div_euclid(INTERVAL.0)
     }
 
     /// A job of the class has arrived.
-    pub fn note(&mut self, spec: &JobSpec, at: Millis) {
+    pub fn note(&mut self, spec: &JobSpec, at: Instant) {
         let n = ArrivalRate::interval(at);
         match self.intervals.iter_mut().find(|(m, _)| *m == n) {
             Some((_, jobs)) => *jobs += 1,
@@ -91,7 +91,7 @@
 
     /// Jobs to be expected each second. One interval that stands out counts for nothing by itself (at
     /// the start of a day, all that had gathered arrives at once); two in a row are a burst.
-    pub fn jobs_per_s(&self, now: Millis) -> f64 {
+    pub fn jobs_per_s(&self, now: Instant) -> f64 {
         let now_n = ArrivalRate::interval(now);
         let seen = self.seen_per_s(now_n);
         match self.told {
@@ -154,7 +154,7 @@
 }
 
 impl Scheduler {
-    pub(crate) fn hints(&self, now: Millis) -> Hints {
+    pub(crate) fn hints(&self, now: Instant) -> Hints {
         let demand = self.demand.iter();
         Hints {
             observed: self.observed.clone(),
@@ -167,7 +167,7 @@
         }
     }
 
-    pub(crate) fn load_hints(&mut self, now: Millis, hints: Hints) {
+    pub(crate) fn load_hints(&mut self, now: Instant, hints: Hints) {
         self.observed = hints.observed;
         for (class, (rate, tasks, spec)) in hints.demand {
             let d = self
@@ -180,14 +180,14 @@
     }
 
     /// Whether nothing is to be expected, of any class; never while too little has been seen to tell.
-    pub(crate) fn ebbed(&self, now: Millis) -> bool {
+    pub(crate) fn ebbed(&self, now: Instant) -> bool {
         let mut all = self.demand.values();
         all.any(|d| d.intervals.len() > LULL)
             && self.demand.values().all(|d| d.jobs_per_s(now) <= 0.0)
     }
 
     /// Notes the arrival of a job.
-    pub(crate) fn note_arrival(&mut self, spec: &JobSpec, at: Millis) {
+    pub(crate) fn note_arrival(&mut self, spec: &JobSpec, at: Instant) {
         let d = self
             .demand
             .entry(spec.class.clone())
--- a/src/coordination/autoscaler/forecast.rs
+++ b/src/coordination/autoscaler/forecast.rs
@@ -12,9 +12,10 @@
 use crate::coordination::placement::candidates::emptiness;
 use crate::coordination::placement::UnplacedTasks;
 use crate::coordination::Scheduler;
-use crate::ids::{Image, MachineId, Millis, Zone};
+use crate::ids::{Image, MachineId, Zone};
 use crate::protocol::users::{JobSpec, Shape};
 use crate::resources::Resources;
+use crate::time::Instant;
 use std::cmp::{Ordering, Reverse};
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
@@ -118,7 +119,7 @@
 impl Scheduler {
     /// Looks ahead with what waits, in queue order, and what is to come; at most so many machines are
     /// rented.
-    pub(crate) fn look_ahead(&self, now: Millis, unplaced: &[UnplacedTasks], most: usize) -> Seen {
+    pub(crate) fn look_ahead(&self, now: Instant, unplaced: &[UnplacedTasks], most: usize) -> Seen {
         let mut zones: BTreeMap<Zone, usize> = BTreeMap::new();
         for m in self.machines.values() {
             *zones.entry(m.zone.clone()).or_default() += 1;
@@ -151,7 +152,7 @@
         Seen { rent, spare }
     }
 
-    fn give_waiting(&self, now: Millis, unplaced: &[UnplacedTasks], fleet: &mut ForecastFleet) {
+    fn give_waiting(&self, now: Instant, unplaced: &[UnplacedTasks], fleet: &mut ForecastFleet) {
         let mut used = self.used.clone();
         for u in unplaced {
             let Some(job) = self.jobs.get(&u.job) else {
@@ -179,7 +180,7 @@
     }
 
     /// What should arrive in the time that it takes to have another machine with an image.
-    fn give_to_come(&self, now: Millis, fleet: &mut ForecastFleet, rent: bool) {
+    fn give_to_come(&self, now: Instant, fleet: &mut ForecastFleet, rent: bool) {
         for d in self.demand.values() {
             let jobs_per_s = d.jobs_per_s(now);
             let parts = d.last().len() as f64;
@@ -206,7 +207,7 @@
     }
 
     /// Seconds until a start that doesn't run yet has its image.
-    fn rest_of_fetch(&self, now: Millis, m: &Machine, s: &TaskAttempt) -> f64 {
+    fn rest_of_fetch(&self, now: Instant, m: &Machine, s: &TaskAttempt) -> f64 {
         let Some(spec) = self.jobs.get(&s.task.job).map(|j| &j.spec) else {
             return 0.0;
         };
@@ -217,7 +218,7 @@
     }
 
     /// The machines there are and that are coming, with the room they will have and when.
-    fn forecast(&self, now: Millis) -> Vec<Bin> {
+    fn forecast(&self, now: Instant) -> Vec<Bin> {
         let mut bins: Vec<Bin> = Vec::new();
         for m in self.machines.values() {
             let kind = (m.machine_type.clone(), m.zone.clone(), m.spot);
@@ -282,7 +283,7 @@
 
     /// The zone for a gang that must stay together: where most of it could start soon, if the rest
     /// can be rented there; among equals the one with least machines.
-    fn zone_for(&self, now: Millis, fleet: &ForecastFleet, spec: &JobSpec) -> Option<Zone> {
+    fn zone_for(&self, now: Instant, fleet: &ForecastFleet, spec: &JobSpec) -> Option<Zone> {
         let request = Resources::of(spec);
         let zones: BTreeSet<&Zone> = self.machine_types.values().flat_map(|r| &r.zones).collect();
         let rank = |zone: &Zone| {
@@ -306,7 +307,7 @@
 
     /// Gives like tasks, one by one, to the machine of the forecast on which each starts first; a new
     /// one joins the forecast if it would be sooner. Says how many were given.
-    fn give(&self, now: Millis, fleet: &mut ForecastFleet, ask: &Ask) -> u32 {
+    fn give(&self, now: Instant, fleet: &mut ForecastFleet, ask: &Ask) -> u32 {
         let spec = ask.spec;
         let request = Resources::of(spec);
         // Tasks of a gang run at once: none can follow another on the same room.
--- a/src/coordination/autoscaler/mod.rs
+++ b/src/coordination/autoscaler/mod.rs
@@ -9,8 +9,9 @@
 use crate::coordination::machines::machine::{Machine, MachineState};
 use crate::coordination::placement::UnplacedTasks;
 use crate::coordination::Scheduler;
-use crate::ids::{MachineId, MachineType, Millis, Zone};
+use crate::ids::{MachineId, MachineType, Zone};
 use crate::protocol::cloud::{CloudPhase, ListedMachine};
+use crate::time::{Instant, TimeSpan};
 use crate::transport::budget::Budget;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -22,9 +23,9 @@
 pub(crate) struct ScaleOutRequest {
     pub(crate) kind: Kind,
     pub(crate) count: u32,
-    pub(crate) asked: Millis,
+    pub(crate) asked: Instant,
     /// None: an answer is awaited. Otherwise: asked again then, under the same name.
-    again_at: Option<Millis>,
+    again_at: Option<Instant>,
 }
 
 /// The fleet's memory.
@@ -33,17 +34,17 @@
     pub(crate) scale_out_requests: BTreeMap<String, ScaleOutRequest>,
     hired: u64,
     /// Refused for want of capacity: not asked again before, and the wait that led there.
-    refused: BTreeMap<Kind, (Millis, Millis)>,
+    refused: BTreeMap<Kind, (Instant, TimeSpan)>,
     /// Idle machines that the last forecast had no use for.
     spare: BTreeSet<MachineId>,
     /// Returns that failed: not tried again before.
-    return_after: Millis,
+    return_after: Instant,
     /// Zones taken to be cut off, until then.
-    suspected: BTreeMap<Zone, Millis>,
+    suspected: BTreeMap<Zone, Instant>,
     /// When the forecast was last made, and when it was last looked what to return.
-    looked: Millis,
-    swept: Millis,
-    logged: Millis,
+    looked: Instant,
+    swept: Instant,
+    logged: Instant,
     calls: Budget,
 }
 
@@ -55,11 +56,11 @@
             hired: 0,
             refused: BTreeMap::new(),
             spare: BTreeSet::new(),
-            return_after: Millis(0),
+            return_after: Instant(0),
             suspected: BTreeMap::new(),
-            looked: Millis(i64::MIN / 4),
-            swept: Millis(i64::MIN / 4),
-            logged: Millis(i64::MIN / 4),
+            looked: Instant::LONG_AGO,
+            swept: Instant::LONG_AGO,
+            logged: Instant::LONG_AGO,
             // The list takes the rest; the cloud allows bursts of two seconds' worth.
             calls: Budget::new(cloud_rps * CALLS, cloud_rps * 2.0 * CALLS),
         }
@@ -70,19 +71,19 @@
 const CALLS: f64 = 0.7;
 /// The forecast is made at most this often, and less often the more machines there are: it costs
 /// more than a placement does.
-const LOOK_EVERY: Millis = Millis(400);
+const LOOK_EVERY: TimeSpan = TimeSpan(400);
 const LOOK_A_MACHINE: i64 = 1;
 /// A line about the machines is logged this often.
-const LOG_EVERY: Millis = Millis(10_000);
+const LOG_EVERY: TimeSpan = TimeSpan(10_000);
 /// What to return is looked for this often.
-const SWEEP_EVERY: Millis = Millis(500);
+const SWEEP_EVERY: TimeSpan = TimeSpan(500);
 /// A new leader rents nothing while more than this part of the machines has yet to report to it.
 const STILL_SILENT: f64 = 0.1;
 /// Machines rented in one look: what can be asked for in so many seconds at the cloud's rate.
 const LOOK_S: f64 = 2.0;
 
 /// A machine being emptied is returned after this even if something on it doesn't end.
-const DRAIN_PATIENCE: Millis = Millis(20_000);
+const DRAIN_PATIENCE: TimeSpan = TimeSpan(20_000);
 
 impl Scheduler {
     pub(crate) fn boot_s(&self, machine_type: &MachineType) -> f64 {
@@ -103,12 +104,12 @@
     #[allow(clippy::too_many_arguments)]
     pub(crate) fn enter_machine(
         &mut self,
-        now: Millis,
+        now: Instant,
         id: &MachineId,
         machine_type: &MachineType,
         zone: &Zone,
         spot: bool,
-        since: Millis,
+        since: Instant,
         verified: bool,
     ) {
         if !self.machines.contains_key(id) {
@@ -141,7 +142,7 @@
     }
 
     /// Returns what isn't needed or is given up, rents what is missing.
-    pub(crate) fn size_fleet(&mut self, now: Millis, unplaced: Vec<UnplacedTasks>) {
+    pub(crate) fn size_fleet(&mut self, now: Instant, unplaced: Vec<UnplacedTasks>) {
         self.repeat_hires(now);
         self.rent(now, &unplaced);
         if now - self.fleet.swept >= SWEEP_EVERY {
@@ -151,7 +152,7 @@
     }
 
     /// A line about what the machines are doing, every so often: where the money goes.
-    pub(crate) fn log_state(&mut self, now: Millis) {
+    pub(crate) fn log_state(&mut self, now: Instant) {
         if now - self.fleet.logged < LOG_EVERY {
             return;
         }
@@ -206,11 +207,11 @@
     /// and no longer is, is asked to be returned, and the answer to that is the proof.
     pub(crate) fn machines_listed(
         &mut self,
-        now: Millis,
-        asked: Millis,
+        now: Instant,
+        asked: Instant,
         listed_machines: Vec<ListedMachine>,
     ) {
-        let lag = Millis::from_secs(self.policy.facts.cloud.list_lag_s * 2.0 + 2.0);
+        let lag = TimeSpan::from_secs(self.policy.facts.cloud.list_lag_s * 2.0 + 2.0);
         let listed: BTreeSet<MachineId> = listed_machines.iter().map(|h| h.id.clone()).collect();
         for h in listed_machines {
             if self.gone.contains(&h.id) {
@@ -219,7 +220,7 @@
             if !self.machines.contains_key(&h.id) {
                 tracing::info!(machine = %h.id, machine_type = %h.machine_type, "listed, but not known: taken on");
             }
-            let since = asked - Millis::from_secs(h.age_s);
+            let since = asked - TimeSpan::from_secs(h.age_s);
             self.enter_machine(now, &h.id, &h.machine_type, &h.zone, h.spot, since, true);
             let Some(m) = self.machines.get_mut(&h.id) else {
                 continue;
--- a/src/coordination/autoscaler/scale_in.rs
+++ b/src/coordination/autoscaler/scale_in.rs
@@ -3,7 +3,8 @@
 use super::DRAIN_PATIENCE;
 use crate::coordination::machines::machine::MachineState;
 use crate::coordination::{Effect, Scheduler};
-use crate::ids::{MachineId, Millis, Zone};
+use crate::ids::{MachineId, Zone};
+use crate::time::{Instant, TimeSpan};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The most names in one return, by the protocol.
@@ -29,12 +30,12 @@
     ///
     /// When a cut ends, machines report one after the other: the zone stays suspected for as long as
     /// the last of them may take.
-    pub(crate) fn given_up(&mut self, now: Millis) -> BTreeSet<MachineId> {
+    pub(crate) fn given_up(&mut self, now: Instant) -> BTreeSet<MachineId> {
         let silence = self.policy.silence();
         if now - self.term_began_at <= silence {
             return BTreeSet::new();
         }
-        let quiet = Millis::from_secs(self.policy.facts.workers.report_s * 2.0);
+        let quiet = TimeSpan::from_secs(self.policy.facts.workers.report_s * 2.0);
         let mut zones: BTreeMap<Zone, (f64, f64)> = BTreeMap::new();
         for m in self.machines.values() {
             let lost = m.state == MachineState::Returning
@@ -70,7 +71,7 @@
         jobs.any(|job| !job.fails_everywhere())
     }
 
-    pub(crate) fn return_machines(&mut self, now: Millis) {
+    pub(crate) fn return_machines(&mut self, now: Instant) {
         let mut back: BTreeSet<MachineId> = self.given_up(now);
         let ebbed = !self.work_waits() && self.ebbed(now);
         for m in self.machines.values() {
@@ -120,13 +121,13 @@
                 self.indexes.spacious.remove(h);
                 self.indexes.cpus_left.remove(h);
                 // Not asked again while the answer is awaited.
-                m.push_not_before = now + Millis(10_000);
+                m.push_not_before = now + TimeSpan(10_000);
             }
         }
         self.effects.push(Effect::ScaleIn { machine_ids });
     }
 
-    pub(crate) fn returned(&mut self, now: Millis, machine_ids: &[MachineId]) {
+    pub(crate) fn returned(&mut self, now: Instant, machine_ids: &[MachineId]) {
         for h in machine_ids {
             // Proof 4: the cloud's 200 to returning the machine.
             self.empty_machine(now, h);
@@ -144,11 +145,11 @@
         self.placement_due = true;
     }
 
-    pub(crate) fn return_failed(&mut self, now: Millis, machine_ids: &[MachineId]) {
-        self.fleet.return_after = now + Millis(1_000);
+    pub(crate) fn return_failed(&mut self, now: Instant, machine_ids: &[MachineId]) {
+        self.fleet.return_after = now + TimeSpan(1_000);
         for h in machine_ids {
             if let Some(m) = self.machines.get_mut(h) {
-                m.push_not_before = now + Millis(2_000);
+                m.push_not_before = now + TimeSpan(2_000);
             }
         }
     }
--- a/src/coordination/autoscaler/scale_out.rs
+++ b/src/coordination/autoscaler/scale_out.rs
@@ -4,22 +4,23 @@
 use crate::coordination::machines::machine::MachineState;
 use crate::coordination::placement::UnplacedTasks;
 use crate::coordination::{Effect, Scheduler};
-use crate::ids::{MachineId, Millis, Zone};
+use crate::ids::{MachineId, Zone};
 use crate::protocol::users::JobSpec;
 use crate::resources::Resources;
+use crate::time::{Instant, TimeSpan};
 use std::collections::BTreeMap;
 
 /// The most one rental may ask for, by the protocol.
 const MOST_PER_HIRE: u32 = 50;
 /// Waits after a refusal.
-const REFUSED: (Millis, Millis) = (Millis(8_000), Millis(40_000));
+const REFUSED: (TimeSpan, TimeSpan) = (TimeSpan(8_000), TimeSpan(40_000));
 /// An unclear rental is asked again after this, and given up after that: its machines, if any,
 /// show up in the list and in their workers' reports.
-const HIRE_AGAIN: Millis = Millis(1_500);
-const HIRE_GIVEN_UP: Millis = Millis(90_000);
+const HIRE_AGAIN: TimeSpan = TimeSpan(1_500);
+const HIRE_GIVEN_UP: TimeSpan = TimeSpan(90_000);
 
 impl Scheduler {
-    pub(crate) fn repeat_hires(&mut self, now: Millis) {
+    pub(crate) fn repeat_hires(&mut self, now: Instant) {
         self.fleet
             .scale_out_requests
             .retain(|_, h| now - h.asked < HIRE_GIVEN_UP);
@@ -49,8 +50,8 @@
     }
 
     /// Rents what makes waiting tasks start sooner, as the forecast says.
-    pub(crate) fn rent(&mut self, now: Millis, unplaced: &[UnplacedTasks]) {
-        let pause = LOOK_EVERY + Millis(LOOK_A_MACHINE * self.machines.len() as i64);
+    pub(crate) fn rent(&mut self, now: Instant, unplaced: &[UnplacedTasks]) {
+        let pause = LOOK_EVERY + TimeSpan(LOOK_A_MACHINE * self.machines.len() as i64);
         if now - self.fleet.looked < pause || self.awaits_reports(now) {
             return;
         }
@@ -79,7 +80,7 @@
     /// Guards against rentals for which there is no use a moment later: each change of leaders rented up to
     /// 180 machines on the recorded day a974. Until a machine has reported it can't be given work, and what
     /// ended on it while nobody led still seems to be there.
-    pub(crate) fn awaits_reports(&self, now: Millis) -> bool {
+    pub(crate) fn awaits_reports(&self, now: Instant) -> bool {
         if now - self.term_began_at > self.policy.first_reports() {
             return false;
         }
@@ -93,7 +94,7 @@
         silent as f64 > all as f64 * STILL_SILENT
     }
 
-    pub(crate) fn hire(&mut self, now: Millis, kind: Kind, count: u32) {
+    pub(crate) fn hire(&mut self, now: Instant, kind: Kind, count: u32) {
         // Unique for ever: tokens are, and so is the count within one.
         self.fleet.hired += 1;
         let name = format!("r-{}-{}", self.term.first, self.fleet.hired);
@@ -130,7 +131,7 @@
     /// the zone with least machines.
     pub(crate) fn choose_kind(
         &self,
-        now: Millis,
+        now: Instant,
         spec: &JobSpec,
         left: u32,
         zones: &BTreeMap<Zone, usize>,
@@ -166,7 +167,7 @@
     }
 
     /// Whether a machine for the job is coming or may yet be rented.
-    pub(crate) fn may_rent(&self, now: Millis, spec: &JobSpec) -> bool {
+    pub(crate) fn may_rent(&self, now: Instant, spec: &JobSpec) -> bool {
         let request = Resources::of(spec);
         let serves =
             |kind: &Kind| Self::kind_allowed(spec, kind) && request.fits(&self.capacity(&kind.0));
@@ -184,7 +185,7 @@
 
     pub(crate) fn rented(
         &mut self,
-        now: Millis,
+        now: Instant,
         idempotency_key: &str,
         machine_ids: Option<Vec<MachineId>>,
     ) {
@@ -197,7 +198,7 @@
                 .fleet
                 .refused
                 .get(&h.kind)
-                .map_or(REFUSED.0, |r| Millis(r.1 .0 * 2).min(REFUSED.1));
+                .map_or(REFUSED.0, |r| TimeSpan(r.1 .0 * 2).min(REFUSED.1));
             tracing::debug!(
                 idempotency_key,
                 got,
@@ -219,7 +220,7 @@
         self.placement_due = true;
     }
 
-    pub(crate) fn rent_unclear(&mut self, now: Millis, idempotency_key: &str) {
+    pub(crate) fn rent_unclear(&mut self, now: Instant, idempotency_key: &str) {
         if let Some(h) = self.fleet.scale_out_requests.get_mut(idempotency_key) {
             h.again_at = Some(now + HIRE_AGAIN);
         }
--- a/src/coordination/autoscaler/warm_pool.rs
+++ b/src/coordination/autoscaler/warm_pool.rs
@@ -3,14 +3,15 @@
 //! rental would take, and a little for chance.
 
 use crate::coordination::Scheduler;
-use crate::ids::{MachineId, Millis};
+use crate::ids::MachineId;
 use crate::protocol::users::JobSpec;
 use crate::resources::Resources;
+use crate::time::Instant;
 use std::collections::BTreeMap;
 
 impl Scheduler {
     /// How many tasks of each class there should be room for at once, beyond what runs.
-    pub(crate) fn warm_pool_wanted(&self, now: Millis) -> Vec<(JobSpec, u32)> {
+    pub(crate) fn warm_pool_wanted(&self, now: Instant) -> Vec<(JobSpec, u32)> {
         let mut wanted = Vec::new();
         for (class, d) in &self.demand {
             let Some(within) = self.policy.started_within(class) else {
@@ -48,7 +49,7 @@
     }
 
     /// Chooses the machines that stand by, and says what is missing.
-    pub(crate) fn choose_warm_pool(&mut self, now: Millis) {
+    pub(crate) fn choose_warm_pool(&mut self, now: Instant) {
         let mut warm_pool: BTreeMap<MachineId, String> = BTreeMap::new();
         let mut missing = Vec::new();
         for (spec, n) in self.warm_pool_wanted(now) {
--- a/src/coordination/event.rs
+++ b/src/coordination/event.rs
@@ -1,10 +1,11 @@
 //! What the scheduler takes in.
 
-use crate::ids::{JobId, KeyRevision, MachineId, Millis, StoreRevision};
+use crate::ids::{JobId, KeyRevision, MachineId, StoreRevision};
 use crate::protocol::cloud::{ListedMachine, MachineTypeInfo};
 use crate::protocol::state::KeyValue;
 use crate::protocol::workers::WorkerStatus;
 use crate::storage::records::{OpenJobRecord, TerminalRecord};
+use crate::time::{Instant, TimeSpan};
 
 /// What happened.
 #[derive(Debug)]
@@ -13,7 +14,7 @@
     JobOpened {
         record: Box<OpenJobRecord>,
         revision: KeyRevision,
-        submitted: Millis,
+        submitted: Instant,
     },
     /// A job is no longer open: cancelled, or finished by us.
     JobClosed { id: JobId },
@@ -25,7 +26,7 @@
     },
     /// The whole list of open jobs, as read anew (after a gap in the watch).
     OpenJobs {
-        jobs: Vec<(OpenJobRecord, KeyRevision, Millis)>,
+        jobs: Vec<(OpenJobRecord, KeyRevision, Instant)>,
     },
     /// A direct command was answered: 200 (executed) or 409 (not).
     PushAnswered {
@@ -43,7 +44,7 @@
     MachineTypes(Vec<MachineTypeInfo>),
     /// The whole machine list, asked for at the given moment.
     MachinesListed {
-        asked: Millis,
+        asked: Instant,
         machines: Vec<ListedMachine>,
     },
     /// A rental was answered: machines, or None for no capacity.
@@ -65,7 +66,7 @@
     /// A write was certainly not executed, nor will be.
     NotWritten { seq: u64 },
     /// A write was not executed since there were too many changes; none for so long.
-    WriteLimited { seq: u64, pause: Millis },
+    WriteLimited { seq: u64, pause: TimeSpan },
     /// A write was refused for what it is, and would be each time: too many operations, too large a value.
     WriteRejected { seq: u64 },
     /// A write's guards failed (these, if the service said which), or its outcome is unclear: the
--- a/src/coordination/jobs/aging.rs
+++ b/src/coordination/jobs/aging.rs
@@ -7,7 +7,8 @@
 
 use crate::coordination::jobs::job::Job;
 use crate::coordination::Scheduler;
-use crate::ids::{JobId, Millis, TeamIndex};
+use crate::ids::{JobId, TeamIndex};
+use crate::time::{Instant, TimeSpan};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Jobs of which most must begin in time.
@@ -24,11 +25,11 @@
 struct Begun {
     in_time: f64,
     late: f64,
-    at: Millis,
+    at: Instant,
 }
 
 impl Begun {
-    fn at(self, now: Millis) -> Begun {
+    fn at(self, now: Instant) -> Begun {
         let keep = (-(now - self.at).secs().max(0.0) / MEMORY_S).exp();
         Begun {
             in_time: self.in_time * keep,
@@ -58,8 +59,8 @@
 const SIZES: usize = 99;
 
 impl Scheduler {
-    fn late_after(&self) -> Millis {
-        Millis::from_secs(self.policy.operator.begin_within_s * LATE)
+    fn late_after(&self) -> TimeSpan {
+        TimeSpan::from_secs(self.policy.operator.begin_within_s * LATE)
     }
 
     fn groups_of(&self, job: &Job) -> Vec<Group> {
@@ -87,7 +88,7 @@
     }
 
     /// A job has begun.
-    pub(crate) fn note_begun(&mut self, now: Millis, id: &JobId) {
+    pub(crate) fn note_begun(&mut self, now: Instant, id: &JobId) {
         let Some(job) = self.jobs.get(id) else {
             return;
         };
@@ -109,7 +110,7 @@
     }
 
     /// Once a second: which groups are in danger, those that still wait counted as late.
-    pub(crate) fn recheck_aging(&mut self, now: Millis) {
+    pub(crate) fn recheck_aging(&mut self, now: Instant) {
         let bound = self.late_after();
         let mut sums: BTreeMap<Group, (f64, f64)> = BTreeMap::new();
         for job in self
@@ -135,7 +136,7 @@
     }
 
     /// Whether a job goes ahead of all others.
-    pub(crate) fn aged(&self, job: &Job, now: Millis) -> bool {
+    pub(crate) fn aged(&self, job: &Job, now: Instant) -> bool {
         !self.aging.endangered.is_empty()
             && !job.has_run
             && now - job.ready > self.late_after()
--- a/src/coordination/jobs/estimates.rs
+++ b/src/coordination/jobs/estimates.rs
@@ -2,8 +2,9 @@
 
 use crate::coordination::jobs::job::Job;
 use crate::coordination::Scheduler;
-use crate::ids::{AttemptId, MachineId, Millis, TaskId};
+use crate::ids::{AttemptId, MachineId, TaskId};
 use crate::protocol::users::JobSpec;
+use crate::time::Instant;
 use serde::{Deserialize, Serialize};
 
 /// Run times seen against those guessed, for one class.
@@ -26,7 +27,7 @@
 impl Scheduler {
     pub(crate) fn note_run_time(
         &mut self,
-        now: Millis,
+        now: Instant,
         machine_id: &MachineId,
         key: &(TaskId, AttemptId),
     ) {
--- a/src/coordination/jobs/graph.rs
+++ b/src/coordination/jobs/graph.rs
@@ -7,8 +7,9 @@
 //! because nothing is known of them here (`unknown`). A release is never decided on anything but a
 //! finish mark.
 
-use crate::ids::{JobId, Millis};
+use crate::ids::JobId;
 use crate::protocol::users::Priority;
+use crate::time::{Instant, TimeSpan};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// How a job is to be served.
@@ -27,9 +28,9 @@
 #[derive(Clone, Copy, Debug)]
 pub struct JobTraits {
     /// Its own deadline.
-    pub due: Option<Millis>,
+    pub due: Option<Instant>,
     /// How long it should take from its release to its end.
-    pub run: Millis,
+    pub run: TimeSpan,
     /// Its own priority.
     pub priority: Priority,
 }
@@ -41,7 +42,7 @@
     depth: u32,
     label: Label,
     /// The time by which it has to be done for every deadline behind it.
-    due: Option<Millis>,
+    due: Option<Instant>,
     priority: Priority,
 }
 
@@ -67,7 +68,7 @@
     /// May run.
     Released,
     /// Its finish mark is durable, since about then.
-    Finished(Millis),
+    Finished(Instant),
     /// Cancelled by its user, or needs a job that was.
     Cancelled,
     /// No longer open; whether it was finished or cancelled is not known.
@@ -86,7 +87,7 @@
     /// Producers whose finish mark is not known to be durable.
     missing: BTreeSet<JobId>,
     /// When the last known finish mark of a producer was written.
-    last_finish: Option<Millis>,
+    last_finish: Option<Instant>,
     state: NodeState,
     traits: JobTraits,
     derived: Derived,
@@ -96,7 +97,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Release {
     pub id: JobId,
-    pub at: Option<Millis>,
+    pub at: Option<Instant>,
 }
 
 /// What has changed since it was last asked.
@@ -112,7 +113,7 @@
 pub struct Graph {
     nodes: BTreeMap<JobId, Node>,
     /// Finished jobs that are forgotten but still named as producers, and when they finished.
-    finished: BTreeMap<JobId, Millis>,
+    finished: BTreeMap<JobId, Instant>,
     consumers: BTreeMap<JobId, BTreeSet<JobId>>,
     /// Producers of waiting jobs whose finish mark has to be read.
     unknown: BTreeSet<JobId>,
@@ -167,7 +168,7 @@
 
     /// A job's finish mark is durable, since about the given time: consumers whose last producer it
     /// was are released.
-    pub fn finished(&mut self, id: &JobId, at: Millis) {
+    pub fn finished(&mut self, id: &JobId, at: Instant) {
         self.unknown.remove(id);
         let Some(consumers) = self.consumers.get(id).cloned() else {
             self.set_state(id, NodeState::Finished(at));
@@ -303,7 +304,7 @@
     }
 
     /// The time by which the job has to be done for its own deadline and all behind it.
-    pub fn due(&self, id: &JobId) -> Option<Millis> {
+    pub fn due(&self, id: &JobId) -> Option<Instant> {
         self.derived(id).and_then(|d| d.due)
     }
 
--- a/src/coordination/jobs/job.rs
+++ b/src/coordination/jobs/job.rs
@@ -1,9 +1,10 @@
 //! A job as the leader holds it.
 
-use crate::ids::{KeyRevision, MachineId, Millis, TeamIndex};
+use crate::ids::{KeyRevision, MachineId, TeamIndex};
 use crate::protocol::users::{JobSpec, Shape};
 use crate::resources::Resources;
 use crate::storage::records::CompletedTasks;
+use crate::time::Instant;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A job that the leader holds: open, or over but with starts not yet proven gone.
@@ -15,12 +16,12 @@
     /// Version of the open record: the guard of every write on the job's behalf.
     pub revision: KeyRevision,
     /// When it was accepted, on our steady clock: deadlines count from here.
-    pub submitted: Millis,
+    pub submitted: Instant,
     /// Whether all jobs that it needs are done. Until then it counts for nothing but its deadline.
     pub released: bool,
     /// When it could first have run: when it was accepted, or the last job that it needs was done. All
     /// times but its deadline count from here.
-    pub ready: Millis,
+    pub ready: Instant,
     /// A job that it needs, directly or through others, is cancelled: it is to be cancelled too.
     pub ancestor_cancelled: bool,
     /// Pages on the state service that name producers of it.
@@ -47,9 +48,9 @@
     /// A gang of whose last try a member gave up waiting for the others.
     pub incomplete: bool,
     /// Since when it has left room to jobs whose image is at hand.
-    pub waits_since: Option<Millis>,
+    pub waits_since: Option<Instant>,
     /// No start before this: backs off after failures.
-    pub not_before: Millis,
+    pub not_before: Instant,
     pub failures: u32,
     /// Machines on which a task of this job ended in an error.
     pub failed_on: BTreeSet<MachineId>,
@@ -61,7 +62,7 @@
         spec: JobSpec,
         team: Option<TeamIndex>,
         revision: KeyRevision,
-        submitted: Millis,
+        submitted: Instant,
     ) -> Job {
         let n = spec.tasks;
         Job {
@@ -85,7 +86,7 @@
             has_run: false,
             incomplete: false,
             waits_since: None,
-            not_before: Millis(i64::MIN / 4),
+            not_before: Instant::LONG_AGO,
             failures: 0,
             failed_on: BTreeSet::new(),
             spec,
--- a/src/coordination/jobs/lifecycle.rs
+++ b/src/coordination/jobs/lifecycle.rs
@@ -8,9 +8,10 @@
 use crate::coordination::jobs::graph::{Changes, JobTraits, Release};
 use crate::coordination::jobs::job::Job;
 use crate::coordination::{Effect, Scheduler};
-use crate::ids::{JobId, KeyRevision, MachineId, Millis};
+use crate::ids::{JobId, KeyRevision, MachineId};
 use crate::protocol::users::JobPhase;
 use crate::storage::records::{OpenJobRecord, TerminalRecord};
+use crate::time::{Instant, TimeSpan};
 use std::collections::BTreeSet;
 
 /// How a job came to be no longer open.
@@ -28,16 +29,16 @@
 /// Finish marks read in one go.
 const MAX_TERMINAL_RECORDS_PER_READ: usize = 32;
 /// The pause after a read in which a job had no mark: its open record is on the way to us.
-const MISSING_RECORD_RETRY_DELAY: Millis = Millis(1_000);
+const MISSING_RECORD_RETRY_DELAY: TimeSpan = TimeSpan(1_000);
 /// A read that is not answered within this is made again, should the runtime have lost it.
-const READ_TIMEOUT: Millis = Millis(30_000);
+const READ_TIMEOUT: TimeSpan = TimeSpan(30_000);
 
 /// The reading of finish marks.
 #[derive(Debug)]
 pub struct TerminalRecordReads {
     /// Since when a read is under way.
-    asked: Option<Millis>,
-    not_before: Millis,
+    asked: Option<Instant>,
+    not_before: Instant,
     /// The last id of the last read: all have their turn.
     last: Option<JobId>,
 }
@@ -46,7 +47,7 @@
     fn default() -> TerminalRecordReads {
         TerminalRecordReads {
             asked: None,
-            not_before: Millis(i64::MIN / 4),
+            not_before: Instant::LONG_AGO,
             last: None,
         }
     }
@@ -55,10 +56,10 @@
 impl Scheduler {
     pub(crate) fn job_opened(
         &mut self,
-        now: Millis,
+        now: Instant,
         record: OpenJobRecord,
         revision: KeyRevision,
-        submitted: Millis,
+        submitted: Instant,
     ) {
         let id = record.spec.id.clone();
         match self.jobs.get_mut(&id) {
@@ -91,8 +92,8 @@
         let fetch_s = Some(self.shortest_fetch_s(spec)).filter(|s| s.is_finite());
         let run_s = self.longest_of(job) + fetch_s.unwrap_or(0.0);
         JobTraits {
-            due: due_s.map(|s| job.submitted + Millis::from_secs(s)),
-            run: Millis::from_secs(run_s),
+            due: due_s.map(|s| job.submitted + TimeSpan::from_secs(s)),
+            run: TimeSpan::from_secs(run_s),
             priority: spec.priority,
         }
     }
@@ -102,7 +103,7 @@
     /// Guards against a cancellation inferred from what is known of the tasks: changes can come twice, so
     /// that a job which was done and forgotten opens once more without its tasks, and closes; the jobs that
     /// need it were cancelled. Where the closure is unknown, only the finish mark says what it was.
-    pub(crate) fn job_closed(&mut self, now: Millis, id: &JobId, closure: Closure) {
+    pub(crate) fn job_closed(&mut self, now: Instant, id: &JobId, closure: Closure) {
         if !self.jobs.contains_key(id) {
             return;
         }
@@ -116,7 +117,7 @@
     }
 
     /// Nothing of the job may start any more, and what runs is stopped.
-    fn end_job(&mut self, now: Millis, id: &JobId) {
+    fn end_job(&mut self, now: Instant, id: &JobId) {
         let Some(job) = self.jobs.get_mut(id).filter(|j| !j.closed) else {
             return;
         };
@@ -136,7 +137,7 @@
     }
 
     /// Carries over to the jobs what the graph says.
-    pub(crate) fn apply_graph_changes(&mut self, now: Millis) {
+    pub(crate) fn apply_graph_changes(&mut self, now: Instant) {
         let Changes {
             released,
             cancelled,
@@ -153,7 +154,7 @@
     }
 
     /// A job may run: from now on it counts for its team, for the forecast and for its aims.
-    fn release(&mut self, now: Millis, release: Release) {
+    fn release(&mut self, now: Instant, release: Release) {
         let Some(job) = self.jobs.get_mut(&release.id) else {
             return;
         };
@@ -172,7 +173,7 @@
     }
 
     /// Asks for the finish marks of producers of which nothing is known here.
-    pub(crate) fn read_terminal_records(&mut self, now: Millis) {
+    pub(crate) fn read_terminal_records(&mut self, now: Instant) {
         let reads = &mut self.terminal_record_reads;
         let under_way = reads.asked.is_some_and(|t| now - t < READ_TIMEOUT);
         if under_way || now < reads.not_before {
@@ -193,7 +194,7 @@
     /// Finish marks as they stand.
     pub(crate) fn terminal_records_read(
         &mut self,
-        now: Millis,
+        now: Instant,
         terminal_records: Vec<(JobId, Option<TerminalRecord>)>,
     ) {
         self.terminal_record_reads.asked = None;
@@ -202,7 +203,7 @@
                 Some(terminal_record) if terminal_record.phase == JobPhase::Done => {
                     let at = terminal_record
                         .at_ms
-                        .map(|ms| Millis(ms as i64) - Millis(self.day_ms as i64));
+                        .map(|ms| Instant(ms as i64) - TimeSpan(self.day_ms as i64));
                     self.graph.finished(&id, at.map_or(now, |at| at.min(now)));
                 }
                 Some(terminal_record) if terminal_record.phase == JobPhase::Cancelled => {
--- a/src/coordination/jobs/pending.rs
+++ b/src/coordination/jobs/pending.rs
@@ -2,8 +2,9 @@
 
 use crate::coordination::jobs::job::Job;
 use crate::coordination::Scheduler;
-use crate::ids::{JobId, Millis};
+use crate::ids::JobId;
 use crate::protocol::users::Shape;
+use crate::time::Instant;
 use std::collections::BTreeMap;
 
 /// What a job with tasks that are nowhere waits for.
@@ -30,12 +31,12 @@
     /// The one that has waited for longest, and since when: its release, or, while it waits for others,
     /// its submission.
     pub oldest: JobId,
-    pub since: Millis,
+    pub since: Instant,
 }
 
 impl Scheduler {
     /// The jobs that wait, by what they wait for.
-    pub fn pending_jobs(&self, now: Millis) -> BTreeMap<PendingReason, PendingJobs> {
+    pub fn pending_jobs(&self, now: Instant) -> BTreeMap<PendingReason, PendingJobs> {
         let mut by_reason: BTreeMap<PendingReason, PendingJobs> = BTreeMap::new();
         let waiting = self.indexes.waiting.iter();
         let waiting = waiting.chain(&self.indexes.unreleased);
@@ -57,7 +58,7 @@
         by_reason
     }
 
-    fn pending_reason(&self, now: Millis, job: &Job) -> PendingReason {
+    fn pending_reason(&self, now: Instant, job: &Job) -> PendingReason {
         if !job.released {
             return PendingReason::Producers;
         }
@@ -76,7 +77,7 @@
     }
 
     /// A line for each reason for which jobs wait.
-    pub(crate) fn log_waiting(&self, now: Millis) {
+    pub(crate) fn log_waiting(&self, now: Instant) {
         for (reason, waiting) in self.pending_jobs(now) {
             tracing::info!(
                 ?reason,
--- a/src/coordination/leadership/authority.rs
+++ b/src/coordination/leadership/authority.rs
@@ -1,8 +1,9 @@
 //! Authority: until when a leader may act, on its own steady clock; and what it holds on the state
 //! service.
 
-use crate::ids::{FencingToken, KeyRevision, LeaseId, Millis};
+use crate::ids::{FencingToken, KeyRevision, LeaseId};
 use crate::settings::LeaderTimes;
+use crate::time::{Instant, TimeSpan};
 use std::sync::atomic::{AtomicBool, AtomicI64, Ordering};
 
 /// What a leader holds on the state service.
@@ -51,7 +52,7 @@
 impl Authority {
     /// Authority from a lease granted by a request sent at `sent`. What is known of the jobs is read
     /// later than that.
-    pub fn new(times: LeaderTimes, sent: Millis) -> Authority {
+    pub fn new(times: LeaderTimes, sent: Instant) -> Authority {
         let a = Authority {
             times,
             leased_until: AtomicI64::new(i64::MIN),
@@ -64,17 +65,17 @@
     }
 
     /// A touch sent at that moment succeeded.
-    pub fn renewed(&self, sent: Millis) {
+    pub fn renewed(&self, sent: Instant) {
         // Both clocks may be off by 0.05%: 0.2% covers them with room.
         let life = self.times.life;
-        let drift = Millis(life.0 / 500 + 1);
+        let drift = Instant(life.0 / 500 + 1);
         let until = sent + life - self.times.margin - drift;
         self.leased_until.fetch_max(until.0, Ordering::Relaxed);
     }
 
     /// A request for the open jobs, or for what changed in them, sent at that moment was answered, and
     /// the core has taken the answer in.
-    pub fn knows(&self, sent: Millis) {
+    pub fn knows(&self, sent: Instant) {
         let until = sent + self.times.max_staleness;
         self.known_until.fetch_max(until.0, Ordering::Relaxed);
     }
@@ -85,12 +86,12 @@
     }
 
     /// Whether the leader may act at this moment.
-    pub fn holds(&self, now: Millis) -> bool {
+    pub fn holds(&self, now: Instant) -> bool {
         self.authority_loss(now).is_none()
     }
 
     /// Why the leader may not act at this moment; None if it may.
-    pub fn authority_loss(&self, now: Millis) -> Option<AuthorityLoss> {
+    pub fn authority_loss(&self, now: Instant) -> Option<AuthorityLoss> {
         if self.resigned.load(Ordering::Relaxed) {
             return Some(AuthorityLoss::Resigned);
         }
@@ -102,8 +103,8 @@
     }
 
     /// How long ago the last answered request for the open jobs was sent.
-    pub fn view_age(&self, now: Millis) -> Millis {
-        let known_until = Millis(self.known_until.load(Ordering::Relaxed));
+    pub fn view_age(&self, now: Instant) -> TimeSpan {
+        let known_until = Instant(self.known_until.load(Ordering::Relaxed));
         now - (known_until - self.times.max_staleness)
     }
 }
@@ -122,10 +123,10 @@
 /// The more machines report, the sooner silence tells. Guards against a standstill of 13 s each time that
 /// the leader of a thousand machines lost its workers (recorded days 8dda and 2589): two and a half
 /// report intervals of 5 s, in which 2,500 reports had been missed.
-pub fn silence_bound(machines_up: usize, report_s: f64) -> Millis {
+pub fn silence_bound(machines_up: usize, report_s: f64) -> TimeSpan {
     let longest = report_s * SILENT_REPORTS + SILENT_PLUS_S;
     let missed = MISSED_REPORTS * report_s / machines_up.max(1) as f64;
-    Millis::from_secs(missed.max(SHORTEST_SILENCE_S).min(longest))
+    TimeSpan::from_secs(missed.max(SHORTEST_SILENCE_S).min(longest))
 }
 
 /// Whether a leader that hears no worker should hand over: it has machines that should report, none
@@ -133,9 +134,9 @@
 /// sibling nobody would do better.
 pub fn should_hand_over(
     machines_up: usize,
-    own_silence: Millis,
-    siblings_silence: &[Option<Millis>],
-    bound: Millis,
+    own_silence: TimeSpan,
+    siblings_silence: &[Option<TimeSpan>],
+    bound: TimeSpan,
 ) -> bool {
     machines_up > 0 && own_silence > bound && siblings_silence.iter().flatten().any(|s| *s < bound)
 }
--- a/src/coordination/leadership/recovery.rs
+++ b/src/coordination/leadership/recovery.rs
@@ -11,7 +11,7 @@
 use crate::coordination::machines::machine::{Machine, MachineState};
 use crate::coordination::persistence::Writer;
 use crate::coordination::{Policy, Scheduler};
-use crate::ids::{KeyRevision, MachineId, Millis};
+use crate::ids::{KeyRevision, MachineId};
 use crate::protocol::cloud::MachineTypeInfo;
 use crate::protocol::state::KeyValue;
 use crate::resources::Resources;
@@ -20,13 +20,14 @@
     parse_page, parse_progress_key, IntentPage, MachinePage, OpenJobRecord, INTENT_PAGE_PREFIX,
     MACHINE_PAGE_PREFIX,
 };
+use crate::time::{Instant, TimeSpan};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
 /// What a new leader has read, all of it after its own leader key was written.
 #[derive(Debug, Default)]
 pub struct RecoveredState {
-    pub open: Vec<(OpenJobRecord, KeyRevision, Millis)>,
+    pub open: Vec<(OpenJobRecord, KeyRevision, Instant)>,
     pub progress: Vec<KeyValue>,
     pub intents: Vec<KeyValue>,
     pub machine_pages: Vec<KeyValue>,
@@ -57,7 +58,7 @@
     pub fn recover(
         policy: Arc<Policy>,
         term: LeadershipTerm,
-        now: Millis,
+        now: Instant,
         found: RecoveredState,
     ) -> Result<Scheduler, UnreadableRecord> {
         let state = &policy.facts.state;
@@ -87,8 +88,8 @@
             placement_due: true,
             last_recheck: now,
             placement_budget: Scheduler::placement_budget(policy.facts.quota.cores),
-            last_pass: Millis(i64::MIN / 4),
-            last_preempt: Millis(i64::MIN / 4),
+            last_pass: Instant::LONG_AGO,
+            last_preempt: Instant::LONG_AGO,
             reviewed: 0,
             machines_to_review: BTreeSet::new(),
             gangs_to_check: BTreeSet::new(),
@@ -153,15 +154,15 @@
 
     /// A time of day on record, in seconds since 1970, on this process's steady clock. Only hints rest on
     /// it: the time of day may be off.
-    fn on_steady_clock(&self, time_of_day_s: u64) -> Millis {
-        Millis((time_of_day_s as i64).saturating_mul(1000)) - Millis(self.day_ms as i64)
+    fn on_steady_clock(&self, time_of_day_s: u64) -> Instant {
+        Instant((time_of_day_s as i64).saturating_mul(1000)) - TimeSpan(self.day_ms as i64)
     }
 
     /// Small pages first: a machine that a former leader was moving from a page that had grown too large
     /// is on both, and stays on the small one.
     fn load_machine_pages(
         &mut self,
-        now: Millis,
+        now: Instant,
         mut pages: Vec<KeyValue>,
     ) -> Result<(), UnreadableRecord> {
         let listed = |page: &KeyValue| {
@@ -177,7 +178,7 @@
         Ok(())
     }
 
-    fn load_machine_page(&mut self, now: Millis, item: &KeyValue) -> Result<(), UnreadableRecord> {
+    fn load_machine_page(&mut self, now: Instant, item: &KeyValue) -> Result<(), UnreadableRecord> {
         let Some(page) = parse_page(&item.key, MACHINE_PAGE_PREFIX) else {
             return Ok(());
         };
@@ -233,7 +234,7 @@
         Ok(())
     }
 
-    fn load_intents(&mut self, now: Millis, item: &KeyValue) -> Result<(), UnreadableRecord> {
+    fn load_intents(&mut self, now: Instant, item: &KeyValue) -> Result<(), UnreadableRecord> {
         let Some(page) = parse_page(&item.key, INTENT_PAGE_PREFIX) else {
             return Ok(());
         };
--- a/src/coordination/machines/images.rs
+++ b/src/coordination/machines/images.rs
@@ -4,8 +4,9 @@
 use crate::coordination::machines::machine::{Machine, MachineState};
 use crate::coordination::placement::{Pass, ResourceRequest};
 use crate::coordination::Scheduler;
-use crate::ids::{Image, JobId, MachineId, MachineType, Millis};
+use crate::ids::{Image, JobId, MachineId, MachineType};
 use crate::protocol::users::{JobSpec, Shape};
+use crate::time::{Instant, TimeSpan};
 use std::collections::BTreeMap;
 
 /// A job waits for machines that have its image for this part of the time that a fetch takes.
@@ -21,7 +22,7 @@
     ///
     /// Guards against every image being fetched to every machine while there is too much to do: what
     /// came free was taken at once by the first job in the queue, and half of all starts fetched.
-    pub(crate) fn waits_for_image(&mut self, now: Millis, id: &JobId, pass: &Pass) -> bool {
+    pub(crate) fn waits_for_image(&mut self, now: Instant, id: &JobId, pass: &Pass) -> bool {
         let Some(job) = self.jobs.get(id) else {
             return false;
         };
@@ -41,7 +42,7 @@
             .unwrap_or(0.0)
             / spec.gpus.max(0.1);
         let soon_s = job.pending.len() as f64 * self.estimate_of(job) / slots.max(1e-9);
-        let limit = Millis::from_secs(fetch_s * WAIT_PART);
+        let limit = TimeSpan::from_secs(fetch_s * WAIT_PART);
         let over = job.waits_since.is_some_and(|t| now - t > limit);
         if over || soon_s > fetch_s * MOST_WAIT {
             return false;
@@ -86,7 +87,7 @@
     }
 
     /// Seconds until the image would be there: none if cached, the rest if being fetched.
-    pub(crate) fn wait_for_image(&self, now: Millis, m: &Machine, spec: &JobSpec) -> f64 {
+    pub(crate) fn wait_for_image(&self, now: Instant, m: &Machine, spec: &JobSpec) -> f64 {
         if m.has_image(&spec.image) {
             return 0.0;
         }
--- a/src/coordination/machines/machine.rs
+++ b/src/coordination/machines/machine.rs
@@ -2,10 +2,11 @@
 
 use crate::coordination::attempts::task_attempt::TaskAttempt;
 use crate::ids::{
-    AttemptId, FencingToken, Image, JobId, MachineId, MachineType, Millis, PageNumber, Session,
-    TaskId, Tick, Zone,
+    AttemptId, FencingToken, Image, JobId, MachineId, MachineType, PageNumber, Session, TaskId,
+    Tick, Zone,
 };
 use crate::resources::Resources;
+use crate::time::{Instant, TimeSpan};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Check-ins in a row that show nothing of what we answered before: the machine counts as deaf.
@@ -32,7 +33,7 @@
     pub spot: bool,
     pub state: MachineState,
     /// When we first knew of it.
-    pub since: Millis,
+    pub since: Instant,
     pub session: Session,
     pub tick: Tick,
     /// The last check-in: any with a place not above it is a copy.
@@ -48,17 +49,17 @@
     /// Check-ins in a row that showed nothing of what we had answered, and since when it has counted
     /// as deaf.
     pub unacknowledged_responses: u32,
-    pub unreachable_since: Option<Millis>,
+    pub unreachable_since: Option<Instant>,
     /// Deliberately not answered any more, so that its lease runs out.
     pub lease_withheld: bool,
     /// When its last message arrived, of any kind, and its last check-in.
-    pub last_message_at: Option<Millis>,
-    pub last_heartbeat_at: Option<Millis>,
+    pub last_message_at: Option<Instant>,
+    pub last_heartbeat_at: Option<Instant>,
     /// When an entitled controller may last have answered it (our takeover, for former leaders).
-    pub last_response_at: Millis,
+    pub last_response_at: Instant,
     /// When its present session was first seen: its lease counts from no later than this, or than its
     /// last answer.
-    pub session_first_seen_at: Millis,
+    pub session_first_seen_at: Instant,
     /// Every start that may be on it, tombstones included.
     pub attempts: BTreeMap<(TaskId, AttemptId), TaskAttempt>,
     /// What is free on it, and how many starts have not ended: kept in step by `attempts.rs`.
@@ -68,27 +69,27 @@
     pub page: Option<PageNumber>,
     pub is_recorded: bool,
     /// The cloud takes it away at this time.
-    pub reclaim_at: Option<Millis>,
+    pub reclaim_at: Option<Instant>,
     /// No new work (sick, silent too often, or to be returned).
     pub draining: bool,
-    pub draining_since: Option<Millis>,
+    pub draining_since: Option<Instant>,
     /// Emptied for this job, which alone may use it until then.
-    pub reservation: Option<(JobId, Millis)>,
+    pub reservation: Option<(JobId, Instant)>,
     /// Images that should be in its cache, least recently used first.
     pub images: Vec<(Image, f64)>,
     /// Idle since.
-    pub idle_since: Option<Millis>,
+    pub idle_since: Option<Instant>,
     /// Jobs whose tasks failed here with no success between, and whether it is emptied for that.
     pub failed_jobs: BTreeSet<JobId>,
     pub quarantined: bool,
     /// The direct command under way, and no further one before this time.
     pub push_in_flight: Option<u64>,
-    pub push_not_before: Millis,
+    pub push_not_before: Instant,
     /// No new work before this time (refused a start for want of room).
-    pub unschedulable_until: Millis,
+    pub unschedulable_until: Instant,
     /// Listed by the cloud as failed; missing from its lists since.
     pub listed_as_failed: bool,
-    pub unlisted_since: Option<Millis>,
+    pub unlisted_since: Option<Instant>,
 }
 
 impl Machine {
@@ -99,7 +100,7 @@
         zone: Zone,
         spot: bool,
         whole: Resources,
-        now: Millis,
+        now: Instant,
     ) -> Machine {
         Machine {
             id,
@@ -122,7 +123,7 @@
             last_message_at: None,
             last_heartbeat_at: None,
             last_response_at: now,
-            session_first_seen_at: Millis(i64::MIN / 4),
+            session_first_seen_at: Instant::LONG_AGO,
             attempts: BTreeMap::new(),
             free: whole,
             live_count: 0,
@@ -161,7 +162,7 @@
     }
 
     /// Takes it out of use.
-    pub fn start_draining(&mut self, now: Millis) {
+    pub fn start_draining(&mut self, now: Instant) {
         self.draining = true;
         self.draining_since.get_or_insert(now);
     }
@@ -169,7 +170,7 @@
     /// Whether no check-in of it has come for longer than the given time. Answers to direct commands
     /// don't count: they renew no lease, so that a machine from which only they come is about to lose
     /// its tasks.
-    pub fn silent(&self, now: Millis, bound: Millis) -> bool {
+    pub fn silent(&self, now: Instant, bound: TimeSpan) -> bool {
         self.state == MachineState::Up && self.last_heartbeat_at.is_none_or(|h| now - h > bound)
     }
 
@@ -179,7 +180,7 @@
     /// that began after its last answer has a lease of its own, and what was launched in it was taken
     /// for gone with the session before, and started elsewhere. What a former leader launched is in a
     /// session that had begun when we took over, unless it is seen in a later one.
-    pub fn lease_from(&self, s: &TaskAttempt) -> Millis {
+    pub fn lease_from(&self, s: &TaskAttempt) -> Instant {
         let here = s.launched_in == Some(self.session)
             || s.last_status.is_some_and(|x| x.at.0 == self.session);
         if here {
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -17,13 +17,12 @@
 pub use event::Event;
 pub use policy::Policy;
 
-use crate::ids::{
-    AttemptId, FencingToken, Image, JobId, KeyRevision, MachineId, MachineType, Millis,
-};
+use crate::ids::{AttemptId, FencingToken, Image, JobId, KeyRevision, MachineId, MachineType};
 use crate::protocol::cloud::MachineTypeInfo;
 use crate::protocol::users::JobSpec;
 use crate::resources::Resources;
 use crate::storage::records::OpenJobRecord;
+use crate::time::{Instant, TimeSpan};
 use crate::transport::budget::Budget;
 use attempts::ledger::Indexes;
 use autoscaler::{arrivals, Autoscaler};
@@ -45,7 +44,7 @@
     /// The time of day at the steady clock's zero: for hints about ages in records.
     pub(crate) day_ms: u64,
     /// When this leadership began: no former leader has answered a worker since.
-    pub(crate) term_began_at: Millis,
+    pub(crate) term_began_at: Instant,
     pub(crate) machine_types: BTreeMap<MachineType, MachineTypeInfo>,
     pub(crate) jobs: BTreeMap<JobId, Job>,
     pub(crate) graph: Graph,
@@ -65,12 +64,12 @@
     pub(crate) next_attempt: u64,
     /// Something changed that placement should look at.
     pub(crate) placement_due: bool,
-    pub(crate) last_recheck: Millis,
+    pub(crate) last_recheck: Instant,
     /// Tasks that may be placed: the processor must keep up with what comes of them.
     pub(crate) placement_budget: Budget,
     /// When placement last looked, and how far the spread-out review of machines has come.
-    pub(crate) last_pass: Millis,
-    pub(crate) last_preempt: Millis,
+    pub(crate) last_pass: Instant,
+    pub(crate) last_preempt: Instant,
     pub(crate) reviewed: u64,
     /// Machines whose starts are to be looked at, gangs that may be broken, machines that may have
     /// something to be told directly, and how many direct commands are awaited.
@@ -151,7 +150,7 @@
     }
 
     /// Takes in an event.
-    pub fn on(&mut self, now: Millis, event: Event) {
+    pub fn on(&mut self, now: Instant, event: Event) {
         match event {
             Event::JobOpened {
                 record,
@@ -203,7 +202,7 @@
     }
 
     /// Decides: called soon after events, and at least once a second.
-    pub fn step(&mut self, now: Millis) -> Vec<Effect> {
+    pub fn step(&mut self, now: Instant) -> Vec<Effect> {
         if (now - self.last_recheck).0 >= 1000 {
             self.last_recheck = now;
             self.graph.recheck();
@@ -247,7 +246,7 @@
         job.map_or((0, 0), |j| (j.done.count(), j.running))
     }
 
-    fn open_jobs(&mut self, now: Millis, jobs: Vec<(OpenJobRecord, KeyRevision, Millis)>) {
+    fn open_jobs(&mut self, now: Instant, jobs: Vec<(OpenJobRecord, KeyRevision, Instant)>) {
         let listed: BTreeSet<JobId> = jobs.iter().map(|(r, _, _)| r.spec.id.clone()).collect();
         let closed: Vec<JobId> = self
             .jobs
@@ -286,4 +285,4 @@
 const ATTEMPT_MASK: u64 = (1 << ATTEMPT_BITS) - 1;
 
 /// Placement looks at most this often: what happens in between is decided together.
-const PASS_EVERY: Millis = Millis(40);
+const PASS_EVERY: TimeSpan = TimeSpan(40);
--- a/src/coordination/persistence/ends.rs
+++ b/src/coordination/persistence/ends.rs
@@ -4,12 +4,13 @@
 use super::Work;
 use crate::coordination::jobs::job::Job;
 use crate::coordination::Scheduler;
-use crate::ids::{JobId, Millis};
+use crate::ids::JobId;
 use crate::protocol::users::JobPhase;
 use crate::storage::records::TerminalRecord;
+use crate::time::Instant;
 
 impl Scheduler {
-    pub(crate) fn draft_finishes(&self, now: Millis, draft: &mut Draft) {
+    pub(crate) fn draft_finishes(&self, now: Instant, draft: &mut Draft) {
         for (id, job) in self.jobs_in(&self.indexes.complete) {
             if !self.graph.has_consumers(id) && !self.draft_finish(now, id, job, draft) {
                 return;
@@ -19,7 +20,7 @@
 
     /// Finishes of jobs that others wait for, in at most half of a transaction: a burst of them must not
     /// hold up launches.
-    pub(crate) fn draft_finishes_of_producers(&self, now: Millis, draft: &mut Draft) {
+    pub(crate) fn draft_finishes_of_producers(&self, now: Instant, draft: &mut Draft) {
         let most = (draft.most_ops / 2).max(FINISH_OPS);
         for (id, job) in self.jobs_in(&self.indexes.complete) {
             if draft.changes.len() + FINISH_OPS > most {
@@ -33,7 +34,7 @@
 
     pub(crate) fn draft_finish(
         &self,
-        now: Millis,
+        now: Instant,
         id: &JobId,
         job: &Job,
         draft: &mut Draft,
--- a/src/coordination/persistence/garbage_collection.rs
+++ b/src/coordination/persistence/garbage_collection.rs
@@ -3,17 +3,18 @@
 use super::draft::Draft;
 use super::Work;
 use crate::coordination::Scheduler;
-use crate::ids::{Millis, PageNumber};
+use crate::ids::PageNumber;
 use crate::protocol::state::Change;
 use crate::storage::records::intent_page_key;
+use crate::time::{Instant, TimeSpan};
 use std::collections::BTreeSet;
 
 /// A stale record waits this long for a write that is needed anyway.
-const STALE: Millis = Millis(4_000);
+const STALE: TimeSpan = TimeSpan(4_000);
 
 impl Scheduler {
     /// Records that say more than is true: harmless, so they wait for a quiet moment.
-    pub(crate) fn draft_sweeping(&self, now: Millis, draft: &mut Draft) {
+    pub(crate) fn draft_sweeping(&self, now: Instant, draft: &mut Draft) {
         for (key, revision) in &self.writer.orphaned_progress {
             let changes = vec![Change::Delete {
                 delete: key.clone(),
--- a/src/coordination/persistence/launches.rs
+++ b/src/coordination/persistence/launches.rs
@@ -3,10 +3,11 @@
 use super::draft::Draft;
 use super::Work;
 use crate::coordination::Scheduler;
-use crate::ids::{JobId, KeyRevision, Millis, PageNumber};
+use crate::ids::{JobId, KeyRevision, PageNumber};
 use crate::protocol::state::Change;
 use crate::storage::pages::{IntentPages, Measure, PlacedAttempt};
 use crate::storage::records::{intent_page_key, open_key, IntentPage, JobResources};
+use crate::time::Instant;
 use std::collections::BTreeSet;
 
 impl Scheduler {
@@ -113,7 +114,7 @@
     }
 
     /// When a start that is on a page was placed.
-    pub(crate) fn placed_at(&self, key: &PlacedAttempt) -> Option<Millis> {
+    pub(crate) fn placed_at(&self, key: &PlacedAttempt) -> Option<Instant> {
         let machine = self.machines.get(&key.machine_id)?;
         let attempt = machine.attempts.get(&(key.task.clone(), key.attempt_id))?;
         Some(attempt.since)
--- a/src/coordination/persistence/limits.rs
+++ b/src/coordination/persistence/limits.rs
@@ -4,9 +4,9 @@
 use super::draft::FINISH_OPS;
 use super::{Flight, REFUSED};
 use crate::coordination::Scheduler;
-use crate::ids::Millis;
 use crate::protocol::state::{Change, Transaction};
 use crate::settings::StateLimits;
+use crate::time::Instant;
 
 /// The part of the service's limit on values that is used: a little room.
 const VALUE_PART: f64 = 0.95;
@@ -59,7 +59,7 @@
     /// The service refuses a transaction for what it is, and would each time. Guards against a leader that
     /// sends it again and again while nothing else is written: its limits may be lower than the settings
     /// say.
-    pub(crate) fn write_rejected(&mut self, now: Millis, seq: u64) {
+    pub(crate) fn write_rejected(&mut self, now: Instant, seq: u64) {
         let transaction = match &self.writer.flight {
             Flight::Writing {
                 seq: s,
--- a/src/coordination/persistence/machine_pages.rs
+++ b/src/coordination/persistence/machine_pages.rs
@@ -4,18 +4,19 @@
 use super::Work;
 use crate::coordination::machines::machine::MachineState;
 use crate::coordination::Scheduler;
-use crate::ids::{Image, MachineId, MachineType, Millis, Zone};
+use crate::ids::{Image, MachineId, MachineType, Zone};
 use crate::protocol::state::Change;
 use crate::storage::records::{machine_page_key, MachineEntry, MachinePage};
+use crate::time::{Instant, TimeSpan};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Hints about machines wait longer.
-const STALE_MACHINE_PAGE: Millis = Millis(15_000);
+const STALE_MACHINE_PAGE: TimeSpan = TimeSpan(15_000);
 /// Images named for each machine: the most that fits.
 const IMAGES_PER_MACHINE: [usize; 4] = [16, 10, 6, 3];
 
 impl Scheduler {
-    pub(crate) fn draft_machine_pages(&self, now: Millis, lazy: bool, draft: &mut Draft) {
+    pub(crate) fn draft_machine_pages(&self, now: Instant, lazy: bool, draft: &mut Draft) {
         for page in self.writer.machine_pages.due(now, STALE_MACHINE_PAGE, lazy) {
             let (machine_ids, revision) = self.writer.machine_pages.page(page);
             let key = machine_page_key(page);
--- a/src/coordination/persistence/mod.rs
+++ b/src/coordination/persistence/mod.rs
@@ -16,7 +16,7 @@
 use crate::coordination::jobs::job::Job;
 use crate::coordination::machines::machine::Machine;
 use crate::coordination::{Effect, Scheduler};
-use crate::ids::{FencingToken, JobId, KeyRevision, MachineId, Millis, PageNumber};
+use crate::ids::{FencingToken, JobId, KeyRevision, MachineId, PageNumber};
 use crate::protocol::state::{Change, Precondition, Transaction};
 use crate::settings::StateLimits;
 use crate::storage::pages::{IntentPages, MachinePages, PlacedAttempt};
@@ -24,6 +24,7 @@
     dependency_list_key, dependency_page_key, open_key, progress_key, LeaderRecord,
     FENCING_TOKEN_KEY, HINTS_KEY, LEADER_KEY, TASKS_PER_PROGRESS_RECORD,
 };
+use crate::time::{Instant, TimeSpan};
 use crate::transport::budget::Budget;
 use draft::{Draft, FINISH_OPS};
 use limits::WriteLimits;
@@ -72,12 +73,12 @@
         seq: u64,
         transaction: Transaction,
         works: Vec<Work>,
-        at: Millis,
+        at: Instant,
     },
     Reading {
         seq: u64,
         keys: Vec<String>,
-        at: Millis,
+        at: Instant,
     },
 }
 
@@ -87,46 +88,46 @@
     flight: Flight,
     limits: WriteLimits,
     budget: Budget,
-    not_before: Millis,
+    not_before: Instant,
     /// When the last transaction was begun.
-    last: Millis,
+    last: Instant,
     /// Where starts and machines are recorded.
     pub(crate) intents: IntentPages,
     pub(crate) machine_pages: MachinePages,
     /// Versions of progress records, and when progress was last written.
     pub(crate) progress: BTreeMap<(JobId, u32), KeyRevision>,
-    progress_at: Millis,
+    progress_at: Instant,
     /// Progress records of jobs that are over.
     pub(crate) orphaned_progress: BTreeMap<String, KeyRevision>,
     /// Pages of producers of jobs that are over.
     orphaned_edges: BTreeSet<String>,
     /// The version of the hints, when they were last written, and whether there is news.
     pub(crate) hints: KeyRevision,
-    hints_at: Millis,
+    hints_at: Instant,
     pub(crate) hints_news: bool,
     /// When our token was last raised.
-    raised_at: Millis,
+    raised_at: Instant,
 }
 
 /// Hints are written at most this often.
-const HINTS_EVERY: Millis = Millis(10_000);
+const HINTS_EVERY: TimeSpan = TimeSpan(10_000);
 /// Transactions are begun at most this often: what is ready meanwhile goes together.
-const WRITE_EVERY: Millis = Millis(100);
+const WRITE_EVERY: TimeSpan = TimeSpan(100);
 /// Progress is written this often: until then a tombstone keeps it, or else the task's result.
-const PROGRESS_EVERY: Millis = Millis(2_000);
+const PROGRESS_EVERY: TimeSpan = TimeSpan(2_000);
 /// Our token is raised this often while tombstones wait for it, and at once when one machine has so
 /// many.
-const RAISE_EVERY: Millis = Millis(60_000);
-const RAISE_SOON: Millis = Millis(5_000);
+const RAISE_EVERY: TimeSpan = TimeSpan(60_000);
+const RAISE_SOON: TimeSpan = TimeSpan(5_000);
 const RAISE_AT: usize = 150;
 /// The pause after a write that the service refused.
-const REFUSED: Millis = Millis(300);
+const REFUSED: TimeSpan = TimeSpan(300);
 /// An answer this late is taken for none, should the runtime have lost it.
-const LOST: Millis = Millis(8_000);
+const LOST: TimeSpan = TimeSpan(8_000);
 
 impl Writer {
     /// A writer that keeps within its part of the write rate.
-    pub fn new(state: &StateLimits, now: Millis) -> Writer {
+    pub fn new(state: &StateLimits, now: Instant) -> Writer {
         // The rest is left to submissions, cancellations and the lease.
         let mine = state.write_rps * 0.7;
         let limits = WriteLimits::new(state);
@@ -134,16 +135,16 @@
             flight: Flight::None,
             limits,
             budget: Budget::new(mine, mine),
-            not_before: Millis(0),
-            last: Millis(i64::MIN / 4),
+            not_before: Instant(0),
+            last: Instant::LONG_AGO,
             intents: IntentPages::default(),
             machine_pages: MachinePages::new(limits.value_bytes),
             progress: BTreeMap::new(),
-            progress_at: Millis(0),
+            progress_at: Instant(0),
             orphaned_progress: BTreeMap::new(),
             orphaned_edges: BTreeSet::new(),
             hints: KeyRevision(0),
-            hints_at: Millis(0),
+            hints_at: Instant(0),
             hints_news: false,
             raised_at: now,
         }
@@ -174,7 +175,7 @@
 
 impl Scheduler {
     /// Starts the next transaction if none is under way and there is something to write.
-    pub(crate) fn write(&mut self, now: Millis) {
+    pub(crate) fn write(&mut self, now: Instant) {
         match &self.writer.flight {
             Flight::None => {}
             Flight::Writing { seq, at, .. } if now - *at > LOST => {
@@ -239,7 +240,7 @@
 
     /// A leader raises its own token from time to time, so that tombstones of direct launches can be
     /// cleared: a copy of the command that launched carries a lower one by then.
-    fn draft_raise(&self, now: Millis, draft: &mut Draft) {
+    fn draft_raise(&self, now: Instant, draft: &mut Draft) {
         let since = now - self.writer.raised_at;
         if since < RAISE_SOON {
             return;
@@ -287,7 +288,7 @@
         ids.iter().filter_map(|id| Some((id, self.jobs.get(id)?)))
     }
 
-    fn draft_progress(&self, now: Millis, draft: &mut Draft) {
+    fn draft_progress(&self, now: Instant, draft: &mut Draft) {
         if now - self.writer.progress_at < PROGRESS_EVERY {
             return;
         }
@@ -332,7 +333,7 @@
         }
     }
 
-    fn draft_hints(&self, now: Millis, draft: &mut Draft) {
+    fn draft_hints(&self, now: Instant, draft: &mut Draft) {
         let due = self.writer.hints_news && now - self.writer.hints_at > HINTS_EVERY;
         if let (true, Ok(data)) = (due, serde_json::to_value(self.hints(now))) {
             let small = data.to_string().len() <= self.writer.limits.value_bytes;
--- a/src/coordination/persistence/outcomes.rs
+++ b/src/coordination/persistence/outcomes.rs
@@ -3,7 +3,7 @@
 use super::{Flight, Work, REFUSED};
 use crate::coordination::jobs::lifecycle::Closure;
 use crate::coordination::{Effect, Scheduler};
-use crate::ids::{JobId, KeyRevision, Millis, PageNumber, StoreRevision};
+use crate::ids::{JobId, KeyRevision, PageNumber, StoreRevision};
 use crate::protocol::state::KeyValue;
 use crate::storage::pages::PlacedAttempt;
 use crate::storage::records::{
@@ -11,10 +11,11 @@
     FENCING_TOKEN_KEY, HINTS_KEY, INTENT_PAGE_PREFIX, LEADER_KEY, MACHINE_PAGE_PREFIX,
     OPEN_JOB_PREFIX,
 };
+use crate::time::{Instant, TimeSpan};
 use std::collections::BTreeSet;
 
 impl Scheduler {
-    pub(crate) fn written(&mut self, now: Millis, seq: u64, store_revision: StoreRevision) {
+    pub(crate) fn written(&mut self, now: Instant, seq: u64, store_revision: StoreRevision) {
         if !matches!(&self.writer.flight, Flight::Writing { seq: s, .. } if *s == seq) {
             return;
         }
@@ -83,7 +84,7 @@
     /// A page is written: its new starts may be launched.
     pub(crate) fn intents_written(
         &mut self,
-        now: Millis,
+        now: Instant,
         page: PageNumber,
         revision: KeyRevision,
         keys: Vec<PlacedAttempt>,
@@ -127,7 +128,7 @@
         }
     }
 
-    pub(crate) fn not_written(&mut self, now: Millis, seq: u64) {
+    pub(crate) fn not_written(&mut self, now: Instant, seq: u64) {
         if matches!(&self.writer.flight, Flight::Writing { seq: s, .. } if *s == seq) {
             self.writer.flight = Flight::None;
             self.writer.not_before = now + REFUSED;
@@ -136,7 +137,7 @@
 
     /// The service takes no more changes for now. What may wait does so until the rate allowed to this
     /// leader has come up again: leases, launches and ends of jobs go first.
-    pub(crate) fn write_limited(&mut self, now: Millis, seq: u64, pause: Millis) {
+    pub(crate) fn write_limited(&mut self, now: Instant, seq: u64, pause: TimeSpan) {
         if matches!(&self.writer.flight, Flight::Writing { seq: s, .. } if *s == seq) {
             self.writer.flight = Flight::None;
             self.writer.not_before = now + pause;
@@ -145,7 +146,7 @@
     }
 
     /// A write whose guards failed (these, if it is known which), or of which nothing is known.
-    pub(crate) fn write_unclear(&mut self, now: Millis, seq: u64, failed: &[String]) {
+    pub(crate) fn write_unclear(&mut self, now: Instant, seq: u64, failed: &[String]) {
         let Flight::Writing {
             seq: s,
             transaction,
@@ -173,7 +174,7 @@
         self.read_again(now, keys.into_iter().collect());
     }
 
-    pub(crate) fn read_again(&mut self, now: Millis, keys: Vec<String>) {
+    pub(crate) fn read_again(&mut self, now: Instant, keys: Vec<String>) {
         let seq = self.seq();
         self.writer.flight = Flight::Reading {
             seq,
@@ -186,7 +187,12 @@
     /// The keys as they stand: versions are taken over, and what still differs is written again.
     /// A transaction that may yet be applied late carries the old versions: if it is, our next one
     /// fails and we come here again; if ours is first, the late one does nothing.
-    pub(crate) fn reread(&mut self, now: Millis, seq: u64, items: Vec<(String, Option<KeyValue>)>) {
+    pub(crate) fn reread(
+        &mut self,
+        now: Instant,
+        seq: u64,
+        items: Vec<(String, Option<KeyValue>)>,
+    ) {
         if !matches!(&self.writer.flight, Flight::Reading { seq: s, .. } if *s == seq) {
             return;
         }
@@ -222,7 +228,7 @@
         self.placement_due = true;
     }
 
-    pub(crate) fn open_reread(&mut self, now: Millis, id: &str, revision: KeyRevision) {
+    pub(crate) fn open_reread(&mut self, now: Instant, id: &str, revision: KeyRevision) {
         let id = JobId::from(id);
         if revision == KeyRevision(0) {
             self.job_closed(now, &id, Closure::Unknown);
@@ -234,7 +240,7 @@
 
     /// The leader key is ours as long as it is on our lease. It may carry a token that we raised
     /// without learning of it.
-    pub(crate) fn lead_reread(&mut self, now: Millis, item: Option<KeyValue>) {
+    pub(crate) fn lead_reread(&mut self, now: Instant, item: Option<KeyValue>) {
         let ours = item
             .filter(|i| i.lease == Some(self.term.lease))
             .and_then(|i| {
--- a/src/coordination/placement/candidates.rs
+++ b/src/coordination/placement/candidates.rs
@@ -6,9 +6,10 @@
 use crate::coordination::machines::machine::Machine;
 use crate::coordination::placement::Pass;
 use crate::coordination::Scheduler;
-use crate::ids::{JobId, MachineId, Millis, Zone};
+use crate::ids::{JobId, MachineId, Zone};
 use crate::protocol::users::JobSpec;
 use crate::resources::Resources;
+use crate::time::Instant;
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BinaryHeap};
 
@@ -69,7 +70,7 @@
     /// Chooses machines for as many of the tasks as fit.
     pub(crate) fn plan(
         &self,
-        now: Millis,
+        now: Instant,
         id: &JobId,
         spec: &JobSpec,
         pending: &[u32],
--- a/src/coordination/placement/mod.rs
+++ b/src/coordination/placement/mod.rs
@@ -13,10 +13,11 @@
 use crate::coordination::jobs::job::Job;
 use crate::coordination::machines::machine::{Machine, MachineState};
 use crate::coordination::Scheduler;
-use crate::ids::{AttemptId, JobId, MachineId, MachineType, Millis, TaskId, TeamIndex, Zone};
+use crate::ids::{AttemptId, JobId, MachineId, MachineType, TaskId, TeamIndex, Zone};
 use crate::protocol::users::{JobSpec, Priority, Shape};
 use crate::resources::Resources;
 use crate::storage::pages::PlacedAttempt;
+use crate::time::{Instant, TimeSpan};
 use crate::transport::budget::Budget;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -28,7 +29,7 @@
 }
 
 /// A task of a job that failed on several machines has run for this long: the job isn't mistaken.
-const PROVEN: Millis = Millis(6_000);
+const PROVEN: TimeSpan = TimeSpan(6_000);
 
 /// Tasks placed each second for each core of this process's quota, and seconds' worth of them at once.
 ///
@@ -40,7 +41,7 @@
 /// However small the quota, or if it is none: placement never stops.
 const LEAST_PLACED_S: f64 = 100.0;
 /// A job that has been ready for longer than this takes any machine rather than one with its image.
-const LONGEST_IMAGE_WAIT: Millis = Millis(30_000);
+const LONGEST_IMAGE_WAIT: TimeSpan = TimeSpan(30_000);
 /// A pass for fewer tasks than this is not worth the look at the whole queue.
 const LEAST_PLACED: usize = 20;
 /// Tasks placed in one pass: what is left is placed in the next one, so that reports and the
@@ -100,7 +101,7 @@
 
 impl Scheduler {
     /// Whether a machine may be given new work at all.
-    pub(crate) fn usable(&self, m: &Machine, now: Millis) -> bool {
+    pub(crate) fn usable(&self, m: &Machine, now: Instant) -> bool {
         m.state == MachineState::Up
             && m.verified
             && !m.is_unreachable()
@@ -111,7 +112,7 @@
     }
 
     /// One pass: places what fits and says what does not.
-    pub(crate) fn place(&mut self, now: Millis) -> Vec<UnplacedTasks> {
+    pub(crate) fn place(&mut self, now: Instant) -> Vec<UnplacedTasks> {
         if self.machine_types.is_empty() {
             return Vec::new();
         }
@@ -186,7 +187,7 @@
 
     fn place_rest(
         &mut self,
-        now: Millis,
+        now: Instant,
         at: usize,
         id: JobId,
         pass: &mut Pass,
@@ -208,7 +209,7 @@
 
     /// Whether a gang is more urgent than other work, may start as far as its team's limit goes, and is
     /// nowhere yet.
-    fn may_take_machines(&self, now: Millis, id: &JobId, pass: &Pass) -> bool {
+    fn may_take_machines(&self, now: Instant, id: &JobId, pass: &Pass) -> bool {
         let Some(job) = self.jobs.get(id) else {
             return false;
         };
@@ -244,7 +245,7 @@
     }
 
     /// Whether a task of the job has run for long enough to say that the job can run.
-    fn has_run_long_enough(&self, now: Millis, id: &JobId, job: &Job) -> bool {
+    fn has_run_long_enough(&self, now: Instant, id: &JobId, job: &Job) -> bool {
         let machine_ids = job.placements.values().flatten();
         let attempts = machine_ids
             .filter_map(|h| self.machines.get(h))
@@ -256,7 +257,7 @@
     }
 
     /// Places what it can of one job; says how many tasks could start but for want of machines.
-    fn place_job(&mut self, now: Millis, id: &JobId, pass: &mut Pass) -> u32 {
+    fn place_job(&mut self, now: Instant, id: &JobId, pass: &mut Pass) -> u32 {
         let Some(job) = self.jobs.get(id) else {
             return 0;
         };
@@ -373,7 +374,7 @@
     /// The zones to try in turn: None stands for all at once.
     fn zone_choices(
         &self,
-        now: Millis,
+        now: Instant,
         spec: &JobSpec,
         job: &Job,
         pass: &Pass,
--- a/src/coordination/placement/preemption.rs
+++ b/src/coordination/placement/preemption.rs
@@ -6,8 +6,9 @@
 use crate::coordination::machines::machine::Machine;
 use crate::coordination::placement::{Pass, UnplacedTasks};
 use crate::coordination::Scheduler;
-use crate::ids::{AttemptId, JobId, MachineId, Millis, TaskId};
+use crate::ids::{AttemptId, JobId, MachineId, TaskId};
 use crate::resources::Resources;
+use crate::time::{Instant, TimeSpan};
 use std::collections::BTreeSet;
 
 /// Machines emptied in one look, and one more for each so many that there are: the effect of the
@@ -15,16 +16,16 @@
 const MOST_AT_ONCE: usize = 2;
 const MACHINES_PER_EXTRA: usize = 100;
 /// Ways to make room are looked for this often, for so many jobs at a time.
-const LOOK_EVERY: Millis = Millis(200);
+const LOOK_EVERY: TimeSpan = TimeSpan(200);
 const MOST_JOBS: usize = 24;
 /// A machine emptied for a job is kept for it this long.
-const KEPT: Millis = Millis(20_000);
+const KEPT: TimeSpan = TimeSpan(20_000);
 /// A fetch that takes fewer seconds than this is no reason to stop other work.
 const WORTH_EMPTYING_S: f64 = 8.0;
 /// Seconds that stopping a task costs beyond saving, if it has only just started: its start was in
 /// vain then.
 const RECENT_START_COST_S: f64 = 20.0;
-const RECENT_START: Millis = Millis(30_000);
+const RECENT_START: TimeSpan = TimeSpan(30_000);
 
 /// The tasks to be stopped on one machine to make room, and what that costs.
 struct Eviction {
@@ -35,7 +36,7 @@
 
 impl Scheduler {
     /// Makes room for waiting jobs that would otherwise start too late.
-    pub(crate) fn preempt(&mut self, now: Millis, unplaced: &[UnplacedTasks]) {
+    pub(crate) fn preempt(&mut self, now: Instant, unplaced: &[UnplacedTasks]) {
         if unplaced.is_empty() || now - self.last_preempt < LOOK_EVERY {
             return;
         }
@@ -66,7 +67,7 @@
     /// once, for fewer would not help. None: enough are being emptied, or there are not enough.
     fn evictions(
         &self,
-        now: Millis,
+        now: Instant,
         id: &JobId,
         count: u32,
         inside: &BTreeSet<JobId>,
@@ -119,7 +120,7 @@
     /// that found their image there fell from a half to a tenth.
     pub(crate) fn takes_machines_with_image(
         &mut self,
-        now: Millis,
+        now: Instant,
         id: &JobId,
         pass: &mut Pass,
     ) -> bool {
@@ -140,7 +141,7 @@
     }
 
     /// Whether machines with the job's image are being emptied for it.
-    fn is_being_made_room_for(&self, now: Millis, id: &JobId) -> bool {
+    fn is_being_made_room_for(&self, now: Instant, id: &JobId) -> bool {
         let Some(job) = self.jobs.get(id) else {
             return false;
         };
@@ -156,7 +157,7 @@
     }
 
     /// The machines with the job's image to be emptied for it, if that gains time: all that it needs, or none.
-    fn evictions_for_image(&self, now: Millis, id: &JobId) -> Option<Vec<Eviction>> {
+    fn evictions_for_image(&self, now: Instant, id: &JobId) -> Option<Vec<Eviction>> {
         let job = self.jobs.get(id)?;
         let spec = &job.spec;
         let fetch_s = self.shortest_fetch_s(spec);
@@ -203,7 +204,7 @@
     }
 
     /// Whether the job would miss the time by which it should start if it waited for a rental.
-    fn too_late_to_rent(&self, now: Millis, id: &JobId) -> bool {
+    fn too_late_to_rent(&self, now: Instant, id: &JobId) -> bool {
         let Some(job) = self.jobs.get(id) else {
             return false;
         };
@@ -225,7 +226,7 @@
 
     fn eviction(
         &self,
-        now: Millis,
+        now: Instant,
         m: &Machine,
         id: &JobId,
         inside: &BTreeSet<JobId>,
@@ -318,7 +319,7 @@
             && borrowed()
     }
 
-    fn evict(&mut self, now: Millis, id: &JobId, eviction: Eviction) {
+    fn evict(&mut self, now: Instant, id: &JobId, eviction: Eviction) {
         tracing::debug!(job = %id, machine = %eviction.machine_id, tasks = eviction.victims.len(), cost_s = eviction.cost_s, "making room");
         let Some(m) = self.machines.get_mut(&eviction.machine_id) else {
             return;
--- a/src/coordination/placement/queue.rs
+++ b/src/coordination/placement/queue.rs
@@ -2,9 +2,10 @@
 
 use crate::coordination::jobs::job::Job;
 use crate::coordination::Scheduler;
-use crate::ids::{JobId, Millis, TeamIndex};
+use crate::ids::{JobId, TeamIndex};
 use crate::protocol::users::{JobSpec, Priority};
 use crate::resources::{within_limit, Resources};
+use crate::time::{Instant, TimeSpan};
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
 
@@ -32,12 +33,12 @@
     /// Which of its aims the job can still meet: the sooner ones come first, and one that can't be
     /// met any more gives way to the next. A job past all of them goes last; otherwise, when there is
     /// too much to do, jobs already late would make every other late as well.
-    pub(crate) fn aim_of(&self, id: &JobId, job: &Job, now: Millis) -> u8 {
+    pub(crate) fn aim_of(&self, id: &JobId, job: &Job, now: Instant) -> u8 {
         let class = &job.spec.class;
-        let after = |s: f64| job.ready + Millis::from_secs(s);
-        let run = Millis::from_secs(self.longest_of(job));
+        let after = |s: f64| job.ready + TimeSpan::from_secs(s);
+        let run = TimeSpan::from_secs(self.longest_of(job));
         let attempts = self.policy.of_class("wait", class);
-        let mut aims: Vec<Millis> = attempts.filter_map(|o| o.within_s).map(after).collect();
+        let mut aims: Vec<Instant> = attempts.filter_map(|o| o.within_s).map(after).collect();
         let finishes = self.policy.of_class("finished", class);
         aims.extend(finishes.filter_map(|o| o.within_s).map(|s| after(s) - run));
         let has_deadline = job.spec.due_s.is_some() || self.graph.has_consumers(id);
@@ -50,7 +51,7 @@
 
     /// The deadline that a job has, of its own or for the jobs that need it, and the multiples of the
     /// time that it allows itself which its class's objectives name.
-    pub(crate) fn deadline_aims(&self, job: &Job, due: Millis) -> impl Iterator<Item = Millis> {
+    pub(crate) fn deadline_aims(&self, job: &Job, due: Instant) -> impl Iterator<Item = Instant> {
         let (submitted, class) = (job.submitted, &job.spec.class);
         let mut times = Vec::new();
         if job.spec.due_s.is_some() {
@@ -62,7 +63,7 @@
         }
         let allowed_s = (due - submitted).secs();
         let aims = times.into_iter();
-        aims.map(move |t| submitted + Millis::from_secs(allowed_s * t))
+        aims.map(move |t| submitted + TimeSpan::from_secs(allowed_s * t))
     }
 
     /// The priority that a job is treated with: the highest of its own and of all that need it.
@@ -77,7 +78,7 @@
         self.part_of_machine(spec) > 0.5
     }
 
-    pub(crate) fn queue(&self, now: Millis) -> Vec<Vec<JobId>> {
+    pub(crate) fn queue(&self, now: Instant) -> Vec<Vec<JobId>> {
         if self.indexes.waiting.is_empty() {
             return Vec::new();
         }
@@ -101,7 +102,7 @@
                     self.aim_of(id, j, now),
                     !self.bulk(&j.spec),
                 );
-                let rank = (class, Millis::from_secs(self.work_of(j)), j.ready);
+                let rank = (class, TimeSpan::from_secs(self.work_of(j)), j.ready);
                 (rank, id)
             })
             .collect();
--- a/src/coordination/placement/reservations.rs
+++ b/src/coordination/placement/reservations.rs
@@ -4,16 +4,17 @@
 use crate::coordination::placement::candidates::emptiness;
 use crate::coordination::placement::Pass;
 use crate::coordination::Scheduler;
-use crate::ids::{MachineId, Millis, Zone};
+use crate::ids::{MachineId, Zone};
 use crate::protocol::users::JobSpec;
 use crate::resources::Resources;
+use crate::time::Instant;
 use std::collections::BTreeMap;
 
 impl Scheduler {
     /// Guards against a task of a whole machine that never finds one, because small tasks fill
     /// every gap and no more machines are to be had: the emptiest that it may use takes nothing
     /// more from jobs behind it.
-    fn keep_a_machine(&self, now: Millis, spec: &JobSpec, pass: &mut Pass) {
+    fn keep_a_machine(&self, now: Instant, spec: &JobSpec, pass: &mut Pass) {
         let request = Resources::of(spec);
         let best = self
             .indexes
@@ -34,7 +35,7 @@
     /// Holds machines for a job that could not be placed.
     pub(crate) fn hold_for(
         &self,
-        now: Millis,
+        now: Instant,
         spec: &JobSpec,
         gang: bool,
         aged: bool,
@@ -54,7 +55,7 @@
 
     /// Guards against a gang of several machines that never finds them at once, because what comes
     /// free is taken by whatever needs less: those that it could use are held for it.
-    fn hold_machines(&self, now: Millis, spec: &JobSpec, pass: &mut Pass) {
+    fn hold_machines(&self, now: Instant, spec: &JobSpec, pass: &mut Pass) {
         let request = Resources::of(spec);
         let mut fit: BTreeMap<Option<&Zone>, Vec<&MachineId>> = BTreeMap::new();
         for m in self
--- a/src/coordination/policy.rs
+++ b/src/coordination/policy.rs
@@ -1,7 +1,8 @@
 //! The settings that the scheduler goes by.
 
-use crate::ids::{Millis, TeamIndex};
+use crate::ids::TeamIndex;
 use crate::settings::{Facts, Objective, Operator, Settings, Team};
+use crate::time::TimeSpan;
 use crate::transport::sockets::Sockets;
 
 /// The settings the core goes by.
@@ -66,18 +67,18 @@
     }
     /// How long after its last answer a worker certainly has no lease: drift of both clocks, and a
     /// little for what the worker needs to act on it.
-    pub fn lease_expiry_bound(&self) -> Millis {
-        Millis::from_secs(self.facts.workers.lease_s * 1.002 + 0.5)
+    pub fn lease_expiry_bound(&self) -> TimeSpan {
+        TimeSpan::from_secs(self.facts.workers.lease_s * 1.002 + 0.5)
     }
     /// The time in which every worker that can reach a new leader has reported to it: one whose report was
     /// under way to the former one gives that up after 4 s and tries the next controller a second later.
-    pub fn first_reports(&self) -> Millis {
-        Millis::from_secs(self.facts.workers.report_s * 1.25 + 5.0)
+    pub fn first_reports(&self) -> TimeSpan {
+        TimeSpan::from_secs(self.facts.workers.report_s * 1.25 + 5.0)
     }
     /// How long a worker may keep silent before it counts as silent.
-    pub fn silence(&self) -> Millis {
+    pub fn silence(&self) -> TimeSpan {
         // Reports go out every `report_s`, give or take a quarter; a second for the way.
         let s = self.facts.workers.report_s * 1.25 * self.operator.silent_reports;
-        Millis::from_secs(s + 1.0)
+        TimeSpan::from_secs(s + 1.0)
     }
 }
--- a/src/ids.rs
+++ b/src/ids.rs
@@ -1,41 +1,9 @@
-//! Ids, versions and times as small types of their own, so that none is mistaken for another.
+//! Ids and versions as small types of their own, so that none is mistaken for another.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
-use std::ops::{Add, Sub};
 use std::sync::Arc;
 
-/// A point or span on the steady clock of this process, in milliseconds.
-///
-/// Signed, because a job may have been submitted before this process began.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Millis(pub i64);
-
-impl Millis {
-    /// A span from seconds; not-finite or absurd values are clamped rather than wrapped.
-    pub fn from_secs(s: f64) -> Self {
-        Millis((s * 1000.0).clamp(-9.0e15, 9.0e15) as i64)
-    }
-    /// The span in seconds.
-    pub fn secs(self) -> f64 {
-        self.0 as f64 / 1000.0
-    }
-}
-
-impl Add for Millis {
-    type Output = Millis;
-    fn add(self, o: Millis) -> Millis {
-        Millis(self.0.saturating_add(o.0))
-    }
-}
-
-impl Sub for Millis {
-    type Output = Millis;
-    fn sub(self, o: Millis) -> Millis {
-        Millis(self.0.saturating_sub(o.0))
-    }
-}
-
 macro_rules! number {
     ($(#[$m:meta])* $name:ident) => {
         $(#[$m])*
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -17,4 +17,5 @@
 pub mod runtime;
 pub mod settings;
 pub mod storage;
+pub mod time;
 pub mod transport;
--- a/src/runtime/activity.rs
+++ b/src/runtime/activity.rs
@@ -3,25 +3,25 @@
 
 use super::lock;
 use crate::coordination::Effect;
-use crate::ids::Millis;
 use crate::protocol::workers::Command;
+use crate::time::{Instant, TimeSpan};
 use std::sync::Mutex;
 
 /// Between two lines of the log.
-const LOG_EVERY: Millis = Millis(10_000);
+const LOG_EVERY: TimeSpan = TimeSpan(10_000);
 
 /// What has been counted since the last line.
 #[derive(Debug, Default)]
 struct Counts {
-    since: Millis,
+    since: Instant,
     answers: u32,
     launches: u32,
     stops: u32,
     commands: u32,
     writes: u32,
-    longest_step: Millis,
-    longest_lag: Millis,
-    oldest_view: Millis,
+    longest_step: TimeSpan,
+    longest_lag: TimeSpan,
+    oldest_view: TimeSpan,
 }
 
 /// The activity of one leadership.
@@ -32,14 +32,14 @@
 
 impl Activity {
     /// Nothing counted yet.
-    pub fn new(now: Millis) -> Activity {
+    pub fn new(now: Instant) -> Activity {
         Activity {
             counts: Mutex::new(Counts::from(now)),
         }
     }
 
     /// A check-in was answered with these orders, on a view of the open jobs of that age.
-    pub fn answered(&self, commands: &[Command], view_age: Millis) {
+    pub fn answered(&self, commands: &[Command], view_age: TimeSpan) {
         let mut counts = lock(&self.counts);
         counts.answers += 1;
         counts.oldest_view = counts.oldest_view.max(view_age);
@@ -47,7 +47,7 @@
     }
 
     /// A step took so long, and began so much later than it was due.
-    pub fn stepped(&self, effects: &[Effect], took: Millis, lag: Millis) {
+    pub fn stepped(&self, effects: &[Effect], took: TimeSpan, lag: TimeSpan) {
         let mut counts = lock(&self.counts);
         counts.longest_step = counts.longest_step.max(took);
         counts.longest_lag = counts.longest_lag.max(lag);
@@ -64,7 +64,7 @@
     }
 
     /// Logs what has been counted, if it is time, and begins anew.
-    pub fn log_if_due(&self, now: Millis) {
+    pub fn log_if_due(&self, now: Instant) {
         let due = now - lock(&self.counts).since >= LOG_EVERY;
         if due {
             self.log(now);
@@ -72,7 +72,7 @@
     }
 
     /// Logs what has been counted, and begins anew.
-    pub fn log(&self, now: Millis) {
+    pub fn log(&self, now: Instant) {
         let mut counts = lock(&self.counts);
         tracing::info!(
             for_ms = (now - counts.since).0,
@@ -91,7 +91,7 @@
 }
 
 impl Counts {
-    fn from(now: Millis) -> Counts {
+    fn from(now: Instant) -> Counts {
         Counts {
             since: now,
             ..Counts::default()
--- a/src/runtime/campaign.rs
+++ b/src/runtime/campaign.rs
@@ -5,15 +5,16 @@
 use super::state_client::{StateError, TxnOutcome};
 use super::{lock, Node};
 use crate::coordination::leadership::authority::{Authority, LeadershipTerm};
-use crate::ids::{FencingToken, KeyRevision, LeaseId, Millis};
+use crate::ids::{FencingToken, KeyRevision, LeaseId};
 use crate::protocol::state::{Change, Precondition, Transaction};
 use crate::storage::records::{LeaderRecord, FENCING_TOKEN_KEY, LEADER_KEY};
+use crate::time::{Instant, TimeSpan};
 use rand::Rng;
 use std::sync::Arc;
 use std::time::Duration;
 
 /// A controller that handed over campaigns after so long all the same if nobody else has taken the lead.
-const NOBODY_ELSE: Millis = Millis(4_000);
+const NOBODY_ELSE: TimeSpan = TimeSpan(4_000);
 
 /// Campaigns, leads, and campaigns again, until stopped.
 pub async fn campaign(node: Arc<Node>) {
@@ -76,7 +77,7 @@
     node: &Node,
     lead_stamp: KeyRevision,
     lease: LeaseId,
-    sent: Millis,
+    sent: Instant,
 ) -> Option<Won> {
     let old = node.state.get(FENCING_TOKEN_KEY).await.ok()?;
     let (last, token_stamp) = match old {
--- a/src/runtime/effects.rs
+++ b/src/runtime/effects.rs
@@ -5,11 +5,12 @@
 use super::Node;
 use crate::coordination::leadership::authority::Authority;
 use crate::coordination::{Effect, Event};
-use crate::ids::{MachineId, Millis};
+use crate::ids::MachineId;
 use crate::protocol::cloud::{RentRequest, ReturnRequest};
 use crate::protocol::state::KeyValue;
 use crate::protocol::workers::{CommandBatch, WorkerStatus};
 use crate::storage::records::terminal_key;
+use crate::time::TimeSpan;
 use crate::transport::client::NoAnswer;
 use hyper::Method;
 use rand::Rng;
@@ -33,7 +34,7 @@
                 Err(StateError::Refused) => Event::NotWritten { seq },
                 Err(StateError::Limited) => {
                     let ms = rand::rng().random_range(LIMITED_PAUSE_MS);
-                    let pause = Millis(ms);
+                    let pause = TimeSpan(ms);
                     Event::WriteLimited { seq, pause }
                 }
                 Err(StateError::Rejected) => Event::WriteRejected { seq },
--- a/src/runtime/following.rs
+++ b/src/runtime/following.rs
@@ -6,12 +6,13 @@
 use crate::coordination::leadership::authority::Authority;
 use crate::coordination::leadership::recovery::RecoveredState;
 use crate::coordination::Event;
-use crate::ids::{JobId, KeyRevision, Millis, StoreRevision};
+use crate::ids::{JobId, KeyRevision, StoreRevision};
 use crate::protocol::state::{KeyValue, WatchResponse};
 use crate::storage::records::{
     OpenJobRecord, HINTS_KEY, INTENT_PAGE_PREFIX, MACHINE_PAGE_PREFIX, OPEN_JOB_PREFIX,
     PROGRESS_PREFIX,
 };
+use crate::time::{Instant, TimeSpan};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio_util::sync::CancellationToken;
@@ -45,7 +46,7 @@
 async fn read_open(
     node: &Node,
     items: Vec<KeyValue>,
-) -> Result<Vec<(OpenJobRecord, KeyRevision, Millis)>, StateError> {
+) -> Result<Vec<(OpenJobRecord, KeyRevision, Instant)>, StateError> {
     let mut jobs = Vec::new();
     for item in items {
         let record = serde_json::from_value::<OpenJobRecord>(item.data);
@@ -92,9 +93,9 @@
     Ok(())
 }
 
-fn submitted_at(node: &Node, record: &OpenJobRecord) -> Millis {
+fn submitted_at(node: &Node, record: &OpenJobRecord) -> Instant {
     let age = time_of_day_ms().saturating_sub(record.at_ms);
-    node.now() - Millis(age.min(1 << 50) as i64)
+    node.now() - TimeSpan(age.min(1 << 50) as i64)
 }
 
 /// Follows open jobs, from the epoch of the list that was read. Each answer says what had happened by
--- a/src/runtime/leader.rs
+++ b/src/runtime/leader.rs
@@ -12,9 +12,10 @@
 use crate::coordination::attempts::reconciliation::HeartbeatOutcome;
 use crate::coordination::leadership::authority::{should_hand_over, silence_bound, Authority};
 use crate::coordination::{Effect, Event, Scheduler};
-use crate::ids::{FencingToken, JobId, LeaseId, MachineId, Millis};
+use crate::ids::{FencingToken, JobId, LeaseId, MachineId};
 use crate::protocol::peers::{PeerReply, PeerRequest};
 use crate::protocol::workers::{Command, WorkerStatus};
+use crate::time::{Instant, TimeSpan};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 use tokio::sync::{watch, Notify};
@@ -38,7 +39,7 @@
     /// Each launch and stop as it leaves, and what it rests on.
     fn log_orders(
         &self,
-        now: Millis,
+        now: Instant,
         carrier: Carrier,
         machine_id: &MachineId,
         commands: &[Command],
@@ -82,15 +83,15 @@
     /// Whether we have the leader key but have not taken over yet.
     taking: watch::Sender<bool>,
     /// As read at that moment: it counts only for so long.
-    pub(super) other: Mutex<Option<(String, Millis)>>,
+    pub(super) other: Mutex<Option<(String, Instant)>>,
     wake: Notify,
     /// We handed over, and don't campaign before this.
-    pub(super) stand_back: Mutex<Option<Millis>>,
+    pub(super) stand_back: Mutex<Option<Instant>>,
 }
 
 impl LeaderCell {
     /// Whether this controller leads at this moment.
-    pub fn leads(&self, now: Millis) -> bool {
+    pub fn leads(&self, now: Instant) -> bool {
         lock(&self.active)
             .as_ref()
             .is_some_and(|a| a.authority.holds(now))
@@ -102,7 +103,7 @@
     }
 
     /// Hands the core an event; nothing if this controller doesn't lead.
-    pub fn event(&self, now: Millis, event: Event) {
+    pub fn event(&self, now: Instant, event: Event) {
         if let Some(a) = lock(&self.active).as_mut() {
             a.core.on(now, event);
             self.wake.notify_one();
@@ -116,7 +117,7 @@
     }
 
     /// Answers a check-in. Authority is checked before the core acts and again on what it says.
-    pub fn heartbeat(&self, now: Millis, report: &WorkerStatus) -> Heartbeat {
+    pub fn heartbeat(&self, now: Instant, report: &WorkerStatus) -> Heartbeat {
         if *self.taking.borrow() {
             return Heartbeat::TakingOver;
         }
@@ -145,7 +146,7 @@
     }
 
     /// Counts of one job, if this controller leads.
-    pub fn counts_of(&self, now: Millis, id: &JobId) -> Option<(u32, u32)> {
+    pub fn counts_of(&self, now: Instant, id: &JobId) -> Option<(u32, u32)> {
         let active = lock(&self.active);
         let a = active.as_ref().filter(|a| a.authority.holds(now))?;
         Some(a.core.counts_of(id))
@@ -153,7 +154,7 @@
 }
 
 /// The name of the leader counts for this long after it was read.
-const OTHER_FRESH: Millis = Millis(3000);
+const OTHER_FRESH: TimeSpan = TimeSpan(3000);
 
 /// Leads until authority is lost.
 pub(super) async fn lead(node: &Arc<Node>, won: Won) {
@@ -276,7 +277,7 @@
 
 /// Ends a leadership whose authority has lapsed, and says why, once. A touch that is answered later changes
 /// nothing any more.
-fn end_lapsed(authority: &Authority, now: Millis, end: &CancellationToken) {
+fn end_lapsed(authority: &Authority, now: Instant, end: &CancellationToken) {
     if !end.is_cancelled() {
         let (authority_loss, view_age) = (authority.authority_loss(now), authority.view_age(now));
         tracing::info!(
@@ -320,7 +321,7 @@
                 Some(PeerReply::Hello {
                     state_ok: true,
                     workers_heard_ms: Some(ms),
-                }) => Some(Millis(ms)),
+                }) => Some(TimeSpan(ms)),
                 _ => None,
             });
         }
@@ -336,7 +337,7 @@
 }
 
 /// After handing over we don't campaign for this long, unless nobody else takes the lead.
-pub(super) const STAND_BACK: Millis = Millis(20_000);
+pub(super) const STAND_BACK: TimeSpan = TimeSpan(20_000);
 
 /// Tells siblings the task counts, for display in their answers to polls.
 async fn tell_counts(node: Arc<Node>, end: CancellationToken) {
@@ -361,7 +362,7 @@
 }
 
 /// Events are collected for so long before a step.
-const BUNCH: Millis = Millis(10);
+const BUNCH: TimeSpan = TimeSpan(10);
 
 /// Lets the core decide, soon after events and a few times a second, and carries out its effects.
 async fn steps(
@@ -411,7 +412,7 @@
 
 impl LeaderCell {
     /// An effect with what is known as it leaves, which may be some time after it was decided.
-    fn as_it_leaves(&self, now: Millis, mut effect: Effect) -> Effect {
+    fn as_it_leaves(&self, now: Instant, mut effect: Effect) -> Effect {
         if let Effect::Push {
             machine_id,
             commands,
@@ -427,7 +428,7 @@
     }
 
     /// Hands over an outcome, if the leadership that asked for it is still the one going on.
-    fn event_of(&self, now: Millis, authority: &Arc<Authority>, event: Event) {
+    fn event_of(&self, now: Instant, authority: &Arc<Authority>, event: Event) {
         let same = lock(&self.active)
             .as_ref()
             .is_some_and(|a| Arc::ptr_eq(&a.authority, authority));
--- a/src/runtime/mod.rs
+++ b/src/runtime/mod.rs
@@ -16,9 +16,10 @@
 pub mod users;
 
 use crate::coordination::Policy;
-use crate::ids::{JobId, Millis};
+use crate::ids::JobId;
 use crate::protocol::cloud::MachineTypeInfo;
 use crate::settings::Settings;
+use crate::time::{Instant, TimeSpan};
 use crate::transport::client::Client;
 use crate::transport::peer::PeerClient;
 use crate::transport::sockets::Sockets;
@@ -27,7 +28,7 @@
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicI64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard};
-use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
+use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio_util::sync::CancellationToken;
 
 /// What the tasks of one controller share.
@@ -52,19 +53,19 @@
     pub stop: CancellationToken,
     /// When a worker last reported here, whatever it was answered; negative: never.
     pub last_check_in: AtomicI64,
-    began: Instant,
+    began: std::time::Instant,
 }
 
 impl Node {
     /// The steady clock, in milliseconds since the process began.
-    pub fn now(&self) -> Millis {
-        Millis(self.began.elapsed().as_millis() as i64)
+    pub fn now(&self) -> Instant {
+        Instant(self.began.elapsed().as_millis() as i64)
     }
 
     /// How long ago a worker last reported here.
-    pub fn workers_heard(&self) -> Option<Millis> {
+    pub fn workers_heard(&self) -> Option<TimeSpan> {
         let at = self.last_check_in.load(Ordering::Relaxed);
-        (at >= 0).then(|| self.now() - Millis(at))
+        (at >= 0).then(|| self.now() - Instant(at))
     }
 }
 
@@ -136,7 +137,7 @@
         sockets,
         stop: stop.clone(),
         last_check_in: AtomicI64::new(-1),
-        began: Instant::now(),
+        began: std::time::Instant::now(),
         settings,
     });
     let tasks = [
--- a/src/runtime/peers.rs
+++ b/src/runtime/peers.rs
@@ -2,9 +2,10 @@
 
 use super::{http_api, lock, Node};
 use crate::coordination::Event;
-use crate::ids::{JobId, Millis};
+use crate::ids::JobId;
 use crate::protocol::peers::{PeerReply, PeerRequest};
 use crate::protocol::users::JobPhase;
+use crate::time::{Instant, TimeSpan};
 use crate::transport::peer;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -15,12 +16,12 @@
 pub const STATE_FRESH: Duration = Duration::from_millis(2000);
 
 /// What a sibling said counts for this long.
-pub const HEARD_FRESH: Millis = Millis(2500);
+pub const HEARD_FRESH: TimeSpan = TimeSpan(2500);
 
 /// What a sibling last said of itself.
 #[derive(Clone, Copy, Debug)]
 pub struct Heard {
-    pub at: Millis,
+    pub at: Instant,
     pub state_ok: bool,
 }
 
--- a/src/runtime/state_client.rs
+++ b/src/runtime/state_client.rs
@@ -1,14 +1,15 @@
 //! Typed calls to the state service. Every failure says whether the request can have been executed.
 
-use crate::ids::{LeaseId, Millis, StoreRevision};
+use crate::ids::{LeaseId, StoreRevision};
 use crate::protocol::state::{
     AtRevision, Conflict, Granted, KeyValue, KeyValuePage, Transaction, WatchResponse,
 };
+use crate::time::TimeSpan;
 use crate::transport::client::{Answer, Client, NoAnswer};
 use hyper::Method;
 use serde::de::DeserializeOwned;
 use std::sync::atomic::{AtomicI64, Ordering};
-use std::time::{Duration, Instant};
+use std::time::Duration;
 
 /// Why a call brought no result.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -45,7 +46,7 @@
 pub struct StateClient {
     http: Client,
     addr: String,
-    began: Instant,
+    began: std::time::Instant,
     last_ok_ms: AtomicI64,
 }
 
@@ -55,7 +56,7 @@
         StateClient {
             http: Client::new(Duration::from_millis(600), sockets.min(KEPT_OPEN)),
             addr,
-            began: Instant::now(),
+            began: std::time::Instant::now(),
             last_ok_ms: AtomicI64::new(-1_000_000),
         }
     }
@@ -201,8 +202,8 @@
         prefix: &str,
         since: StoreRevision,
     ) -> Result<WatchResponse, StateError> {
-        let patience = Millis(2000);
-        self.watch(prefix, since, Millis(0), patience).await
+        let patience = TimeSpan(2000);
+        self.watch(prefix, since, TimeSpan::ZERO, patience).await
     }
 
     /// Waits for changes under the prefix after the epoch; the answer may take so much longer.
@@ -210,8 +211,8 @@
         &self,
         prefix: &str,
         since: StoreRevision,
-        hold: Millis,
-        patience: Millis,
+        hold: TimeSpan,
+        patience: TimeSpan,
     ) -> Result<WatchResponse, StateError> {
         let path = format!("/watch?prefix={prefix}&since={since}&holdMs={}", hold.0);
         let deadline = Duration::from_millis((hold + patience).0 as u64);
--- a/src/runtime/users.rs
+++ b/src/runtime/users.rs
@@ -18,7 +18,7 @@
 use crate::settings::Team;
 use crate::storage::records::{open_key, terminal_key, OpenJobRecord, TerminalRecord};
 use std::collections::{BTreeMap, VecDeque};
-use std::time::{Duration, Instant};
+use std::time::Duration;
 
 /// Users wait 5 s for submissions and cancellations, 2 s for polls; we answer before that.
 pub const SUBMIT: Duration = Duration::from_millis(4000);
@@ -344,7 +344,7 @@
     let Some(id) = JobId::parse(id) else {
         return Reply::error(404, "no such job");
     };
-    let began = Instant::now();
+    let began = std::time::Instant::now();
     let mut unclear = false;
     while began.elapsed() < SUBMIT / 2 {
         let OpenJob {
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,7 +1,7 @@
 //! The platform's settings file (TOML, unknown fields ignored) and the operators' own (JSON with a
 //! schema, unknown fields refused, every field with a built-in default).
 
-use crate::ids::Millis;
+use crate::time::TimeSpan;
 use schemars::JsonSchema;
 use serde::Deserialize;
 use std::net::SocketAddr;
@@ -215,15 +215,15 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LeaderTimes {
     /// Life of the leader's lease on the state service.
-    pub life: Millis,
+    pub life: TimeSpan,
     /// Taken off the authority that the lease gives, for pauses and drift.
-    pub margin: Millis,
+    pub margin: TimeSpan,
     /// A leader acts on no view of the open jobs that it asked for longer ago than this.
-    pub max_staleness: Millis,
+    pub max_staleness: TimeSpan,
     /// How long one request for changes is held open, and how much longer its answer may take. One
     /// that fails and the next fit into the staleness, and so do two that are as late as they may be.
-    pub watch_hold: Millis,
-    pub watch_patience: Millis,
+    pub watch_hold: TimeSpan,
+    pub watch_patience: TimeSpan,
 }
 
 /// Two steady clocks may differ by 0.05% each way: 0.2% covers them with room.
@@ -246,15 +246,15 @@
         if staleness < LEAST_STALENESS_S {
             return None;
         }
-        let max_staleness = Millis::from_secs(staleness);
-        let life = Millis(operator.leader_life_ms as i64).min(max_staleness);
-        let margin = Millis(operator.authority_margin_ms as i64);
+        let max_staleness = TimeSpan::from_secs(staleness);
+        let life = TimeSpan(operator.leader_life_ms as i64).min(max_staleness);
+        let margin = TimeSpan(operator.authority_margin_ms as i64);
         Some(LeaderTimes {
             life,
-            margin: margin.min(Millis(life.0 / 3)),
+            margin: margin.min(TimeSpan(life.0 / 3)),
             max_staleness,
-            watch_hold: Millis::from_secs((staleness / 8.0).clamp(0.25, 8.0)),
-            watch_patience: Millis::from_secs((staleness * 0.375).clamp(0.5, 10.0)),
+            watch_hold: TimeSpan::from_secs((staleness / 8.0).clamp(0.25, 8.0)),
+            watch_patience: TimeSpan::from_secs((staleness * 0.375).clamp(0.5, 10.0)),
         })
     }
 }
--- a/src/storage/pages.rs
+++ b/src/storage/pages.rs
@@ -2,7 +2,8 @@
 //! true, and what is new. So reclaiming costs no change of its own, and there are never many more
 //! pages than what is true needs.
 
-use crate::ids::{AttemptId, JobId, KeyRevision, MachineId, Millis, PageNumber, TaskId};
+use crate::ids::{AttemptId, JobId, KeyRevision, MachineId, PageNumber, TaskId};
+use crate::time::{Instant, TimeSpan};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// One start, wherever it is.
@@ -31,7 +32,7 @@
     /// What it holds that may still be true.
     live: BTreeSet<PlacedAttempt>,
     /// Since when it has held something that no longer is.
-    stale_since: Option<Millis>,
+    stale_since: Option<Instant>,
 }
 
 /// The pages of launch intents, and the starts that wait to be written.
@@ -114,14 +115,14 @@
     }
 
     /// A page holds something that is no longer true.
-    pub fn outdated(&mut self, now: Millis, page: PageNumber) {
+    pub fn outdated(&mut self, now: Instant, page: PageNumber) {
         if let Some(p) = self.pages.get_mut(&page) {
             p.stale_since.get_or_insert(now);
         }
     }
 
     /// A start is no longer true: its page may be written without it.
-    pub fn gone(&mut self, now: Millis, page: PageNumber, key: &PlacedAttempt) {
+    pub fn gone(&mut self, now: Instant, page: PageNumber, key: &PlacedAttempt) {
         if let Some(p) = self.pages.get_mut(&page) {
             p.live.remove(key);
             p.stale_since.get_or_insert(now);
@@ -154,7 +155,7 @@
     }
 
     /// Pages that have held what is no longer true for longer than the bound.
-    pub fn stale(&self, now: Millis, bound: Millis) -> impl Iterator<Item = PageNumber> + '_ {
+    pub fn stale(&self, now: Instant, bound: TimeSpan) -> impl Iterator<Item = PageNumber> + '_ {
         let ripe = move |p: &IntentPageState| p.stale_since.is_some_and(|t| now - t > bound);
         self.pages
             .iter()
@@ -165,7 +166,7 @@
     /// A page is written with these starts; those of them that are gone since make it stale.
     pub fn written(
         &mut self,
-        now: Millis,
+        now: Instant,
         page: PageNumber,
         revision: KeyRevision,
         keys: Vec<PlacedAttempt>,
@@ -183,7 +184,7 @@
     }
 
     /// A page was read again: what it holds beyond what is true is not known, so it is stale.
-    pub fn reread(&mut self, now: Millis, page: PageNumber, revision: KeyRevision) {
+    pub fn reread(&mut self, now: Instant, page: PageNumber, revision: KeyRevision) {
         let p = self.pages.entry(page).or_default();
         p.revision = revision;
         if revision != KeyRevision(0) {
@@ -205,7 +206,7 @@
 const MACHINE_NAME_BYTES: usize = 16;
 const MACHINE_PAGE_NAMES: usize = 1000;
 /// A page out of date since then is written as soon as there is time.
-const LONG_AGO: Millis = Millis(i64::MIN / 4);
+const LONG_AGO: Instant = Instant::LONG_AGO;
 
 /// One page of machines.
 #[derive(Debug, Default)]
@@ -215,7 +216,7 @@
     /// A machine on it isn't written yet.
     urgent: bool,
     /// Since when it has been out of date.
-    stale_since: Option<Millis>,
+    stale_since: Option<Instant>,
     /// Machines that it lists as stored, and that are to be listed on other pages. It isn't written before
     /// they are: no machine is ever on no page.
     moving: BTreeSet<MachineId>,
@@ -310,7 +311,7 @@
     }
 
     /// Machines that are on a page of their own now, or gone, keep no other page from being written.
-    fn settle_moving(&mut self, now: Millis, settled: impl Fn(&MachineId) -> bool) {
+    fn settle_moving(&mut self, now: Instant, settled: impl Fn(&MachineId) -> bool) {
         for p in self.pages.values_mut().filter(|p| !p.moving.is_empty()) {
             p.moving.retain(|h| !settled(h));
             if p.moving.is_empty() {
@@ -320,7 +321,7 @@
     }
 
     /// A machine is gone.
-    pub fn leave(&mut self, now: Millis, page: PageNumber, machine_id: &MachineId) {
+    pub fn leave(&mut self, now: Instant, page: PageNumber, machine_id: &MachineId) {
         if let Some(p) = self.pages.get_mut(&page) {
             p.machine_ids.remove(machine_id);
             p.stale_since.get_or_insert(now);
@@ -329,7 +330,7 @@
     }
 
     /// What is known of a machine has changed.
-    pub fn changed(&mut self, now: Millis, page: PageNumber) {
+    pub fn changed(&mut self, now: Instant, page: PageNumber) {
         if let Some(p) = self.pages.get_mut(&page) {
             p.stale_since.get_or_insert(now);
         }
@@ -337,7 +338,7 @@
 
     /// Pages to be written: those with new machines, and those out of date for longer than the
     /// bound, if `lazy` ones are wanted.
-    pub fn due(&self, now: Millis, bound: Millis, lazy: bool) -> Vec<PageNumber> {
+    pub fn due(&self, now: Instant, bound: TimeSpan, lazy: bool) -> Vec<PageNumber> {
         let due = |p: &MachinePageState| {
             let due = p.urgent || p.stale_since.is_some_and(|t| now - t > bound);
             due && p.urgent != lazy && p.moving.is_empty()
@@ -358,7 +359,7 @@
     /// A page is written with these machines.
     pub fn written(
         &mut self,
-        now: Millis,
+        now: Instant,
         page: PageNumber,
         revision: KeyRevision,
         machine_ids: &BTreeSet<MachineId>,
@@ -371,7 +372,7 @@
     }
 
     /// A page was read again.
-    pub fn reread(&mut self, now: Millis, page: PageNumber, revision: KeyRevision) {
+    pub fn reread(&mut self, now: Instant, page: PageNumber, revision: KeyRevision) {
         let p = self.pages.entry(page).or_default();
         p.revision = revision;
         p.urgent = !p.machine_ids.is_empty();
--- a/src/transport/budget.rs
+++ b/src/transport/budget.rs
@@ -1,6 +1,6 @@
 //! A token bucket: so many a second, bursts of one second's worth.
 
-use crate::ids::Millis;
+use crate::time::Instant;
 
 /// Bounds a rate. Takes the time from its caller.
 #[derive(Debug)]
@@ -8,7 +8,7 @@
     per_s: f64,
     burst: f64,
     left: f64,
-    at: Millis,
+    at: Instant,
 }
 
 impl Budget {
@@ -18,29 +18,29 @@
             per_s,
             burst,
             left: burst,
-            at: Millis(0),
+            at: Instant(0),
         }
     }
 
     /// The part of a burst that could be taken now.
-    pub fn left(&self, now: Millis) -> f64 {
+    pub fn left(&self, now: Instant) -> f64 {
         let passed = (now - self.at).secs().max(0.0);
         (self.left + passed * self.per_s).min(self.burst) / self.burst
     }
 
     /// How much could be taken now.
-    pub fn available(&self, now: Millis) -> f64 {
+    pub fn available(&self, now: Instant) -> f64 {
         self.left(now) * self.burst
     }
 
     /// Gives up what could be taken now.
-    pub fn empty(&mut self, now: Millis) {
+    pub fn empty(&mut self, now: Instant) {
         self.left = 0.0;
         self.at = now;
     }
 
     /// Takes `n`, or nothing.
-    pub fn take(&mut self, now: Millis, n: f64) -> bool {
+    pub fn take(&mut self, now: Instant, n: f64) -> bool {
         let passed = (now - self.at).secs().max(0.0);
         self.at = now;
         self.left = (self.left + passed * self.per_s).min(self.burst);
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -19,6 +19,7 @@
 use chalklug::protocol::users::{parse_submission, JobPhase};
 use chalklug::protocol::workers::{Command, TaskPhase, TaskStatus, WorkerStatus};
 use chalklug::storage::records::*;
+use chalklug::time::{Instant, TimeSpan};
 use leader::lead;
 use machine_type::machine_type;
 use recorded_core::RecordedCore;
@@ -69,7 +70,7 @@
             after: Vec::new(),
             dependency_pages: 0,
         };
-        open.push((record, KeyRevision(1), Millis(0)));
+        open.push((record, KeyRevision(1), Instant(0)));
     }
     let item = |key: String, data| KeyValue {
         key,
@@ -140,7 +141,7 @@
 
 #[test]
 fn a_large_fleet_is_taken_over_and_reports_without_news_cost_nothing() {
-    let mut now = Millis(1000);
+    let mut now = Instant(1000);
     let mut core = RecordedCore::recover(policy(), lead(9), now, recovered()).unwrap();
     core.audit().unwrap();
     assert_eq!(core.machines_up(), MACHINES as usize);
@@ -155,7 +156,7 @@
     let mut asked = 0;
     for round in 1..=2u64 {
         for n in 0..MACHINES {
-            now = now + Millis(2);
+            now += TimeSpan(2);
             let r = report(n, round, if round == 1 { 8 } else { 9 }, 0);
             let answer = core.heartbeat(now, &r);
             assert_eq!(answer, HeartbeatOutcome::Commands(Vec::new()), "{n}");
@@ -183,7 +184,7 @@
 
 #[test]
 fn what_a_wave_of_endings_asks_for_follows_the_wave() {
-    let mut now = Millis(1000);
+    let mut now = Instant(1000);
     let mut core = RecordedCore::recover(policy(), lead(9), now, recovered()).unwrap();
     for n in 0..MACHINES {
         core.heartbeat(now, &report(n, 1, 9, 0));
@@ -194,12 +195,12 @@
     let mut changes = 0;
     let mut finished = 0;
     for n in 0..MACHINES / 10 {
-        now = now + Millis(1);
+        now += TimeSpan(1);
         core.heartbeat(now, &report(n, 2, 9, GPUS as usize));
     }
     // What is durable may be cleared: it takes a write for each job done, none for each task.
     for _ in 0..200 {
-        now = now + Millis(100);
+        now += TimeSpan(100);
         let effects = core.step(now);
         changes += writes(&effects);
         for e in effects {
@@ -250,19 +251,19 @@
     Event::JobOpened {
         record: Box::new(record),
         revision: KeyRevision(5),
-        submitted: Millis(0),
+        submitted: Instant(0),
     }
 }
 
 /// Steps the core until the given time; says how many starts of each job were put on record.
 fn starts_recorded(
     core: &mut RecordedCore,
-    now: &mut Millis,
-    until: Millis,
+    now: &mut Instant,
+    until: Instant,
 ) -> BTreeMap<JobId, usize> {
     let mut tasks: BTreeMap<JobId, BTreeSet<u32>> = BTreeMap::new();
     while *now < until {
-        *now = *now + Millis(50);
+        *now += TimeSpan(50);
         for e in core.step(*now) {
             let Effect::Write { seq, transaction } = e else {
                 continue;
@@ -292,7 +293,7 @@
 }
 
 /// The core of a new leader to which every machine has reported that nothing is on it.
-fn idle_fleet(policy: Arc<Policy>, now: Millis) -> RecordedCore {
+fn idle_fleet(policy: Arc<Policy>, now: Instant) -> RecordedCore {
     let mut found = recovered();
     found.open.clear();
     found.intents.clear();
@@ -309,18 +310,18 @@
 /// is started at a pace that the process can keep up with, and what is more urgent doesn't wait for it.
 #[test]
 fn a_huge_job_is_started_at_a_pace() {
-    let mut now = Millis(1000);
+    let mut now = Instant(1000);
     let mut core = idle_fleet(policy(), now);
     core.on(now, job("wk-900001", "low", 24_000));
     let huge = JobId::from("wk-900001");
-    let recorded = starts_recorded(&mut core, &mut now, Millis(5000))[&huge];
+    let recorded = starts_recorded(&mut core, &mut now, Instant(5000))[&huge];
     // A tenth of a core: 3,750 at once, and 750 a second.
     assert!(
         (3000..=3750 + 4 * 750).contains(&recorded),
         "{recorded} starts in 4 s"
     );
     core.on(now, job("wk-900002", "urgent", 16));
-    let recorded = starts_recorded(&mut core, &mut now, Millis(6000));
+    let recorded = starts_recorded(&mut core, &mut now, Instant(6000));
     assert_eq!(recorded.get(&JobId::from("wk-900002")), Some(&16));
     core.audit().unwrap();
 }
@@ -328,26 +329,26 @@
 /// A quota of no processor at all is a mistake of whoever wrote the settings: work goes on all the same.
 #[test]
 fn placement_goes_on_without_a_quota() {
-    let mut now = Millis(1000);
+    let mut now = Instant(1000);
     let mut policy = (*policy()).clone();
     policy.facts.quota.cores = 0.0;
     let mut core = idle_fleet(Arc::new(policy), now);
     core.on(now, job("wk-900001", "low", 24_000));
-    let recorded = starts_recorded(&mut core, &mut now, Millis(11_000));
+    let recorded = starts_recorded(&mut core, &mut now, Instant(11_000));
     assert!(recorded[&JobId::from("wk-900001")] > 1_000);
 }
 
 /// Operators are told why work stands: the log's lines come from here.
 #[test]
 fn each_waiting_job_has_a_reason() {
-    let now = Millis(1000);
+    let now = Instant(1000);
     let mut core = RecordedCore::recover(policy(), lead(9), now, recovered()).unwrap();
     // Every GPU of the team's limit may be in use, and no machine has reported yet.
     core.on(now, gpu_job("wk-900001", 4, Vec::new()));
     let small = JobId::from("wk-900001");
     core.on(now, gpu_job("wk-900002", 4, vec![small.clone()]));
     core.on(now, job("wk-900003", "low", 100));
-    core.step(now + Millis(100));
+    core.step(now + TimeSpan(100));
     let waiting = core.pending_jobs(now);
     let oldest = |reason| waiting.get(&reason).map(|w| (w.jobs, w.oldest.clone()));
     assert_eq!(oldest(PendingReason::TeamLimit), Some((1, small)));
@@ -367,7 +368,7 @@
     Event::JobOpened {
         record,
         revision: KeyRevision(5),
-        submitted: Millis(0),
+        submitted: Instant(0),
     }
 }
 
@@ -376,10 +377,10 @@
 #[test]
 fn many_consumers_cost_two_changes_each() {
     const CONSUMERS: usize = 1000;
-    let mut now = Millis(1000);
+    let mut now = Instant(1000);
     let mut core = idle_fleet(policy(), now);
     // What the first seconds ask for is written.
-    starts_recorded(&mut core, &mut now, Millis(3000));
+    starts_recorded(&mut core, &mut now, Instant(3000));
     let producer = JobId::from("wk-900000");
     for n in 1..=CONSUMERS {
         let id = format!("wk-{}", 900_000 + n);
@@ -390,7 +391,7 @@
     let mut deletes = 0;
     let mut reads = 0;
     for _ in 0..2000 {
-        now = now + Millis(100);
+        now += TimeSpan(100);
         for effect in core.step(now) {
             match effect {
                 Effect::ReadTerminalRecords { ids } => {
@@ -430,7 +431,7 @@
 /// on any, it counts from now.
 #[test]
 fn a_new_leader_learns_when_a_job_was_released() {
-    let now = Millis(100_000);
+    let now = Instant(100_000);
     let mut core = RecordedCore::recover(policy(), lead(9), now, recovered()).unwrap();
     let producers = ["wk-800001", "wk-800002"].map(JobId::from).to_vec();
     core.on(now, gpu_job("wk-900001", 4, producers.clone()));
@@ -447,14 +448,14 @@
     core.on(now, Event::TerminalRecordsRead { terminal_records });
     let waiting = core.pending_jobs(now);
     let limited = &waiting[&PendingReason::TeamLimit];
-    assert_eq!((limited.jobs, limited.since), (2, Millis(80_000)));
+    assert_eq!((limited.jobs, limited.since), (2, Instant(80_000)));
     assert_eq!(limited.oldest, JobId::from("wk-900001"));
 }
 
 /// Attempts are not used twice, however many passes one leadership makes.
 #[test]
 fn attempts_of_one_leadership_differ_after_a_million_passes() {
-    let now = Millis(1000);
+    let now = Instant(1000);
     let mut core = idle_fleet(policy(), now);
     let first = core.fresh_attempt();
     for _ in 0..1 << 21 {
--- a/tests/graph.rs
+++ b/tests/graph.rs
@@ -1,25 +1,26 @@
 //! The job graph: release, labels, groups.
 
 use chalklug::coordination::jobs::graph::{Graph, JobTraits, Label, Release};
-use chalklug::ids::{JobId, Millis};
+use chalklug::ids::JobId;
 use chalklug::protocol::users::Priority;
+use chalklug::time::{Instant, TimeSpan};
 
 fn id(n: u32) -> JobId {
     JobId::from(format!("wk-{n}").as_str())
 }
 
 /// A job that runs for a second, with a deadline if one is given.
-fn traits(due: Option<Millis>) -> JobTraits {
+fn traits(due: Option<Instant>) -> JobTraits {
     JobTraits {
         due,
-        run: Millis(1000),
+        run: TimeSpan(1000),
         priority: Priority::Low,
     }
 }
 
 const PLAIN: JobTraits = JobTraits {
     due: None,
-    run: Millis(1000),
+    run: TimeSpan(1000),
     priority: Priority::Low,
 };
 
@@ -30,12 +31,12 @@
     g.add(&id(1), &[], PLAIN);
     g.add(&id(2), &[], PLAIN);
     assert!(g.released(&id(1)) && !g.released(&id(3)));
-    g.finished(&id(1), Millis(10));
+    g.finished(&id(1), Instant(10));
     assert!(!g.released(&id(3)));
     g.take_changes();
-    g.finished(&id(2), Millis(20));
+    g.finished(&id(2), Instant(20));
     assert!(g.released(&id(3)));
-    let at = Some(Millis(20));
+    let at = Some(Instant(20));
     assert_eq!(g.take_changes().released, [Release { id: id(3), at }]);
     g.add(&id(4), &[id(3)], PLAIN);
     g.add(&id(5), &[id(4)], PLAIN);
@@ -61,13 +62,13 @@
     assert_eq!(g.unknown_after(None, 9), [id(1), id(9)]);
     assert_eq!(g.unknown_after(Some(&id(1)), 9), [id(9), id(1)]);
     g.forget(&id(1));
-    g.finished(&id(9), Millis(5));
+    g.finished(&id(9), Instant(5));
     assert!(!g.released(&id(2)));
     assert_eq!(g.unknown_after(None, 9), [id(1)]);
-    g.finished(&id(1), Millis(3));
+    g.finished(&id(1), Instant(3));
     assert!(g.released(&id(2)));
     // It was ready when the later of the two was done.
-    assert_eq!(g.take_changes().released[0].at, Some(Millis(5)));
+    assert_eq!(g.take_changes().released[0].at, Some(Instant(5)));
     assert!(g.unknown_after(None, 9).is_empty());
 }
 
@@ -79,15 +80,15 @@
     g.add(&id(1), &[], PLAIN);
     g.add(&id(2), &[id(1)], PLAIN);
     let last = JobTraits {
-        due: Some(Millis(9000)),
-        run: Millis(500),
+        due: Some(Instant(9000)),
+        run: TimeSpan(500),
         priority: Priority::Urgent,
     };
     g.add(&id(3), &[id(2)], last);
     g.refresh();
     let seen = |g: &Graph, n| (g.due(&id(n)), g.priority(&id(n)));
-    assert_eq!(seen(&g, 2), (Some(Millis(8500)), Some(Priority::Urgent)));
-    assert_eq!(seen(&g, 1), (Some(Millis(7500)), Some(Priority::Urgent)));
+    assert_eq!(seen(&g, 2), (Some(Instant(8500)), Some(Priority::Urgent)));
+    assert_eq!(seen(&g, 1), (Some(Instant(7500)), Some(Priority::Urgent)));
     g.cancelled(&id(3));
     g.refresh();
     assert_eq!(seen(&g, 2), (None, Some(Priority::Low)));
@@ -103,10 +104,10 @@
         g.add(&id(n), &after, PLAIN);
     }
     let all: Vec<JobId> = (0..5000).map(id).collect();
-    g.add(&id(9999), &all, traits(Some(Millis(9_000_000))));
+    g.add(&id(9999), &all, traits(Some(Instant(9_000_000))));
     g.refresh();
     assert_eq!(g.depth(&id(9999)), 5000);
-    assert_eq!(g.due(&id(0)), Some(Millis(9_000_000 - 5_000_000)));
+    assert_eq!(g.due(&id(0)), Some(Instant(9_000_000 - 5_000_000)));
     g.take_changes();
     g.cancelled(&id(0));
     assert_eq!(g.take_changes().cancelled.len(), 5000);
@@ -115,7 +116,7 @@
 #[test]
 fn labels_walk_backwards_and_stages_group() {
     let mut g = Graph::default();
-    let due = Some(Millis(9000));
+    let due = Some(Instant(9000));
     g.add(&id(1), &[], PLAIN);
     g.add(&id(2), &[id(1)], PLAIN);
     for n in [3, 4] {
@@ -129,7 +130,7 @@
     assert_eq!(labels, [T, L, L, L, L]);
     assert_eq!(g.label(&id(9)), T);
     // Three jobs of a second each lie behind it.
-    assert_eq!(g.due(&id(1)), Some(Millis(6000)));
+    assert_eq!(g.due(&id(1)), Some(Instant(6000)));
     assert_eq!(g.group(&id(3)), [id(3), id(4)]);
     assert_eq!(g.group(&id(9)), [id(9)]);
     assert_eq!(g.depth(&id(5)), 3);
--- a/tests/leadership.rs
+++ b/tests/leadership.rs
@@ -3,16 +3,16 @@
 use chalklug::coordination::leadership::authority::{
     should_hand_over, silence_bound, Authority, AuthorityLoss,
 };
-use chalklug::ids::Millis;
 use chalklug::settings::{LeaderTimes, Operator, Workers};
+use chalklug::time::{Instant, TimeSpan};
 
 fn times() -> LeaderTimes {
     LeaderTimes {
-        life: Millis(4000),
-        margin: Millis(300),
-        max_staleness: Millis(20_000),
-        watch_hold: Millis(2500),
-        watch_patience: Millis(5000),
+        life: TimeSpan(4000),
+        margin: TimeSpan(300),
+        max_staleness: TimeSpan(20_000),
+        watch_hold: TimeSpan(2500),
+        watch_patience: TimeSpan(5000),
     }
 }
 
@@ -28,8 +28,8 @@
 
 #[test]
 fn only_a_leader_deaf_alone_hands_over() {
-    let (quiet, loud, bound) = (Millis(9000), Millis(100), Millis(6000));
-    let over = |n, own, sib: &[Option<Millis>]| should_hand_over(n, own, sib, bound);
+    let (quiet, loud, bound) = (TimeSpan(9000), TimeSpan(100), TimeSpan(6000));
+    let over = |n, own, sib: &[Option<TimeSpan>]| should_hand_over(n, own, sib, bound);
     assert!(over(3, quiet, &[None, Some(loud)]));
     assert!(!over(3, loud, &[Some(loud)]), "it hears workers itself");
     assert!(!over(0, quiet, &[Some(loud)]), "there is nobody to hear");
@@ -39,39 +39,39 @@
 #[test]
 fn the_more_machines_report_the_sooner_silence_tells() {
     let bound = |machines| silence_bound(machines, 5.0);
-    assert_eq!(bound(0), Millis(13_000));
-    assert_eq!(bound(10), Millis(13_000));
-    assert_eq!(bound(40), Millis(6_250));
-    assert_eq!(bound(1_000), Millis(3_000));
-    assert_eq!(silence_bound(1_000, 1.0), Millis(3_000));
+    assert_eq!(bound(0), TimeSpan(13_000));
+    assert_eq!(bound(10), TimeSpan(13_000));
+    assert_eq!(bound(40), TimeSpan(6_250));
+    assert_eq!(bound(1_000), TimeSpan(3_000));
+    assert_eq!(silence_bound(1_000, 1.0), TimeSpan(3_000));
     // Reports so frequent that the longest wait is the shorter one.
-    assert_eq!(silence_bound(1_000, 0.5), Millis(1_750));
+    assert_eq!(silence_bound(1_000, 0.5), TimeSpan(1_750));
 }
 
 #[test]
 fn authority_counts_from_sending_and_never_shrinks() {
-    let a = Authority::new(times(), Millis(1000));
+    let a = Authority::new(times(), Instant(1000));
     let end = 1000 + 4000 - 300 - 9;
-    assert!(a.holds(Millis(end - 1)) && !a.holds(Millis(end)));
-    a.renewed(Millis(3000));
-    a.renewed(Millis(2000));
-    assert!(a.holds(Millis(end + 1999)) && !a.holds(Millis(end + 2000)));
+    assert!(a.holds(Instant(end - 1)) && !a.holds(Instant(end)));
+    a.renewed(Instant(3000));
+    a.renewed(Instant(2000));
+    assert!(a.holds(Instant(end + 1999)) && !a.holds(Instant(end + 2000)));
     a.resign();
-    a.renewed(Millis(9000));
-    assert!(!a.holds(Millis(3000)));
+    a.renewed(Instant(9000));
+    assert!(!a.holds(Instant(3000)));
 }
 
 /// Touches are served, but what is known of the jobs grows old: authority ends all the same, and an
 /// answer to a request sent long ago brings back no more than it proves.
 #[test]
 fn authority_ends_with_what_is_known() {
-    let a = Authority::new(times(), Millis(0));
+    let a = Authority::new(times(), Instant(0));
     for t in 1..=30 {
-        a.renewed(Millis(t * 1000));
+        a.renewed(Instant(t * 1000));
     }
-    assert!(a.holds(Millis(19_999)) && !a.holds(Millis(20_000)));
-    a.knows(Millis(5000));
-    assert!(a.holds(Millis(24_999)) && !a.holds(Millis(25_000)));
+    assert!(a.holds(Instant(19_999)) && !a.holds(Instant(20_000)));
+    a.knows(Instant(5000));
+    assert!(a.holds(Instant(24_999)) && !a.holds(Instant(25_000)));
 }
 
 /// The inequality of docs/SAFETY.md, over many settings: the staleness allowed and a worker's lease,
@@ -108,25 +108,25 @@
 /// The log says why a leader ended: an operator must tell a processor that is too slow from a view that stood still.
 #[test]
 fn the_reason_for_which_authority_ended_is_told() {
-    let a = Authority::new(times(), Millis(0));
-    assert_eq!(a.authority_loss(Millis(3000)), None);
+    let a = Authority::new(times(), Instant(0));
+    assert_eq!(a.authority_loss(Instant(3000)), None);
     assert_eq!(
-        a.authority_loss(Millis(4000)),
+        a.authority_loss(Instant(4000)),
         Some(AuthorityLoss::LeaseExpired)
     );
-    a.renewed(Millis(19_000));
-    assert_eq!(a.authority_loss(Millis(19_999)), None);
-    assert_eq!(a.view_age(Millis(19_999)), Millis(19_999));
+    a.renewed(Instant(19_000));
+    assert_eq!(a.authority_loss(Instant(19_999)), None);
+    assert_eq!(a.view_age(Instant(19_999)), TimeSpan(19_999));
     assert_eq!(
-        a.authority_loss(Millis(20_000)),
+        a.authority_loss(Instant(20_000)),
         Some(AuthorityLoss::ViewTooOld)
     );
-    a.knows(Millis(18_000));
-    assert_eq!(a.authority_loss(Millis(20_000)), None);
-    assert_eq!(a.view_age(Millis(20_000)), Millis(2000));
+    a.knows(Instant(18_000));
+    assert_eq!(a.authority_loss(Instant(20_000)), None);
+    assert_eq!(a.view_age(Instant(20_000)), TimeSpan(2000));
     a.resign();
     assert_eq!(
-        a.authority_loss(Millis(20_000)),
+        a.authority_loss(Instant(20_000)),
         Some(AuthorityLoss::Resigned)
     );
 }
--- a/tests/random/chains.rs
+++ b/tests/random/chains.rs
@@ -4,8 +4,9 @@
 use super::world::given::{given_lines, spec};
 use super::world::troubles::trouble;
 use super::world::World;
-use chalklug::ids::{JobId, Millis};
+use chalklug::ids::JobId;
 use chalklug::protocol::users::JobPhase;
+use chalklug::time::TimeSpan;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
@@ -15,7 +16,7 @@
 /// Bunches of jobs submitted in one day.
 const BUNCHES: u32 = 8;
 /// After the last trouble everything has this long to end.
-const QUIET: Millis = Millis(500_000);
+const QUIET: TimeSpan = TimeSpan(500_000);
 
 /// One day: the jobs, what each needs, and which were cancelled by their users.
 struct Day {
@@ -87,7 +88,7 @@
 
     fn wait(&mut self, from_ms: i64, to_ms: i64) {
         let pause = self.rng.random_range(from_ms..to_ms);
-        self.world.run_until(self.world.now + Millis(pause));
+        self.world.run_until(self.world.now + TimeSpan(pause));
     }
 
     fn play(&mut self) {
--- a/tests/random/faults.rs
+++ b/tests/random/faults.rs
@@ -6,6 +6,7 @@
 use super::world::{Cut, World};
 use chalklug::ids::*;
 use chalklug::protocol::users::JobPhase;
+use chalklug::time::TimeSpan;
 
 /// No rule is broken, and every job that wasn't cancelled is done.
 fn ended_well(w: &mut World, seed: u64, cancelled: &[JobId]) {
@@ -55,10 +56,10 @@
                 });
                 w.submit(spec(&words), run.parse().unwrap(), Vec::new());
             }
-            w.run_until(w.now + Millis(rng.random_range(2_000..9_000)));
+            w.run_until(w.now + TimeSpan(rng.random_range(2_000..9_000)));
             for _ in 0..2 {
                 trouble(&mut w, &mut rng);
-                w.run_until(w.now + Millis(rng.random_range(100..4_000)));
+                w.run_until(w.now + TimeSpan(rng.random_range(100..4_000)));
                 // Users cancel in the very moment, too.
                 if rng.random_bool(0.4) {
                     let id = JobId::from(format!("wk-{:06}", rng.random_range(0..next)).as_str());
@@ -67,11 +68,11 @@
                     }
                 }
             }
-            w.run_until(w.now + Millis(rng.random_range(500..30_000)));
+            w.run_until(w.now + TimeSpan(rng.random_range(500..30_000)));
             w.late_writes = 0.0;
         }
         (w.copies, w.repeats) = (0.0, 0.0);
-        w.run_until(w.now + Millis(500_000));
+        w.run_until(w.now + TimeSpan(500_000));
         ended_well(&mut w, seed, &cancelled);
     }
 }
@@ -120,7 +121,7 @@
             let machine_ids: Vec<MachineId> = w.workers.keys().cloned().collect();
             let pick = (!machine_ids.is_empty())
                 .then(|| machine_ids[rng.random_range(0..machine_ids.len())].clone());
-            let until = w.now + Millis(rng.random_range(2_000..30_000));
+            let until = w.now + TimeSpan(rng.random_range(2_000..30_000));
             match (rng.random_range(0..12), pick) {
                 (0, Some(h)) => w.workers.get_mut(&h).unwrap().hang_until(until),
                 (1, Some(h)) => w.workers.get_mut(&h).unwrap().cut_until(until, Cut::Hold),
@@ -128,14 +129,14 @@
                 (3, Some(h)) => drop(w.workers.remove(&h)),
                 (10, Some(h)) => w.workers.get_mut(&h).unwrap().deaf_until(until),
                 (11, Some(h)) => {
-                    let long = until + Millis(60_000);
+                    let long = until + TimeSpan(60_000);
                     w.workers.get_mut(&h).unwrap().deaf_until(long)
                 }
-                (4, _) => w.state_mute = w.now + Millis(2000),
-                (5, _) => w.state_late = w.now + Millis(4000),
+                (4, _) => w.state_mute = w.now + TimeSpan(2000),
+                (5, _) => w.state_late = w.now + TimeSpan(4000),
                 (6, _) => w.cloud_down = until,
                 (7, _) => w.drop_reports = 0.2,
-                (8, _) => w.state_down = w.now + Millis(4000),
+                (8, _) => w.state_down = w.now + TimeSpan(4000),
                 _ => w.drop_reports = 0.0,
             }
             if rng.random_bool(0.15) {
@@ -144,15 +145,15 @@
                     cancelled.push(id);
                 }
             }
-            w.run_until(w.now + Millis(rng.random_range(500..9_000)));
+            w.run_until(w.now + TimeSpan(rng.random_range(500..9_000)));
             if rng.random_bool(0.25) {
                 w.crash();
-                w.run_until(w.now + Millis(rng.random_range(100..6_000)));
+                w.run_until(w.now + TimeSpan(rng.random_range(100..6_000)));
                 w.lead();
             }
         }
         w.drop_reports = 0.0;
-        let end = w.now + Millis(400_000);
+        let end = w.now + TimeSpan(400_000);
         w.run_until(end);
         ended_well(&mut w, seed, &cancelled);
     }
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -19,13 +19,14 @@
 use chalklug::protocol::state::{Change, Transaction};
 use chalklug::protocol::users::JobPhase;
 use chalklug::protocol::workers::Command;
+use chalklug::time::{Instant, TimeSpan};
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 use world::given::{defaults, given, spec, Words};
 use world::{Cut, World};
 
-fn secs(s: &str) -> Millis {
-    Millis::from_secs(s.parse().unwrap_or_else(|_| panic!("not a time: {s}")))
+fn secs(s: &str) -> TimeSpan {
+    TimeSpan::from_secs(s.parse().unwrap_or_else(|_| panic!("not a time: {s}")))
 }
 
 fn machine_id(s: &str) -> MachineId {
@@ -46,7 +47,7 @@
 
 fn happen(w: &mut World, verb: &str, rest: &[&str]) {
     let words = Words(rest.to_vec());
-    let until = w.now + Millis::from_secs(words.num("for", 0.0));
+    let until = w.now + TimeSpan::from_secs(words.num("for", 0.0));
     match verb {
         "lead" => w.lead(),
         "crash" => w.crash(),
@@ -99,7 +100,7 @@
         }
         "recall" => {
             let h = machine(w, &words);
-            let at = w.now + Millis(10_000);
+            let at = w.now + TimeSpan(10_000);
             w.workers.get_mut(&h).unwrap().recall_at = Some(at);
         }
         "end-of-day" => w.checker.at_end(w.now),
@@ -278,7 +279,7 @@
     let text = std::fs::read_to_string(path).unwrap();
     let mut g = defaults();
     let mut events: BTreeMap<i64, Vec<Vec<&str>>> = BTreeMap::new();
-    let mut end = Millis(0);
+    let mut end = Instant(0);
     let mut rules_kept = true;
     for line in text.lines() {
         let words: Vec<&str> = line.split('#').next().unwrap().split_whitespace().collect();
@@ -295,7 +296,7 @@
                 }
             }
             ["at", t, rest @ ..] => events.entry(secs(t).0).or_default().push(rest.to_vec()),
-            ["until", t] => end = secs(t),
+            ["until", t] => end = Instant::ZERO + secs(t),
             [first, rest @ ..] => given(&mut g, first, rest),
         }
     }
@@ -305,7 +306,7 @@
     let mut w = g.world();
     w.digest.set_name(&file);
     for (t, list) in events {
-        w.run_until(Millis(t));
+        w.run_until(Instant(t));
         for e in list {
             match e.as_slice() {
                 ["expect", rest @ ..] => expect(&w, rest, &file),
--- a/tests/stale_knowledge.rs
+++ b/tests/stale_knowledge.rs
@@ -18,6 +18,7 @@
 use chalklug::protocol::users::parse_submission;
 use chalklug::protocol::workers::{Cause, Command, TaskPhase, TaskStatus, WorkerStatus};
 use chalklug::storage::records::*;
+use chalklug::time::{Instant, TimeSpan};
 use leader::{lead, policy};
 use machine_type::machine_type;
 use recorded_core::RecordedCore;
@@ -25,7 +26,7 @@
 const FORMER_TOKEN: u64 = 8;
 const CURRENT_TOKEN: u64 = 9;
 const ATTEMPT: AttemptId = AttemptId(7);
-const BEGAN: Millis = Millis(1000);
+const BEGAN: Instant = Instant(1000);
 
 fn job(n: u32) -> JobId {
     JobId::from(format!("wk-{n}").as_str())
@@ -79,7 +80,7 @@
     let found = RecoveredState {
         open: open
             .iter()
-            .map(|r| (r.clone(), KeyRevision(1), Millis(0)))
+            .map(|r| (r.clone(), KeyRevision(1), Instant(0)))
             .collect(),
         machine_pages: vec![item(machine_page_key(PageNumber(0)), &machines)],
         intents: vec![item(intent_page_key(PageNumber(0)), &attempts)],
@@ -122,10 +123,10 @@
 }
 
 /// Steps for so long, with every write carried out; what was written.
-fn settle(core: &mut RecordedCore, from: Millis, for_ms: i64) -> Vec<Change> {
+fn settle(core: &mut RecordedCore, from: Instant, for_ms: i64) -> Vec<Change> {
     let mut written = Vec::new();
     for ms in (0..for_ms).step_by(100) {
-        let now = from + Millis(ms);
+        let now = from + TimeSpan(ms);
         for effect in core.step(now) {
             if let Effect::Write { seq, transaction } = effect {
                 written.extend(transaction.changes);
@@ -160,7 +161,7 @@
     let first = report(1, FORMER_TOKEN, Some(TaskPhase::Running));
     assert!(!stops(&core.heartbeat(BEGAN, &first)));
     settle(&mut core, BEGAN, 300);
-    let now = BEGAN + Millis(300);
+    let now = BEGAN + TimeSpan(300);
     core.on(now, Event::JobClosed { id: job(1) });
     let second = report(2, CURRENT_TOKEN, Some(TaskPhase::Running));
     assert!(stops(&core.heartbeat(now, &second)));
@@ -182,7 +183,7 @@
     core.heartbeat(BEGAN, &report(1, CURRENT_TOKEN, Some(TaskPhase::Running)));
     let mut commands = Vec::new();
     for ms in (0..3_000).step_by(100) {
-        let now = BEGAN + Millis(ms);
+        let now = BEGAN + TimeSpan(ms);
         for effect in core.step(now) {
             match effect {
                 Effect::Write { seq, .. } => {
@@ -208,7 +209,7 @@
     };
     assert_eq!(commands, [vec![launch.clone()]]);
     assert_eq!(core.still_wanted(commands[0].clone()), [launch]);
-    core.on(BEGAN + Millis(3_000), Event::JobCancelled { id: job(2) });
+    core.on(BEGAN + TimeSpan(3_000), Event::JobCancelled { id: job(2) });
     assert_eq!(core.still_wanted(commands[0].clone()), []);
     core.audit().unwrap();
 }
@@ -225,14 +226,14 @@
     let finishes = |c: &Change| c.key() == terminal_key(&job(1));
     assert!(written.iter().any(finishes), "job 1 is done: {written:?}");
     // Cleared from its machine, job 1 is forgotten.
-    let now = BEGAN + Millis(3_000);
+    let now = BEGAN + TimeSpan(3_000);
     core.heartbeat(now, &report(3, CURRENT_TOKEN, None));
     settle(&mut core, now, 3_000);
-    let now = now + Millis(3_000);
+    let now = now + TimeSpan(3_000);
     let again = Event::JobOpened {
         record: Box::new(record(1, &[])),
         revision: KeyRevision(1),
-        submitted: Millis(0),
+        submitted: Instant(0),
     };
     core.on(now, again);
     core.on(now, Event::JobClosed { id: job(1) });
--- a/tests/support/recorded_core.rs
+++ b/tests/support/recorded_core.rs
@@ -5,8 +5,8 @@
 use chalklug::coordination::leadership::authority::LeadershipTerm;
 use chalklug::coordination::leadership::recovery::{RecoveredState, UnreadableRecord};
 use chalklug::coordination::{Effect, Policy, Scheduler};
-use chalklug::ids::Millis;
 use chalklug::protocol::workers::WorkerStatus;
+use chalklug::time::Instant;
 use std::ops::{Deref, DerefMut};
 use std::sync::Arc;
 
@@ -21,7 +21,7 @@
     pub fn recover(
         policy: Arc<Policy>,
         lead: LeadershipTerm,
-        now: Millis,
+        now: Instant,
         found: RecoveredState,
     ) -> Result<RecordedCore, UnreadableRecord> {
         let core = Scheduler::recover(policy, lead, now, found)?;
@@ -32,7 +32,7 @@
     }
 
     /// One step.
-    pub fn step(&mut self, now: Millis) -> Vec<Effect> {
+    pub fn step(&mut self, now: Instant) -> Vec<Effect> {
         let effects = self.core.step(now);
         self.digest.effects(now, &effects);
         effects
@@ -40,7 +40,7 @@
 
     /// A worker's check-in.
     #[allow(dead_code, reason = "not every test binary has workers")]
-    pub fn heartbeat(&mut self, now: Millis, report: &WorkerStatus) -> HeartbeatOutcome {
+    pub fn heartbeat(&mut self, now: Instant, report: &WorkerStatus) -> HeartbeatOutcome {
         let answer = self.core.heartbeat(now, report);
         let token = self.core.token();
         self.digest.check_in_answer(now, token, &answer);
--- a/tests/support/wire_digest.rs
+++ b/tests/support/wire_digest.rs
@@ -3,10 +3,11 @@
 
 use chalklug::coordination::attempts::reconciliation::HeartbeatOutcome;
 use chalklug::coordination::Effect;
-use chalklug::ids::{FencingToken, Millis};
+use chalklug::ids::FencingToken;
 use chalklug::protocol::cloud::{RentRequest, ReturnRequest};
 use chalklug::protocol::workers::{CommandBatch, HeartbeatResponse};
 use chalklug::storage::records::terminal_key;
+use chalklug::time::Instant;
 use sha2::{Digest, Sha256};
 use std::cell::Cell;
 use std::io::Write;
@@ -48,14 +49,19 @@
     }
 
     /// What a step of the core asks for.
-    pub fn effects(&mut self, now: Millis, effects: &[Effect]) {
+    pub fn effects(&mut self, now: Instant, effects: &[Effect]) {
         for effect in effects {
             self.effect(now, effect);
         }
     }
 
     /// The answer to a worker's check-in.
-    pub fn check_in_answer(&mut self, now: Millis, token: FencingToken, answer: &HeartbeatOutcome) {
+    pub fn check_in_answer(
+        &mut self,
+        now: Instant,
+        token: FencingToken,
+        answer: &HeartbeatOutcome,
+    ) {
         match answer {
             HeartbeatOutcome::Commands(commands) => {
                 let commands = commands.clone();
@@ -65,7 +71,7 @@
         }
     }
 
-    fn effect(&mut self, now: Millis, effect: &Effect) {
+    fn effect(&mut self, now: Instant, effect: &Effect) {
         match effect {
             Effect::Write { transaction, .. } => self.message(now, "transaction", transaction),
             Effect::Reread { keys, .. } => self.message(now, "read", keys),
@@ -112,7 +118,7 @@
         }
     }
 
-    fn message<T: serde::Serialize>(&mut self, now: Millis, kind: &str, body: &T) {
+    fn message<T: serde::Serialize>(&mut self, now: Instant, kind: &str, body: &T) {
         let body = serde_json::to_string(body).expect("messages can be serialized");
         if std::env::var_os("WIRE_DIGEST_MESSAGES").is_some() {
             eprintln!("{} {} {kind} {body}", self.name, now.0);
--- a/tests/upgrade/repacking.rs
+++ b/tests/upgrade/repacking.rs
@@ -12,6 +12,7 @@
 use chalklug::protocol::users::parse_submission;
 use chalklug::settings::Operator;
 use chalklug::storage::records::*;
+use chalklug::time::{Instant, TimeSpan};
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
@@ -73,7 +74,7 @@
     store
 }
 
-fn recover(store: &Store, now: Millis, token: u64, next: &str) -> RecordedCore {
+fn recover(store: &Store, now: Instant, token: u64, next: &str) -> RecordedCore {
     let lead = LeadershipTerm {
         token: FencingToken(token),
         first: FencingToken(token),
@@ -115,12 +116,17 @@
 
 /// Lets the core write for so long; after each transaction every machine must be listed. Says how many
 /// transactions the service has refused for their size.
-fn write_for(core: &mut RecordedCore, store: &mut Store, now: &mut Millis, span: Millis) -> usize {
+fn write_for(
+    core: &mut RecordedCore,
+    store: &mut Store,
+    now: &mut Instant,
+    span: TimeSpan,
+) -> usize {
     let all: BTreeSet<MachineId> = (0..MACHINES).map(machine_id).collect();
     let end = *now + span;
     let mut rejected = 0;
     while *now < end {
-        *now = *now + Millis(100);
+        *now += TimeSpan(100);
         for effect in core.step(*now) {
             let Effect::Write { seq, transaction } = effect else {
                 continue;
@@ -149,9 +155,9 @@
 fn large_pages_are_split_without_losing_a_machine() {
     let mut store = large_pages();
     assert!(sizes(&store).iter().any(|bytes| *bytes > VALUE_BYTES));
-    let mut now = Millis(1_000);
+    let mut now = Instant(1_000);
     let mut core = recover(&store, now, 5, ANNOUNCED);
-    let rejected = write_for(&mut core, &mut store, &mut now, Millis(60_000));
+    let rejected = write_for(&mut core, &mut store, &mut now, TimeSpan(60_000));
     assert_eq!(
         rejected, 0,
         "what is announced is kept to from the first write"
@@ -165,22 +171,22 @@
 fn takeovers_amid_the_split_lose_no_machine() {
     for stage_ms in (200..4_000).step_by(400) {
         let mut store = large_pages();
-        let mut now = Millis(1_000);
+        let mut now = Instant(1_000);
         for token in 5..9 {
             let mut core = recover(&store, now, token, ANNOUNCED);
             assert_eq!(core.machines_up(), MACHINES as usize);
-            let rejected = write_for(&mut core, &mut store, &mut now, Millis(stage_ms));
+            let rejected = write_for(&mut core, &mut store, &mut now, TimeSpan(stage_ms));
             assert_eq!(rejected, 0);
         }
         let mut core = recover(&store, now, 9, ANNOUNCED);
-        write_for(&mut core, &mut store, &mut now, Millis(90_000));
+        write_for(&mut core, &mut store, &mut now, TimeSpan(90_000));
         assert!(sizes(&store).iter().all(|bytes| *bytes <= VALUE_BYTES));
         assert_eq!(listed(&store).len(), MACHINES as usize, "stage {stage_ms}");
     }
 }
 
 /// Opens so many jobs that need `wk-900`.
-fn open_consumers(core: &mut RecordedCore, now: Millis, count: u32) {
+fn open_consumers(core: &mut RecordedCore, now: Instant, count: u32) {
     for n in 0..count {
         let body = serde_json::json!({"ref": format!("wk-{n}"), "jobclass": "c", "crew": "blue",
             "shape": "array", "urgency": "normal", "pieces": 40, "cpus": 1, "gpus": 0, "ramGb": 1,
@@ -209,14 +215,14 @@
 #[test]
 fn limits_lowered_without_notice_are_found() {
     let mut store = large_pages();
-    let mut now = Millis(1_000);
+    let mut now = Instant(1_000);
     let mut core = recover(&store, now, 5, "");
     // Jobs enough for transactions of many operations.
     open_consumers(&mut core, now, 40);
     // All of them are to be cancelled with the one that they need.
     let terminal_records = vec![(JobId::from("wk-900"), Some(TerminalRecord::cancelled(1)))];
     core.on(now, Event::TerminalRecordsRead { terminal_records });
-    let rejected = write_for(&mut core, &mut store, &mut now, Millis(120_000));
+    let rejected = write_for(&mut core, &mut store, &mut now, TimeSpan(120_000));
     assert!((1..=12).contains(&rejected), "{rejected} refused");
     assert_eq!(
         store.list(TERMINAL_PREFIX).len(),
@@ -230,16 +236,16 @@
 #[test]
 fn a_limited_rate_delays_what_may_wait() {
     let store = large_pages();
-    let mut now = Millis(1_000);
+    let mut now = Instant(1_000);
     let mut core = recover(&store, now, 5, ANNOUNCED);
     open_consumers(&mut core, now, 1);
     let terminal_records = vec![(JobId::from("wk-900"), Some(TerminalRecord::cancelled(1)))];
     core.on(now, Event::TerminalRecordsRead { terminal_records });
-    let pause = Millis(250);
+    let pause = TimeSpan(250);
     let mut refused_at = Vec::new();
     let first = loop {
-        now = now + Millis(50);
-        assert!(now < Millis(20_000), "it never writes again");
+        now += TimeSpan(50);
+        assert!(now < Instant(20_000), "it never writes again");
         let writes = core
             .step(now)
             .into_iter()
--- a/tests/world/checker.rs
+++ b/tests/world/checker.rs
@@ -7,13 +7,14 @@
 use chalklug::protocol::users::{JobPhase, JobSpec, Shape};
 use chalklug::protocol::workers::{Cause, TaskPhase};
 use chalklug::settings::Facts;
+use chalklug::time::{Instant, TimeSpan};
 use std::collections::{BTreeMap, BTreeSet};
 
 pub struct Checker {
     facts: Facts,
     jobs: BTreeMap<JobId, JobSpec>,
-    accepted: BTreeMap<JobId, Millis>,
-    cancelled: BTreeMap<JobId, Millis>,
+    accepted: BTreeMap<JobId, Instant>,
+    cancelled: BTreeMap<JobId, Instant>,
     done: BTreeMap<JobId, BTreeSet<u32>>,
     told: BTreeMap<JobId, JobPhase>,
     /// What was on which machine when last looked at.
@@ -27,24 +28,24 @@
     /// Jobs that a job waits for.
     after: BTreeMap<JobId, Vec<JobId>>,
     /// The last moment at which some trouble went on.
-    pub troubled: Millis,
+    pub troubled: Instant,
     /// Since when there has been room for a job that waits.
-    waits: BTreeMap<JobId, Millis>,
+    waits: BTreeMap<JobId, Instant>,
 }
 
 /// Once the troubles are over, no job may wait longer than this while there is room for it.
-const LONGEST_WAIT: Millis = Millis(90_000);
+const LONGEST_WAIT: TimeSpan = TimeSpan(90_000);
 /// After the troubles a leader has this long to write the marks of jobs cancelled with others.
-const SETTLING: Millis = Millis(20_000);
+const SETTLING: TimeSpan = TimeSpan(20_000);
 /// A leader that hears of a cancellation may send launches for this much longer.
-const HEARING: Millis = Millis(1_000);
+const HEARING: TimeSpan = TimeSpan(1_000);
 
 impl Checker {
     pub fn new(facts: Facts, machine_types: Vec<MachineTypeInfo>) -> Checker {
         Checker {
             machine_types,
             after: BTreeMap::new(),
-            troubled: Millis(0),
+            troubled: Instant(0),
             waits: BTreeMap::new(),
             facts,
             jobs: BTreeMap::new(),
@@ -61,7 +62,7 @@
     }
 
     /// A job is accepted: it must be able to run at all.
-    pub fn accepted(&mut self, now: Millis, spec: JobSpec, after: Vec<JobId>) {
+    pub fn accepted(&mut self, now: Instant, spec: JobSpec, after: Vec<JobId>) {
         let one = self.machine_types.iter().any(|r| {
             spec.cpus <= r.cpus
                 && spec.gpus <= r.gpus
@@ -91,18 +92,18 @@
 
     /// A launch leaves a leader that has heard of everything confirmed, or that could for `unheard`
     /// not have.
-    pub fn launch_leaves(&mut self, now: Millis, task: &TaskId, unheard: Millis) {
+    pub fn launch_leaves(&mut self, now: Instant, task: &TaskId, unheard: TimeSpan) {
         let since = self.cancelled.get(&task.job);
         if since.is_some_and(|t| now - *t > unheard.max(HEARING)) {
             self.breaks(now, "launched_cancelled", task.to_string());
         }
     }
-    pub fn cancelled(&mut self, id: &JobId, now: Millis) {
+    pub fn cancelled(&mut self, id: &JobId, now: Instant) {
         self.cancelled.insert(id.clone(), now);
     }
 
     /// A leader still acts although another may have taken over.
-    pub fn two_leaders(&mut self, now: Millis) {
+    pub fn two_leaders(&mut self, now: Instant) {
         self.breaks(
             now,
             "two_leaders",
@@ -111,10 +112,10 @@
     }
 
     /// When the first of all jobs that a job needs, directly or through others, was cancelled.
-    fn ancestor_cancelled(&self, id: &JobId) -> Option<Millis> {
+    fn ancestor_cancelled(&self, id: &JobId) -> Option<Instant> {
         let mut seen = BTreeSet::new();
         let mut todo: Vec<&JobId> = self.after[id].iter().collect();
-        let mut first: Option<Millis> = None;
+        let mut first: Option<Instant> = None;
         while let Some(ancestor) = todo.pop() {
             if seen.insert(ancestor) {
                 let at = self.cancelled.get(ancestor).copied();
@@ -125,13 +126,13 @@
         first
     }
 
-    fn breaks(&mut self, now: Millis, rule: &str, what: String) {
+    fn breaks(&mut self, now: Instant, rule: &str, what: String) {
         self.broken.insert(rule.into());
         self.first
             .get_or_insert(format!("{:.1} s: {rule}: {what}", now.secs()));
     }
 
-    pub fn look(&mut self, now: Millis, workers: &BTreeMap<MachineId, Worker>, store: &Store) {
+    pub fn look(&mut self, now: Instant, workers: &BTreeMap<MachineId, Worker>, store: &Store) {
         self.look_at_machines(now, workers, store);
         self.look_at_users(now, store);
         if now.0 % 1000 == 0 {
@@ -142,7 +143,7 @@
     /// Jobs that wait although there is room: after the troubles nobody may for long.
     fn look_at_waiting(
         &mut self,
-        now: Millis,
+        now: Instant,
         workers: &BTreeMap<MachineId, Worker>,
         store: &Store,
     ) {
@@ -241,7 +242,7 @@
 
     fn look_at_machines(
         &mut self,
-        now: Millis,
+        now: Instant,
         workers: &BTreeMap<MachineId, Worker>,
         store: &Store,
     ) {
@@ -316,7 +317,7 @@
         self.on = on;
     }
 
-    fn look_at_users(&mut self, now: Millis, store: &Store) {
+    fn look_at_users(&mut self, now: Instant, store: &Store) {
         if store.phase(&self.stranger).is_some() {
             self.breaks(now, "invented", self.stranger.to_string());
         }
@@ -338,7 +339,7 @@
                 && ancestor.is_none();
             // Controllers answer from the ancestors' marks, at any time; the job's own mark must follow
             // within the time, unless some trouble keeps the leader from writing it.
-            let limit = Millis::from_secs(self.facts.workers.cancel_s);
+            let limit = TimeSpan::from_secs(self.facts.workers.cancel_s);
             let calm = now - self.troubled > SETTLING;
             let since = ancestor.map(|t| t.max(self.accepted[&id]));
             if phase == JobPhase::Queued && calm && since.is_some_and(|t| now - t > limit) {
@@ -350,7 +351,7 @@
         }
     }
 
-    pub fn at_end(&mut self, now: Millis) {
+    pub fn at_end(&mut self, now: Instant) {
         if self.attempts.is_empty() {
             self.breaks(now, "nothing_ran", String::new());
         }
--- a/tests/world/cloud.rs
+++ b/tests/world/cloud.rs
@@ -5,6 +5,7 @@
 use chalklug::coordination::Event;
 use chalklug::ids::*;
 use chalklug::protocol::cloud::{CloudPhase, ListedMachine};
+use chalklug::time::TimeSpan;
 
 impl World {
     pub(super) fn list_machines(&mut self) {
@@ -30,7 +31,7 @@
         if now < self.cloud_down {
             return;
         }
-        let lag = Millis::from_secs(self.policy.facts.cloud.list_lag_s);
+        let lag = TimeSpan::from_secs(self.policy.facts.cloud.list_lag_s);
         let old = self
             .list_history
             .iter()
@@ -77,7 +78,7 @@
                 let id = MachineId::from(format!("host-{:06}", self.rented).as_str());
                 let never = self.rented <= self.boot_never;
                 let wait = if never { 1e6 } else { boot };
-                let up = self.now + Millis::from_secs(wait);
+                let up = self.now + TimeSpan::from_secs(wait);
                 let w = Worker::new(
                     id.clone(),
                     machine_type.clone(),
--- a/tests/world/leading.rs
+++ b/tests/world/leading.rs
@@ -8,6 +8,7 @@
 use chalklug::protocol::state::{Change, Transaction};
 use chalklug::protocol::workers::Command;
 use chalklug::storage::records::*;
+use chalklug::time::{Instant, TimeSpan};
 
 impl World {
     /// The leader dies. What it has sent stays on its way.
@@ -30,7 +31,7 @@
             self.lease_until = self.state_down + self.times.life;
         }
         if self.core.is_some() {
-            let due = now - self.touched >= Millis(self.times.life.0 / 5);
+            let due = now - self.touched >= TimeSpan(self.times.life.0 / 5);
             if due && self.leader_served() && self.lease_until > now {
                 self.touched = now;
                 self.lease_until = now + self.times.life;
@@ -48,7 +49,7 @@
             }
         }
         // Half a second until somebody notices.
-        let over = now - self.lease_until >= Millis(500);
+        let over = now - self.lease_until >= TimeSpan(500);
         if over && !down {
             if self.core.is_some() {
                 self.checker.two_leaders(now);
@@ -111,17 +112,17 @@
         self.lease_until = now + self.times.life;
         self.touched = now;
         // The next to lead is another controller, which the service serves.
-        self.leader_refused = Millis(0);
+        self.leader_refused = Instant(0);
         let core = Scheduler::recover(self.policy.clone(), lead, now, found);
         self.core = Some(core.unwrap_or_else(|e| panic!("{e}")));
     }
 
     /// For how long the leader can't have heard of what was confirmed elsewhere.
-    pub(super) fn unheard(&self) -> Millis {
+    pub(super) fn unheard(&self) -> TimeSpan {
         let now = self.now;
         let told = self.campaigns && now >= self.peers_cut;
         if told || (self.leader_served() && now >= self.watch_stuck) {
-            return Millis(0);
+            return TimeSpan::ZERO;
         }
         if self.leader_served() {
             return self.times.max_staleness;
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -21,6 +21,7 @@
 use chalklug::protocol::workers::{Command, WorkerStatus};
 use chalklug::settings::LeaderTimes;
 use chalklug::storage::records::*;
+use chalklug::time::{Instant, TimeSpan};
 use checker::Checker;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -30,7 +31,7 @@
 use worker::Worker;
 
 /// The grain of virtual time.
-pub const GRAIN: Millis = Millis(100);
+pub const GRAIN: TimeSpan = TimeSpan(100);
 
 /// Open records are kept this short, so that producers often stand on pages of their own.
 const MOST_OPEN_BYTES: usize = 420;
@@ -44,12 +45,12 @@
 
 /// What is on its way.
 enum Message {
-    Heartbeat(WorkerStatus, Millis),
+    Heartbeat(WorkerStatus, Instant),
     Commands {
         machine_id: MachineId,
         token: FencingToken,
         commands: Vec<Command>,
-        asked: Millis,
+        asked: Instant,
         session: Session,
     },
     Push {
@@ -74,7 +75,7 @@
 }
 
 pub struct World {
-    pub now: Millis,
+    pub now: Instant,
     pub policy: Arc<Policy>,
     pub machine_types: Vec<MachineTypeInfo>,
     pub capacity: u32,
@@ -94,32 +95,32 @@
     pub campaigns: bool,
     times: LeaderTimes,
     /// When the present leader's lease on the state service ends, and its last touch.
-    lease_until: Millis,
-    touched: Millis,
+    lease_until: Instant,
+    touched: Instant,
     /// The state service refuses the present leader alone until then.
-    pub leader_refused: Millis,
+    pub leader_refused: Instant,
     /// Changes don't reach the leader until then, while its touches and writes are served.
-    pub watch_stuck: Millis,
+    pub watch_stuck: Instant,
     /// Controllers don't hear of each other until then.
-    pub peers_cut: Millis,
+    pub peers_cut: Instant,
     seen_epoch: StoreRevision,
     leases: u64,
-    messages: Vec<(Millis, u64, Message)>,
+    messages: Vec<(Instant, u64, Message)>,
     /// Direct commands that were answered: they aren't given up as well.
     answered: BTreeSet<(FencingToken, u64)>,
     sent: u64,
     hired: BTreeMap<String, Vec<MachineId>>,
     rented: u32,
-    list_history: Vec<(Millis, Vec<ListedMachine>)>,
-    pub cloud_down: Millis,
-    pub state_down: Millis,
+    list_history: Vec<(Instant, Vec<ListedMachine>)>,
+    pub cloud_down: Instant,
+    pub state_down: Instant,
     /// Answers of the state service are lost until then; its transactions come this late.
-    pub state_mute: Millis,
-    pub state_late: Millis,
+    pub state_mute: Instant,
+    pub state_late: Instant,
     /// Changes never reach the leader, and no trouble excuses it: to show that the checker sees it.
     pub rogue_deaf: bool,
     /// Answers of the state service come a good second later until then.
-    pub state_slow: Millis,
+    pub state_slow: Instant,
     /// The part of transactions that get no answer and are carried out late, after newer ones.
     pub late_writes: f64,
     pub drop_reports: f64,
@@ -139,17 +140,17 @@
         seed: u64,
     ) -> World {
         World {
-            now: Millis(0),
+            now: Instant(0),
             checker: Checker::new(policy.facts.clone(), machine_types.clone()),
             authority: None,
             campaigns: false,
             times: LeaderTimes::derive(&policy.facts.workers, &policy.operator)
                 .expect("cancel_s leaves room beyond lease_s"),
-            lease_until: Millis(0),
-            touched: Millis(0),
-            leader_refused: Millis(0),
-            watch_stuck: Millis(0),
-            peers_cut: Millis(0),
+            lease_until: Instant(0),
+            touched: Instant(0),
+            leader_refused: Instant(0),
+            watch_stuck: Instant(0),
+            peers_cut: Instant(0),
             policy: Arc::new(policy),
             machine_types,
             capacity,
@@ -168,12 +169,12 @@
             hired: BTreeMap::new(),
             rented: 0,
             list_history: Vec::new(),
-            cloud_down: Millis(0),
-            state_down: Millis(0),
-            state_mute: Millis(0),
-            state_late: Millis(0),
+            cloud_down: Instant(0),
+            state_down: Instant(0),
+            state_mute: Instant(0),
+            state_late: Instant(0),
             rogue_deaf: false,
-            state_slow: Millis(0),
+            state_slow: Instant(0),
             late_writes: 0.0,
             drop_reports: 0.0,
             copies: 0.0,
@@ -293,12 +294,12 @@
     fn send(&mut self, delay_ms: i64, m: Message) {
         self.sent += 1;
         self.messages
-            .push((self.now + Millis(delay_ms), self.sent, m));
+            .push((self.now + TimeSpan(delay_ms), self.sent, m));
     }
 
-    pub fn run_until(&mut self, end: Millis) {
+    pub fn run_until(&mut self, end: Instant) {
         while self.now < end {
-            self.now = self.now + GRAIN;
+            self.now += GRAIN;
             self.tick();
         }
     }
@@ -394,7 +395,7 @@
 
     /// How late a copy comes: from seconds to well over a lease.
     fn lateness(&mut self) -> i64 {
-        let lease = Millis::from_secs(self.policy.facts.workers.lease_s).0;
+        let lease = TimeSpan::from_secs(self.policy.facts.workers.lease_s).0;
         self.rng.random_range(1_000..lease * 3)
     }
 
@@ -445,7 +446,7 @@
                     return;
                 };
                 // The worker drops answers after 4 s, of earlier sessions, and of lower tokens.
-                if now - asked > Millis(4000)
+                if now - asked > TimeSpan(4000)
                     || w.deaf(now)
                     || w.session != session
                     || token < w.token
--- a/tests/world/troubles.rs
+++ b/tests/world/troubles.rs
@@ -2,13 +2,14 @@
 
 use super::{Cut, World};
 use chalklug::ids::*;
+use chalklug::time::TimeSpan;
 use rand::Rng;
 
 /// One trouble, drawn; it ends by itself.
 pub fn trouble(w: &mut World, rng: &mut rand::rngs::StdRng) {
     let now = w.now;
-    let short = now + Millis(rng.random_range(1_000..12_000));
-    let long = now + Millis(rng.random_range(12_000..60_000));
+    let short = now + TimeSpan(rng.random_range(1_000..12_000));
+    let long = now + TimeSpan(rng.random_range(12_000..60_000));
     let machine_ids: Vec<MachineId> = w.workers.keys().cloned().collect();
     let some =
         |rng: &mut rand::rngs::StdRng| machine_ids[rng.random_range(0..machine_ids.len())].clone();
@@ -36,7 +37,7 @@
         4 => {
             w.leader_refused = long;
             w.peers_cut = long;
-            w.state_down = now + Millis(200);
+            w.state_down = now + TimeSpan(200);
         }
         5 => w.watch_stuck = long,
         6 => w.state_late = short,
--- a/tests/world/worker.rs
+++ b/tests/world/worker.rs
@@ -6,6 +6,7 @@
 use chalklug::protocol::users::{JobSpec, Shape};
 use chalklug::protocol::workers::{Cause, Command, TaskPhase, TaskStatus, WorkerStatus};
 use chalklug::settings::Workers as Times;
+use chalklug::time::{Instant, TimeSpan};
 use rand::rngs::StdRng;
 use rand::Rng;
 use std::collections::{BTreeMap, BTreeSet};
@@ -15,11 +16,11 @@
     pub cause: Option<Cause>,
     pub stored: bool,
     /// When the present phase ends by itself.
-    pub until: Millis,
+    pub until: Instant,
     left_s: f64,
     /// Its job was submitted with a mistake.
     fails: bool,
-    running_from: Millis,
+    running_from: Instant,
 }
 
 pub struct Worker {
@@ -27,26 +28,26 @@
     pub machine_type: MachineType,
     pub zone: Zone,
     pub spot: bool,
-    pub rented_at: Millis,
-    pub up_at: Millis,
+    pub rented_at: Instant,
+    pub up_at: Instant,
     pub session: Session,
     pub token: FencingToken,
-    pub lease_from: Millis,
+    pub lease_from: Instant,
     pub tasks: BTreeMap<(TaskId, AttemptId), Task>,
     pub sick: bool,
     /// Images take so many times as long.
     pub fetch_times: f64,
-    pub recall_at: Option<Millis>,
+    pub recall_at: Option<Instant>,
     tick: u64,
     images: BTreeSet<Image>,
-    next_report: Millis,
+    next_report: Instant,
     changed: bool,
-    hang: Option<Millis>,
+    hang: Option<Instant>,
     /// Its reports arrive, but nothing reaches it until then.
-    deaf: Option<Millis>,
+    deaf: Option<Instant>,
     /// It reaches no controller until then, while direct commands reach it.
-    mute: Option<Millis>,
-    cut: Option<(Millis, Cut)>,
+    mute: Option<Instant>,
+    cut: Option<(Instant, Cut)>,
 }
 
 type Specs = BTreeMap<JobId, JobSpec>;
@@ -57,8 +58,8 @@
         machine_type: MachineType,
         zone: Zone,
         spot: bool,
-        now: Millis,
-        up: Millis,
+        now: Instant,
+        up: Instant,
     ) -> Worker {
         Worker {
             id,
@@ -88,37 +89,37 @@
     pub fn endpoint(&self) -> String {
         format!("{}:9000", self.id)
     }
-    pub fn hang_until(&mut self, t: Millis) {
+    pub fn hang_until(&mut self, t: Instant) {
         self.hang = Some(t);
     }
-    pub fn deaf_until(&mut self, t: Millis) {
+    pub fn deaf_until(&mut self, t: Instant) {
         self.deaf = Some(t);
     }
-    pub fn deaf(&self, now: Millis) -> bool {
+    pub fn deaf(&self, now: Instant) -> bool {
         self.deaf.is_some_and(|t| now < t)
     }
-    pub fn mute_until(&mut self, t: Millis) {
+    pub fn mute_until(&mut self, t: Instant) {
         self.mute = Some(t);
     }
-    pub fn mute(&self, now: Millis) -> bool {
+    pub fn mute(&self, now: Instant) -> bool {
         self.mute.is_some_and(|t| now < t)
     }
-    pub fn cut_until(&mut self, t: Millis, how: Cut) {
+    pub fn cut_until(&mut self, t: Instant, how: Cut) {
         self.cut = Some((t, how));
     }
-    pub fn cut(&self, now: Millis) -> Option<(Millis, Cut)> {
+    pub fn cut(&self, now: Instant) -> Option<(Instant, Cut)> {
         self.cut.filter(|(t, _)| now < *t)
     }
     /// Whether some trouble of its own goes on.
-    pub fn troubled(&self, now: Millis) -> bool {
-        let on = |t: Option<Millis>| t.is_some_and(|t| now < t);
+    pub fn troubled(&self, now: Instant) -> bool {
+        let on = |t: Option<Instant>| t.is_some_and(|t| now < t);
         on(self.hang) || on(self.deaf) || on(self.mute) || self.cut(now).is_some()
     }
-    pub fn asleep_until(&self, now: Millis) -> Option<Millis> {
+    pub fn asleep_until(&self, now: Instant) -> Option<Instant> {
         let t = self.hang.into_iter().chain([self.up_at]).max()?;
         (now < t).then_some(t)
     }
-    pub fn awake(&self, now: Millis) -> bool {
+    pub fn awake(&self, now: Instant) -> bool {
         self.asleep_until(now).is_none()
     }
 
@@ -159,21 +160,21 @@
 
     pub fn report_due(
         &mut self,
-        now: Millis,
+        now: Instant,
         times: &Times,
         rng: &mut StdRng,
     ) -> Option<WorkerStatus> {
         if !self.awake(now) {
             return None;
         }
-        let soon =
-            self.changed && self.next_report - now < Millis::from_secs(times.report_s * 0.75 - 0.5);
+        let soon = self.changed
+            && self.next_report - now < TimeSpan::from_secs(times.report_s * 0.75 - 0.5);
         if now < self.next_report && !soon {
             return None;
         }
         self.changed = false;
         let pause = times.report_s * rng.random_range(0.75..1.25);
-        self.next_report = now + Millis::from_secs(pause);
+        self.next_report = now + TimeSpan::from_secs(pause);
         Some(self.report())
     }
 
@@ -184,7 +185,7 @@
 
     pub fn live(
         &mut self,
-        now: Millis,
+        now: Instant,
         specs: &Specs,
         progress: &mut BTreeMap<TaskId, f64>,
         times: &Times,
@@ -212,7 +213,7 @@
                         Self::end(t, Cause::Done);
                     } else if spec.shape == Shape::Gang {
                         t.phase = TaskPhase::Waiting;
-                        t.until = now + Millis::from_secs(times.gang_wait_s);
+                        t.until = now + TimeSpan::from_secs(times.gang_wait_s);
                     } else {
                         Self::run(now, t);
                     }
@@ -246,15 +247,15 @@
         }
     }
 
-    fn run(now: Millis, t: &mut Task) {
+    fn run(now: Instant, t: &mut Task) {
         t.phase = TaskPhase::Running;
         t.running_from = now;
-        t.until = now + Millis::from_secs(t.left_s);
+        t.until = now + TimeSpan::from_secs(t.left_s);
     }
 
     pub fn execute(
         &mut self,
-        now: Millis,
+        now: Instant,
         order: &Command,
         specs: &Specs,
         runs: &BTreeMap<JobId, f64>,
@@ -282,7 +283,7 @@
                     phase: TaskPhase::Fetching,
                     cause: None,
                     stored: false,
-                    until: now + Millis::from_secs(fetch),
+                    until: now + TimeSpan::from_secs(fetch),
                     left_s: if self.sick {
                         0.5
                     } else if runs[&task.job] < 0.0 {
@@ -325,7 +326,7 @@
                     TaskPhase::Ended => {}
                     TaskPhase::Running if spec.checkpoint_s > 0.0 && *grace_s >= spec.save_s => {
                         t.phase = TaskPhase::Saving;
-                        t.until = now + Millis::from_secs(spec.save_s);
+                        t.until = now + TimeSpan::from_secs(spec.save_s);
                     }
                     TaskPhase::Saving if *grace_s > 0.0 => {}
                     _ => Self::end(t, Cause::Stopped),
@@ -346,7 +347,12 @@
 }
 
 /// Gangs across machines: they start together, end together, and miss a member that is gone.
-pub fn gangs(now: Millis, workers: &mut BTreeMap<MachineId, Worker>, specs: &Specs, times: &Times) {
+pub fn gangs(
+    now: Instant,
+    workers: &mut BTreeMap<MachineId, Worker>,
+    specs: &Specs,
+    times: &Times,
+) {
     let mut by_try: BTreeMap<(JobId, AttemptId), Vec<TaskPhase>> = BTreeMap::new();
     let mut done: BTreeSet<(JobId, AttemptId)> = BTreeSet::new();
     for w in workers.values() {
@@ -377,7 +383,7 @@
                 }
                 TaskPhase::Running if done.contains(&key) => Worker::end(t, Cause::Done),
                 TaskPhase::Running
-                    if !all && now - t.running_from > Millis::from_secs(times.gang_peer_s) =>
+                    if !all && now - t.running_from > TimeSpan::from_secs(times.gang_peer_s) =>
                 {
                     Worker::end(t, Cause::MatesGone)
                 }
