--- a/src/runtime/peers.rs
+++ b/src/runtime/api/peers.rs
@@ -1,10 +1,11 @@
 //! What controllers ask of each other.
 
-use super::{http_api, lock, Node};
 use crate::coordination::Event;
 use crate::ids::JobId;
 use crate::protocol::peers::{PeerReply, PeerRequest};
 use crate::protocol::users::JobPhase;
+use crate::runtime::api::routes;
+use crate::runtime::{lock, Node};
 use crate::time::{Instant, TimeSpan};
 use crate::transport::peer;
 use std::sync::{Arc, Mutex};
@@ -134,7 +135,7 @@
                     workers_heard_ms: node.workers_heard().map(|m| m.0),
                 },
                 PeerRequest::Forward { method, path, body } => {
-                    let answer = http_api::user_request(&node, &method, &path, &body, true).await;
+                    let answer = routes::user_request(&node, &method, &path, &body, true).await;
                     PeerReply::Answer {
                         status: answer.status,
                         body: answer.body,
--- a/src/runtime/http_api.rs
+++ b/src/runtime/api/routes.rs
@@ -1,10 +1,11 @@
 //! The HTTP API: one place where users', workers' and health requests come in.
 
-use super::leader::Heartbeat;
-use super::peers::STATE_FRESH;
-use super::{users, Node};
 use crate::protocol::peers::{PeerReply, PeerRequest};
 use crate::protocol::workers::{HeartbeatResponse, Redirect, WorkerStatus};
+use crate::runtime::api::peers::STATE_FRESH;
+use crate::runtime::api::users;
+use crate::runtime::leader::Heartbeat;
+use crate::runtime::Node;
 use crate::transport::server::{self, ConnectionHandle, ConnectionTable, Rank};
 use bytes::{Buf, BytesMut};
 use futures_util::{Stream, TryStreamExt};
--- a/src/runtime/users.rs
+++ b/src/runtime/api/users.rs
@@ -2,12 +2,6 @@
 //! What is answered is read from there, never from a memory that may be out of date; only final
 //! states, which can't change, are kept.
 
-use super::copy::OpenJob;
-use super::edges;
-use super::http_api::Reply;
-use super::producers::{self, Producers};
-use super::state_client::{StateError, TxnOutcome};
-use super::{lock, time_of_day_ms, Node};
 use crate::ids::{JobId, KeyRevision};
 use crate::protocol::cloud::MachineTypeInfo;
 use crate::protocol::state::{Change, Precondition, Transaction};
@@ -15,6 +9,12 @@
     parse_submission, Accepted, JobPhase, JobSpec, Malformed, Shape, Status, Submission,
 };
 use crate::resources::{within_limit, Resources};
+use crate::runtime::api::routes::Reply;
+use crate::runtime::clients::dependency_pages;
+use crate::runtime::clients::open_jobs::OpenJob;
+use crate::runtime::clients::state_store::{StateError, TxnOutcome};
+use crate::runtime::clients::upstream_jobs::{self, Producers};
+use crate::runtime::{lock, time_of_day_ms, Node};
 use crate::settings::Team;
 use crate::storage::records::{open_key, terminal_key, OpenJobRecord, TerminalRecord};
 use std::collections::{BTreeMap, VecDeque};
@@ -54,7 +54,7 @@
 }
 
 /// What the state service says of a job.
-pub(super) enum Found {
+pub(in crate::runtime) enum Found {
     Open(OpenJob),
     Final(Final),
     Never,
@@ -62,7 +62,7 @@
 
 /// A final state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct Final {
+pub(in crate::runtime) struct Final {
     pub phase: JobPhase,
     pub tasks: u32,
 }
@@ -73,7 +73,7 @@
 /// A job that needs a cancelled one is cancelled, from the moment at which that one's mark was written
 /// and whether or not its own is: no task of it can have started, for a job starts only when all that it
 /// needs are done, and a mark never changes.
-pub(super) async fn find(node: &Node, id: &JobId) -> Result<Found, StateError> {
+pub(in crate::runtime) async fn find(node: &Node, id: &JobId) -> Result<Found, StateError> {
     if let Some(known) = lock(&node.finals).get(id) {
         return Ok(Found::Final(known));
     }
@@ -96,7 +96,10 @@
 }
 
 /// The finish mark of a job that is not open; None if it was never accepted.
-pub(super) async fn find_final(node: &Node, id: &JobId) -> Result<Option<Final>, StateError> {
+pub(in crate::runtime) async fn find_final(
+    node: &Node,
+    id: &JobId,
+) -> Result<Option<Final>, StateError> {
     if let Some(known) = lock(&node.finals).get(id) {
         return Ok(Some(known));
     }
@@ -211,7 +214,7 @@
         let itself = Reply::error(422, "waits for itself");
         return if_known(node, Some(&id), itself).await;
     }
-    match producers::look_up(node, waits_on).await {
+    match upstream_jobs::look_up(node, waits_on).await {
         Ok(Producers::Unfinished(after)) => open_job(node, spec, after).await,
         Ok(Producers::Cancelled) => accept_cancelled(node, &spec).await,
         Ok(Producers::NeverAccepted(unknown)) => {
@@ -242,7 +245,7 @@
     let Ok(data) = serde_json::to_value(&record) else {
         return Reply::error(400, "can't be stored");
     };
-    let outcome = match edges::write_pages(node, &id, &pages).await {
+    let outcome = match dependency_pages::write_pages(node, &id, &pages).await {
         Ok(Ok(preconditions)) => {
             let changes = vec![Change::put(open_key(&id), data)];
             node.state
--- a/src/runtime/cloud.rs
+++ b/src/runtime/clients/cloud.rs
@@ -1,8 +1,8 @@
 //! Calls to the cloud: the machine list, rentals and returns.
 
-use super::Node;
 use crate::coordination::Event;
 use crate::protocol::cloud::{ListedMachine, MachineListPage, RentReply, RentRequest};
+use crate::runtime::Node;
 use crate::transport::client::NoAnswer;
 use hyper::Method;
 use rand::Rng;
@@ -16,7 +16,7 @@
 const LIST_SHARE: f64 = 0.25;
 
 /// Reads the cloud's machine list over and over.
-pub(super) async fn list_hosts(node: Arc<Node>, end: CancellationToken) {
+pub(in crate::runtime) async fn list_hosts(node: Arc<Node>, end: CancellationToken) {
     while !end.is_cancelled() {
         let asked = node.now();
         let mut listed = 0;
@@ -57,7 +57,11 @@
     }
 }
 
-pub(super) async fn rent(node: &Node, idempotency_key: String, request: &RentRequest) -> Event {
+pub(in crate::runtime) async fn rent(
+    node: &Node,
+    idempotency_key: String,
+    request: &RentRequest,
+) -> Event {
     let body = serde_json::to_vec(request).unwrap_or_default();
     match cloud(node, Method::POST, "/rentals", Some(body)).await {
         Ok((200, body)) => match serde_json::from_slice::<RentReply>(&body) {
@@ -77,7 +81,7 @@
     }
 }
 
-pub(super) async fn cloud(
+pub(in crate::runtime) async fn cloud(
     node: &Node,
     method: Method,
     path: &str,
--- a/src/runtime/edges.rs
+++ b/src/runtime/clients/dependency_pages.rs
@@ -4,17 +4,17 @@
 //! producers. One key stands for the attempt: each page and the open record itself are guarded by its
 //! version, so that pages of two attempts with different lists never end up under one job.
 
-use super::state_client::{StateError, TxnOutcome};
-use super::Node;
 use crate::ids::{JobId, KeyRevision};
 use crate::protocol::state::{Change, Precondition, Transaction};
+use crate::runtime::clients::state_store::{StateError, TxnOutcome};
+use crate::runtime::Node;
 use crate::storage::records::{
     dependency_list_key, dependency_page_key, open_key, terminal_key, OpenJobRecord,
 };
 use serde_json::Value;
 
 /// Writes the pages; the guards that the open record needs are what it answers with.
-pub(super) async fn write_pages(
+pub(in crate::runtime) async fn write_pages(
     node: &Node,
     id: &JobId,
     pages: &[Vec<JobId>],
@@ -64,7 +64,7 @@
 }
 
 /// Reads the producers that stand on pages. False: the job is no longer open, and its pages are swept.
-pub(super) async fn is_complete(
+pub(in crate::runtime) async fn is_complete(
     node: &Node,
     record: &mut OpenJobRecord,
 ) -> Result<bool, StateError> {
--- a/src/runtime/catalog.rs
+++ b/src/runtime/clients/machine_types.rs
@@ -2,10 +2,10 @@
 //! down. The leader asks the cloud and keeps a copy on the state service; the others read that, and
 //! ask the cloud themselves only while there is no copy.
 
-use super::{lock, Node};
 use crate::coordination::Event;
 use crate::protocol::cloud::{MachineTypeInfo, MachineTypeList};
 use crate::protocol::state::{Change, Precondition, Transaction};
+use crate::runtime::{lock, Node};
 use crate::storage::records::CATALOG_KEY;
 use hyper::Method;
 use rand::Rng;
--- a/src/runtime/copy.rs
+++ b/src/runtime/clients/open_jobs.rs
@@ -4,10 +4,10 @@
 //!
 //! Nobody is answered from an older state: a question waits for the next read that begins after it.
 
-use super::edges;
-use super::state_client::StateError;
-use super::{lock, Node};
 use crate::ids::{JobId, KeyRevision, StoreRevision};
+use crate::runtime::clients::dependency_pages;
+use crate::runtime::clients::state_store::StateError;
+use crate::runtime::{lock, Node};
 use crate::storage::records::{OpenJobRecord, OPEN_JOB_PREFIX};
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
@@ -107,7 +107,7 @@
                 after: Vec::new(),
             }));
         };
-        let open = edges::is_complete(node, &mut record).await?;
+        let open = dependency_pages::is_complete(node, &mut record).await?;
         Ok(open.then_some(OpenNote {
             revision,
             tasks: record.spec.tasks,
--- a/src/runtime/producers.rs
+++ b/src/runtime/clients/upstream_jobs.rs
@@ -3,12 +3,12 @@
 //! Each is read from the state service after the submission came, never from a copy that may lag. A few
 //! are read one by one, at once; more share the reads that keep the copy of all open jobs up to date.
 
-use super::copy::OpenNote;
-use super::state_client::StateError;
-use super::users::{find_final, Final};
-use super::Node;
 use crate::ids::JobId;
 use crate::protocol::users::JobPhase;
+use crate::runtime::api::users::{find_final, Final};
+use crate::runtime::clients::open_jobs::OpenNote;
+use crate::runtime::clients::state_store::StateError;
+use crate::runtime::Node;
 use crate::storage::records::open_key;
 use futures_util::future::try_join_all;
 use futures_util::{stream, StreamExt, TryStreamExt};
@@ -16,7 +16,7 @@
 use std::time::Duration;
 
 /// How the jobs stand that a submission waits for.
-pub(super) enum Producers {
+pub(in crate::runtime) enum Producers {
     /// All were accepted and none is cancelled; these are not done yet.
     Unfinished(Vec<JobId>),
     /// One is cancelled, or needs a job that is.
@@ -33,7 +33,10 @@
 const MOST_TIME: Duration = Duration::from_millis(2500);
 
 /// Looks up the jobs that a submission waits for.
-pub(super) async fn look_up(node: &Node, ids: Vec<JobId>) -> Result<Producers, StateError> {
+pub(in crate::runtime) async fn look_up(
+    node: &Node,
+    ids: Vec<JobId>,
+) -> Result<Producers, StateError> {
     if ids.is_empty() {
         return Ok(Producers::Unfinished(ids));
     }
--- a/src/runtime/activity.rs
+++ b/src/runtime/leader/activity.rs
@@ -1,9 +1,9 @@
 //! What a leader has done and how far behind it was, added up and logged every ten seconds: a few numbers,
 //! however many machines there are.
 
-use super::lock;
 use crate::coordination::Effect;
 use crate::protocol::workers::Command;
+use crate::runtime::lock;
 use crate::time::{Instant, TimeSpan};
 use std::sync::Mutex;
 
--- a/src/runtime/effects.rs
+++ b/src/runtime/leader/effects.rs
@@ -1,14 +1,14 @@
 //! Carrying out what the core decides.
 
-use super::cloud::{cloud, rent};
-use super::state_client::{StateError, TxnOutcome};
-use super::Node;
 use crate::coordination::leadership::authority::Authority;
 use crate::coordination::{Effect, Event};
 use crate::ids::MachineId;
 use crate::protocol::cloud::{RentRequest, ReturnRequest};
 use crate::protocol::state::KeyValue;
 use crate::protocol::workers::{CommandBatch, WorkerStatus};
+use crate::runtime::clients::cloud::{cloud, rent};
+use crate::runtime::clients::state_store::{StateError, TxnOutcome};
+use crate::runtime::Node;
 use crate::storage::records::terminal_key;
 use crate::time::TimeSpan;
 use crate::transport::client::NoAnswer;
@@ -22,7 +22,11 @@
 /// Between reads of finish marks: a takeover with many chains must not use up the service's rate.
 const BETWEEN_MARKS: Duration = Duration::from_millis(15);
 
-pub(super) async fn carry_out(node: &Node, authority: &Authority, effect: Effect) -> Option<Event> {
+pub(in crate::runtime) async fn carry_out(
+    node: &Node,
+    authority: &Authority,
+    effect: Effect,
+) -> Option<Event> {
     match effect {
         Effect::Write { seq, transaction } => {
             Some(match node.state.transaction(&transaction).await {
--- a/src/runtime/campaign.rs
+++ b/src/runtime/leader/election.rs
@@ -1,12 +1,12 @@
 //! Campaigning for the leadership: the leader key is taken when it is free, or was our predecessor's on this
 //! host.
 
-use super::leader::{lead, STAND_BACK};
-use super::state_client::{StateError, TxnOutcome};
-use super::{lock, Node};
 use crate::coordination::leadership::authority::{Authority, LeadershipTerm};
 use crate::ids::{FencingToken, KeyRevision, LeaseId};
 use crate::protocol::state::{Change, Precondition, Transaction};
+use crate::runtime::clients::state_store::{StateError, TxnOutcome};
+use crate::runtime::leader::{lead, STAND_BACK};
+use crate::runtime::{lock, Node};
 use crate::storage::records::{LeaderRecord, FENCING_TOKEN_KEY, LEADER_KEY};
 use crate::time::{Instant, TimeSpan};
 use rand::Rng;
@@ -55,7 +55,7 @@
 }
 
 /// The leader key is ours.
-pub(super) struct Won {
+pub(in crate::runtime) struct Won {
     pub lead: LeadershipTerm,
     pub authority: Arc<Authority>,
 }
--- a/src/runtime/following.rs
+++ b/src/runtime/leader/job_watch.rs
@@ -1,13 +1,13 @@
 //! What a leader reads of the jobs: everything as it takes over, and then what changes.
 
-use super::edges;
-use super::state_client::StateError;
-use super::{lock, time_of_day_ms, Node};
 use crate::coordination::leadership::authority::Authority;
 use crate::coordination::leadership::recovery::RecoveredState;
 use crate::coordination::Event;
 use crate::ids::{JobId, KeyRevision, StoreRevision};
 use crate::protocol::state::{KeyValue, WatchResponse};
+use crate::runtime::clients::dependency_pages;
+use crate::runtime::clients::state_store::StateError;
+use crate::runtime::{lock, time_of_day_ms, Node};
 use crate::storage::records::{
     OpenJobRecord, HINTS_KEY, INTENT_PAGE_PREFIX, MACHINE_PAGE_PREFIX, OPEN_JOB_PREFIX,
     PROGRESS_PREFIX,
@@ -19,7 +19,7 @@
 
 /// Reads everything a new leader needs. All reads come after the leader key was written, so no
 /// former leader can add an intent that we miss: its writes are guarded by the old key.
-pub(super) async fn inherit(node: &Node) -> Option<(RecoveredState, StoreRevision)> {
+pub(in crate::runtime) async fn inherit(node: &Node) -> Option<(RecoveredState, StoreRevision)> {
     let state = &node.state;
     let ((open, store_revision), (progress, _), (machine_pages, _), (intents, _), hints) =
         tokio::try_join!(
@@ -54,7 +54,7 @@
             tracing::error!(key = %item.key, "an open job can't be read");
             continue;
         };
-        if edges::is_complete(node, &mut record).await? {
+        if dependency_pages::is_complete(node, &mut record).await? {
             let submitted = submitted_at(node, &record);
             jobs.push((record, item.revision, submitted));
         }
@@ -72,7 +72,7 @@
                 tracing::error!(key, "an open job can't be read");
                 continue;
             };
-            if !edges::is_complete(node, &mut record).await? {
+            if !dependency_pages::is_complete(node, &mut record).await? {
                 continue;
             }
             let opened = Event::JobOpened {
@@ -101,7 +101,7 @@
 /// Follows open jobs, from the epoch of the list that was read. Each answer says what had happened by
 /// the time it was asked for: the leader's authority doesn't outlast that by more than the staleness
 /// allowed.
-pub(super) async fn watch_jobs(
+pub(in crate::runtime) async fn watch_jobs(
     node: Arc<Node>,
     authority: Arc<Authority>,
     mut since: StoreRevision,
--- a/src/runtime/leader.rs
+++ b/src/runtime/leader/mod.rs
@@ -2,19 +2,24 @@
 //! `campaign.rs`, what it reads of the jobs in `following.rs`, carrying out what the core decides in
 //! `effects.rs`.
 
-use super::activity::Activity;
-use super::campaign::Won;
-use super::cloud::list_hosts;
-use super::effects::carry_out;
-use super::following::{inherit, watch_jobs};
-use super::state_client::StateError;
-use super::{lock, Node};
+mod activity;
+mod effects;
+pub(super) mod election;
+mod job_watch;
+
 use crate::coordination::attempts::reconciliation::HeartbeatOutcome;
 use crate::coordination::leadership::authority::{should_hand_over, silence_bound, Authority};
 use crate::coordination::{Effect, Event, Scheduler};
 use crate::ids::{FencingToken, JobId, LeaseId, MachineId};
 use crate::protocol::peers::{PeerReply, PeerRequest};
 use crate::protocol::workers::{Command, WorkerStatus};
+use crate::runtime::clients::cloud::list_hosts;
+use crate::runtime::clients::state_store::StateError;
+use crate::runtime::leader::activity::Activity;
+use crate::runtime::leader::effects::carry_out;
+use crate::runtime::leader::election::Won;
+use crate::runtime::leader::job_watch::{inherit, watch_jobs};
+use crate::runtime::{lock, Node};
 use crate::time::{Instant, TimeSpan};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -83,10 +88,10 @@
     /// Whether we have the leader key but have not taken over yet.
     taking: watch::Sender<bool>,
     /// As read at that moment: it counts only for so long.
-    pub(super) other: Mutex<Option<(String, Instant)>>,
+    pub(in crate::runtime) other: Mutex<Option<(String, Instant)>>,
     wake: Notify,
     /// We handed over, and don't campaign before this.
-    pub(super) stand_back: Mutex<Option<Instant>>,
+    pub(in crate::runtime) stand_back: Mutex<Option<Instant>>,
 }
 
 impl LeaderCell {
@@ -157,7 +162,7 @@
 const OTHER_FRESH: TimeSpan = TimeSpan(3000);
 
 /// Leads until authority is lost.
-pub(super) async fn lead(node: &Arc<Node>, won: Won) {
+pub(in crate::runtime) async fn lead(node: &Arc<Node>, won: Won) {
     let end = node.stop.child_token();
     let (first, lease) = (won.lead.first, won.lead.lease);
     let began = node.now();
@@ -337,7 +342,7 @@
 }
 
 /// After handing over we don't campaign for this long, unless nobody else takes the lead.
-pub(super) const STAND_BACK: TimeSpan = TimeSpan(20_000);
+pub(in crate::runtime) const STAND_BACK: TimeSpan = TimeSpan(20_000);
 
 /// Tells siblings the task counts, for display in their answers to polls.
 async fn tell_counts(node: Arc<Node>, end: CancellationToken) {
--- a/src/runtime/mod.rs
+++ b/src/runtime/mod.rs
@@ -1,19 +1,8 @@
 //! The long-lived tasks of one controller: all I/O around the decision core.
 
-pub mod activity;
-mod campaign;
-pub mod catalog;
-mod cloud;
-pub mod copy;
-mod edges;
-mod effects;
-mod following;
-pub mod http_api;
-pub mod leader;
-pub mod peers;
-mod producers;
-pub mod state_client;
-pub mod users;
+mod api;
+mod clients;
+mod leader;
 
 use crate::coordination::Policy;
 use crate::ids::JobId;
@@ -23,8 +12,10 @@
 use crate::transport::client::Client;
 use crate::transport::peer::PeerClient;
 use crate::transport::sockets::Sockets;
-use leader::LeaderCell;
-use state_client::StateClient;
+use api::{peers, routes, users};
+use clients::state_store::StateClient;
+use clients::{machine_types, open_jobs};
+use leader::{election, LeaderCell};
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicI64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -45,7 +36,7 @@
     pub machine_types: Mutex<Vec<MachineTypeInfo>>,
     /// Task counts as the leader last told, for display.
     pub counts: Mutex<BTreeMap<JobId, (u32, u32)>>,
-    pub copy: copy::OpenCopy,
+    pub copy: open_jobs::OpenCopy,
     pub cancel_news: peers::CancelNews,
     pub finals: Mutex<users::FinalCache>,
     pub user_slots: tokio::sync::Semaphore,
@@ -130,7 +121,7 @@
         leader: LeaderCell::default(),
         machine_types: Mutex::new(Vec::new()),
         counts: Mutex::new(BTreeMap::new()),
-        copy: copy::OpenCopy::default(),
+        copy: open_jobs::OpenCopy::default(),
         cancel_news: peers::CancelNews::default(),
         finals: Mutex::new(users::FinalCache::default()),
         user_slots: tokio::sync::Semaphore::new(settings.operator.max_user_requests),
@@ -141,13 +132,13 @@
         settings,
     });
     let tasks = [
-        tokio::spawn(http_api::serve(node.clone(), front_socket)),
+        tokio::spawn(routes::serve(node.clone(), front_socket)),
         tokio::spawn(peers::serve(node.clone(), peer_socket)),
-        tokio::spawn(catalog::keep(node.clone())),
-        tokio::spawn(copy::keep(node.clone())),
+        tokio::spawn(machine_types::keep(node.clone())),
+        tokio::spawn(open_jobs::keep(node.clone())),
         tokio::spawn(peers::look(node.clone())),
         tokio::spawn(peers::tell_cancelled(node.clone())),
-        tokio::spawn(campaign::campaign(node.clone())),
+        tokio::spawn(election::campaign(node.clone())),
     ];
     for task in tasks {
         if let Err(e) = task.await {
