--- /dev/null
+++ b/src/coordination/attempts/audit.rs
@@ -0,0 +1,188 @@
+//! Counts everything again that the ledger keeps in step, and compares. For tests: no decision calls it.
+
+use crate::coordination::jobs::job::Job;
+use crate::coordination::jobs::table::JobIndex;
+use crate::coordination::machines::machine::Machine;
+use crate::coordination::machines::table::{MachineIndex, Room};
+use crate::coordination::Scheduler;
+use crate::ids::JobId;
+use crate::resources::Resources;
+
+/// Sums of decimal numbers may differ by this much in all.
+const TOLERANCE: f64 = 1e-3;
+
+/// What is kept in step differs from what was counted.
+#[derive(Debug, thiserror::Error)]
+pub enum AuditError {
+    /// The free capacity or the number of live attempts of a machine.
+    #[error("machine {machine}: free {kept:?}, counted {counted:?}")]
+    Machine {
+        /// The machine's id.
+        machine: String,
+        /// As kept.
+        kept: Resources,
+        /// As counted.
+        counted: Resources,
+    },
+    /// What a team uses.
+    #[error("teams use {kept:?}, counted {counted:?}")]
+    TeamUsage {
+        /// As kept, team by team.
+        kept: Vec<Resources>,
+        /// As counted.
+        counted: Vec<Resources>,
+    },
+    /// The machines with room.
+    #[error("machines with room {kept:?}, counted {counted:?}")]
+    MachineIndex {
+        /// As kept.
+        kept: MachineIndex,
+        /// As counted.
+        counted: MachineIndex,
+    },
+    /// The attempts of a job.
+    #[error("{job}: {attempts} attempts, {running} run")]
+    Job {
+        /// The job.
+        job: JobId,
+        /// Attempts as kept.
+        attempts: u32,
+        /// Running attempts as kept.
+        running: u32,
+    },
+    /// The sets of jobs by state.
+    #[error("jobs by state {kept:?}, counted {counted:?}")]
+    JobIndex {
+        /// As kept.
+        kept: Box<JobIndex>,
+        /// As counted.
+        counted: Box<JobIndex>,
+    },
+}
+
+fn nearly_equal(a: &Resources, b: &Resources) -> bool {
+    (a.cpus - b.cpus).abs() + (a.gpus - b.gpus).abs() + (a.ram_gb - b.ram_gb).abs() < TOLERANCE
+}
+
+impl Scheduler {
+    /// Counts everything again and compares.
+    ///
+    /// # Errors
+    /// The first thing found that differs.
+    pub fn audit(&self) -> Result<(), AuditError> {
+        for machine in self.machines.values() {
+            self.audit_machine(machine)?;
+        }
+        self.audit_team_usage()?;
+        self.audit_machine_index()?;
+        for (id, job) in &self.jobs {
+            self.audit_job(id, job)?;
+        }
+        self.audit_job_index()
+    }
+
+    fn audit_machine(&self, machine: &Machine) -> Result<(), AuditError> {
+        let counted = machine.free_of(self.machines.capacity(&machine.machine_type));
+        let live = machine.live_attempts().count();
+        if nearly_equal(&counted, &machine.free) && machine.live_count as usize == live {
+            return Ok(());
+        }
+        Err(AuditError::Machine {
+            machine: machine.id.to_string(),
+            kept: machine.free,
+            counted,
+        })
+    }
+
+    fn audit_team_usage(&self) -> Result<(), AuditError> {
+        let mut counted = vec![Resources::default(); self.team_usage.len()];
+        let live = self.machines.values().flat_map(Machine::live_attempts);
+        for attempt in live {
+            if let Some(usage) = attempt.team.and_then(|team| counted.get_mut(team.0)) {
+                usage.add(&attempt.request);
+            }
+        }
+        let mut pairs = counted.iter().zip(&self.team_usage);
+        if pairs.all(|(a, b)| nearly_equal(a, b)) {
+            return Ok(());
+        }
+        Err(AuditError::TeamUsage {
+            kept: self.team_usage.clone(),
+            counted,
+        })
+    }
+
+    fn audit_machine_index(&self) -> Result<(), AuditError> {
+        let mut counted = MachineIndex::default();
+        for machine in self.machines.values() {
+            let id = machine.id.clone();
+            match self.machines.room_on(machine) {
+                Room::Some => drop(counted.with_room.insert(id)),
+                Room::CpusOnly => drop(counted.with_cpus_only.insert(id)),
+                Room::None => {}
+            }
+        }
+        if counted == self.machines.index {
+            return Ok(());
+        }
+        Err(AuditError::MachineIndex {
+            kept: self.machines.index.clone(),
+            counted,
+        })
+    }
+
+    fn audit_job(&self, id: &JobId, job: &Job) -> Result<(), AuditError> {
+        let attempts = self.machines.values().flat_map(|m| m.attempts.values());
+        let (mut counted, mut running) = (0, 0);
+        for attempt in attempts.filter(|attempt| attempt.task.job == *id) {
+            counted += 1;
+            running += u32::from(attempt.runs());
+        }
+        if (job.attempt_count, job.running) == (counted, running) {
+            return Ok(());
+        }
+        Err(AuditError::Job {
+            job: id.clone(),
+            attempts: job.attempt_count,
+            running: job.running,
+        })
+    }
+
+    /// The rules of membership stand here once more, apart from those that keep the sets in step.
+    fn audit_job_index(&self) -> Result<(), AuditError> {
+        let mut counted = JobIndex::new(self.jobs.index.by_team.len());
+        for (id, job) in &self.jobs {
+            let open = !job.closed;
+            let released = open && job.released;
+            for (set, member) in [
+                (&mut counted.pending, released && !job.pending.is_empty()),
+                (&mut counted.blocked, open && !job.released),
+                (
+                    &mut counted.ancestor_cancelled,
+                    open && job.ancestor_cancelled,
+                ),
+                (&mut counted.complete, open && job.is_complete()),
+                (
+                    &mut counted.unpersisted,
+                    open && !job.unpersisted.is_empty(),
+                ),
+                (&mut counted.forgettable, !open && job.attempt_count == 0),
+            ] {
+                if member {
+                    set.insert(id.clone());
+                }
+            }
+            let team = job.team.filter(|_| released);
+            if let Some(set) = team.and_then(|team| counted.by_team.get_mut(team.0)) {
+                set.insert((job.ready, id.clone()));
+            }
+        }
+        if counted == self.jobs.index {
+            return Ok(());
+        }
+        Err(AuditError::JobIndex {
+            kept: Box::new(self.jobs.index.clone()),
+            counted: Box::new(counted),
+        })
+    }
+}
--- a/src/coordination/attempts/commands.rs
+++ b/src/coordination/attempts/commands.rs
@@ -22,7 +22,11 @@
     /// would not know the try any more. The command that clears carries a higher token than any that
     /// launched, and a worker refuses lower ones from then on.
     fn may_clear(&self, s: &TaskAttempt) -> bool {
-        if !s.ended() || s.in_flight() || s.launched_with.is_some_and(|b| b >= self.term.token) {
+        if !s.ended()
+            || s.in_flight()
+            || s.launched_with
+                .is_some_and(|b| b >= self.leadership.term.token)
+        {
             return false;
         }
         let done = s.last_status.is_some_and(|x| x.cause == Some(Cause::Done));
@@ -143,7 +147,7 @@
     /// command at a time on each machine, and a bounded number of them at once.
     pub(crate) fn send_pushes(&mut self, now: Instant) {
         let mut later = BTreeSet::new();
-        while let Some(machine_id) = self.pushes_due.pop_first() {
+        while let Some(machine_id) = self.outbox.pushes_due.pop_first() {
             let Some(m) = self.machines.get(&machine_id) else {
                 continue;
             };
@@ -153,13 +157,13 @@
             if never || m.state != MachineState::Up {
                 continue;
             }
-            if m.push_not_before > now || self.pushes_in_flight >= self.policy.max_pushes {
+            if m.push_not_before > now || self.outbox.pushes_in_flight >= self.policy.max_pushes {
                 later.insert(machine_id);
                 continue;
             }
             self.push_to(now, &machine_id);
         }
-        self.pushes_due = later;
+        self.outbox.pushes_due = later;
     }
 
     fn push_to(&mut self, now: Instant, machine_id: &MachineId) {
@@ -193,8 +197,8 @@
         }
         let (endpoint, session) = (m.endpoint.clone(), m.session);
         let seq = self.seq();
-        let token = self.term.token;
-        self.pushes_in_flight += 1;
+        let token = self.leadership.term.token;
+        self.outbox.pushes_in_flight += 1;
         if let Some(m) = self.machines.get_mut(machine_id) {
             m.push_in_flight = Some(seq);
             for key in carried {
--- a/src/coordination/attempts/placements.rs
+++ b/src/coordination/attempts/placements.rs
@@ -21,7 +21,7 @@
                 placements.push(machine_id.clone());
             }
             job.pending.remove(&task.index);
-            self.index_job(&task.job);
+            self.jobs.reindex(&task.job);
         }
     }
 
@@ -32,7 +32,7 @@
             let tries = (task.clone(), AttemptId(0))..=(task.clone(), AttemptId(u64::MAX));
             m.attempts.range(tries).any(|(_, s)| !s.ended())
         });
-        self.placement_due = true;
+        self.placement.due = true;
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
@@ -49,9 +49,9 @@
             job.pending.insert(task.index);
         }
         if job.is_all_or_nothing() {
-            self.gangs_to_check.insert(task.job.clone());
+            self.outbox.gangs_to_check.insert(task.job.clone());
         }
-        self.index_job(&task.job);
+        self.jobs.reindex(&task.job);
     }
 
     /// A start is proven gone. Callers name the proof.
--- a/src/coordination/attempts/reconciliation.rs
+++ b/src/coordination/attempts/reconciliation.rs
@@ -40,13 +40,13 @@
     /// A worker's check-in. The caller has made sure of the leader's authority, and sends the
     /// orders only if it still holds then.
     pub fn heartbeat(&mut self, now: Instant, status: &WorkerStatus) -> HeartbeatOutcome {
-        if status.token > self.term.token {
+        if status.token > self.leadership.term.token {
             self.effects.push(Effect::StepDown {
                 why: "a worker has seen a higher token",
             });
             return HeartbeatOutcome::Refused;
         }
-        if self.gone.contains(&status.machine_id) {
+        if self.machines.terminated.contains(&status.machine_id) {
             return HeartbeatOutcome::Refused;
         }
         // Guards against copies of old reports: each check-in has a larger tick than the one before,
@@ -60,7 +60,7 @@
         }
         let fresh = self.take_report(now, status, StatusSource::Heartbeat);
         self.review(now, &status.machine_id);
-        let token = self.term.token;
+        let token = self.leadership.term.token;
         let Some(m) = self.machines.get_mut(&status.machine_id) else {
             return HeartbeatOutcome::Refused;
         };
@@ -88,13 +88,13 @@
         seq: u64,
         status: &WorkerStatus,
     ) {
-        if status.token > self.term.token {
+        if status.token > self.leadership.term.token {
             self.effects.push(Effect::StepDown {
                 why: "a worker has seen a higher token",
             });
             return;
         }
-        if status.machine_id != *machine_id || self.gone.contains(machine_id) {
+        if status.machine_id != *machine_id || self.machines.terminated.contains(machine_id) {
             return;
         }
         // Answered: executed, or certainly not. Either way it no longer is under way, and what the
@@ -113,7 +113,7 @@
         seq: u64,
         sent: bool,
     ) {
-        let token = self.term.token;
+        let token = self.leadership.term.token;
         let Some(m) = self.machines.get_mut(machine_id) else {
             return;
         };
@@ -129,7 +129,7 @@
         tracing::debug!(machine = %machine_id, sent, "direct command not answered");
         self.settle_push(machine_id, seq, end);
         self.stop_again(now, machine_id);
-        self.pushes_due.insert(machine_id.clone());
+        self.outbox.pushes_due.insert(machine_id.clone());
     }
 
     fn settle_push(&mut self, machine_id: &MachineId, seq: u64, end: PushDelivery) {
@@ -138,14 +138,14 @@
         };
         if m.push_in_flight == Some(seq) {
             m.push_in_flight = None;
-            self.pushes_in_flight = self.pushes_in_flight.saturating_sub(1);
+            self.outbox.pushes_in_flight = self.outbox.pushes_in_flight.saturating_sub(1);
         }
         for s in m.attempts.values_mut() {
             if s.push == PushDelivery::InFlight(seq) {
                 s.push = end;
             }
         }
-        self.pushes_due.insert(machine_id.clone());
+        self.outbox.pushes_due.insert(machine_id.clone());
     }
 
     /// Takes a report in; false if it was no news. The list of an old report proves nothing.
@@ -165,7 +165,7 @@
                 false,
             );
         }
-        let first = self.term.first;
+        let first = self.leadership.term.first;
         let Some(m) = self.machines.get_mut(machine_id) else {
             return false;
         };
@@ -176,9 +176,9 @@
             m.state = MachineState::Up;
             m.idle_since = Some(now);
             tracing::debug!(machine = %m.id, boot_ms = (now - m.since).0, "machine is up");
-            self.placement_due = true;
+            self.placement.due = true;
             let page = m.page;
-            self.index_machine(machine_id);
+            self.machines.reindex(machine_id);
             if let Some(page) = page {
                 self.writer.machine_pages.changed(now, page);
             }
@@ -209,8 +209,8 @@
         let recall = r.recall_s.map(|s| now + TimeSpan::from_secs(s));
         if m.reclaim_at.is_none() && recall.is_some() {
             tracing::debug!(machine = %m.id, "spot notice");
-            self.placement_due = true;
-            self.machines_to_review.insert(machine_id.clone());
+            self.placement.due = true;
+            self.outbox.machines_to_review.insert(machine_id.clone());
         }
         m.reclaim_at = recall;
         // A report with a token of this leadership was written after it began.
@@ -219,8 +219,8 @@
         if confirmed && !m.confirmed {
             m.confirmed = true;
             m.mark_reachable();
-            self.placement_due = true;
-            self.index_machine(machine_id);
+            self.placement.due = true;
+            self.machines.reindex(machine_id);
         }
         for p in &r.tasks {
             self.see(now, machine_id, p, r, confirmed);
@@ -299,7 +299,8 @@
             // It has its image; members that had theirs at once may be launched now.
             self.note_image(now, machine_id, &p.task.job);
             if let Some(job) = self.jobs.get(&p.task.job) {
-                self.pushes_due
+                self.outbox
+                    .pushes_due
                     .extend(job.placements.values().flatten().cloned());
             }
         }
@@ -313,16 +314,16 @@
     }
 
     fn note_image(&mut self, now: Instant, machine_id: &MachineId, job: &JobId) {
-        let (Some(m), Some(job)) = (self.machines.get_mut(machine_id), self.jobs.get(job)) else {
+        let Some(job) = self.jobs.get(job) else {
             return;
         };
-        let new = !m.has_image(&job.spec.image);
-        let cache = self
-            .machine_types
-            .get(&m.machine_type)
-            .map_or(0.0, |r| r.cache_gb);
-        m.use_image(&job.spec.image, job.spec.image_gb, cache);
-        if let Some(page) = m.page.filter(|_| new) {
+        let cache_gb = self.machines.cache_gb(machine_id);
+        let Some(machine) = self.machines.get_mut(machine_id) else {
+            return;
+        };
+        let new = !machine.has_image(&job.spec.image);
+        machine.use_image(&job.spec.image, job.spec.image_gb, cache_gb);
+        if let Some(page) = machine.page.filter(|_| new) {
             self.writer.machine_pages.changed(now, page);
         }
     }
@@ -385,7 +386,7 @@
             if m.is_unreachable() && m.unreachable_since.is_none() {
                 tracing::info!(machine = %machine_id, "reports, but nothing that we say reaches it");
                 m.unreachable_since = Some(now);
-                self.pushes_due.insert(machine_id.clone());
+                self.outbox.pushes_due.insert(machine_id.clone());
             }
         }
         for key in gone {
@@ -399,7 +400,7 @@
                 if let Some(s) = self.attempt_mut(machine_id, &key) {
                     s.launched_in = None;
                 }
-                self.pushes_due.insert(machine_id.clone());
+                self.outbox.pushes_due.insert(machine_id.clone());
                 continue;
             }
             self.remove_attempt(now, machine_id, &key);
@@ -411,12 +412,13 @@
     pub(crate) fn recheck_machines(&mut self, now: Instant) {
         let lease_expiry_bound = self.policy.lease_expiry_bound();
         let quiet = self.machines.values().filter(|m| !m.attempts.is_empty());
-        let quiet =
-            quiet.filter(|m| now - m.last_response_at.max(self.term_began_at) > lease_expiry_bound);
+        let quiet = quiet.filter(|m| {
+            now - m.last_response_at.max(self.leadership.began_at) > lease_expiry_bound
+        });
         let expired: Vec<(MachineId, (TaskId, AttemptId))> = quiet
             .flat_map(|m| {
                 let gone = |s: &&TaskAttempt| {
-                    now - m.lease_from(s).max(self.term_began_at) > lease_expiry_bound
+                    now - m.lease_from(s).max(self.leadership.began_at) > lease_expiry_bound
                 };
                 let key = |s: &TaskAttempt| (m.id.clone(), (s.task.clone(), s.attempt_id));
                 m.attempts.values().filter(gone).map(key)
@@ -455,13 +457,13 @@
                 given_up.push(m.id.clone());
             }
         }
-        self.machines_to_review.extend(given_up);
+        self.outbox.machines_to_review.extend(given_up);
         // A part of the rest each time, whatever may have been missed.
-        self.reviewed += 1;
-        let part = self.reviewed % REVIEW_PARTS;
+        self.outbox.review_round += 1;
+        let part = self.outbox.review_round % REVIEW_PARTS;
         let mine = self.machines.keys().enumerate();
         let mine = mine.filter(|(n, _)| *n as u64 % REVIEW_PARTS == part);
         let machine_ids: Vec<MachineId> = mine.map(|(_, h)| h.clone()).collect();
-        self.machines_to_review.extend(machine_ids);
+        self.outbox.machines_to_review.extend(machine_ids);
     }
 }
--- a/src/coordination/attempts/stops.rs
+++ b/src/coordination/attempts/stops.rs
@@ -13,7 +13,7 @@
     /// Marks the starts that should end: of closed jobs, of done tasks, on machines to be emptied.
     /// Only on machines to which something has happened, and on each from time to time.
     pub(crate) fn stop_unwanted(&mut self, now: Instant) {
-        for machine_id in std::mem::take(&mut self.machines_to_review) {
+        for machine_id in std::mem::take(&mut self.outbox.machines_to_review) {
             self.review(now, &machine_id);
         }
         self.stop_broken_gangs(now);
@@ -77,11 +77,11 @@
             });
             stopped = true;
             if job.is_some_and(|j| j.is_all_or_nothing()) {
-                self.gangs_to_check.insert(key.0.job.clone());
+                self.outbox.gangs_to_check.insert(key.0.job.clone());
             }
         }
         if stopped {
-            self.pushes_due.insert(machine_id.clone());
+            self.outbox.pushes_due.insert(machine_id.clone());
         }
         for key in dropped {
             // Proof: never launched.
@@ -94,7 +94,7 @@
     fn stop_broken_gangs(&mut self, now: Instant) {
         let lease = TimeSpan::from_secs(self.policy.facts.workers.lease_s);
         let mut waiting = BTreeSet::new();
-        for id in std::mem::take(&mut self.gangs_to_check) {
+        for id in std::mem::take(&mut self.outbox.gangs_to_check) {
             let Some(job) = self.jobs.get(&id) else {
                 continue;
             };
@@ -150,11 +150,11 @@
                         });
                     }
                 }
-                self.machines_to_review.insert(machine_id.clone());
-                self.pushes_due.insert(machine_id);
+                self.outbox.machines_to_review.insert(machine_id.clone());
+                self.outbox.pushes_due.insert(machine_id);
             }
         }
-        self.gangs_to_check = waiting;
+        self.outbox.gangs_to_check = waiting;
     }
 
     /// A direct command went unanswered: what it should have stopped is told again. Check-ins tell it
--- a/src/coordination/attempts/task_ends.rs
+++ b/src/coordination/attempts/task_ends.rs
@@ -30,7 +30,7 @@
                 }
                 job.failures = 0;
             }
-            self.index_job(&task.job);
+            self.jobs.reindex(&task.job);
             if let Some(m) = self.machines.get_mut(machine_id) {
                 m.failed_jobs.clear();
             }
@@ -91,7 +91,7 @@
                 if let Some(m) = self.machines.get_mut(machine_id) {
                     m.forget_failures_of(&task.job, most);
                 }
-                self.index_machine(machine_id);
+                self.machines.reindex(machine_id);
             }
         }
         if let Some(m) = self.machines.get_mut(machine_id) {
--- a/src/coordination/autoscaler/arrivals.rs
+++ b/src/coordination/autoscaler/arrivals.rs
@@ -155,9 +155,9 @@
 
 impl Scheduler {
     pub(crate) fn hints(&self, now: Instant) -> Hints {
-        let demand = self.demand.iter();
+        let demand = self.autoscaler.arrivals.iter();
         Hints {
-            observed: self.observed.clone(),
+            observed: self.estimates.observed.clone(),
             demand: demand
                 .filter_map(|(c, d)| {
                     let told = (d.jobs_per_s(now), d.tasks, d.last.back()?.clone());
@@ -168,10 +168,11 @@
     }
 
     pub(crate) fn load_hints(&mut self, now: Instant, hints: Hints) {
-        self.observed = hints.observed;
+        self.estimates.observed = hints.observed;
         for (class, (rate, tasks, spec)) in hints.demand {
             let d = self
-                .demand
+                .autoscaler
+                .arrivals
                 .entry(class)
                 .or_insert_with(|| ArrivalRate::new(&spec));
             d.told = Some((rate, now));
@@ -181,15 +182,20 @@
 
     /// Whether nothing is to be expected, of any class; never while too little has been seen to tell.
     pub(crate) fn ebbed(&self, now: Instant) -> bool {
-        let mut all = self.demand.values();
+        let mut all = self.autoscaler.arrivals.values();
         all.any(|d| d.intervals.len() > LULL)
-            && self.demand.values().all(|d| d.jobs_per_s(now) <= 0.0)
+            && self
+                .autoscaler
+                .arrivals
+                .values()
+                .all(|d| d.jobs_per_s(now) <= 0.0)
     }
 
     /// Notes the arrival of a job.
     pub(crate) fn note_arrival(&mut self, spec: &JobSpec, at: Instant) {
         let d = self
-            .demand
+            .autoscaler
+            .arrivals
             .entry(spec.class.clone())
             .or_insert_with(|| ArrivalRate::new(spec));
         d.note(spec, at);
--- a/src/coordination/autoscaler/forecast.rs
+++ b/src/coordination/autoscaler/forecast.rs
@@ -131,7 +131,7 @@
             bins,
             zones,
         };
-        for (spec, n) in &self.warm_pool_missing {
+        for (spec, n) in &self.autoscaler.warm_pool_missing {
             let ask = Ask {
                 spec,
                 n: *n,
@@ -153,7 +153,7 @@
     }
 
     fn give_waiting(&self, now: Instant, unplaced: &[UnplacedTasks], fleet: &mut ForecastFleet) {
-        let mut used = self.used.clone();
+        let mut used = self.team_usage.clone();
         for u in unplaced {
             let Some(job) = self.jobs.get(&u.job) else {
                 continue;
@@ -181,7 +181,7 @@
 
     /// What should arrive in the time that it takes to have another machine with an image.
     fn give_to_come(&self, now: Instant, fleet: &mut ForecastFleet, rent: bool) {
-        for d in self.demand.values() {
+        for d in self.autoscaler.arrivals.values() {
             let jobs_per_s = d.jobs_per_s(now);
             let parts = d.last().len() as f64;
             for (i, like) in d.last().enumerate() {
@@ -238,14 +238,14 @@
                     let boot = self.boot_s(&m.machine_type);
                     if age < boot * COMING_BOOTS {
                         let rest = (boot - age).max(boot * 0.1);
-                        bins.push(bin(rest, self.capacity(&m.machine_type)));
+                        bins.push(bin(rest, self.machines.capacity(&m.machine_type)));
                     }
                 }
                 MachineState::Up if self.usable(m, now) => {
                     let mut b = bin(0.0, m.free);
                     b.idle = (m.live_count == 0).then(|| m.id.clone());
-                    b.empty = emptiness(&m.free, &self.capacity(&m.machine_type));
-                    b.class = self.warm_pool.get(&m.id).cloned();
+                    b.empty = emptiness(&m.free, &self.machines.capacity(&m.machine_type));
+                    b.class = self.autoscaler.warm_pool.get(&m.id).cloned();
                     b.images = m.images.iter().map(|(i, _)| i.clone()).collect();
                     for s in m.live_attempts() {
                         let Some(job) = self.jobs.get(&s.task.job) else {
@@ -263,7 +263,7 @@
                 _ => {}
             }
         }
-        for h in self.fleet.scale_out_requests.values() {
+        for h in self.autoscaler.scale_out_requests.values() {
             let rest = self.boot_s(&h.kind.0) - (now - h.asked).secs();
             for _ in 0..h.count {
                 bins.push(Bin {
@@ -271,7 +271,7 @@
                     idle: None,
                     empty: 1.0,
                     from_s: rest.max(1.0),
-                    room: self.capacity(&h.kind.0),
+                    room: self.machines.capacity(&h.kind.0),
                     freed: Vec::new(),
                     images: Vec::new(),
                     class: None,
@@ -285,7 +285,12 @@
     /// can be rented there; among equals the one with least machines.
     fn zone_for(&self, now: Instant, fleet: &ForecastFleet, spec: &JobSpec) -> Option<Zone> {
         let request = Resources::of(spec);
-        let zones: BTreeSet<&Zone> = self.machine_types.values().flat_map(|r| &r.zones).collect();
+        let zones: BTreeSet<&Zone> = self
+            .machines
+            .types
+            .values()
+            .flat_map(|r| &r.zones)
+            .collect();
         let rank = |zone: &Zone| {
             let there = fleet
                 .bins
@@ -366,7 +371,7 @@
                     *fleet.zones.entry(kind.1.clone()).or_default() += 1;
                     new = choose(ask.n - given, &fleet.zones);
                     fleet.bins.push(Bin {
-                        room: self.capacity(&kind.0),
+                        room: self.machines.capacity(&kind.0),
                         idle: None,
                         empty: 1.0,
                         from_s: self.boot_s(&kind.0),
--- a/src/coordination/autoscaler/mod.rs
+++ b/src/coordination/autoscaler/mod.rs
@@ -11,8 +11,10 @@
 use crate::coordination::Scheduler;
 use crate::ids::{MachineId, MachineType, Zone};
 use crate::protocol::cloud::{CloudPhase, ListedMachine};
+use crate::protocol::users::JobSpec;
 use crate::time::{Instant, TimeSpan};
 use crate::transport::budget::Budget;
+use arrivals::ArrivalRate;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What can be rented: type, zone and whether spot.
@@ -42,6 +44,12 @@
     /// Zones taken to be cut off, until then.
     suspected: BTreeMap<Zone, Instant>,
     /// When the forecast was last made, and when it was last looked what to return.
+    /// Arrivals of each job class.
+    pub(crate) arrivals: BTreeMap<String, ArrivalRate>,
+    /// Machines kept ready, each for a job class.
+    pub(crate) warm_pool: BTreeMap<MachineId, String>,
+    /// Tasks of each class for which machines are missing in the warm pool.
+    pub(crate) warm_pool_missing: Vec<(JobSpec, u32)>,
     looked: Instant,
     swept: Instant,
     logged: Instant,
@@ -58,6 +66,9 @@
             spare: BTreeSet::new(),
             return_after: Instant(0),
             suspected: BTreeMap::new(),
+            arrivals: BTreeMap::new(),
+            warm_pool: BTreeMap::new(),
+            warm_pool_missing: Vec::new(),
             looked: Instant::LONG_AGO,
             swept: Instant::LONG_AGO,
             logged: Instant::LONG_AGO,
@@ -87,7 +98,8 @@
 
 impl Scheduler {
     pub(crate) fn boot_s(&self, machine_type: &MachineType) -> f64 {
-        self.machine_types
+        self.machines
+            .types
             .get(machine_type)
             .map_or(30.0, |r| r.boot_s)
     }
@@ -113,7 +125,7 @@
         verified: bool,
     ) {
         if !self.machines.contains_key(id) {
-            let whole = self.capacity(machine_type);
+            let whole = self.machines.capacity(machine_type);
             let mut m = Machine::new(
                 id.clone(),
                 machine_type.clone(),
@@ -122,7 +134,7 @@
                 whole,
                 since,
             );
-            m.last_response_at = self.term_began_at;
+            m.last_response_at = self.leadership.began_at;
             m.verified = false;
             m.push_not_before = now;
             self.machines.insert(id.clone(), m);
@@ -137,7 +149,7 @@
         if let Some(m) = self.machines.get_mut(id).filter(|m| !m.verified) {
             m.verified = true;
             m.page = Some(self.writer.machine_pages.enter(id));
-            self.placement_due = true;
+            self.placement.due = true;
         }
     }
 
@@ -145,18 +157,18 @@
     pub(crate) fn size_fleet(&mut self, now: Instant, unplaced: Vec<UnplacedTasks>) {
         self.repeat_hires(now);
         self.rent(now, &unplaced);
-        if now - self.fleet.swept >= SWEEP_EVERY {
-            self.fleet.swept = now;
+        if now - self.autoscaler.swept >= SWEEP_EVERY {
+            self.autoscaler.swept = now;
             self.return_machines(now);
         }
     }
 
     /// A line about what the machines are doing, every so often: where the money goes.
     pub(crate) fn log_state(&mut self, now: Instant) {
-        if now - self.fleet.logged < LOG_EVERY {
+        if now - self.autoscaler.logged < LOG_EVERY {
             return;
         }
-        self.fleet.logged = now;
+        self.autoscaler.logged = now;
         let (mut booting, mut up, mut idle, mut spot, mut drained) = (0, 0, 0, 0, 0);
         let mut gpus = [0.0; 4];
         for m in self.machines.values() {
@@ -168,7 +180,7 @@
             }
             up += 1;
             idle += u32::from(m.live_count == 0);
-            gpus[0] += self.capacity(&m.machine_type).gpus;
+            gpus[0] += self.machines.capacity(&m.machine_type).gpus;
             gpus[1] += m.free.gpus.max(0.0);
             for s in m.live_attempts() {
                 let runs = s.running_since.is_some();
@@ -176,8 +188,9 @@
             }
         }
         let waiting: usize = self
-            .indexes
-            .waiting
+            .jobs
+            .index
+            .pending
             .iter()
             .filter_map(|id| self.jobs.get(id))
             .map(|j| j.pending.len())
@@ -188,8 +201,8 @@
             idle,
             spot,
             drained,
-            warm_pool = self.warm_pool.len(),
-            scale_out_requests = self.fleet.scale_out_requests.len(),
+            warm_pool = self.autoscaler.warm_pool.len(),
+            scale_out_requests = self.autoscaler.scale_out_requests.len(),
             gpus = gpus[0],
             free = gpus[1],
             running = gpus[2],
@@ -214,7 +227,7 @@
         let lag = TimeSpan::from_secs(self.policy.facts.cloud.list_lag_s * 2.0 + 2.0);
         let listed: BTreeSet<MachineId> = listed_machines.iter().map(|h| h.id.clone()).collect();
         for h in listed_machines {
-            if self.gone.contains(&h.id) {
+            if self.machines.terminated.contains(&h.id) {
                 continue;
             }
             if !self.machines.contains_key(&h.id) {
@@ -235,7 +248,7 @@
             if listed.contains(&m.id) || m.state == MachineState::Returning {
                 continue;
             }
-            let known_long = now - m.since.max(self.term_began_at) > lag;
+            let known_long = now - m.since.max(self.leadership.began_at) > lag;
             let missing = *m.unlisted_since.get_or_insert(now);
             let quiet = m.last_message_at.is_none_or(|h| now - h > lag);
             if known_long && quiet && now - missing > lag {
@@ -244,6 +257,6 @@
                 m.draining_since = Some(m.draining_since.unwrap_or(now - DRAIN_PATIENCE));
             }
         }
-        self.placement_due = true;
+        self.placement.due = true;
     }
 }
--- a/src/coordination/autoscaler/scale_in.rs
+++ b/src/coordination/autoscaler/scale_in.rs
@@ -32,7 +32,7 @@
     /// the last of them may take.
     pub(crate) fn given_up(&mut self, now: Instant) -> BTreeSet<MachineId> {
         let silence = self.policy.silence();
-        if now - self.term_began_at <= silence {
+        if now - self.leadership.began_at <= silence {
             return BTreeSet::new();
         }
         let quiet = TimeSpan::from_secs(self.policy.facts.workers.report_s * 2.0);
@@ -49,14 +49,14 @@
         let share = self.policy.operator.give_up_share;
         for (zone, (up, lost)) in zones {
             if lost > (up * share).max(2.0) {
-                self.fleet.suspected.insert(zone, now + quiet);
+                self.autoscaler.suspected.insert(zone, now + quiet);
             }
         }
-        self.fleet.suspected.retain(|_, until| now < *until);
+        self.autoscaler.suspected.retain(|_, until| now < *until);
         self.machines
             .values()
             .filter(|m| m.silent(now, silence))
-            .filter(|m| !self.fleet.suspected.contains_key(&m.zone))
+            .filter(|m| !self.autoscaler.suspected.contains_key(&m.zone))
             .map(|m| m.id.clone())
             .collect()
     }
@@ -66,7 +66,7 @@
     /// Guards against idle machines that are kept for jobs submitted with a mistake: on the recorded day
     /// a974 some 120 of them stayed for 100 s after the last arrival, until two such jobs were cancelled.
     pub(crate) fn work_waits(&self) -> bool {
-        let waiting = self.indexes.waiting.iter();
+        let waiting = self.jobs.index.pending.iter();
         let mut jobs = waiting.filter_map(|id| self.jobs.get(id));
         jobs.any(|job| !job.fails_everywhere())
     }
@@ -83,7 +83,7 @@
             let dead_boot = m.state == MachineState::Booting
                 && age.secs() > self.boot_s(&m.machine_type) * DEAD_BOOTS + DEAD_PLUS_S;
             // Idle and spare: returned soon. Otherwise kept for as long as it may be of use.
-            let spare = self.fleet.spare.contains(&m.id);
+            let spare = self.autoscaler.spare.contains(&m.id);
             let keep_s = self.renewal_s(m)
                 * self.policy.operator.idle_boots
                 * match (spare, ebbed) {
@@ -92,7 +92,7 @@
                     (false, _) => WANTED,
                 };
             let idle = m.state == MachineState::Up
-                && !self.warm_pool.contains_key(&m.id)
+                && !self.autoscaler.warm_pool.contains_key(&m.id)
                 && m.idle_since.is_some_and(|t| (now - t).secs() > keep_s);
             let stuck = m.draining_since.is_some_and(|t| now - t > DRAIN_PATIENCE);
             if dead_boot
@@ -110,7 +110,10 @@
             .map(|m| m.id.clone())
             .collect();
         back.extend(again);
-        if back.is_empty() || now < self.fleet.return_after || !self.fleet.calls.take(now, 1.0) {
+        if back.is_empty()
+            || now < self.autoscaler.return_after
+            || !self.autoscaler.calls.take(now, 1.0)
+        {
             return;
         }
         let machine_ids: Vec<MachineId> = back.into_iter().take(MOST_PER_RETURN).collect();
@@ -118,11 +121,10 @@
             if let Some(m) = self.machines.get_mut(h) {
                 tracing::debug!(machine = %h, draining = m.draining, failed = m.listed_as_failed, last_message_at = ?m.last_message_at, "returning");
                 m.state = MachineState::Returning;
-                self.indexes.spacious.remove(h);
-                self.indexes.cpus_left.remove(h);
                 // Not asked again while the answer is awaited.
                 m.push_not_before = now + TimeSpan(10_000);
             }
+            self.machines.reindex(h);
         }
         self.effects.push(Effect::ScaleIn { machine_ids });
     }
@@ -131,22 +133,22 @@
         for h in machine_ids {
             // Proof 4: the cloud's 200 to returning the machine.
             self.empty_machine(now, h);
-            self.gone.insert(h.clone());
+            self.machines.terminated.insert(h.clone());
             if let Some(m) = self.machines.remove(h) {
                 if m.push_in_flight.is_some() {
-                    self.pushes_in_flight = self.pushes_in_flight.saturating_sub(1);
+                    self.outbox.pushes_in_flight = self.outbox.pushes_in_flight.saturating_sub(1);
                 }
                 if let Some(page) = m.page {
                     self.writer.machine_pages.leave(now, page, h);
                 }
             }
-            self.index_machine(h);
+            self.machines.reindex(h);
         }
-        self.placement_due = true;
+        self.placement.due = true;
     }
 
     pub(crate) fn return_failed(&mut self, now: Instant, machine_ids: &[MachineId]) {
-        self.fleet.return_after = now + TimeSpan(1_000);
+        self.autoscaler.return_after = now + TimeSpan(1_000);
         for h in machine_ids {
             if let Some(m) = self.machines.get_mut(h) {
                 m.push_not_before = now + TimeSpan(2_000);
--- a/src/coordination/autoscaler/scale_out.rs
+++ b/src/coordination/autoscaler/scale_out.rs
@@ -21,21 +21,21 @@
 
 impl Scheduler {
     pub(crate) fn repeat_hires(&mut self, now: Instant) {
-        self.fleet
+        self.autoscaler
             .scale_out_requests
             .retain(|_, h| now - h.asked < HIRE_GIVEN_UP);
         let due: Vec<String> = self
-            .fleet
+            .autoscaler
             .scale_out_requests
             .iter()
             .filter(|(_, h)| h.again_at.is_some_and(|t| t <= now))
             .map(|(n, _)| n.clone())
             .collect();
         for name in due {
-            if !self.fleet.calls.take(now, 1.0) {
+            if !self.autoscaler.calls.take(now, 1.0) {
                 return;
             }
-            if let Some(h) = self.fleet.scale_out_requests.get_mut(&name) {
+            if let Some(h) = self.autoscaler.scale_out_requests.get_mut(&name) {
                 h.again_at = None;
                 let (machine_type, zone, spot) = h.kind.clone();
                 self.effects.push(Effect::ScaleOut {
@@ -52,10 +52,10 @@
     /// Rents what makes waiting tasks start sooner, as the forecast says.
     pub(crate) fn rent(&mut self, now: Instant, unplaced: &[UnplacedTasks]) {
         let pause = LOOK_EVERY + TimeSpan(LOOK_A_MACHINE * self.machines.len() as i64);
-        if now - self.fleet.looked < pause || self.awaits_reports(now) {
+        if now - self.autoscaler.looked < pause || self.awaits_reports(now) {
             return;
         }
-        self.fleet.looked = now;
+        self.autoscaler.looked = now;
         let calls = (self.policy.facts.cloud.rps * CALLS * LOOK_S).max(1.0);
         let seen = self.look_ahead(now, unplaced, calls as usize * MOST_PER_HIRE as usize);
         tracing::debug!(
@@ -65,9 +65,9 @@
             spare = seen.spare.len(),
             "forecast"
         );
-        self.fleet.spare = seen.spare;
+        self.autoscaler.spare = seen.spare;
         for (kind, mut count) in seen.rent {
-            while count > 0 && self.fleet.calls.take(now, 1.0) {
+            while count > 0 && self.autoscaler.calls.take(now, 1.0) {
                 let part = count.min(MOST_PER_HIRE);
                 self.hire(now, kind.clone(), part);
                 count -= part;
@@ -81,7 +81,7 @@
     /// 180 machines on the recorded day a974. Until a machine has reported it can't be given work, and what
     /// ended on it while nobody led still seems to be there.
     pub(crate) fn awaits_reports(&self, now: Instant) -> bool {
-        if now - self.term_began_at > self.policy.first_reports() {
+        if now - self.leadership.began_at > self.policy.first_reports() {
             return false;
         }
         let up = self
@@ -96,11 +96,11 @@
 
     pub(crate) fn hire(&mut self, now: Instant, kind: Kind, count: u32) {
         // Unique for ever: tokens are, and so is the count within one.
-        self.fleet.hired += 1;
-        let name = format!("r-{}-{}", self.term.first, self.fleet.hired);
+        self.autoscaler.hired += 1;
+        let name = format!("r-{}-{}", self.leadership.term.first, self.autoscaler.hired);
         tracing::debug!(idempotency_key = %name, machine_type = %kind.0, zone = %kind.1, spot = kind.2, count, "renting");
         let (machine_type, zone, spot) = kind.clone();
-        self.fleet.scale_out_requests.insert(
+        self.autoscaler.scale_out_requests.insert(
             name.clone(),
             ScaleOutRequest {
                 kind,
@@ -138,15 +138,15 @@
     ) -> Option<Kind> {
         let request = Resources::of(spec);
         let mut best: Option<((f64, usize), Kind)> = None;
-        for machine_type in self.machine_types.values() {
-            let n = request.count_in(&self.capacity(&machine_type.name), left);
+        for machine_type in self.machines.types.values() {
+            let n = request.count_in(&self.machines.capacity(&machine_type.name), left);
             if n == 0 {
                 continue;
             }
             for zone in &machine_type.zones {
                 for spot in [true, false] {
                     let kind = (machine_type.name.clone(), zone.clone(), spot);
-                    let refused = self.fleet.refused.get(&kind);
+                    let refused = self.autoscaler.refused.get(&kind);
                     if !Self::kind_allowed(spec, &kind) || refused.is_some_and(|r| r.0 > now) {
                         continue;
                     }
@@ -169,11 +169,12 @@
     /// Whether a machine for the job is coming or may yet be rented.
     pub(crate) fn may_rent(&self, now: Instant, spec: &JobSpec) -> bool {
         let request = Resources::of(spec);
-        let serves =
-            |kind: &Kind| Self::kind_allowed(spec, kind) && request.fits(&self.capacity(&kind.0));
+        let serves = |kind: &Kind| {
+            Self::kind_allowed(spec, kind) && request.fits(&self.machines.capacity(&kind.0))
+        };
         self.choose_kind(now, spec, 1, &BTreeMap::new()).is_some()
             || self
-                .fleet
+                .autoscaler
                 .scale_out_requests
                 .values()
                 .any(|h| serves(&h.kind))
@@ -189,13 +190,13 @@
         idempotency_key: &str,
         machine_ids: Option<Vec<MachineId>>,
     ) {
-        let Some(h) = self.fleet.scale_out_requests.remove(idempotency_key) else {
+        let Some(h) = self.autoscaler.scale_out_requests.remove(idempotency_key) else {
             return;
         };
         let got = machine_ids.as_ref().map_or(0, Vec::len) as u32;
         if got < h.count {
             let wait = self
-                .fleet
+                .autoscaler
                 .refused
                 .get(&h.kind)
                 .map_or(REFUSED.0, |r| TimeSpan(r.1 .0 * 2).min(REFUSED.1));
@@ -205,23 +206,23 @@
                 asked = h.count,
                 "refused for want of capacity"
             );
-            self.fleet
+            self.autoscaler
                 .refused
                 .insert(h.kind.clone(), (now + wait, wait));
         } else {
-            self.fleet.refused.remove(&h.kind);
+            self.autoscaler.refused.remove(&h.kind);
         }
         let (machine_type, zone, spot) = h.kind;
         for id in machine_ids.into_iter().flatten() {
-            if !self.gone.contains(&id) {
+            if !self.machines.terminated.contains(&id) {
                 self.enter_machine(now, &id, &machine_type, &zone, spot, h.asked, true);
             }
         }
-        self.placement_due = true;
+        self.placement.due = true;
     }
 
     pub(crate) fn rent_unclear(&mut self, now: Instant, idempotency_key: &str) {
-        if let Some(h) = self.fleet.scale_out_requests.get_mut(idempotency_key) {
+        if let Some(h) = self.autoscaler.scale_out_requests.get_mut(idempotency_key) {
             h.again_at = Some(now + HIRE_AGAIN);
         }
     }
--- a/src/coordination/autoscaler/warm_pool.rs
+++ b/src/coordination/autoscaler/warm_pool.rs
@@ -13,7 +13,7 @@
     /// How many tasks of each class there should be room for at once, beyond what runs.
     pub(crate) fn warm_pool_wanted(&self, now: Instant) -> Vec<(JobSpec, u32)> {
         let mut wanted = Vec::new();
-        for (class, d) in &self.demand {
+        for (class, d) in &self.autoscaler.arrivals {
             let Some(within) = self.policy.started_within(class) else {
                 continue;
             };
@@ -22,14 +22,15 @@
             };
             let request = Resources::of(spec);
             let soonest = self
-                .machine_types
+                .machines
+                .types
                 .values()
                 .filter(|r| {
                     spec.machine_types
                         .as_ref()
                         .is_none_or(|a| a.contains(&r.name))
                 })
-                .filter(|r| request.fits(&self.capacity(&r.name)))
+                .filter(|r| request.fits(&self.machines.capacity(&r.name)))
                 .map(|r| r.boot_s + spec.image_gb / r.fetch_gb_per_s.max(0.01))
                 .fold(f64::INFINITY, f64::min);
             if !soonest.is_finite() || soonest <= within || !self.bulk(spec) {
@@ -40,7 +41,7 @@
                 continue;
             }
             let n = ((jobs + 0.5 * jobs.sqrt()) * d.tasks_per_job()).ceil() as u32;
-            let n = n.min(self.headroom(spec, self.team_of(spec), &self.used));
+            let n = n.min(self.headroom(spec, self.team_of(spec), &self.team_usage));
             if n > 0 {
                 wanted.push((spec.clone(), n));
             }
@@ -55,8 +56,9 @@
         for (spec, n) in self.warm_pool_wanted(now) {
             let request = Resources::of(&spec);
             let mut fit: Vec<(bool, &MachineId)> = self
-                .indexes
-                .spacious
+                .machines
+                .index
+                .with_room
                 .iter()
                 .filter_map(|h| self.machines.get(h))
                 .filter(|m| request.fits(&m.free) && Self::allows(&spec, m) && self.usable(m, now))
@@ -72,7 +74,7 @@
                 missing.push((spec, short));
             }
         }
-        self.warm_pool = warm_pool;
-        self.warm_pool_missing = missing;
+        self.autoscaler.warm_pool = warm_pool;
+        self.autoscaler.warm_pool_missing = missing;
     }
 }
--- a/src/coordination/jobs/aging.rs
+++ b/src/coordination/jobs/aging.rs
@@ -114,8 +114,9 @@
         let bound = self.late_after();
         let mut sums: BTreeMap<Group, (f64, f64)> = BTreeMap::new();
         for job in self
-            .indexes
-            .waiting
+            .jobs
+            .index
+            .pending
             .iter()
             .filter_map(|id| self.jobs.get(id))
         {
--- a/src/coordination/jobs/estimates.rs
+++ b/src/coordination/jobs/estimates.rs
@@ -6,6 +6,7 @@
 use crate::protocol::users::JobSpec;
 use crate::time::Instant;
 use serde::{Deserialize, Serialize};
+use std::collections::BTreeMap;
 
 /// Run times seen against those guessed, for one class.
 #[derive(Debug, Default, Clone, Copy, Serialize, Deserialize)]
@@ -18,6 +19,13 @@
     longer: Option<f64>,
 }
 
+/// What has been learnt of how long tasks run.
+#[derive(Debug, Default)]
+pub struct Estimates {
+    /// Observed against estimated run times, by job class.
+    pub(crate) observed: BTreeMap<String, Observed>,
+}
+
 /// So many tasks of a job must be done to say how long the others run; they differ by up to this.
 const ALIKE: u32 = 3;
 const SPREAD: f64 = 1.4;
@@ -55,7 +63,11 @@
         if job.spec.guess_s <= 0.0 {
             return;
         }
-        let o = self.observed.entry(job.spec.class.clone()).or_default();
+        let o = self
+            .estimates
+            .observed
+            .entry(job.spec.class.clone())
+            .or_default();
         if let Some(l) = longer {
             let before = o.longer.unwrap_or(l);
             o.longer = Some(before + (l - before) * 0.1);
@@ -70,6 +82,7 @@
     /// class once there is enough of it.
     pub(crate) fn estimate_s(&self, spec: &JobSpec) -> f64 {
         let factor = self
+            .estimates
             .observed
             .get(&spec.class)
             .filter(|o| o.count >= 5 && o.guessed_s > 0.0)
@@ -100,6 +113,7 @@
     /// How long the longest task of the job should run.
     pub(crate) fn longest_of(&self, job: &Job) -> f64 {
         let longer = self
+            .estimates
             .observed
             .get(&job.spec.class)
             .and_then(|o| o.longer)
@@ -122,7 +136,8 @@
     /// The largest part that a task takes of the machine type which it takes least of.
     pub(crate) fn part_of_machine(&self, spec: &JobSpec) -> f64 {
         let part = |request: f64, have: f64| if have > 0.0 { request / have } else { 0.0 };
-        self.machine_types
+        self.machines
+            .types
             .values()
             .filter(|r| {
                 spec.machine_types
--- a/src/coordination/jobs/job.rs
+++ b/src/coordination/jobs/job.rs
@@ -37,7 +37,7 @@
     pub placements: BTreeMap<u32, Vec<MachineId>>,
     /// Starts of it in the ledger, and how many were seen running and have not ended since: kept in
     /// step by `attempts.rs`.
-    pub listed: u32,
+    pub attempt_count: u32,
     pub running: u32,
     /// How long its tasks that are done ran, in all and at most, and how many that were.
     pub ran_s: f64,
@@ -78,7 +78,7 @@
             unpersisted: BTreeSet::new(),
             pending: (0..n).collect(),
             placements: BTreeMap::new(),
-            listed: 0,
+            attempt_count: 0,
             running: 0,
             ran_s: 0.0,
             ran_most_s: 0.0,
--- a/src/coordination/jobs/lifecycle.rs
+++ b/src/coordination/jobs/lifecycle.rs
@@ -72,10 +72,10 @@
                 job.dependency_pages = record.dependency_pages;
                 let traits = self.traits_of(&job, &record.after);
                 self.jobs.insert(id.clone(), job);
-                self.index_job(&id);
-                self.graph.add(&id, &record.after, traits);
+                self.jobs.reindex(&id);
+                self.jobs.graph.add(&id, &record.after, traits);
                 self.apply_graph_changes(now);
-                self.placement_due = true;
+                self.placement.due = true;
             }
         }
     }
@@ -108,9 +108,9 @@
             return;
         }
         match closure {
-            Closure::Finished => self.graph.finished(id, now),
-            Closure::Cancelled => self.graph.cancelled(id),
-            Closure::Unknown => self.graph.closed(id),
+            Closure::Finished => self.jobs.graph.finished(id, now),
+            Closure::Cancelled => self.jobs.graph.cancelled(id),
+            Closure::Unknown => self.jobs.graph.closed(id),
         }
         self.apply_graph_changes(now);
         self.end_job(now, id);
@@ -127,13 +127,13 @@
         job.closed = true;
         job.pending.clear();
         self.writer.orphan_edges(id, job.dependency_pages);
-        self.placement_due = true;
+        self.placement.due = true;
         let machine_ids: BTreeSet<MachineId> = job.placements.values().flatten().cloned().collect();
         for h in machine_ids {
             self.drop_untouched(now, &h, id);
-            self.machines_to_review.insert(h);
+            self.outbox.machines_to_review.insert(h);
         }
-        self.index_job(id);
+        self.jobs.reindex(id);
     }
 
     /// Carries over to the jobs what the graph says.
@@ -141,14 +141,14 @@
         let Changes {
             released,
             cancelled,
-        } = self.graph.take_changes();
+        } = self.jobs.graph.take_changes();
         for release in released {
             self.release(now, release);
         }
         for id in cancelled {
             if let Some(job) = self.jobs.get_mut(&id) {
                 job.ancestor_cancelled = true;
-                self.index_job(&id);
+                self.jobs.reindex(&id);
             }
         }
     }
@@ -168,19 +168,20 @@
         let (spec, ready) = (job.spec.clone(), job.ready);
         self.note_arrival(&spec, ready);
         self.note_size(&spec.class, spec.tasks);
-        self.index_job(&release.id);
-        self.placement_due = true;
+        self.jobs.reindex(&release.id);
+        self.placement.due = true;
     }
 
     /// Asks for the finish marks of producers of which nothing is known here.
     pub(crate) fn read_terminal_records(&mut self, now: Instant) {
-        let reads = &mut self.terminal_record_reads;
+        let reads = &mut self.jobs.terminal_record_reads;
         let under_way = reads.asked.is_some_and(|t| now - t < READ_TIMEOUT);
         if under_way || now < reads.not_before {
             return;
         }
         let last = reads.last.as_ref();
         let ids = self
+            .jobs
             .graph
             .unknown_after(last, MAX_TERMINAL_RECORDS_PER_READ);
         if ids.is_empty() {
@@ -197,20 +198,22 @@
         now: Instant,
         terminal_records: Vec<(JobId, Option<TerminalRecord>)>,
     ) {
-        self.terminal_record_reads.asked = None;
+        self.jobs.terminal_record_reads.asked = None;
         for (id, terminal_record) in terminal_records {
             match terminal_record {
                 Some(terminal_record) if terminal_record.phase == JobPhase::Done => {
-                    let at = terminal_record
-                        .at_ms
-                        .map(|ms| Instant(ms as i64) - TimeSpan(self.day_ms as i64));
-                    self.graph.finished(&id, at.map_or(now, |at| at.min(now)));
+                    let at = terminal_record.at_ms.map(|ms| {
+                        Instant(ms as i64) - TimeSpan(self.leadership.wall_clock_at_zero_ms as i64)
+                    });
+                    self.jobs
+                        .graph
+                        .finished(&id, at.map_or(now, |at| at.min(now)));
                 }
                 Some(terminal_record) if terminal_record.phase == JobPhase::Cancelled => {
-                    self.graph.cancelled(&id)
+                    self.jobs.graph.cancelled(&id)
                 }
                 // Still open as far as the service goes: its record comes with the next changes.
-                _ => self.terminal_record_reads.not_before = now + MISSING_RECORD_RETRY_DELAY,
+                _ => self.jobs.terminal_record_reads.not_before = now + MISSING_RECORD_RETRY_DELAY,
             }
         }
         self.apply_graph_changes(now);
--- a/src/coordination/jobs/mod.rs
+++ b/src/coordination/jobs/mod.rs
@@ -7,3 +7,4 @@
 pub mod job;
 pub mod lifecycle;
 pub mod pending;
+pub mod table;
--- a/src/coordination/jobs/pending.rs
+++ b/src/coordination/jobs/pending.rs
@@ -38,8 +38,8 @@
     /// The jobs that wait, by what they wait for.
     pub fn pending_jobs(&self, now: Instant) -> BTreeMap<PendingReason, PendingJobs> {
         let mut by_reason: BTreeMap<PendingReason, PendingJobs> = BTreeMap::new();
-        let waiting = self.indexes.waiting.iter();
-        let waiting = waiting.chain(&self.indexes.unreleased);
+        let waiting = self.jobs.index.pending.iter();
+        let waiting = waiting.chain(&self.jobs.index.blocked);
         for (id, job) in waiting.filter_map(|id| Some((id, self.jobs.get(id)?))) {
             let reason = self.pending_reason(now, job);
             let entry = by_reason.entry(reason).or_insert_with(|| PendingJobs {
@@ -70,7 +70,7 @@
             return PendingReason::LastAttempt;
         }
         let needed = if gang { job.pending.len() as u32 } else { 1 };
-        if self.headroom(&job.spec, job.team, &self.used) < needed {
+        if self.headroom(&job.spec, job.team, &self.team_usage) < needed {
             return PendingReason::TeamLimit;
         }
         PendingReason::Room
--- a/src/coordination/leadership/recovery.rs
+++ b/src/coordination/leadership/recovery.rs
@@ -2,14 +2,17 @@
 //! and machines. Whatever has an intent counts as running until proven otherwise; what has none
 //! was never launched and may start at once.
 
-use crate::coordination::attempts::ledger::Indexes;
+use crate::coordination::attempts::Outbox;
 use crate::coordination::autoscaler::Autoscaler;
 use crate::coordination::jobs::aging::Aging;
-use crate::coordination::jobs::graph::Graph;
-use crate::coordination::jobs::lifecycle::TerminalRecordReads;
+use crate::coordination::jobs::estimates::Estimates;
+use crate::coordination::jobs::table::JobTable;
 use crate::coordination::leadership::authority::LeadershipTerm;
+use crate::coordination::leadership::Leadership;
 use crate::coordination::machines::machine::{Machine, MachineState};
+use crate::coordination::machines::table::MachineTable;
 use crate::coordination::persistence::Writer;
+use crate::coordination::placement::PlacementState;
 use crate::coordination::{Policy, Scheduler};
 use crate::ids::{KeyRevision, MachineId};
 use crate::protocol::cloud::MachineTypeInfo;
@@ -21,7 +24,7 @@
     MACHINE_PAGE_PREFIX,
 };
 use crate::time::{Instant, TimeSpan};
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeSet;
 use std::sync::Arc;
 
 /// What a new leader has read, all of it after its own leader key was written.
@@ -64,48 +67,22 @@
         let state = &policy.facts.state;
         let teams = policy.facts.teams.len();
         let mut core = Scheduler {
-            fleet: Autoscaler::new(policy.facts.cloud.rps),
+            leadership: Leadership::new(term, now, found.day_ms),
+            jobs: JobTable::new(teams),
+            machines: MachineTable::default(),
+            team_usage: vec![Resources::default(); teams],
+            outbox: Outbox::default(),
+            placement: PlacementState::new(policy.facts.quota.cores),
+            autoscaler: Autoscaler::new(policy.facts.cloud.rps),
+            estimates: Estimates::default(),
+            aging: Aging::default(),
             writer: Writer::new(state, now),
             policy: policy.clone(),
-            term,
-            day_ms: found.day_ms,
-            term_began_at: now,
-            machine_types: BTreeMap::new(),
-            jobs: BTreeMap::new(),
-            graph: Graph::default(),
-            terminal_record_reads: TerminalRecordReads::default(),
-            machines: BTreeMap::new(),
-            used: vec![Resources::default(); teams],
-            indexes: Indexes {
-                by_team: vec![BTreeSet::new(); teams],
-                ..Indexes::default()
-            },
-            aging: Aging::default(),
-            gone: BTreeSet::new(),
             effects: Vec::new(),
-            next_seq: 0,
-            next_attempt: 0,
-            placement_due: true,
-            last_recheck: now,
-            placement_budget: Scheduler::placement_budget(policy.facts.quota.cores),
-            last_pass: Instant::LONG_AGO,
-            last_preempt: Instant::LONG_AGO,
-            reviewed: 0,
-            machines_to_review: BTreeSet::new(),
-            gangs_to_check: BTreeSet::new(),
-            pushes_due: BTreeSet::new(),
-            pushes_in_flight: 0,
-            observed: BTreeMap::new(),
-            demand: BTreeMap::new(),
-            warm_pool: BTreeMap::new(),
-            warm_pool_missing: Vec::new(),
-            gpus_by_cached_image: BTreeMap::new(),
+            last_seq: 0,
+            last_recheck_at: now,
         };
-        core.machine_types = found
-            .machine_types
-            .into_iter()
-            .map(|r| (r.name.clone(), r))
-            .collect();
+        core.machines.set_types(found.machine_types);
         for (record, revision, submitted) in found.open {
             core.job_opened(now, record, revision, submitted);
         }
@@ -123,7 +100,7 @@
             core.load_intents(now, item)?;
         }
         for id in core.machines.keys().cloned().collect::<Vec<_>>() {
-            core.index_machine(&id);
+            core.machines.reindex(&id);
             if let Some(m) = core.machines.get_mut(&id).filter(|m| m.live_count == 0) {
                 m.idle_since = Some(now);
             }
@@ -147,7 +124,7 @@
             let done = &job.done;
             job.pending.retain(|i| !done.has(*i));
             job.has_run |= done.count() > 0;
-            self.index_job(&id);
+            self.jobs.reindex(&id);
         }
         self.writer.progress.insert((id, chunk), item.revision);
     }
@@ -155,7 +132,8 @@
     /// A time of day on record, in seconds since 1970, on this process's steady clock. Only hints rest on
     /// it: the time of day may be off.
     fn on_steady_clock(&self, time_of_day_s: u64) -> Instant {
-        Instant((time_of_day_s as i64).saturating_mul(1000)) - TimeSpan(self.day_ms as i64)
+        Instant((time_of_day_s as i64).saturating_mul(1000))
+            - TimeSpan(self.leadership.wall_clock_at_zero_ms as i64)
     }
 
     /// Small pages first: a machine that a former leader was moving from a page that had grown too large
@@ -184,7 +162,7 @@
         };
         let record: MachinePage = read(item)?;
         let all = record.machines.len();
-        let new = |id: &&MachineId| !self.machines.contains_key(*id);
+        let new = |id: &&MachineId| !self.machines.contains_key(id);
         let machine_ids: BTreeSet<MachineId> =
             record.machines.keys().filter(new).cloned().collect();
         let twice = machine_ids.len() < all;
@@ -213,7 +191,7 @@
                 machine_type.clone(),
                 zone,
                 spot,
-                self.capacity(&machine_type),
+                self.machines.capacity(&machine_type),
                 since,
             );
             m.last_response_at = now;
--- a/src/coordination/machines/images.rs
+++ b/src/coordination/machines/images.rs
@@ -36,6 +36,7 @@
         }
         let fetch_s = self.shortest_fetch_s(spec);
         let slots = self
+            .machines
             .gpus_by_cached_image
             .get(&spec.image)
             .copied()
@@ -61,7 +62,8 @@
 
     /// Seconds that the image takes to fetch on the type of machine that is quickest at it.
     pub(crate) fn shortest_fetch_s(&self, spec: &JobSpec) -> f64 {
-        self.machine_types
+        self.machines
+            .types
             .keys()
             .filter(|r| spec.machine_types.as_ref().is_none_or(|a| a.contains(r)))
             .map(|r| self.fetch_s(r, spec.image_gb))
@@ -75,7 +77,7 @@
             if m.state != MachineState::Up || m.draining || m.reclaim_at.is_some() {
                 continue;
             }
-            let gpus = self.capacity(&m.machine_type).gpus;
+            let gpus = self.machines.capacity(&m.machine_type).gpus;
             for (image, _) in &m.images {
                 match room.get_mut(image) {
                     Some(r) => *r += gpus,
@@ -83,7 +85,7 @@
                 }
             }
         }
-        self.gpus_by_cached_image = room;
+        self.machines.gpus_by_cached_image = room;
     }
 
     /// Seconds until the image would be there: none if cached, the rest if being fetched.
@@ -115,7 +117,8 @@
     /// Seconds that a machine of the type takes to fetch so much.
     pub(crate) fn fetch_s(&self, machine_type: &MachineType, gb: f64) -> f64 {
         let rate = self
-            .machine_types
+            .machines
+            .types
             .get(machine_type)
             .map_or(0.0, |r| r.fetch_gb_per_s);
         if rate > 0.0 {
--- a/src/coordination/machines/machine.rs
+++ b/src/coordination/machines/machine.rs
@@ -145,7 +145,16 @@
         }
     }
 
-    /// Starts that have not ended.
+    /// What is free of `whole` beside the attempts that have not ended.
+    pub fn free_of(&self, whole: Resources) -> Resources {
+        let mut free = whole;
+        for attempt in self.live_attempts() {
+            free.sub(&attempt.request);
+        }
+        free
+    }
+
+    /// Attempts that have not ended.
     pub fn live_attempts(&self) -> impl Iterator<Item = &TaskAttempt> {
         self.attempts.values().filter(|s| !s.ended())
     }
--- a/src/coordination/machines/mod.rs
+++ b/src/coordination/machines/mod.rs
@@ -2,3 +2,4 @@
 
 pub mod images;
 pub mod machine;
+pub mod table;
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -17,75 +17,43 @@
 pub use event::Event;
 pub use policy::Policy;
 
-use crate::ids::{AttemptId, FencingToken, Image, JobId, KeyRevision, MachineId, MachineType};
-use crate::protocol::cloud::MachineTypeInfo;
-use crate::protocol::users::JobSpec;
+use crate::ids::{AttemptId, FencingToken, JobId, KeyRevision};
 use crate::resources::Resources;
 use crate::storage::records::OpenJobRecord;
 use crate::time::{Instant, TimeSpan};
-use crate::transport::budget::Budget;
-use attempts::ledger::Indexes;
-use autoscaler::{arrivals, Autoscaler};
+use attempts::Outbox;
+use autoscaler::Autoscaler;
 use jobs::aging::Aging;
-use jobs::estimates;
-use jobs::graph::Graph;
-use jobs::job::Job;
-use jobs::lifecycle::{Closure, TerminalRecordReads};
-use leadership::authority::LeadershipTerm;
+use jobs::estimates::Estimates;
+use jobs::lifecycle::Closure;
+use jobs::table::JobTable;
+use leadership::Leadership;
 use machines::machine::{Machine, MachineState};
+use machines::table::MachineTable;
 use persistence::Writer;
-use std::collections::{BTreeMap, BTreeSet};
+use placement::PlacementState;
+use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// The state of one leadership.
+/// The state of one leadership: what each part owns, and what no part owns.
 pub struct Scheduler {
     pub(crate) policy: Arc<Policy>,
-    pub(crate) term: LeadershipTerm,
-    /// The time of day at the steady clock's zero: for hints about ages in records.
-    pub(crate) day_ms: u64,
-    /// When this leadership began: no former leader has answered a worker since.
-    pub(crate) term_began_at: Instant,
-    pub(crate) machine_types: BTreeMap<MachineType, MachineTypeInfo>,
-    pub(crate) jobs: BTreeMap<JobId, Job>,
-    pub(crate) graph: Graph,
-    /// The reading of finish marks of producers that are not held here.
-    pub(crate) terminal_record_reads: TerminalRecordReads,
-    pub(crate) machines: BTreeMap<MachineId, Machine>,
-    /// What each team uses, and what is looked up often: kept in step by `attempts.rs`.
-    pub(crate) used: Vec<Resources>,
-    pub(crate) indexes: Indexes,
-    /// Names that the cloud confirmed gone: late reports of theirs mean nothing.
-    pub(crate) gone: BTreeSet<MachineId>,
-    pub(crate) fleet: Autoscaler,
+    pub(crate) leadership: Leadership,
+    pub(crate) jobs: JobTable,
+    pub(crate) machines: MachineTable,
+    /// What each team uses: everything that may be on a machine. Kept in step by `attempts/ledger.rs`.
+    pub(crate) team_usage: Vec<Resources>,
+    pub(crate) outbox: Outbox,
+    pub(crate) placement: PlacementState,
+    pub(crate) autoscaler: Autoscaler,
+    pub(crate) estimates: Estimates,
     pub(crate) aging: Aging,
     pub(crate) writer: Writer,
+    /// What the present step asks the runtime to do.
     pub(crate) effects: Vec<Effect>,
-    pub(crate) next_seq: u64,
-    pub(crate) next_attempt: u64,
-    /// Something changed that placement should look at.
-    pub(crate) placement_due: bool,
-    pub(crate) last_recheck: Instant,
-    /// Tasks that may be placed: the processor must keep up with what comes of them.
-    pub(crate) placement_budget: Budget,
-    /// When placement last looked, and how far the spread-out review of machines has come.
-    pub(crate) last_pass: Instant,
-    pub(crate) last_preempt: Instant,
-    pub(crate) reviewed: u64,
-    /// Machines whose starts are to be looked at, gangs that may be broken, machines that may have
-    /// something to be told directly, and how many direct commands are awaited.
-    pub(crate) machines_to_review: BTreeSet<MachineId>,
-    pub(crate) gangs_to_check: BTreeSet<JobId>,
-    pub(crate) pushes_due: BTreeSet<MachineId>,
-    pub(crate) pushes_in_flight: usize,
-    /// Observed against guessed run times, per class: an estimate for slack and for renting.
-    pub(crate) observed: BTreeMap<String, estimates::Observed>,
-    /// Arrivals of classes that want to start soon, the machines that stand by for them, and how
-    /// many are missing.
-    pub(crate) demand: BTreeMap<String, arrivals::ArrivalRate>,
-    pub(crate) warm_pool: BTreeMap<MachineId, String>,
-    pub(crate) warm_pool_missing: Vec<(JobSpec, u32)>,
-    /// GPUs of machines that have each image cached.
-    pub(crate) gpus_by_cached_image: BTreeMap<Image, f64>,
+    /// The last number given to a request of the scheduler.
+    pub(crate) last_seq: u64,
+    pub(crate) last_recheck_at: Instant,
 }
 
 /// How many starts the ledger lists, for the log.
@@ -102,12 +70,12 @@
 impl Scheduler {
     /// The leader's token.
     pub fn token(&self) -> FencingToken {
-        self.term.token
+        self.leadership.term.token
     }
 
     /// The token that this leadership began with.
     pub fn first_token(&self) -> FencingToken {
-        self.term.first
+        self.leadership.term.first
     }
 
     /// Machines whose workers should be reporting.
@@ -128,25 +96,13 @@
     }
 
     pub(crate) fn seq(&mut self) -> u64 {
-        self.next_seq += 1;
-        self.next_seq
+        self.last_seq += 1;
+        self.last_seq
     }
 
-    /// An attempt never used before: tokens are unique for ever, and so is the count within one.
+    /// An attempt id never used before.
     pub fn fresh_attempt(&mut self) -> AttemptId {
-        self.next_attempt += 1;
-        AttemptId((self.term.first.0 << ATTEMPT_BITS) | (self.next_attempt & ATTEMPT_MASK))
-    }
-
-    /// What one machine of the type offers.
-    pub(crate) fn capacity(&self, machine_type: &MachineType) -> Resources {
-        self.machine_types
-            .get(machine_type)
-            .map_or(Resources::default(), |r| Resources {
-                cpus: r.cpus,
-                gpus: r.gpus,
-                ram_gb: r.ram_gb,
-            })
+        self.leadership.next_attempt_id()
     }
 
     /// Takes in an event.
@@ -174,12 +130,8 @@
                 sent,
             } => self.push_failed(now, &machine_id, seq, sent),
             Event::MachineTypes(machine_types) => {
-                self.machine_types = machine_types
-                    .into_iter()
-                    .map(|r| (r.name.clone(), r))
-                    .collect();
-                self.recount_room();
-                self.placement_due = true;
+                self.machines.set_types(machine_types);
+                self.placement.due = true;
             }
             Event::MachinesListed { asked, machines } => self.machines_listed(now, asked, machines),
             Event::ScaleOutAnswered {
@@ -203,23 +155,23 @@
 
     /// Decides: called soon after events, and at least once a second.
     pub fn step(&mut self, now: Instant) -> Vec<Effect> {
-        if (now - self.last_recheck).0 >= 1000 {
-            self.last_recheck = now;
-            self.graph.recheck();
+        if (now - self.last_recheck_at).0 >= 1000 {
+            self.last_recheck_at = now;
+            self.jobs.graph.recheck();
             self.apply_graph_changes(now);
             self.recheck_machines(now);
             self.recheck_aging(now);
             self.recheck_images();
             self.forget_closed_jobs();
             self.log_state(now);
-            self.placement_due = true;
+            self.placement.due = true;
         }
         self.read_terminal_records(now);
         self.stop_unwanted(now);
-        if self.placement_due && now - self.last_pass >= PASS_EVERY {
-            self.last_pass = now;
-            self.placement_due = false;
-            self.graph.refresh();
+        if self.placement.due && now - self.placement.last_pass_at >= PASS_EVERY {
+            self.placement.last_pass_at = now;
+            self.placement.due = false;
+            self.jobs.graph.refresh();
             self.choose_warm_pool(now);
             let unplaced = self.place(now);
             self.preempt(now, &unplaced);
@@ -265,24 +217,18 @@
     /// Jobs that are over and have nothing left anywhere need not be remembered.
     fn forget_closed_jobs(&mut self) {
         let idle: Vec<JobId> = self
-            .indexes
-            .finished
+            .jobs
+            .index
+            .forgettable
             .iter()
             .filter(|id| !self.writer.mentions(id))
             .cloned()
             .collect();
         for id in idle {
-            self.jobs.remove(&id);
-            self.index_job(&id);
-            self.graph.forget(&id);
+            self.jobs.forget(&id);
         }
     }
 }
 
-/// Bits of an attempt's number that count within one leadership. Guards against numbers that come again:
-/// with 20 bits they did after eleven hours of passes without a change of leaders; this takes five years.
-const ATTEMPT_BITS: u32 = 32;
-const ATTEMPT_MASK: u64 = (1 << ATTEMPT_BITS) - 1;
-
 /// Placement looks at most this often: what happens in between is decided together.
 const PASS_EVERY: TimeSpan = TimeSpan(40);
--- a/src/coordination/persistence/ends.rs
+++ b/src/coordination/persistence/ends.rs
@@ -11,8 +11,8 @@
 
 impl Scheduler {
     pub(crate) fn draft_finishes(&self, now: Instant, draft: &mut Draft) {
-        for (id, job) in self.jobs_in(&self.indexes.complete) {
-            if !self.graph.has_consumers(id) && !self.draft_finish(now, id, job, draft) {
+        for (id, job) in self.jobs_in(&self.jobs.index.complete) {
+            if !self.jobs.graph.has_consumers(id) && !self.draft_finish(now, id, job, draft) {
                 return;
             }
         }
@@ -22,11 +22,11 @@
     /// hold up launches.
     pub(crate) fn draft_finishes_of_producers(&self, now: Instant, draft: &mut Draft) {
         let most = (draft.most_ops / 2).max(FINISH_OPS);
-        for (id, job) in self.jobs_in(&self.indexes.complete) {
+        for (id, job) in self.jobs_in(&self.jobs.index.complete) {
             if draft.changes.len() + FINISH_OPS > most {
                 return;
             }
-            if self.graph.has_consumers(id) && !self.draft_finish(now, id, job, draft) {
+            if self.jobs.graph.has_consumers(id) && !self.draft_finish(now, id, job, draft) {
                 return;
             }
         }
@@ -42,10 +42,11 @@
         let terminal_record = TerminalRecord {
             phase: JobPhase::Done,
             tasks: job.spec.tasks,
-            at_ms: self
-                .graph
-                .has_consumers(id)
-                .then(|| self.day_ms.saturating_add_signed(now.0)),
+            at_ms: self.jobs.graph.has_consumers(id).then(|| {
+                self.leadership
+                    .wall_clock_at_zero_ms
+                    .saturating_add_signed(now.0)
+            }),
         };
         draft.close(
             id,
@@ -57,7 +58,7 @@
 
     /// Jobs that need a cancelled one, directly or through others.
     pub(crate) fn draft_cancellations(&self, draft: &mut Draft) {
-        for (id, job) in self.jobs_in(&self.indexes.ancestor_cancelled) {
+        for (id, job) in self.jobs_in(&self.jobs.index.ancestor_cancelled) {
             let terminal_record = TerminalRecord::cancelled(job.spec.tasks);
             if !draft.close(
                 id,
--- a/src/coordination/persistence/mod.rs
+++ b/src/coordination/persistence/mod.rs
@@ -194,7 +194,10 @@
             return;
         }
         let mut draft = Draft {
-            preconditions: BTreeMap::from([(LEADER_KEY.to_string(), self.term.revision)]),
+            preconditions: BTreeMap::from([(
+                LEADER_KEY.to_string(),
+                self.leadership.term.revision,
+            )]),
             changes: Vec::new(),
             works: Vec::new(),
             most_ops: self.writer.limits.ops,
@@ -246,7 +249,8 @@
             return;
         }
         let tombs = |m: &Machine| m.attempts.len() - m.live_count as usize;
-        let blocked = |s: &TaskAttempt| s.ended() && s.launched_with == Some(self.term.token);
+        let blocked =
+            |s: &TaskAttempt| s.ended() && s.launched_with == Some(self.leadership.term.token);
         let lost = |m: &Machine| {
             m.attempts
                 .values()
@@ -261,9 +265,9 @@
         if !soon && !due {
             return;
         }
-        let token = FencingToken(self.term.token.0 + 1);
+        let token = FencingToken(self.leadership.term.token.0 + 1);
         let record = LeaderRecord {
-            host_name: self.term.host_name.clone(),
+            host_name: self.leadership.term.host_name.clone(),
             token,
         };
         let Ok(data) = serde_json::to_value(&record) else {
@@ -273,11 +277,14 @@
             Change::Put {
                 put: LEADER_KEY.into(),
                 data,
-                lease: Some(self.term.lease),
+                lease: Some(self.leadership.term.lease),
             },
             Change::put(FENCING_TOKEN_KEY.into(), token.0.into()),
         ];
-        let preconditions = vec![(FENCING_TOKEN_KEY.to_string(), self.term.token_stamp)];
+        let preconditions = vec![(
+            FENCING_TOKEN_KEY.to_string(),
+            self.leadership.term.token_stamp,
+        )];
         draft.add(preconditions, changes, Work::Raise { token });
     }
 
@@ -293,7 +300,7 @@
             return;
         }
         // Most unsaved first: it is they whose tombstones fill reports.
-        let mut jobs: Vec<(&JobId, &Job)> = self.jobs_in(&self.indexes.unpersisted).collect();
+        let mut jobs: Vec<(&JobId, &Job)> = self.jobs_in(&self.jobs.index.unpersisted).collect();
         jobs.sort_by_key(|(id, j)| (Reverse(j.unpersisted.len()), *id));
         for (id, job) in jobs {
             if job.is_complete() {
--- a/src/coordination/persistence/outcomes.rs
+++ b/src/coordination/persistence/outcomes.rs
@@ -41,9 +41,9 @@
                 }
                 Work::Raise { token } => {
                     tracing::debug!(token = %token, "our token is raised");
-                    self.term.token = token;
-                    self.term.revision = revision;
-                    self.term.token_stamp = revision;
+                    self.leadership.term.token = token;
+                    self.leadership.term.revision = revision;
+                    self.leadership.term.token_stamp = revision;
                     self.writer.raised_at = now;
                 }
                 Work::Progress { job, chunk, tasks } => {
@@ -54,7 +54,7 @@
                         if j.closed {
                             self.collect_orphaned_progress(&job);
                         }
-                        self.index_job(&job);
+                        self.jobs.reindex(&job);
                     }
                 }
                 Work::Finish { job } => {
@@ -107,7 +107,7 @@
             }
         }
         self.writer.intents.written(now, page, revision, live, gone);
-        self.pushes_due.extend(machine_ids);
+        self.outbox.pushes_due.extend(machine_ids);
     }
 
     /// Progress records of a job that is over are swept when there is time.
@@ -202,7 +202,7 @@
             if key == LEADER_KEY {
                 self.lead_reread(now, item);
             } else if key == FENCING_TOKEN_KEY {
-                self.term.token_stamp = revision;
+                self.leadership.term.token_stamp = revision;
             } else if key == HINTS_KEY {
                 self.writer.hints = revision;
             } else if let Some(id) = key.strip_prefix(OPEN_JOB_PREFIX) {
@@ -225,7 +225,7 @@
                 }
             }
         }
-        self.placement_due = true;
+        self.placement.due = true;
     }
 
     pub(crate) fn open_reread(&mut self, now: Instant, id: &str, revision: KeyRevision) {
@@ -242,18 +242,19 @@
     /// without learning of it.
     pub(crate) fn lead_reread(&mut self, now: Instant, item: Option<KeyValue>) {
         let ours = item
-            .filter(|i| i.lease == Some(self.term.lease))
+            .filter(|i| i.lease == Some(self.leadership.term.lease))
             .and_then(|i| {
                 let record: LeaderRecord = serde_json::from_value(i.data).ok()?;
-                (record.host_name == self.term.host_name).then_some((record.token, i.revision))
+                (record.host_name == self.leadership.term.host_name)
+                    .then_some((record.token, i.revision))
             });
         match ours {
             Some((token, revision)) => {
-                if token > self.term.token {
-                    self.term.token = token;
+                if token > self.leadership.term.token {
+                    self.leadership.term.token = token;
                     self.writer.raised_at = now;
                 }
-                self.term.revision = revision;
+                self.leadership.term.revision = revision;
             }
             None => self.effects.push(Effect::StepDown {
                 why: "the leader key is no longer ours",
--- a/src/coordination/placement/candidates.rs
+++ b/src/coordination/placement/candidates.rs
@@ -81,7 +81,7 @@
             return Vec::new();
         };
         let request = Resources::of(spec);
-        let latency = self.graph.label(id) == Label::Latency;
+        let latency = self.jobs.graph.label(id) == Label::Latency;
         let avoid = job.failed_on.len() <= AVOID;
         let aged = self.aged(job, now);
         let mut zones = if spec.scatter {
@@ -92,6 +92,7 @@
         let most_in_zone = spec.tasks.div_ceil(2);
         // Machines that may take it, with what does not change as tasks are added.
         let mut heap: BinaryHeap<Candidate> = self
+            .machines
             .with_room_for(spec)
             .filter(|m| request.fits(&m.free) && m.attempts.len() < MAX_LISTED)
             .filter(|m| Self::allows(spec, m) && zone.is_none_or(|z| *z == m.zone))
@@ -103,7 +104,13 @@
                     .as_ref()
                     .is_none_or(|(j, t)| j == id || now >= *t)
             })
-            .filter(|m| aged || self.warm_pool.get(&m.id).is_none_or(|c| *c == spec.class))
+            .filter(|m| {
+                aged || self
+                    .autoscaler
+                    .warm_pool
+                    .get(&m.id)
+                    .is_none_or(|c| *c == spec.class)
+            })
             .map(|m| {
                 Candidate {
                     cost: 0.0,
@@ -111,7 +118,7 @@
                     room: m.free,
                     machine_id: m.id.clone(),
                     zone: m.zone.clone(),
-                    whole: self.capacity(&m.machine_type),
+                    whole: self.machines.capacity(&m.machine_type),
                     listed: m.attempts.len(),
                 }
                 .price()
--- a/src/coordination/placement/mod.rs
+++ b/src/coordination/placement/mod.rs
@@ -21,6 +21,38 @@
 use crate::transport::budget::Budget;
 use std::collections::{BTreeMap, BTreeSet};
 
+/// When placement and preemption last ran, and what holds them back.
+#[derive(Debug)]
+pub struct PlacementState {
+    /// Something changed that placement should look at.
+    pub(crate) due: bool,
+    /// Tasks that may be placed: the processor must keep up with what comes of them.
+    pub(crate) budget: Budget,
+    /// When the last pass began.
+    pub(crate) last_pass_at: Instant,
+    /// When ways to make room were last looked for.
+    pub(crate) last_preemption_at: Instant,
+}
+
+impl PlacementState {
+    /// For a process with so many cores.
+    pub fn new(cores: f64) -> PlacementState {
+        PlacementState {
+            due: true,
+            budget: placement_budget(cores),
+            last_pass_at: Instant::LONG_AGO,
+            last_preemption_at: Instant::LONG_AGO,
+        }
+    }
+}
+
+/// The rate at which a process with so many cores can place tasks and keep up with what comes of them.
+fn placement_budget(cores: f64) -> Budget {
+    let per_s = (cores * PLACED_PER_CORE_S).max(LEAST_PLACED_S);
+    let burst = (per_s * PLACED_BURST_S).max(MOST_PLACED as f64);
+    Budget::new(per_s, burst)
+}
+
 /// What is left to place after a pass, in queue order.
 #[derive(Debug, Clone)]
 pub struct UnplacedTasks {
@@ -113,12 +145,12 @@
 
     /// One pass: places what fits and says what does not.
     pub(crate) fn place(&mut self, now: Instant) -> Vec<UnplacedTasks> {
-        if self.machine_types.is_empty() {
+        if self.machines.types.is_empty() {
             return Vec::new();
         }
-        let most_placed = MOST_PLACED.min(self.placement_budget.available(now) as usize);
+        let most_placed = MOST_PLACED.min(self.placement.budget.available(now) as usize);
         if most_placed < LEAST_PLACED {
-            self.placement_due = true;
+            self.placement.due = true;
             return Vec::new();
         }
         let queue = self.queue(now);
@@ -128,7 +160,7 @@
         let mut pass = Pass {
             most_placed,
             attempt_id: self.fresh_attempt(),
-            used: self.used.clone(),
+            used: self.team_usage.clone(),
             kept: BTreeSet::new(),
             favoured: self
                 .machines
@@ -171,20 +203,13 @@
             self.place_rest(now, at, id, &mut pass, &mut unplaced);
         }
         // What is left of a job of many tasks has its turn in the next pass.
-        self.placement_due |= pass.placed >= pass.most_placed;
+        self.placement.due |= pass.placed >= pass.most_placed;
         // A gang is placed as a whole, even if that is a little more than the rate allows.
-        let spent = self.placement_budget.available(now).min(pass.placed as f64);
-        self.placement_budget.take(now, spent);
+        let spent = self.placement.budget.available(now).min(pass.placed as f64);
+        self.placement.budget.take(now, spent);
         unplaced.into_values().collect()
     }
 
-    /// The rate at which a process with so many cores can place tasks and keep up with what comes of them.
-    pub(crate) fn placement_budget(cores: f64) -> Budget {
-        let per_s = (cores * PLACED_PER_CORE_S).max(LEAST_PLACED_S);
-        let burst = (per_s * PLACED_BURST_S).max(MOST_PLACED as f64);
-        Budget::new(per_s, burst)
-    }
-
     fn place_rest(
         &mut self,
         now: Instant,
@@ -194,7 +219,7 @@
         unplaced: &mut BTreeMap<usize, UnplacedTasks>,
     ) {
         if pass.placed >= pass.most_placed {
-            self.placement_due = true;
+            self.placement.due = true;
             return;
         }
         if self.may_take_machines(now, &id, pass) && self.takes_machines_with_image(now, &id, pass)
@@ -343,7 +368,7 @@
             // What it waits for does come.
             job.waits_since = None;
         }
-        let latency = self.graph.label(id) == Label::Latency;
+        let latency = self.jobs.graph.label(id) == Label::Latency;
         for (index, machine_id) in plan {
             let task = TaskId {
                 job: id.clone(),
@@ -390,7 +415,7 @@
         }
         let mut fit: BTreeMap<Zone, u32> = BTreeMap::new();
         let request = Resources::of(spec);
-        for m in self.with_room_for(spec) {
+        for m in self.machines.with_room_for(spec) {
             if self.usable(m, now) && Self::allows(spec, m) && !pass.kept.contains(&m.id) {
                 let n = request.count_in(&m.free, spec.tasks);
                 *fit.entry(m.zone.clone()).or_default() += n;
--- a/src/coordination/placement/preemption.rs
+++ b/src/coordination/placement/preemption.rs
@@ -37,10 +37,10 @@
 impl Scheduler {
     /// Makes room for waiting jobs that would otherwise start too late.
     pub(crate) fn preempt(&mut self, now: Instant, unplaced: &[UnplacedTasks]) {
-        if unplaced.is_empty() || now - self.last_preempt < LOOK_EVERY {
+        if unplaced.is_empty() || now - self.placement.last_preemption_at < LOOK_EVERY {
             return;
         }
-        self.last_preempt = now;
+        self.placement.last_preemption_at = now;
         let inside = self.guaranteed();
         let mut emptied = 0;
         let most = MOST_AT_ONCE + self.machines.len() / MACHINES_PER_EXTRA;
@@ -216,9 +216,10 @@
         let waited = (now - job.ready).secs();
         let request = Resources::of(spec);
         let rental = self
-            .machine_types
+            .machines
+            .types
             .values()
-            .filter(|r| request.fits(&self.capacity(&r.name)))
+            .filter(|r| request.fits(&self.machines.capacity(&r.name)))
             .map(|r| r.boot_s)
             .fold(f64::INFINITY, f64::min);
         waited + rental > within || !self.may_rent(now, spec)
@@ -236,8 +237,12 @@
         let request = Resources::of(spec);
         let free_to_use = self.usable(m, now)
             && Self::allows(spec, m)
-            && request.fits(&self.capacity(&m.machine_type))
-            && self.warm_pool.get(&m.id).is_none_or(|c| *c == spec.class)
+            && request.fits(&self.machines.capacity(&m.machine_type))
+            && self
+                .autoscaler
+                .warm_pool
+                .get(&m.id)
+                .is_none_or(|c| *c == spec.class)
             && m.reservation.as_ref().is_none_or(|(_, t)| now >= *t);
         if !free_to_use {
             return None;
@@ -333,7 +338,9 @@
                 });
             }
         }
-        self.machines_to_review.insert(eviction.machine_id.clone());
-        self.pushes_due.insert(eviction.machine_id);
+        self.outbox
+            .machines_to_review
+            .insert(eviction.machine_id.clone());
+        self.outbox.pushes_due.insert(eviction.machine_id);
     }
 }
--- a/src/coordination/placement/queue.rs
+++ b/src/coordination/placement/queue.rs
@@ -13,7 +13,7 @@
     /// Jobs that fit into their team's guarantee together with the team's earlier unfinished ones.
     pub(crate) fn guaranteed(&self) -> BTreeSet<JobId> {
         let mut inside = BTreeSet::new();
-        for (n, jobs) in self.indexes.by_team.iter().enumerate() {
+        for (n, jobs) in self.jobs.index.by_team.iter().enumerate() {
             let Some(team) = self.policy.team(Some(TeamIndex(n))) else {
                 continue;
             };
@@ -41,8 +41,8 @@
         let mut aims: Vec<Instant> = attempts.filter_map(|o| o.within_s).map(after).collect();
         let finishes = self.policy.of_class("finished", class);
         aims.extend(finishes.filter_map(|o| o.within_s).map(|s| after(s) - run));
-        let has_deadline = job.spec.due_s.is_some() || self.graph.has_consumers(id);
-        if let Some(due) = self.graph.due(id).filter(|_| has_deadline) {
+        let has_deadline = job.spec.due_s.is_some() || self.jobs.graph.has_consumers(id);
+        if let Some(due) = self.jobs.graph.due(id).filter(|_| has_deadline) {
             aims.extend(self.deadline_aims(job, due).map(|t| t - run));
         }
         aims.sort();
@@ -68,7 +68,7 @@
 
     /// The priority that a job is treated with: the highest of its own and of all that need it.
     pub(crate) fn urgency_of(&self, id: &JobId, spec: &JobSpec) -> Priority {
-        let derived = self.graph.priority(id);
+        let derived = self.jobs.graph.priority(id);
         derived.map_or(spec.priority, |u| u.max(spec.priority))
     }
 
@@ -79,13 +79,14 @@
     }
 
     pub(crate) fn queue(&self, now: Instant) -> Vec<Vec<JobId>> {
-        if self.indexes.waiting.is_empty() {
+        if self.jobs.index.pending.is_empty() {
             return Vec::new();
         }
         let inside = self.guaranteed();
         let mut queue: Vec<_> = self
-            .indexes
-            .waiting
+            .jobs
+            .index
+            .pending
             .iter()
             .filter_map(|id| Some((id, self.jobs.get(id)?)))
             .filter(|(_, j)| j.not_before <= now)
@@ -95,10 +96,10 @@
                     // Guards against a job that never begins, whatever ranks it low: oldest first.
                     !aged,
                     aged.then_some(j.ready),
-                    self.graph.depth(id),
+                    self.jobs.graph.depth(id),
                     !inside.contains(id),
                     Reverse::<Priority>(self.urgency_of(id, &j.spec)),
-                    self.graph.label(id),
+                    self.jobs.graph.label(id),
                     self.aim_of(id, j, now),
                     !self.bulk(&j.spec),
                 );
@@ -118,7 +119,7 @@
                 rounds.push(Vec::new());
                 last = Some(class);
             }
-            for member in self.graph.group(id) {
+            for member in self.jobs.graph.group(id) {
                 if here.contains(&member) && seen.insert(member.clone()) {
                     rounds.extend(rounds.is_empty().then(Vec::new));
                     if let Some(round) = rounds.last_mut() {
--- a/src/coordination/placement/reservations.rs
+++ b/src/coordination/placement/reservations.rs
@@ -17,13 +17,14 @@
     fn keep_a_machine(&self, now: Instant, spec: &JobSpec, pass: &mut Pass) {
         let request = Resources::of(spec);
         let best = self
-            .indexes
-            .spacious
+            .machines
+            .index
+            .with_room
             .iter()
             .filter(|h| !pass.kept.contains(*h))
             .filter_map(|h| self.machines.get(h))
             .filter(|m| Self::allows(spec, m) && self.usable(m, now))
-            .map(|m| (m, self.capacity(&m.machine_type)))
+            .map(|m| (m, self.machines.capacity(&m.machine_type)))
             .filter(|(_, whole)| request.fits(whole))
             .map(|(m, whole)| (emptiness(&m.free, &whole), &m.id))
             .max_by(|a, b| a.0.total_cmp(&b.0).then_with(|| b.1.cmp(a.1)));
@@ -59,8 +60,9 @@
         let request = Resources::of(spec);
         let mut fit: BTreeMap<Option<&Zone>, Vec<&MachineId>> = BTreeMap::new();
         for m in self
-            .indexes
-            .spacious
+            .machines
+            .index
+            .with_room
             .iter()
             .filter_map(|h| self.machines.get(h))
         {
