--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -12,10 +12,12 @@
 pub mod persistence;
 pub mod placement;
 mod policy;
+mod view;
 
 pub use effect::Effect;
 pub use event::Event;
 pub use policy::Policy;
+pub use view::ClusterView;
 
 use crate::ids::{AttemptId, FencingToken, JobId, KeyRevision};
 use crate::resources::Resources;
