--- a/src/coordination/attempts/ledger.rs
+++ b/src/coordination/attempts/ledger.rs
@@ -8,7 +8,7 @@
 use crate::ids::{AttemptId, MachineId, TaskId, TeamIndex};
 use crate::protocol::users::JobSpec;
 use crate::resources::Resources;
-use crate::storage::pages::PlacedAttempt;
+use crate::storage::records::LaunchIntent;
 use crate::time::{Instant, TimeSpan};
 
 impl Scheduler {
@@ -125,7 +125,7 @@
             j.running = j.running.saturating_sub(u32::from(s.runs()));
         }
         if let Some(page) = s.page {
-            let gone = PlacedAttempt::new(machine_id, key);
+            let gone = LaunchIntent::new(machine_id, key);
             self.writer.intents.gone(now, page, &gone);
         }
         self.jobs.reindex(&key.0.job);
--- a/src/coordination/leadership/recovery.rs
+++ b/src/coordination/leadership/recovery.rs
@@ -18,10 +18,8 @@
 use crate::protocol::cloud::MachineTypeInfo;
 use crate::protocol::state::KeyValue;
 use crate::resources::Resources;
-use crate::storage::pages::PlacedAttempt;
 use crate::storage::records::{
-    parse_page, parse_progress_key, IntentPage, MachinePage, OpenJobRecord, INTENT_PAGE_PREFIX,
-    MACHINE_PAGE_PREFIX,
+    IntentPage, LaunchIntent, MachineKind, MachinePage, OpenJobRecord, ProgressKey, RecordKey,
 };
 use crate::time::{Instant, TimeSpan};
 use std::collections::BTreeSet;
@@ -109,10 +107,10 @@
     }
 
     fn load_progress(&mut self, item: KeyValue) {
-        let Some((id, chunk)) = parse_progress_key(&item.key) else {
+        let Some(key) = ProgressKey::parse(&item.key) else {
             return;
         };
-        let open = self.jobs.get_mut(&id).filter(|j| !j.closed);
+        let open = self.jobs.get_mut(&key.job).filter(|j| !j.closed);
         let Some(job) = open else {
             self.writer
                 .orphaned_progress
@@ -120,13 +118,13 @@
             return;
         };
         if let Some(text) = item.data.as_str() {
-            job.done.load(chunk, text);
+            job.done.load(key.chunk, text);
             let done = &job.done;
             job.pending.retain(|i| !done.has(*i));
             job.has_run |= done.count() > 0;
-            self.jobs.reindex(&id);
+            self.jobs.reindex(&key.job);
         }
-        self.writer.progress.insert((id, chunk), item.revision);
+        self.writer.progress.insert(key, item.revision);
     }
 
     /// A time of day on record, in seconds since 1970, on this process's steady clock. Only hints rest on
@@ -157,7 +155,7 @@
     }
 
     fn load_machine_page(&mut self, now: Instant, item: &KeyValue) -> Result<(), UnreadableRecord> {
-        let Some(page) = parse_page(&item.key, MACHINE_PAGE_PREFIX) else {
+        let Some(RecordKey::MachinePage(page)) = RecordKey::parse(&item.key) else {
             return Ok(());
         };
         let record: MachinePage = read(item)?;
@@ -176,15 +174,20 @@
             if !machine_ids.contains(&id) {
                 continue;
             }
-            let Some((machine_type, zone, spot)) = record.kinds.get(note.0).cloned() else {
+            let Some(MachineKind {
+                machine_type,
+                zone,
+                spot,
+            }) = record.kinds.get(note.kind).cloned()
+            else {
                 return Err(UnreadableRecord {
                     key: item.key.clone(),
                     why: format!("{id} is of no kind that the page names"),
                 });
             };
             let mut since = now;
-            if note.1 > 0 {
-                since = self.on_steady_clock(note.1).min(now);
+            if note.rented_s > 0 {
+                since = self.on_steady_clock(note.rented_s).min(now);
             }
             let mut m = Machine::new(
                 id.clone(),
@@ -199,11 +202,11 @@
             m.unschedulable_until = now;
             m.page = Some(page);
             m.is_recorded = true;
-            if note.2 {
+            if note.has_reported {
                 m.state = MachineState::Up;
             }
             m.images = note
-                .3
+                .images
                 .iter()
                 .filter_map(|i| record.images.get(*i).cloned())
                 .collect();
@@ -213,13 +216,18 @@
     }
 
     fn load_intents(&mut self, now: Instant, item: &KeyValue) -> Result<(), UnreadableRecord> {
-        let Some(page) = parse_page(&item.key, INTENT_PAGE_PREFIX) else {
+        let Some(RecordKey::IntentPage(page)) = RecordKey::parse(&item.key) else {
             return Ok(());
         };
         let record: IntentPage = read(item)?;
         self.writer.intents.found(page, item.revision);
-        for (machine_id, task, attempt_id) in record.attempts() {
-            let Some(m) = self.machines.get_mut(&machine_id) else {
+        for intent in record.intents() {
+            let LaunchIntent {
+                machine_id,
+                task,
+                attempt_id,
+            } = &intent;
+            let Some(m) = self.machines.get_mut(machine_id) else {
                 // Proof 4, on record: a start is written only once its machine's page is, and a
                 // machine leaves its page only once the cloud has confirmed that it is gone.
                 self.writer.intents.outdated(now, page);
@@ -227,25 +235,23 @@
             };
             // It had been given work: its worker has reported.
             m.state = MachineState::Up;
-            let key = (task.clone(), attempt_id);
-            let known = self.machines.get(&machine_id);
+            let key = intent.attempt_key();
+            let known = self.machines.get(machine_id);
             if known.is_some_and(|m| m.attempts.contains_key(&key)) {
                 continue;
             }
-            let placed = record.placed_s.get(&attempt_id);
+            let placed = record.placed_s.get(attempt_id);
             let since = placed.map_or(now, |s| self.on_steady_clock(*s).min(now));
-            let mut s = self.new_attempt(&machine_id, task.clone(), attempt_id, since);
+            let mut s = self.new_attempt(machine_id, task.clone(), *attempt_id, since);
             if let Some(takes) = record.jobs.get(&task.job) {
-                s.request = takes.amount();
-                s.team = self.policy.team_index(&takes.0);
+                s.request = takes.request;
+                s.team = self.policy.team_index(&takes.team);
             }
             s.page = Some(page);
             s.recovered = true;
-            self.insert_attempt(&machine_id, s);
-            self.add_place(&machine_id, &task);
-            self.writer
-                .intents
-                .holds(page, PlacedAttempt::new(&machine_id, &key));
+            self.insert_attempt(machine_id, s);
+            self.add_place(machine_id, task);
+            self.writer.intents.holds(page, intent);
         }
         Ok(())
     }
--- a/src/coordination/persistence/draft.rs
+++ b/src/coordination/persistence/draft.rs
@@ -3,8 +3,7 @@
 use super::Work;
 use crate::ids::{JobId, KeyRevision, PageNumber};
 use crate::protocol::state::Change;
-use crate::storage::pages::PlacedAttempt;
-use crate::storage::records::{open_key, terminal_key, TerminalRecord};
+use crate::storage::records::{open_key, terminal_key, LaunchIntent, TerminalRecord};
 use std::collections::BTreeMap;
 
 /// A transaction being put together within the service's limits.
@@ -23,7 +22,7 @@
     }
 
     /// The starts and the pages of intents that are drafted already.
-    pub fn launches(&self) -> impl Iterator<Item = &PlacedAttempt> {
+    pub fn launches(&self) -> impl Iterator<Item = &LaunchIntent> {
         self.works.iter().flat_map(|w| match w {
             Work::Intents { keys, .. } => keys.as_slice(),
             _ => &[],
--- a/src/coordination/persistence/launches.rs
+++ b/src/coordination/persistence/launches.rs
@@ -1,18 +1,18 @@
 //! Launch intents, packed into pages.
 
 use super::draft::Draft;
+use super::pages::{IntentPages, Measure};
 use super::Work;
 use crate::coordination::Scheduler;
 use crate::ids::{JobId, KeyRevision, PageNumber};
 use crate::protocol::state::Change;
-use crate::storage::pages::{IntentPages, Measure, PlacedAttempt};
-use crate::storage::records::{intent_page_key, open_key, IntentPage, JobResources};
+use crate::storage::records::{intent_page_key, open_key, IntentPage, JobResources, LaunchIntent};
 use crate::time::Instant;
 use std::collections::BTreeSet;
 
 impl Scheduler {
     /// Whether a start is planned and not yet written.
-    pub(crate) fn unwritten(&self, key: &PlacedAttempt) -> bool {
+    pub(crate) fn unwritten(&self, key: &LaunchIntent) -> bool {
         let m = self.machines.get(&key.machine_id);
         let attempt = m.and_then(|m| m.attempts.get(&(key.task.clone(), key.attempt_id)));
         attempt.is_some_and(|s| s.page.is_none() && s.untouched())
@@ -29,7 +29,7 @@
 
     pub(crate) fn pack_launches(&self, intents: &IntentPages, draft: &mut Draft, spare: usize) {
         let most_bytes = self.writer.limits.value_bytes;
-        let drafted: BTreeSet<PlacedAttempt> = draft.launches().cloned().collect();
+        let drafted: BTreeSet<LaunchIntent> = draft.launches().cloned().collect();
         let mut waiting = intents
             .waiting()
             .filter(|k| !drafted.contains(*k) && self.unwritten(k))
@@ -89,7 +89,7 @@
         }
     }
 
-    pub(crate) fn measure(&self, keys: &[PlacedAttempt]) -> Measure {
+    pub(crate) fn measure(&self, keys: &[LaunchIntent]) -> Measure {
         let mut size = Measure::default();
         for k in keys {
             let team = self.jobs.get(&k.task.job).map(|j| j.spec.team.as_str());
@@ -98,7 +98,7 @@
         size
     }
 
-    pub(crate) fn intents_page(&self, keys: &[PlacedAttempt]) -> serde_json::Value {
+    pub(crate) fn intents_page(&self, keys: &[LaunchIntent]) -> serde_json::Value {
         let mut page = IntentPage::default();
         for k in keys {
             page.add(&k.machine_id, &k.task, k.attempt_id);
@@ -118,14 +118,14 @@
     }
 
     /// When a start that is on a page was placed.
-    pub(crate) fn placed_at(&self, key: &PlacedAttempt) -> Option<Instant> {
+    pub(crate) fn placed_at(&self, key: &LaunchIntent) -> Option<Instant> {
         let machine = self.machines.get(&key.machine_id)?;
         let attempt = machine.attempts.get(&(key.task.clone(), key.attempt_id))?;
         Some(attempt.since)
     }
 
     /// What a start's job takes: from the job, or, if that is over and forgotten, from the start.
-    pub(crate) fn takes(&self, k: &PlacedAttempt) -> JobResources {
+    pub(crate) fn takes(&self, k: &LaunchIntent) -> JobResources {
         if let Some(j) = self.jobs.get(&k.task.job) {
             return JobResources::of(&j.spec);
         }
@@ -133,11 +133,9 @@
         let s = m.and_then(|m| m.attempts.get(&(k.task.clone(), k.attempt_id)));
         let team = self.policy.team(s.and_then(|s| s.team));
         let request = s.map(|s| s.request).unwrap_or_default();
-        JobResources(
-            team.map(|t| t.name.clone()).unwrap_or_default(),
-            request.cpus,
-            request.gpus,
-            request.ram_gb,
-        )
+        JobResources {
+            team: team.map(|t| t.name.clone()).unwrap_or_default(),
+            request,
+        }
     }
 }
--- a/src/coordination/persistence/machine_pages.rs
+++ b/src/coordination/persistence/machine_pages.rs
@@ -4,9 +4,9 @@
 use super::Work;
 use crate::coordination::machines::machine::MachineState;
 use crate::coordination::Scheduler;
-use crate::ids::{Image, MachineId, MachineType, Zone};
+use crate::ids::{Image, MachineId};
 use crate::protocol::state::Change;
-use crate::storage::records::{machine_page_key, MachineEntry, MachinePage};
+use crate::storage::records::{machine_page_key, MachineEntry, MachineKind, MachinePage};
 use crate::time::{Instant, TimeSpan};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -50,10 +50,10 @@
         most_images: usize,
     ) -> serde_json::Value {
         let mut page = MachinePage::default();
-        let mut kinds: BTreeMap<(MachineType, Zone, bool), usize> = BTreeMap::new();
+        let mut kinds: BTreeMap<MachineKind, usize> = BTreeMap::new();
         let mut images: BTreeMap<Image, usize> = BTreeMap::new();
         for m in machine_ids.iter().filter_map(|h| self.machines.get(h)) {
-            let kind = (m.machine_type.clone(), m.zone.clone(), m.spot);
+            let kind = MachineKind::new(m.machine_type.clone(), m.zone.clone(), m.spot);
             let kind = *kinds.entry(kind.clone()).or_insert_with(|| {
                 page.kinds.push(kind);
                 page.kinds.len() - 1
@@ -72,9 +72,13 @@
                 .wall_clock_at_zero_ms
                 .saturating_add_signed(m.since.0)
                 / 1000;
-            let up = m.state != MachineState::Booting;
-            page.machines
-                .insert(m.id.clone(), MachineEntry(kind, rented_s, up, held));
+            let entry = MachineEntry {
+                kind,
+                rented_s,
+                has_reported: m.state != MachineState::Booting,
+                images: held,
+            };
+            page.machines.insert(m.id.clone(), entry);
         }
         serde_json::to_value(&page).unwrap_or_default()
     }
--- a/src/coordination/persistence/mod.rs
+++ b/src/coordination/persistence/mod.rs
@@ -11,6 +11,7 @@
 mod limits;
 mod machine_pages;
 mod outcomes;
+mod pages;
 
 use crate::coordination::attempts::task_attempt::{PushDelivery, TaskAttempt};
 use crate::coordination::jobs::job::Job;
@@ -19,15 +20,15 @@
 use crate::ids::{FencingToken, JobId, KeyRevision, MachineId, PageNumber};
 use crate::protocol::state::{Change, Precondition, Transaction};
 use crate::settings::StateLimits;
-use crate::storage::pages::{IntentPages, MachinePages, PlacedAttempt};
 use crate::storage::records::{
-    dependency_list_key, dependency_page_key, open_key, progress_key, LeaderRecord,
+    dependency_list_key, dependency_page_key, open_key, LaunchIntent, LeaderRecord, ProgressKey,
     FENCING_TOKEN_KEY, HINTS_KEY, LEADER_KEY, TASKS_PER_PROGRESS_RECORD,
 };
 use crate::time::{Instant, TimeSpan};
 use crate::transport::budget::Budget;
 use draft::{Draft, FINISH_OPS};
 use limits::WriteLimits;
+use pages::{IntentPages, MachinePages};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -37,7 +38,7 @@
     /// A page of intents holds these, and nothing else.
     Intents {
         page: PageNumber,
-        keys: Vec<PlacedAttempt>,
+        keys: Vec<LaunchIntent>,
     },
     /// A page of intents goes: nothing on it is true any more.
     DropIntents { page: PageNumber },
@@ -48,8 +49,7 @@
     },
     /// Done tasks of one chunk.
     Progress {
-        job: JobId,
-        chunk: u32,
+        key: ProgressKey,
         tasks: BTreeSet<u32>,
     },
     /// A job is done.
@@ -95,7 +95,7 @@
     pub(crate) intents: IntentPages,
     pub(crate) machine_pages: MachinePages,
     /// Versions of progress records, and when progress was last written.
-    pub(crate) progress: BTreeMap<(JobId, u32), KeyRevision>,
+    pub(crate) progress: BTreeMap<ProgressKey, KeyRevision>,
     progress_at: Instant,
     /// Progress records of jobs that are over.
     pub(crate) orphaned_progress: BTreeMap<String, KeyRevision>,
@@ -163,9 +163,8 @@
     pub(crate) fn mentions(&self, id: &JobId) -> bool {
         match &self.flight {
             Flight::Writing { works, .. } => works.iter().any(|w| match w {
-                Work::Progress { job, .. } | Work::Finish { job } | Work::Cancel { job } => {
-                    job == id
-                }
+                Work::Progress { key, .. } => key.job == *id,
+                Work::Finish { job } | Work::Cancel { job } => job == id,
                 _ => false,
             }),
             _ => false,
@@ -312,15 +311,13 @@
                 .map(|i| i / TASKS_PER_PROGRESS_RECORD)
                 .collect();
             for chunk in chunks {
-                let key = progress_key(id, chunk);
-                let revision = self
-                    .writer
-                    .progress
-                    .get(&(id.clone(), chunk))
-                    .copied()
-                    .unwrap_or_default();
-                let preconditions = vec![(open_key(id), job.revision), (key.clone(), revision)];
-                let changes = vec![Change::put(key, job.done.chunk(chunk).into())];
+                let key = ProgressKey {
+                    job: id.clone(),
+                    chunk,
+                };
+                let revision = self.writer.progress.get(&key).copied().unwrap_or_default();
+                let preconditions = vec![(open_key(id), job.revision), (key.to_string(), revision)];
+                let changes = vec![Change::put(key.to_string(), job.done.chunk(chunk).into())];
                 let tasks = job
                     .unpersisted
                     .range(
@@ -328,11 +325,7 @@
                     )
                     .copied()
                     .collect();
-                let work = Work::Progress {
-                    job: id.clone(),
-                    chunk,
-                    tasks,
-                };
+                let work = Work::Progress { key, tasks };
                 if !draft.add(preconditions, changes, work) {
                     return;
                 }
--- a/src/coordination/persistence/outcomes.rs
+++ b/src/coordination/persistence/outcomes.rs
@@ -5,12 +5,7 @@
 use crate::coordination::{Effect, Scheduler};
 use crate::ids::{JobId, KeyRevision, PageNumber, StoreRevision};
 use crate::protocol::state::KeyValue;
-use crate::storage::pages::PlacedAttempt;
-use crate::storage::records::{
-    parse_page, parse_progress_key, progress_key, LeaderRecord, DEPENDENCY_PREFIX,
-    FENCING_TOKEN_KEY, HINTS_KEY, INTENT_PAGE_PREFIX, LEADER_KEY, MACHINE_PAGE_PREFIX,
-    OPEN_JOB_PREFIX,
-};
+use crate::storage::records::{LaunchIntent, LeaderRecord, ProgressKey, RecordKey, LEADER_KEY};
 use crate::time::{Instant, TimeSpan};
 use std::collections::BTreeSet;
 
@@ -46,8 +41,9 @@
                     self.leadership.term.token_stamp = revision;
                     self.writer.raised_at = now;
                 }
-                Work::Progress { job, chunk, tasks } => {
-                    self.writer.progress.insert((job.clone(), chunk), revision);
+                Work::Progress { key, tasks } => {
+                    let job = key.job.clone();
+                    self.writer.progress.insert(key, revision);
                     self.writer.progress_at = now;
                     if let Some(j) = self.jobs.get_mut(&job) {
                         j.unpersisted.retain(|i| !tasks.contains(i));
@@ -87,7 +83,7 @@
         now: Instant,
         page: PageNumber,
         revision: KeyRevision,
-        keys: Vec<PlacedAttempt>,
+        keys: Vec<LaunchIntent>,
     ) {
         let mut machine_ids = BTreeSet::new();
         let mut live = Vec::new();
@@ -112,18 +108,18 @@
 
     /// Progress records of a job that is over are swept when there is time.
     pub(crate) fn collect_orphaned_progress(&mut self, id: &JobId) {
-        let keys: Vec<(JobId, u32)> = self
+        let keys: Vec<ProgressKey> = self
             .writer
             .progress
             .keys()
-            .filter(|(j, _)| j == id)
+            .filter(|key| key.job == *id)
             .cloned()
             .collect();
-        for k in keys {
-            if let Some(revision) = self.writer.progress.remove(&k) {
+        for key in keys {
+            if let Some(revision) = self.writer.progress.remove(&key) {
                 self.writer
                     .orphaned_progress
-                    .insert(progress_key(&k.0, k.1), revision);
+                    .insert(key.to_string(), revision);
             }
         }
     }
@@ -199,41 +195,43 @@
         self.writer.flight = Flight::None;
         for (key, item) in items {
             let revision = item.as_ref().map_or(KeyRevision(0), |i| i.revision);
-            if key == LEADER_KEY {
-                self.lead_reread(now, item);
-            } else if key == FENCING_TOKEN_KEY {
-                self.leadership.term.token_stamp = revision;
-            } else if key == HINTS_KEY {
-                self.writer.hints = revision;
-            } else if let Some(id) = key.strip_prefix(OPEN_JOB_PREFIX) {
-                self.open_reread(now, id, revision);
-            } else if let Some(page) = parse_page(&key, INTENT_PAGE_PREFIX) {
-                self.writer.intents.reread(now, page, revision);
-            } else if let Some(page) = parse_page(&key, MACHINE_PAGE_PREFIX) {
-                self.writer.machine_pages.reread(now, page, revision);
-            } else if key.starts_with(DEPENDENCY_PREFIX) {
-                if revision == KeyRevision(0) {
-                    self.writer.orphaned_edges.remove(&key);
+            match RecordKey::parse(&key) {
+                Some(RecordKey::Leader) => self.lead_reread(now, item),
+                Some(RecordKey::FencingToken) => self.leadership.term.token_stamp = revision,
+                Some(RecordKey::Hints) => self.writer.hints = revision,
+                Some(RecordKey::OpenJob(id)) => self.open_reread(now, &id, revision),
+                Some(RecordKey::IntentPage(page)) => {
+                    self.writer.intents.reread(now, page, revision)
+                }
+                Some(RecordKey::MachinePage(page)) => {
+                    self.writer.machine_pages.reread(now, page, revision)
                 }
-            } else if let Some((job, chunk)) = parse_progress_key(&key) {
-                if self.writer.orphaned_progress.remove(&key).is_some() {
-                    if revision != KeyRevision(0) {
-                        self.writer.orphaned_progress.insert(key, revision);
+                Some(RecordKey::Dependencies) => {
+                    if revision == KeyRevision(0) {
+                        self.writer.orphaned_edges.remove(&key);
+                    }
+                }
+                Some(RecordKey::Progress(progress_key)) => {
+                    if self.writer.orphaned_progress.remove(&key).is_some() {
+                        if revision != KeyRevision(0) {
+                            self.writer.orphaned_progress.insert(key, revision);
+                        }
+                    } else {
+                        self.writer.progress.insert(progress_key, revision);
                     }
-                } else {
-                    self.writer.progress.insert((job, chunk), revision);
                 }
+                // The leader keeps no revision of these.
+                Some(RecordKey::Terminal(_) | RecordKey::Catalog) | None => {}
             }
         }
         self.placement.due = true;
     }
 
-    pub(crate) fn open_reread(&mut self, now: Instant, id: &str, revision: KeyRevision) {
-        let id = JobId::from(id);
+    pub(crate) fn open_reread(&mut self, now: Instant, id: &JobId, revision: KeyRevision) {
         if revision == KeyRevision(0) {
-            self.job_closed(now, &id, Closure::Unknown);
-            self.collect_orphaned_progress(&id);
-        } else if let Some(job) = self.jobs.get_mut(&id) {
+            self.job_closed(now, id, Closure::Unknown);
+            self.collect_orphaned_progress(id);
+        } else if let Some(job) = self.jobs.get_mut(id) {
             job.revision = revision;
         }
     }
--- a/src/storage/pages.rs
+++ b/src/coordination/persistence/pages.rs
@@ -2,35 +2,17 @@
 //! true, and what is new. So reclaiming costs no change of its own, and there are never many more
 //! pages than what is true needs.
 
-use crate::ids::{AttemptId, JobId, KeyRevision, MachineId, PageNumber, TaskId};
+use crate::ids::{AttemptId, JobId, KeyRevision, MachineId, PageNumber};
+use crate::storage::records::LaunchIntent;
 use crate::time::{Instant, TimeSpan};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// One start, wherever it is.
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct PlacedAttempt {
-    pub machine_id: MachineId,
-    pub task: TaskId,
-    pub attempt_id: AttemptId,
-}
-
-impl PlacedAttempt {
-    /// From a machine and a key of its ledger.
-    pub fn new(machine_id: &MachineId, key: &(TaskId, AttemptId)) -> PlacedAttempt {
-        PlacedAttempt {
-            machine_id: machine_id.clone(),
-            task: key.0.clone(),
-            attempt_id: key.1,
-        }
-    }
-}
-
 /// One page of intents, as far as it is written.
 #[derive(Debug, Default)]
 struct IntentPageState {
     revision: KeyRevision,
     /// What it holds that may still be true.
-    live: BTreeSet<PlacedAttempt>,
+    live: BTreeSet<LaunchIntent>,
     /// Since when it has held something that no longer is.
     stale_since: Option<Instant>,
 }
@@ -39,7 +21,7 @@
 #[derive(Debug, Default)]
 pub struct IntentPages {
     pages: BTreeMap<PageNumber, IntentPageState>,
-    waiting: VecDeque<PlacedAttempt>,
+    waiting: VecDeque<LaunchIntent>,
 }
 
 /// What a page takes beyond its starts.
@@ -62,7 +44,7 @@
         self.bytes + PAGE_BYTES
     }
     /// Takes a start in.
-    pub fn add(&mut self, key: &PlacedAttempt, team: &str) {
+    pub fn add(&mut self, key: &LaunchIntent, team: &str) {
         let job = &key.task.job;
         // A task's number and a comma; numbers have at most six digits.
         self.bytes += 7;
@@ -88,17 +70,17 @@
 
 impl IntentPages {
     /// A start joins those that wait to be written.
-    pub fn wait(&mut self, key: PlacedAttempt) {
+    pub fn wait(&mut self, key: LaunchIntent) {
         self.waiting.push_back(key);
     }
 
     /// Those that wait, the longest first.
-    pub fn waiting(&self) -> impl Iterator<Item = &PlacedAttempt> {
+    pub fn waiting(&self) -> impl Iterator<Item = &LaunchIntent> {
         self.waiting.iter()
     }
 
     /// Drops from the front of those that wait whatever no longer does.
-    pub fn drop_settled(&mut self, still: impl Fn(&PlacedAttempt) -> bool) {
+    pub fn drop_settled(&mut self, still: impl Fn(&LaunchIntent) -> bool) {
         while self.waiting.front().is_some_and(|k| !still(k)) {
             self.waiting.pop_front();
         }
@@ -110,7 +92,7 @@
     }
 
     /// A start that a page holds.
-    pub fn holds(&mut self, page: PageNumber, key: PlacedAttempt) {
+    pub fn holds(&mut self, page: PageNumber, key: LaunchIntent) {
         self.pages.entry(page).or_default().live.insert(key);
     }
 
@@ -122,7 +104,7 @@
     }
 
     /// A start is no longer true: its page may be written without it.
-    pub fn gone(&mut self, now: Instant, page: PageNumber, key: &PlacedAttempt) {
+    pub fn gone(&mut self, now: Instant, page: PageNumber, key: &LaunchIntent) {
         if let Some(p) = self.pages.get_mut(&page) {
             p.live.remove(key);
             p.stale_since.get_or_insert(now);
@@ -146,7 +128,7 @@
     }
 
     /// What of a page is still true, and the page's version.
-    pub fn page(&self, page: PageNumber) -> (Vec<PlacedAttempt>, KeyRevision) {
+    pub fn page(&self, page: PageNumber) -> (Vec<LaunchIntent>, KeyRevision) {
         self.pages
             .get(&page)
             .map_or((Vec::new(), KeyRevision(0)), |p| {
@@ -169,7 +151,7 @@
         now: Instant,
         page: PageNumber,
         revision: KeyRevision,
-        keys: Vec<PlacedAttempt>,
+        keys: Vec<LaunchIntent>,
         gone: bool,
     ) {
         let p = self.pages.entry(page).or_default();
--- a/src/coordination/placement/mod.rs
+++ b/src/coordination/placement/mod.rs
@@ -16,7 +16,7 @@
 use crate::ids::{AttemptId, JobId, MachineId, MachineType, TaskId, TeamIndex, Zone};
 use crate::protocol::users::{JobSpec, Priority, Shape};
 use crate::resources::Resources;
-use crate::storage::pages::PlacedAttempt;
+use crate::storage::records::LaunchIntent;
 use crate::time::{Instant, TimeSpan};
 use crate::transport::budget::Budget;
 use std::collections::{BTreeMap, BTreeSet};
@@ -390,7 +390,7 @@
             self.add_place(&machine_id, &task);
             self.writer
                 .intents
-                .wait(PlacedAttempt::new(&machine_id, &(task, pass.attempt_id)));
+                .wait(LaunchIntent::new(&machine_id, &(task, pass.attempt_id)));
             keep(pass, 1.0);
         }
         left
--- a/src/runtime/api/users.rs
+++ b/src/runtime/api/users.rs
@@ -239,7 +239,7 @@
         dependency_pages: 0,
     };
     let most_bytes = (node.policy.facts.state.value_kb * 1024.0 * 0.9) as usize;
-    let Some(pages) = record.move_dependencies_to_pages(most_bytes) else {
+    let Ok(pages) = record.move_dependencies_to_pages(most_bytes) else {
         return if_known(node, Some(&id), Reply::error(400, "too long a description")).await;
     };
     let Ok(data) = serde_json::to_value(&record) else {
--- /dev/null
+++ b/src/storage/records/mod.rs
@@ -0,0 +1,37 @@
+//! Durable records: keys and values on the state store.
+//!
+//! | key | value | written by | read by |
+//! | --- | --- | --- | --- |
+//! | `lead` | [`LeaderRecord`], attached to the leader's lease | the leader | candidates, the leader |
+//! | `baton` | the last [`FencingToken`](crate::ids::FencingToken) given out | a new leader, the leader | candidates |
+//! | `catalog` | the machine types last listed by the cloud | the leader | every controller |
+//! | `o/JOB` | [`OpenJobRecord`]; never rewritten, so its revision stands for "still open" | whoever accepts the job | every controller |
+//! | `f/JOB` | [`TerminalRecord`], kept for ever | whoever cancels; the leader when the job is done | every controller |
+//! | `e/JOB` | marks that dependency pages are being written, or are written | whoever accepts the job | whoever accepts it again |
+//! | `e/JOB/N` | upstream jobs for which the open record has no room; deleted once the job is closed | whoever accepts the job | every controller |
+//! | `p/JOB/N` | one chunk of [`CompletedTasks`] | the leader | a new leader |
+//! | `i/N` | [`IntentPage`]: task attempts that may be on their machines | the leader | a new leader |
+//! | `h/N` | [`MachinePage`]: the machines of the cluster, with hints about them | the leader | a new leader |
+//! | `hints` | arrivals and run times observed, so that a new leader need not learn them again | the leader | a new leader |
+//!
+//! Two versions of the program share these records while controllers are replaced: a key or an encoded value
+//! never changes its form (`tests/encodings.rs`, `tests/production.rs`).
+
+mod completed_tasks;
+mod intents;
+mod jobs;
+mod keys;
+mod leader;
+mod machines;
+
+pub use completed_tasks::{CompletedTasks, TASKS_PER_PROGRESS_RECORD};
+pub use intents::{IntentPage, JobResources, LaunchIntent};
+pub use jobs::{OpenJobRecord, RecordTooLong, TerminalRecord};
+pub use keys::{
+    dependency_list_key, dependency_page_key, intent_page_key, machine_page_key, open_key,
+    terminal_key, ProgressKey, RecordKey, CATALOG_KEY, DEPENDENCY_PREFIX, FENCING_TOKEN_KEY,
+    HINTS_KEY, INTENT_PAGE_PREFIX, LEADER_KEY, MACHINE_PAGE_PREFIX, OPEN_JOB_PREFIX,
+    PROGRESS_PREFIX, TERMINAL_PREFIX,
+};
+pub use leader::LeaderRecord;
+pub use machines::{MachineEntry, MachineKind, MachinePage};
--- a/tests/encodings.rs
+++ b/tests/encodings.rs
@@ -4,6 +4,7 @@
 use chalklug::ids::*;
 use chalklug::protocol::peers::{PeerReply, PeerRequest};
 use chalklug::protocol::users::{parse_submission, JobPhase};
+use chalklug::resources::Resources;
 use chalklug::storage::records::*;
 use serde::de::DeserializeOwned;
 use serde::Serialize;
@@ -27,15 +28,48 @@
     let job = JobId::from("wk-000412");
     assert_eq!(open_key(&job), "o/wk-000412");
     assert_eq!(terminal_key(&job), "f/wk-000412");
-    assert_eq!(progress_key(&job, 3), "p/wk-000412/3");
+    let progress_key = ProgressKey {
+        job: job.clone(),
+        chunk: 3,
+    };
+    assert_eq!(progress_key.to_string(), "p/wk-000412/3");
     assert_eq!(intent_page_key(PageNumber(7)), "i/7");
     assert_eq!(machine_page_key(PageNumber(7)), "h/7");
     assert_eq!(
         (LEADER_KEY, FENCING_TOKEN_KEY, CATALOG_KEY, HINTS_KEY),
         ("lead", "baton", "catalog", "hints")
     );
-    assert_eq!(parse_progress_key("p/wk-000412/3"), Some((job, 3)));
-    assert_eq!(parse_page("i/7", INTENT_PAGE_PREFIX), Some(PageNumber(7)));
+    assert_eq!(
+        ProgressKey::parse("p/wk-000412/3"),
+        Some(progress_key.clone())
+    );
+    let read_back = [
+        (LEADER_KEY, RecordKey::Leader),
+        (FENCING_TOKEN_KEY, RecordKey::FencingToken),
+        (CATALOG_KEY, RecordKey::Catalog),
+        (HINTS_KEY, RecordKey::Hints),
+        ("o/wk-000412", RecordKey::OpenJob(job.clone())),
+        ("f/wk-000412", RecordKey::Terminal(job)),
+        ("e/wk-000412", RecordKey::Dependencies),
+        ("e/wk-000412/2", RecordKey::Dependencies),
+        ("p/wk-000412/3", RecordKey::Progress(progress_key)),
+        ("i/7", RecordKey::IntentPage(PageNumber(7))),
+        ("h/7", RecordKey::MachinePage(PageNumber(7))),
+    ];
+    for (key, record_key) in read_back {
+        assert_eq!(RecordKey::parse(key), Some(record_key));
+    }
+    for other in [
+        "",
+        "leader",
+        "x/7",
+        "i/",
+        "i/wk-000412",
+        "p/wk-000412",
+        "p/x/3",
+    ] {
+        assert_eq!(RecordKey::parse(other), None, "{other}");
+    }
 }
 
 #[test]
@@ -105,7 +139,14 @@
         };
         page.add(&machine_id, &task, AttemptId(9));
     }
-    let takes = JobResources("vision".into(), 8.0, 1.0, 64.0);
+    let takes = JobResources {
+        team: "vision".into(),
+        request: Resources {
+            cpus: 8.0,
+            gpus: 1.0,
+            ram_gb: 64.0,
+        },
+    };
     page.jobs.insert(JobId::from("wk-000412"), takes);
     let without_times = concat!(
         r#"{"starts":{"9":{"wk-000412":{"host-000231":[0,4]}}},"#,
@@ -125,11 +166,20 @@
 #[test]
 fn machines() {
     let mut page = MachinePage {
-        kinds: vec![(MachineType::from("g8"), Zone::from("a"), true)],
+        kinds: vec![MachineKind::new(
+            MachineType::from("g8"),
+            Zone::from("a"),
+            true,
+        )],
         images: vec![(Image::from("img-07"), 6.2)],
         ..MachinePage::default()
     };
-    let note = MachineEntry(0, 1_700_000_000, true, vec![0]);
+    let note = MachineEntry {
+        kind: 0,
+        rented_s: 1_700_000_000,
+        has_reported: true,
+        images: vec![0],
+    };
     page.machines.insert(MachineId::from("host-000231"), note);
     stored(
         &page,
@@ -189,9 +239,12 @@
     };
     assert_eq!(
         record.clone().move_dependencies_to_pages(100_000),
-        Some(vec![])
+        Ok(vec![])
+    );
+    assert_eq!(
+        record.clone().move_dependencies_to_pages(200),
+        Err(RecordTooLong { max_bytes: 200 })
     );
-    assert_eq!(record.clone().move_dependencies_to_pages(200), None);
     let pages = record.move_dependencies_to_pages(1800).unwrap();
     assert_eq!(record.dependency_pages as usize, pages.len());
     assert!(serde_json::to_string(&record).unwrap().len() <= 1800);
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -45,9 +45,20 @@
     let mut machine_ids: BTreeMap<u64, MachinePage> = BTreeMap::new();
     for n in 0..MACHINES {
         let page = machine_ids.entry(n / MACHINES_A_PAGE).or_default();
-        page.kinds = vec![(MachineType::from("box"), Zone::from("a"), false)];
-        page.machines
-            .insert(machine_id(n), MachineEntry(0, 0, true, vec![]));
+        page.kinds = vec![MachineKind::new(
+            MachineType::from("box"),
+            Zone::from("a"),
+            false,
+        )];
+        page.machines.insert(
+            machine_id(n),
+            MachineEntry {
+                kind: 0,
+                rented_s: 0,
+                has_reported: true,
+                images: vec![],
+            },
+        );
     }
     let mut open = Vec::new();
     for j in 0..MACHINES / 10 {
@@ -274,7 +285,7 @@
                 };
                 if put.starts_with(INTENT_PAGE_PREFIX) {
                     let page: IntentPage = serde_json::from_value(data).unwrap();
-                    for (_, task, _) in page.attempts() {
+                    for LaunchIntent { task, .. } in page.intents() {
                         tasks.entry(task.job).or_default().insert(task.index);
                     }
                 }
--- a/tests/production.rs
+++ b/tests/production.rs
@@ -7,6 +7,7 @@
 use chalklug::protocol::cloud::MachineTypeList;
 use chalklug::protocol::peers::{PeerReply, PeerRequest};
 use chalklug::protocol::users::{parse_submission, JobPhase};
+use chalklug::resources::Resources;
 use chalklug::storage::records;
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
@@ -192,7 +193,14 @@
     let mut page = records::IntentPage::default();
     let task = TaskId::parse("wk-000412/4").expect("a task");
     page.add(&host, &task, AttemptId(9));
-    let takes = records::JobResources("vision".into(), 8.0, 1.0, 64.0);
+    let takes = records::JobResources {
+        team: "vision".into(),
+        request: Resources {
+            cpus: 8.0,
+            gpus: 1.0,
+            ram_gb: 64.0,
+        },
+    };
     page.jobs.insert(job, takes);
     page.placed_s.insert(AttemptId(9), 1_700_000_000);
     let old: IntentsPage = old_reads(&page);
@@ -202,11 +210,20 @@
     assert_eq!(back.attempts, page.attempts);
 
     let mut machines = records::MachinePage {
-        kinds: vec![(MachineType::from("g8"), Zone::from("a"), true)],
+        kinds: vec![records::MachineKind::new(
+            MachineType::from("g8"),
+            Zone::from("a"),
+            true,
+        )],
         images: vec![(Image::from("img-07"), 6.2)],
         ..records::MachinePage::default()
     };
-    let note = records::MachineEntry(0, 1_700_000_000, true, vec![0]);
+    let note = records::MachineEntry {
+        kind: 0,
+        rented_s: 1_700_000_000,
+        has_reported: true,
+        images: vec![0],
+    };
     machines.machines.insert(host, note);
     let old: HostsPage = old_reads(&machines);
     assert_eq!(
--- a/tests/stale_knowledge.rs
+++ b/tests/stale_knowledge.rs
@@ -66,12 +66,22 @@
 /// A new leader that finds these jobs open, and job 1 on record as running on the machine.
 fn leader(open: &[OpenJobRecord]) -> RecordedCore {
     let mut machines = MachinePage {
-        kinds: vec![(MachineType::from("box"), Zone::from("a"), false)],
+        kinds: vec![MachineKind::new(
+            MachineType::from("box"),
+            Zone::from("a"),
+            false,
+        )],
         ..MachinePage::default()
     };
-    machines
-        .machines
-        .insert(machine_id(), MachineEntry(0, 0, true, vec![]));
+    machines.machines.insert(
+        machine_id(),
+        MachineEntry {
+            kind: 0,
+            rented_s: 0,
+            has_reported: true,
+            images: vec![],
+        },
+    );
     let mut attempts = IntentPage::default();
     attempts.add(&machine_id(), &task(1), ATTEMPT);
     attempts
--- a/tests/upgrade/repacking.rs
+++ b/tests/upgrade/repacking.rs
@@ -53,11 +53,20 @@
     let mut store = Store::default();
     for first in (0..MACHINES).step_by(MACHINES_A_PAGE as usize) {
         let mut page = MachinePage {
-            kinds: vec![(MachineType::from("box"), Zone::from("a"), false)],
+            kinds: vec![MachineKind::new(
+                MachineType::from("box"),
+                Zone::from("a"),
+                false,
+            )],
             ..MachinePage::default()
         };
         for n in first..(first + MACHINES_A_PAGE).min(MACHINES) {
-            let note = MachineEntry(0, 1_700_000_000, true, vec![]);
+            let note = MachineEntry {
+                kind: 0,
+                rented_s: 1_700_000_000,
+                has_reported: true,
+                images: vec![],
+            };
             page.machines.insert(machine_id(n), note);
         }
         let key = machine_page_key(PageNumber(first / MACHINES_A_PAGE));
