--- a/src/coordination/attempts/ledger.rs
+++ b/src/coordination/attempts/ledger.rs
@@ -5,7 +5,7 @@
 use crate::coordination::attempts::task_attempt::{LastStatus, TaskAttempt};
 use crate::coordination::machines::machine::Machine;
 use crate::coordination::Scheduler;
-use crate::ids::{AttemptId, MachineId, TaskId, TeamIndex};
+use crate::ids::{AttemptId, AttemptKey, MachineId, TaskId, TeamIndex};
 use crate::protocol::users::JobSpec;
 use crate::resources::Resources;
 use crate::storage::pages::PlacedAttempt;
@@ -46,7 +46,7 @@
         };
         let (request, team, on) = (attempt.request, attempt.team, !attempt.ended());
         let (job, runs) = (attempt.task.job.clone(), attempt.runs());
-        let key = (attempt.task.clone(), attempt.attempt_id);
+        let key = attempt.key();
         if on {
             Self::charge_machine(m, &request, true);
         }
@@ -68,10 +68,10 @@
         &mut self,
         now: Instant,
         machine_id: &MachineId,
-        key: &(TaskId, AttemptId),
+        key: &AttemptKey,
         last_status: LastStatus,
     ) {
-        let fetch_s = self.longest_fetch_s(machine_id, &key.0.job);
+        let fetch_s = self.longest_fetch_s(machine_id, &key.task.job);
         let Some(m) = self.machines.get_mut(machine_id) else {
             return;
         };
@@ -96,11 +96,11 @@
             self.machines.reindex(machine_id);
         }
         if ran != runs {
-            if let Some(j) = self.jobs.get_mut(&key.0.job) {
+            if let Some(j) = self.jobs.get_mut(&key.task.job) {
                 j.running = (j.running + u32::from(runs)).saturating_sub(u32::from(ran));
                 if runs && !j.has_run {
                     j.has_run = true;
-                    self.note_begun(now, &key.0.job);
+                    self.note_begun(now, &key.task.job);
                 }
             }
         }
@@ -111,7 +111,7 @@
         &mut self,
         now: Instant,
         machine_id: &MachineId,
-        key: &(TaskId, AttemptId),
+        key: &AttemptKey,
     ) -> Option<TaskAttempt> {
         let m = self.machines.get_mut(machine_id)?;
         let s = m.attempts.remove(key)?;
@@ -120,7 +120,7 @@
             Self::charge_machine(m, &request, false);
             self.charge(team, &request, false);
         }
-        if let Some(j) = self.jobs.get_mut(&key.0.job) {
+        if let Some(j) = self.jobs.get_mut(&key.task.job) {
             j.attempt_count = j.attempt_count.saturating_sub(1);
             j.running = j.running.saturating_sub(u32::from(s.runs()));
         }
@@ -128,7 +128,7 @@
             let gone = PlacedAttempt::new(machine_id, key);
             self.writer.intents.gone(now, page, &gone);
         }
-        self.jobs.reindex(&key.0.job);
+        self.jobs.reindex(&key.task.job);
         self.machines.reindex(machine_id);
         Some(s)
     }
--- a/src/coordination/attempts/placements.rs
+++ b/src/coordination/attempts/placements.rs
@@ -2,14 +2,14 @@
 
 use crate::coordination::attempts::task_attempt::TaskAttempt;
 use crate::coordination::Scheduler;
-use crate::ids::{AttemptId, JobId, MachineId, TaskId};
+use crate::ids::{AttemptId, AttemptKey, JobId, MachineId, TaskId};
 use crate::time::Instant;
 
 impl Scheduler {
     pub(crate) fn attempt_mut(
         &mut self,
         machine_id: &MachineId,
-        key: &(TaskId, AttemptId),
+        key: &AttemptKey,
     ) -> Option<&mut TaskAttempt> {
         self.machines.get_mut(machine_id)?.attempts.get_mut(key)
     }
@@ -29,7 +29,11 @@
     pub(crate) fn drop_place(&mut self, machine_id: &MachineId, task: &TaskId) {
         // Another try of the same task may be on this machine.
         let still = self.machines.get(machine_id).is_some_and(|m| {
-            let tries = (task.clone(), AttemptId(0))..=(task.clone(), AttemptId(u64::MAX));
+            let key = |attempt_id| AttemptKey {
+                task: task.clone(),
+                attempt_id,
+            };
+            let tries = key(AttemptId(0))..=key(AttemptId(u64::MAX));
             m.attempts.range(tries).any(|(_, s)| !s.ended())
         });
         self.placement.due = true;
@@ -59,15 +63,15 @@
         &mut self,
         now: Instant,
         machine_id: &MachineId,
-        key: &(TaskId, AttemptId),
+        key: &AttemptKey,
     ) {
         let Some(s) = self.detach_attempt(now, machine_id, key) else {
             return;
         };
         self.note_idle(now, machine_id);
         if !s.ended() {
-            tracing::debug!(task = %key.0, machine = %machine_id, "proven gone");
-            self.drop_place(machine_id, &key.0);
+            tracing::debug!(task = %key.task, machine = %machine_id, "proven gone");
+            self.drop_place(machine_id, &key.task);
         }
     }
 
@@ -91,7 +95,7 @@
             .attempts
             .values()
             .filter(|s| s.task.job == *job && s.untouched())
-            .map(|s| (s.task.clone(), s.attempt_id))
+            .map(|s| s.key())
             .collect();
         for key in keys {
             // Proof: never launched. If its intent is being written, that only errs on the safe side.
--- a/src/coordination/attempts/reconciliation.rs
+++ b/src/coordination/attempts/reconciliation.rs
@@ -6,7 +6,7 @@
 use crate::coordination::attempts::task_attempt::{LastStatus, PushDelivery, TaskAttempt};
 use crate::coordination::machines::machine::{MachineState, MAX_UNACKNOWLEDGED_RESPONSES};
 use crate::coordination::{Effect, Scheduler};
-use crate::ids::{AttemptId, JobId, MachineId, Session, TaskId};
+use crate::ids::{AttemptKey, JobId, MachineId, Session};
 use crate::protocol::workers::{Cause, Command, TaskPhase, TaskStatus, WorkerStatus};
 use crate::time::{Instant, TimeSpan};
 
@@ -238,7 +238,10 @@
         r: &WorkerStatus,
         confirmed: bool,
     ) {
-        let key = (p.task.clone(), p.attempt_id);
+        let key = AttemptKey {
+            task: p.task.clone(),
+            attempt_id: p.attempt_id,
+        };
         let Some(m) = self.machines.get_mut(machine_id) else {
             return;
         };
@@ -415,12 +418,12 @@
         let quiet = quiet.filter(|m| {
             now - m.last_response_at.max(self.leadership.began_at) > lease_expiry_bound
         });
-        let expired: Vec<(MachineId, (TaskId, AttemptId))> = quiet
+        let expired: Vec<(MachineId, AttemptKey)> = quiet
             .flat_map(|m| {
                 let gone = |s: &&TaskAttempt| {
                     now - m.lease_from(s).max(self.leadership.began_at) > lease_expiry_bound
                 };
-                let key = |s: &TaskAttempt| (m.id.clone(), (s.task.clone(), s.attempt_id));
+                let key = |s: &TaskAttempt| (m.id.clone(), s.key());
                 m.attempts.values().filter(gone).map(key)
             })
             .collect();
@@ -428,7 +431,7 @@
             // Proof 3: no entitled controller has answered it for longer than its lease, and the
             // session that the start belongs to is older than that too. Starts that were never
             // launched stay planned no longer either.
-            tracing::info!(machine = %machine_id, task = %key.0, "lease over: the task is gone");
+            tracing::info!(machine = %machine_id, task = %key.task, "lease over: the task is gone");
             self.remove_attempt(now, &machine_id, &key);
         }
         let patience = self.policy.silence();
--- a/src/coordination/attempts/stops.rs
+++ b/src/coordination/attempts/stops.rs
@@ -39,8 +39,8 @@
             if s.ended() {
                 continue;
             }
-            let job = self.jobs.get(&key.0.job);
-            let wanted = job.is_some_and(|j| j.needs_run(key.0.index));
+            let job = self.jobs.get(&key.task.job);
+            let wanted = job.is_some_and(|j| j.needs_run(key.task.index));
             let leave = recall.is_some() || draining;
             // A start stopped before it was launched would wait for ever: neither launched nor
             // seen to end.
@@ -77,7 +77,7 @@
             });
             stopped = true;
             if job.is_some_and(|j| j.is_all_or_nothing()) {
-                self.outbox.gangs_to_check.insert(key.0.job.clone());
+                self.outbox.gangs_to_check.insert(key.task.job.clone());
             }
         }
         if stopped {
--- a/src/coordination/attempts/task_attempt.rs
+++ b/src/coordination/attempts/task_attempt.rs
@@ -1,7 +1,9 @@
 //! One attempt of a task: how it was launched, and what its worker said of it.
 
 use crate::coordination::jobs::job::Job;
-use crate::ids::{AttemptId, FencingToken, Image, PageNumber, Session, TaskId, TeamIndex, Tick};
+use crate::ids::{
+    AttemptId, AttemptKey, FencingToken, Image, PageNumber, Session, TaskId, TeamIndex, Tick,
+};
 use crate::protocol::workers::{Cause, TaskPhase};
 use crate::resources::Resources;
 use crate::time::Instant;
@@ -101,6 +103,13 @@
             running_since: None,
         }
     }
+    /// Its place in the ledger of its machine.
+    pub fn key(&self) -> AttemptKey {
+        AttemptKey {
+            task: self.task.clone(),
+            attempt_id: self.attempt_id,
+        }
+    }
     /// Seen ended, and still listed by the worker: a tombstone, on which a late launch of the same
     /// try has no effect.
     pub fn ended(&self) -> bool {
--- a/src/coordination/attempts/task_ends.rs
+++ b/src/coordination/attempts/task_ends.rs
@@ -1,7 +1,7 @@
 //! What follows when a task has ended on its machine.
 
 use crate::coordination::Scheduler;
-use crate::ids::{AttemptId, MachineId, TaskId};
+use crate::ids::{AttemptKey, MachineId, TaskId};
 use crate::protocol::workers::Cause;
 use crate::time::{Instant, TimeSpan};
 
@@ -14,10 +14,10 @@
         &mut self,
         now: Instant,
         machine_id: &MachineId,
-        key: &(TaskId, AttemptId),
+        key: &AttemptKey,
         cause: Cause,
     ) {
-        let (task, _) = key;
+        let task = &key.task;
         let lease = TimeSpan::from_secs(self.policy.facts.workers.lease_s);
         tracing::debug!(task = %task, machine = %machine_id, cause = ?cause, "ended");
         self.note_idle(now, machine_id);
--- a/src/coordination/jobs/estimates.rs
+++ b/src/coordination/jobs/estimates.rs
@@ -2,7 +2,7 @@
 
 use crate::coordination::jobs::job::Job;
 use crate::coordination::Scheduler;
-use crate::ids::{AttemptId, MachineId, TaskId};
+use crate::ids::{AttemptKey, MachineId};
 use crate::protocol::users::JobSpec;
 use crate::time::Instant;
 use serde::{Deserialize, Serialize};
@@ -33,12 +33,7 @@
 const TAIL: f64 = 0.35;
 
 impl Scheduler {
-    pub(crate) fn note_run_time(
-        &mut self,
-        now: Instant,
-        machine_id: &MachineId,
-        key: &(TaskId, AttemptId),
-    ) {
+    pub(crate) fn note_run_time(&mut self, now: Instant, machine_id: &MachineId, key: &AttemptKey) {
         let attempt = self
             .machines
             .get(machine_id)
@@ -49,7 +44,7 @@
         let Some(since) = known.and_then(|s| s.running_since) else {
             return;
         };
-        let Some(job) = self.jobs.get_mut(&key.0.job) else {
+        let Some(job) = self.jobs.get_mut(&key.task.job) else {
             return;
         };
         let ran_s = (now - since).secs();
--- a/src/coordination/leadership/recovery.rs
+++ b/src/coordination/leadership/recovery.rs
@@ -14,7 +14,7 @@
 use crate::coordination::persistence::Writer;
 use crate::coordination::placement::PlacementState;
 use crate::coordination::{Policy, Scheduler};
-use crate::ids::{KeyRevision, MachineId};
+use crate::ids::{AttemptKey, KeyRevision, MachineId};
 use crate::protocol::cloud::MachineTypeInfo;
 use crate::protocol::state::KeyValue;
 use crate::resources::Resources;
@@ -227,7 +227,10 @@
             };
             // It had been given work: its worker has reported.
             m.state = MachineState::Up;
-            let key = (task.clone(), attempt_id);
+            let key = AttemptKey {
+                task: task.clone(),
+                attempt_id,
+            };
             let known = self.machines.get(&machine_id);
             if known.is_some_and(|m| m.attempts.contains_key(&key)) {
                 continue;
--- a/src/coordination/machines/machine.rs
+++ b/src/coordination/machines/machine.rs
@@ -2,8 +2,7 @@
 
 use crate::coordination::attempts::task_attempt::TaskAttempt;
 use crate::ids::{
-    AttemptId, FencingToken, Image, JobId, MachineId, MachineType, PageNumber, Session, TaskId,
-    Tick, Zone,
+    AttemptKey, FencingToken, Image, JobId, MachineId, MachineType, PageNumber, Session, Tick, Zone,
 };
 use crate::resources::Resources;
 use crate::time::{Instant, TimeSpan};
@@ -61,7 +60,7 @@
     /// last answer.
     pub session_first_seen_at: Instant,
     /// Every start that may be on it, tombstones included.
-    pub attempts: BTreeMap<(TaskId, AttemptId), TaskAttempt>,
+    pub attempts: BTreeMap<AttemptKey, TaskAttempt>,
     /// What is free on it, and how many starts have not ended: kept in step by `attempts.rs`.
     pub free: Resources,
     pub live_count: u32,
--- a/src/coordination/persistence/launches.rs
+++ b/src/coordination/persistence/launches.rs
@@ -14,7 +14,7 @@
     /// Whether a start is planned and not yet written.
     pub(crate) fn unwritten(&self, key: &PlacedAttempt) -> bool {
         let m = self.machines.get(&key.machine_id);
-        let attempt = m.and_then(|m| m.attempts.get(&(key.task.clone(), key.attempt_id)));
+        let attempt = m.and_then(|m| m.attempts.get(&key.key()));
         attempt.is_some_and(|s| s.page.is_none() && s.untouched())
     }
 
@@ -120,7 +120,7 @@
     /// When a start that is on a page was placed.
     pub(crate) fn placed_at(&self, key: &PlacedAttempt) -> Option<Instant> {
         let machine = self.machines.get(&key.machine_id)?;
-        let attempt = machine.attempts.get(&(key.task.clone(), key.attempt_id))?;
+        let attempt = machine.attempts.get(&key.key())?;
         Some(attempt.since)
     }
 
@@ -130,7 +130,7 @@
             return JobResources::of(&j.spec);
         }
         let m = self.machines.get(&k.machine_id);
-        let s = m.and_then(|m| m.attempts.get(&(k.task.clone(), k.attempt_id)));
+        let s = m.and_then(|m| m.attempts.get(&k.key()));
         let team = self.policy.team(s.and_then(|s| s.team));
         let request = s.map(|s| s.request).unwrap_or_default();
         JobResources(
--- a/src/coordination/persistence/outcomes.rs
+++ b/src/coordination/persistence/outcomes.rs
@@ -94,7 +94,7 @@
         let mut gone = false;
         for k in keys {
             let m = self.machines.get_mut(&k.machine_id);
-            let attempt = m.and_then(|m| m.attempts.get_mut(&(k.task.clone(), k.attempt_id)));
+            let attempt = m.and_then(|m| m.attempts.get_mut(&k.key()));
             match attempt.filter(|s| !s.ended()) {
                 Some(s) => {
                     if s.page.is_none() {
--- a/src/coordination/placement/mod.rs
+++ b/src/coordination/placement/mod.rs
@@ -386,11 +386,10 @@
             let m = self.machines.get(&machine_id).filter(|_| several);
             attempt.image_s = m.map(|m| self.wait_for_image(now, m, &spec));
             attempt.latency = latency;
+            let placed = PlacedAttempt::new(&machine_id, &attempt.key());
             self.insert_attempt(&machine_id, attempt);
             self.add_place(&machine_id, &task);
-            self.writer
-                .intents
-                .wait(PlacedAttempt::new(&machine_id, &(task, pass.attempt_id)));
+            self.writer.intents.wait(placed);
             keep(pass, 1.0);
         }
         left
--- a/src/coordination/placement/preemption.rs
+++ b/src/coordination/placement/preemption.rs
@@ -6,7 +6,7 @@
 use crate::coordination::machines::machine::Machine;
 use crate::coordination::placement::{Pass, UnplacedTasks};
 use crate::coordination::Scheduler;
-use crate::ids::{AttemptId, JobId, MachineId, TaskId};
+use crate::ids::{AttemptKey, JobId, MachineId};
 use crate::resources::Resources;
 use crate::time::{Instant, TimeSpan};
 use std::collections::BTreeSet;
@@ -31,7 +31,7 @@
 struct Eviction {
     cost_s: f64,
     machine_id: MachineId,
-    victims: Vec<(TaskId, AttemptId, f64)>,
+    victims: Vec<(AttemptKey, f64)>,
 }
 
 impl Scheduler {
@@ -181,7 +181,7 @@
                 eviction
                     .victims
                     .iter()
-                    .all(|(_, _, grace_s)| *grace_s < fetch_s / 2.0)
+                    .all(|(_, grace_s)| *grace_s < fetch_s / 2.0)
             })
             .collect();
         if evictions.len() < wanted {
@@ -283,7 +283,7 @@
             }
             room.add(&s.request);
             cost_s += cost;
-            chosen.push((s.task.clone(), s.attempt_id, grace));
+            chosen.push((s.key(), grace));
         }
         (request.fits(&room) && !chosen.is_empty()).then(|| Eviction {
             cost_s,
@@ -330,8 +330,8 @@
             return;
         };
         m.reservation = Some((id.clone(), now + KEPT));
-        for (task, attempt_id, grace_s) in eviction.victims {
-            if let Some(s) = m.attempts.get_mut(&(task, attempt_id)) {
+        for (key, grace_s) in eviction.victims {
+            if let Some(s) = m.attempts.get_mut(&key) {
                 s.stop = Some(StopRequest {
                     grace_s,
                     pushed: false,
--- a/src/ids.rs
+++ b/src/ids.rs
@@ -96,6 +96,21 @@
     pub index: u32,
 }
 
+/// One attempt of one task. Attempt ids are never reused, so neither is a key.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct AttemptKey {
+    /// The task.
+    pub task: TaskId,
+    /// The attempt's id (`try` on the wire).
+    pub attempt_id: AttemptId,
+}
+
+impl fmt::Display for AttemptKey {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "{}@{}", self.task, self.attempt_id)
+    }
+}
+
 impl TaskId {
     /// Reads the wire form.
     pub fn parse(s: &str) -> Option<TaskId> {
--- a/src/storage/pages.rs
+++ b/src/storage/pages.rs
@@ -2,7 +2,7 @@
 //! true, and what is new. So reclaiming costs no change of its own, and there are never many more
 //! pages than what is true needs.
 
-use crate::ids::{AttemptId, JobId, KeyRevision, MachineId, PageNumber, TaskId};
+use crate::ids::{AttemptId, AttemptKey, JobId, KeyRevision, MachineId, PageNumber, TaskId};
 use crate::time::{Instant, TimeSpan};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -16,11 +16,19 @@
 
 impl PlacedAttempt {
     /// From a machine and a key of its ledger.
-    pub fn new(machine_id: &MachineId, key: &(TaskId, AttemptId)) -> PlacedAttempt {
+    pub fn new(machine_id: &MachineId, key: &AttemptKey) -> PlacedAttempt {
         PlacedAttempt {
             machine_id: machine_id.clone(),
-            task: key.0.clone(),
-            attempt_id: key.1,
+            task: key.task.clone(),
+            attempt_id: key.attempt_id,
+        }
+    }
+
+    /// The attempt, without its machine.
+    pub fn key(&self) -> AttemptKey {
+        AttemptKey {
+            task: self.task.clone(),
+            attempt_id: self.attempt_id,
         }
     }
 }
