--- a/src/coordination/attempts/commands.rs
+++ b/src/coordination/attempts/commands.rs
@@ -25,7 +25,7 @@
         if !s.ended()
             || s.in_flight()
             || s.launched_with
-                .is_some_and(|b| b >= self.leadership.term.token)
+                .is_some_and(|b| b >= self.leadership.token())
         {
             return false;
         }
@@ -197,7 +197,7 @@
         }
         let (endpoint, session) = (m.endpoint.clone(), m.session);
         let seq = self.seq();
-        let token = self.leadership.term.token;
+        let token = self.leadership.token();
         self.outbox.pushes_in_flight += 1;
         if let Some(m) = self.machines.get_mut(machine_id) {
             m.push_in_flight = Some(seq);
--- a/src/coordination/attempts/reconciliation.rs
+++ b/src/coordination/attempts/reconciliation.rs
@@ -40,7 +40,7 @@
     /// A worker's check-in. The caller has made sure of the leader's authority, and sends the
     /// orders only if it still holds then.
     pub fn heartbeat(&mut self, now: Instant, status: &WorkerStatus) -> HeartbeatOutcome {
-        if status.token > self.leadership.term.token {
+        if status.token > self.leadership.token() {
             self.effects.push(Effect::StepDown {
                 why: "a worker has seen a higher token",
             });
@@ -60,7 +60,7 @@
         }
         let fresh = self.take_report(now, status, StatusSource::Heartbeat);
         self.review(now, &status.machine_id);
-        let token = self.leadership.term.token;
+        let token = self.leadership.token();
         let Some(m) = self.machines.get_mut(&status.machine_id) else {
             return HeartbeatOutcome::Refused;
         };
@@ -88,7 +88,7 @@
         seq: u64,
         status: &WorkerStatus,
     ) {
-        if status.token > self.leadership.term.token {
+        if status.token > self.leadership.token() {
             self.effects.push(Effect::StepDown {
                 why: "a worker has seen a higher token",
             });
@@ -113,7 +113,7 @@
         seq: u64,
         sent: bool,
     ) {
-        let token = self.leadership.term.token;
+        let token = self.leadership.token();
         let Some(m) = self.machines.get_mut(machine_id) else {
             return;
         };
@@ -165,7 +165,7 @@
                 false,
             );
         }
-        let first = self.leadership.term.first;
+        let first = self.leadership.initial_token();
         let Some(m) = self.machines.get_mut(machine_id) else {
             return false;
         };
@@ -413,12 +413,12 @@
         let lease_expiry_bound = self.policy.lease_expiry_bound();
         let quiet = self.machines.values().filter(|m| !m.attempts.is_empty());
         let quiet = quiet.filter(|m| {
-            now - m.last_response_at.max(self.leadership.began_at) > lease_expiry_bound
+            now - m.last_response_at.max(self.leadership.began_at()) > lease_expiry_bound
         });
         let expired: Vec<(MachineId, (TaskId, AttemptId))> = quiet
             .flat_map(|m| {
                 let gone = |s: &&TaskAttempt| {
-                    now - m.lease_from(s).max(self.leadership.began_at) > lease_expiry_bound
+                    now - m.lease_from(s).max(self.leadership.began_at()) > lease_expiry_bound
                 };
                 let key = |s: &TaskAttempt| (m.id.clone(), (s.task.clone(), s.attempt_id));
                 m.attempts.values().filter(gone).map(key)
--- a/src/coordination/autoscaler/mod.rs
+++ b/src/coordination/autoscaler/mod.rs
@@ -134,7 +134,7 @@
                 whole,
                 since,
             );
-            m.last_response_at = self.leadership.began_at;
+            m.last_response_at = self.leadership.began_at();
             m.verified = false;
             m.push_not_before = now;
             self.machines.insert(id.clone(), m);
@@ -248,7 +248,7 @@
             if listed.contains(&m.id) || m.state == MachineState::Returning {
                 continue;
             }
-            let known_long = now - m.since.max(self.leadership.began_at) > lag;
+            let known_long = now - m.since.max(self.leadership.began_at()) > lag;
             let missing = *m.unlisted_since.get_or_insert(now);
             let quiet = m.last_message_at.is_none_or(|h| now - h > lag);
             if known_long && quiet && now - missing > lag {
--- a/src/coordination/autoscaler/scale_in.rs
+++ b/src/coordination/autoscaler/scale_in.rs
@@ -32,7 +32,7 @@
     /// the last of them may take.
     pub(crate) fn given_up(&mut self, now: Instant) -> BTreeSet<MachineId> {
         let silence = self.policy.silence();
-        if now - self.leadership.began_at <= silence {
+        if self.leadership.age(now) <= silence {
             return BTreeSet::new();
         }
         let quiet = TimeSpan::from_secs(self.policy.facts.workers.report_s * 2.0);
--- a/src/coordination/autoscaler/scale_out.rs
+++ b/src/coordination/autoscaler/scale_out.rs
@@ -81,7 +81,7 @@
     /// 180 machines on the recorded day a974. Until a machine has reported it can't be given work, and what
     /// ended on it while nobody led still seems to be there.
     pub(crate) fn awaits_reports(&self, now: Instant) -> bool {
-        if now - self.leadership.began_at > self.policy.first_reports() {
+        if self.leadership.age(now) > self.policy.first_reports() {
             return false;
         }
         let up = self
@@ -97,7 +97,11 @@
     pub(crate) fn hire(&mut self, now: Instant, kind: Kind, count: u32) {
         // Unique for ever: tokens are, and so is the count within one.
         self.autoscaler.hired += 1;
-        let name = format!("r-{}-{}", self.leadership.term.first, self.autoscaler.hired);
+        let name = format!(
+            "r-{}-{}",
+            self.leadership.initial_token(),
+            self.autoscaler.hired
+        );
         tracing::debug!(idempotency_key = %name, machine_type = %kind.0, zone = %kind.1, spot = kind.2, count, "renting");
         let (machine_type, zone, spot) = kind.clone();
         self.autoscaler.scale_out_requests.insert(
--- a/src/coordination/jobs/lifecycle.rs
+++ b/src/coordination/jobs/lifecycle.rs
@@ -202,9 +202,9 @@
         for (id, terminal_record) in terminal_records {
             match terminal_record {
                 Some(terminal_record) if terminal_record.phase == JobPhase::Done => {
-                    let at = terminal_record.at_ms.map(|ms| {
-                        Instant(ms as i64) - TimeSpan(self.leadership.wall_clock_at_zero_ms as i64)
-                    });
+                    let at = terminal_record
+                        .at_ms
+                        .map(|ms| self.leadership.on_steady_clock(TimeSpan(ms as i64)));
                     self.jobs
                         .graph
                         .finished(&id, at.map_or(now, |at| at.min(now)));
--- a/src/coordination/leadership/recovery.rs
+++ b/src/coordination/leadership/recovery.rs
@@ -7,8 +7,8 @@
 use crate::coordination::jobs::aging::Aging;
 use crate::coordination::jobs::estimates::Estimates;
 use crate::coordination::jobs::table::JobTable;
-use crate::coordination::leadership::authority::LeadershipTerm;
 use crate::coordination::leadership::Leadership;
+use crate::coordination::leadership::LeadershipTerm;
 use crate::coordination::machines::machine::{Machine, MachineState};
 use crate::coordination::machines::table::MachineTable;
 use crate::coordination::persistence::Writer;
@@ -129,11 +129,10 @@
         self.writer.progress.insert((id, chunk), item.revision);
     }
 
-    /// A time of day on record, in seconds since 1970, on this process's steady clock. Only hints rest on
-    /// it: the time of day may be off.
+    /// A time of day on record, in seconds since 1970, on this process's steady clock.
     fn on_steady_clock(&self, time_of_day_s: u64) -> Instant {
-        Instant((time_of_day_s as i64).saturating_mul(1000))
-            - TimeSpan(self.leadership.wall_clock_at_zero_ms as i64)
+        let time_of_day = TimeSpan((time_of_day_s as i64).saturating_mul(1000));
+        self.leadership.on_steady_clock(time_of_day)
     }
 
     /// Small pages first: a machine that a former leader was moving from a page that had grown too large
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -70,14 +70,14 @@
 pub type JobCounts = (JobId, u32, u32);
 
 impl Scheduler {
-    /// The leader's token.
+    /// The fencing token in force.
     pub fn token(&self) -> FencingToken {
-        self.leadership.term.token
+        self.leadership.token()
     }
 
-    /// The token that this leadership began with.
-    pub fn first_token(&self) -> FencingToken {
-        self.leadership.term.first
+    /// The fencing token that this leadership began with.
+    pub fn initial_token(&self) -> FencingToken {
+        self.leadership.initial_token()
     }
 
     /// Machines whose workers should be reporting.
--- a/src/coordination/persistence/ends.rs
+++ b/src/coordination/persistence/ends.rs
@@ -42,11 +42,11 @@
         let terminal_record = TerminalRecord {
             phase: JobPhase::Done,
             tasks: job.spec.tasks,
-            at_ms: self.jobs.graph.has_consumers(id).then(|| {
-                self.leadership
-                    .wall_clock_at_zero_ms
-                    .saturating_add_signed(now.0)
-            }),
+            at_ms: self
+                .jobs
+                .graph
+                .has_consumers(id)
+                .then(|| self.leadership.time_of_day_ms(now)),
         };
         draft.close(
             id,
--- a/src/coordination/persistence/launches.rs
+++ b/src/coordination/persistence/launches.rs
@@ -103,11 +103,7 @@
         for k in keys {
             page.add(&k.machine_id, &k.task, k.attempt_id);
             if let Some(since) = self.placed_at(k) {
-                let placed_s = self
-                    .leadership
-                    .wall_clock_at_zero_ms
-                    .saturating_add_signed(since.0)
-                    / 1000;
+                let placed_s = self.leadership.time_of_day_ms(since) / 1000;
                 page.placed_s.entry(k.attempt_id).or_insert(placed_s);
             }
             if !page.jobs.contains_key(&k.task.job) {
--- a/src/coordination/persistence/machine_pages.rs
+++ b/src/coordination/persistence/machine_pages.rs
@@ -67,11 +67,7 @@
                     })
                 })
                 .collect();
-            let rented_s = self
-                .leadership
-                .wall_clock_at_zero_ms
-                .saturating_add_signed(m.since.0)
-                / 1000;
+            let rented_s = self.leadership.time_of_day_ms(m.since) / 1000;
             let up = m.state != MachineState::Booting;
             page.machines
                 .insert(m.id.clone(), MachineEntry(kind, rented_s, up, held));
--- a/src/coordination/persistence/mod.rs
+++ b/src/coordination/persistence/mod.rs
@@ -196,7 +196,7 @@
         let mut draft = Draft {
             preconditions: BTreeMap::from([(
                 LEADER_KEY.to_string(),
-                self.leadership.term.revision,
+                self.leadership.term().leader_key_revision,
             )]),
             changes: Vec::new(),
             works: Vec::new(),
@@ -250,7 +250,7 @@
         }
         let tombs = |m: &Machine| m.attempts.len() - m.live_count as usize;
         let blocked =
-            |s: &TaskAttempt| s.ended() && s.launched_with == Some(self.leadership.term.token);
+            |s: &TaskAttempt| s.ended() && s.launched_with == Some(self.leadership.token());
         let lost = |m: &Machine| {
             m.attempts
                 .values()
@@ -265,9 +265,9 @@
         if !soon && !due {
             return;
         }
-        let token = FencingToken(self.leadership.term.token.0 + 1);
+        let token = FencingToken(self.leadership.token().0 + 1);
         let record = LeaderRecord {
-            host_name: self.leadership.term.host_name.clone(),
+            host_name: self.leadership.term().host_name.clone(),
             token,
         };
         let Ok(data) = serde_json::to_value(&record) else {
@@ -277,13 +277,13 @@
             Change::Put {
                 put: LEADER_KEY.into(),
                 data,
-                lease: Some(self.leadership.term.lease),
+                lease: Some(self.leadership.term().lease),
             },
             Change::put(FENCING_TOKEN_KEY.into(), token.0.into()),
         ];
         let preconditions = vec![(
             FENCING_TOKEN_KEY.to_string(),
-            self.leadership.term.token_stamp,
+            self.leadership.term().token_counter_revision,
         )];
         draft.add(preconditions, changes, Work::Raise { token });
     }
--- a/src/coordination/persistence/outcomes.rs
+++ b/src/coordination/persistence/outcomes.rs
@@ -2,14 +2,14 @@
 
 use super::{Flight, Work, REFUSED};
 use crate::coordination::jobs::lifecycle::Closure;
+use crate::coordination::leadership::LeaderKeyOwner;
 use crate::coordination::{Effect, Scheduler};
 use crate::ids::{JobId, KeyRevision, PageNumber, StoreRevision};
 use crate::protocol::state::KeyValue;
 use crate::storage::pages::PlacedAttempt;
 use crate::storage::records::{
-    parse_page, parse_progress_key, progress_key, LeaderRecord, DEPENDENCY_PREFIX,
-    FENCING_TOKEN_KEY, HINTS_KEY, INTENT_PAGE_PREFIX, LEADER_KEY, MACHINE_PAGE_PREFIX,
-    OPEN_JOB_PREFIX,
+    parse_page, parse_progress_key, progress_key, DEPENDENCY_PREFIX, FENCING_TOKEN_KEY, HINTS_KEY,
+    INTENT_PAGE_PREFIX, LEADER_KEY, MACHINE_PAGE_PREFIX, OPEN_JOB_PREFIX,
 };
 use crate::time::{Instant, TimeSpan};
 use std::collections::BTreeSet;
@@ -41,9 +41,7 @@
                 }
                 Work::Raise { token } => {
                     tracing::debug!(token = %token, "our token is raised");
-                    self.leadership.term.token = token;
-                    self.leadership.term.revision = revision;
-                    self.leadership.term.token_stamp = revision;
+                    self.leadership.token_raised(token, revision);
                     self.writer.raised_at = now;
                 }
                 Work::Progress { job, chunk, tasks } => {
@@ -202,7 +200,7 @@
             if key == LEADER_KEY {
                 self.lead_reread(now, item);
             } else if key == FENCING_TOKEN_KEY {
-                self.leadership.term.token_stamp = revision;
+                self.leadership.token_counter_reread(revision);
             } else if key == HINTS_KEY {
                 self.writer.hints = revision;
             } else if let Some(id) = key.strip_prefix(OPEN_JOB_PREFIX) {
@@ -238,25 +236,12 @@
         }
     }
 
-    /// The leader key is ours as long as it is on our lease. It may carry a token that we raised
-    /// without learning of it.
+    /// The leader key as it stands. Without it this leader may not write, nor act for long.
     pub(crate) fn lead_reread(&mut self, now: Instant, item: Option<KeyValue>) {
-        let ours = item
-            .filter(|i| i.lease == Some(self.leadership.term.lease))
-            .and_then(|i| {
-                let record: LeaderRecord = serde_json::from_value(i.data).ok()?;
-                (record.host_name == self.leadership.term.host_name)
-                    .then_some((record.token, i.revision))
-            });
-        match ours {
-            Some((token, revision)) => {
-                if token > self.leadership.term.token {
-                    self.leadership.term.token = token;
-                    self.writer.raised_at = now;
-                }
-                self.leadership.term.revision = revision;
-            }
-            None => self.effects.push(Effect::StepDown {
+        match self.leadership.leader_key_reread(item) {
+            LeaderKeyOwner::Us => {}
+            LeaderKeyOwner::UsWithRaisedToken => self.writer.raised_at = now,
+            LeaderKeyOwner::Other => self.effects.push(Effect::StepDown {
                 why: "the leader key is no longer ours",
             }),
         }
--- a/src/runtime/leader/effects.rs
+++ b/src/runtime/leader/effects.rs
@@ -116,7 +116,7 @@
     loop {
         match node.state.get(key).await {
             Ok(item) => return Some(item),
-            Err(_) if !authority.holds(node.now()) => return None,
+            Err(_) if !authority.is_held(node.now()) => return None,
             Err(_) => {
                 let ms = 150 + rand::rng().random_range(0..150);
                 tokio::time::sleep(Duration::from_millis(ms)).await;
--- a/src/runtime/leader/election.rs
+++ b/src/runtime/leader/election.rs
@@ -1,7 +1,8 @@
 //! Campaigning for the leadership: the leader key is taken when it is free, or was our predecessor's on this
 //! host.
 
-use crate::coordination::leadership::authority::{Authority, LeadershipTerm};
+use crate::coordination::leadership::authority::Authority;
+use crate::coordination::leadership::LeadershipTerm;
 use crate::ids::{FencingToken, KeyRevision, LeaseId};
 use crate::protocol::state::{Change, Precondition, Transaction};
 use crate::runtime::clients::state_store::{StateError, TxnOutcome};
@@ -109,28 +110,29 @@
             Change::put(FENCING_TOKEN_KEY.into(), token.0.into()),
         ],
     };
-    let (revision, token_stamp) = match node.state.transaction(&transaction).await {
-        Ok(TxnOutcome::Applied(store_revision)) => {
-            (KeyRevision(store_revision.0), KeyRevision(store_revision.0))
-        }
-        Err(StateError::Unclear) => {
-            // Only what is read settles it: the key carries our lease and this token, or not.
-            let item = node.state.get(LEADER_KEY).await.ok()??;
-            let record: LeaderRecord = serde_json::from_value(item.data).ok()?;
-            if item.lease != Some(lease) || record.token != token {
-                return None;
+    let (leader_key_revision, token_counter_revision) =
+        match node.state.transaction(&transaction).await {
+            Ok(TxnOutcome::Applied(store_revision)) => {
+                (KeyRevision(store_revision.0), KeyRevision(store_revision.0))
             }
-            // Both keys were written by the same transaction.
-            (item.revision, item.revision)
-        }
-        _ => return None,
-    };
+            Err(StateError::Unclear) => {
+                // Only what is read settles it: the key carries our lease and this token, or not.
+                let item = node.state.get(LEADER_KEY).await.ok()??;
+                let record: LeaderRecord = serde_json::from_value(item.data).ok()?;
+                if item.lease != Some(lease) || record.token != token {
+                    return None;
+                }
+                // Both keys were written by the same transaction.
+                (item.revision, item.revision)
+            }
+            _ => return None,
+        };
     Some(Won {
         lead: LeadershipTerm {
             token,
-            first: token,
-            revision,
-            token_stamp,
+            initial_token: token,
+            leader_key_revision,
+            token_counter_revision,
             lease,
             host_name: record.host_name,
         },
--- a/src/runtime/leader/job_watch.rs
+++ b/src/runtime/leader/job_watch.rs
@@ -124,7 +124,7 @@
                 let (age_ms, changes) = ((node.now() - asked).0, page.events.len());
                 tracing::debug!(since = %since, store_revision = %page.store_revision, age_ms, changes, "open jobs followed");
                 since = page.store_revision;
-                authority.knows(asked);
+                authority.view_refreshed(asked);
                 // Changes come in bunches: a short pause spares requests.
                 tokio::time::sleep(Duration::from_millis(100)).await;
             }
@@ -144,7 +144,7 @@
                         tracing::info!(reason = ?e, since = %since, store_revision = %store_revision, age_ms, jobs = jobs.len(), "open jobs listed again after a gap");
                         node.leader.event(node.now(), Event::OpenJobs { jobs });
                         since = store_revision;
-                        authority.knows(asked);
+                        authority.view_refreshed(asked);
                     }
                 }
             }
--- a/src/runtime/leader/mod.rs
+++ b/src/runtime/leader/mod.rs
@@ -8,7 +8,8 @@
 mod job_watch;
 
 use crate::coordination::attempts::reconciliation::HeartbeatOutcome;
-use crate::coordination::leadership::authority::{should_hand_over, silence_bound, Authority};
+use crate::coordination::leadership::authority::Authority;
+use crate::coordination::leadership::transfer::{should_hand_over, silence_bound};
 use crate::coordination::{Effect, Event, Scheduler};
 use crate::ids::{FencingToken, JobId, LeaseId, MachineId};
 use crate::protocol::peers::{PeerReply, PeerRequest};
@@ -99,7 +100,7 @@
     pub fn leads(&self, now: Instant) -> bool {
         lock(&self.active)
             .as_ref()
-            .is_some_and(|a| a.authority.holds(now))
+            .is_some_and(|a| a.authority.is_held(now))
     }
 
     /// Makes the step loop look soon.
@@ -127,7 +128,7 @@
             return Heartbeat::TakingOver;
         }
         if let Some(a) = lock(&self.active).as_mut() {
-            if a.authority.holds(now) {
+            if a.authority.is_held(now) {
                 let answer = a.core.heartbeat(now, report);
                 self.wake.notify_one();
                 return match answer {
@@ -153,7 +154,7 @@
     /// Counts of one job, if this controller leads.
     pub fn counts_of(&self, now: Instant, id: &JobId) -> Option<(u32, u32)> {
         let active = lock(&self.active);
-        let a = active.as_ref().filter(|a| a.authority.holds(now))?;
+        let a = active.as_ref().filter(|a| a.authority.is_held(now))?;
         Some(a.core.counts_of(id))
     }
 }
@@ -164,7 +165,7 @@
 /// Leads until authority is lost.
 pub(in crate::runtime) async fn lead(node: &Arc<Node>, won: Won) {
     let end = node.stop.child_token();
-    let (first, lease) = (won.lead.first, won.lead.lease);
+    let (first, lease) = (won.lead.initial_token, won.lead.lease);
     let began = node.now();
     tracing::info!(token = %first, version = env!("CARGO_PKG_VERSION"), "leading");
     let renewing = tokio::spawn(renew(
@@ -188,8 +189,8 @@
             .map(|core| (core, store_revision, jobs))
     });
     match core {
-        Some((core, store_revision, jobs)) if won.authority.holds(node.now()) => {
-            won.authority.knows(asked);
+        Some((core, store_revision, jobs)) if won.authority.is_held(node.now()) => {
+            won.authority.view_refreshed(asked);
             let (machines, attempts) = (core.machines_up(), core.attempt_counts());
             let activity = Arc::new(Activity::new(node.now()));
             *lock(&node.leader.active) = Some(Active {
@@ -259,7 +260,7 @@
             _ = tokio::time::sleep(every) => {}
         }
         while touches.try_join_next().is_some() {}
-        if !authority.holds(node.now()) {
+        if !authority.is_held(node.now()) {
             end_lapsed(&authority, node.now(), &end);
             return;
         }
@@ -268,7 +269,7 @@
             touches.spawn(async move {
                 let sent = node.now();
                 match node.state.touch(lease, Duration::from_millis(life)).await {
-                    Ok(()) => authority.renewed(sent),
+                    Ok(()) => authority.lease_renewed(sent),
                     Err(StateError::NoLease) => {
                         tracing::info!("the leader's lease is over");
                         authority.resign();
@@ -284,7 +285,7 @@
 /// nothing any more.
 fn end_lapsed(authority: &Authority, now: Instant, end: &CancellationToken) {
     if !end.is_cancelled() {
-        let (authority_loss, view_age) = (authority.authority_loss(now), authority.view_age(now));
+        let (authority_loss, view_age) = (authority.loss(now), authority.view_age(now));
         tracing::info!(
             ?authority_loss,
             view_age_ms = view_age.0,
@@ -382,7 +383,7 @@
         let due = node.now() + BUNCH;
         tokio::time::sleep(Duration::from_millis(BUNCH.0 as u64)).await;
         let now = node.now();
-        if end.is_cancelled() || !authority.holds(now) {
+        if end.is_cancelled() || !authority.is_held(now) {
             end_lapsed(&authority, now, &end);
             return;
         }
@@ -402,7 +403,7 @@
             let (node, authority, end) = (node.clone(), authority.clone(), end.clone());
             tokio::spawn(async move {
                 // Authority is checked as each effect leaves, not only when it was decided.
-                if !end.is_cancelled() && authority.holds(node.now()) {
+                if !end.is_cancelled() && authority.is_held(node.now()) {
                     let effect = node.leader.as_it_leaves(node.now(), effect);
                     if let Some(event) = carry_out(&node, &authority, effect).await {
                         if !end.is_cancelled() {
--- a/tests/leadership.rs
+++ b/tests/leadership.rs
@@ -1,8 +1,7 @@
 //! A leader's right to act, and when it hands over.
 
-use chalklug::coordination::leadership::authority::{
-    should_hand_over, silence_bound, Authority, AuthorityLoss,
-};
+use chalklug::coordination::leadership::authority::{Authority, AuthorityLoss};
+use chalklug::coordination::leadership::transfer::{should_hand_over, silence_bound};
 use chalklug::settings::{LeaderTimes, Operator, Workers};
 use chalklug::time::{Instant, TimeSpan};
 
@@ -52,13 +51,13 @@
 fn authority_counts_from_sending_and_never_shrinks() {
     let a = Authority::new(times(), Instant(1000));
     let end = 1000 + 4000 - 300 - 9;
-    assert!(a.holds(Instant(end - 1)) && !a.holds(Instant(end)));
-    a.renewed(Instant(3000));
-    a.renewed(Instant(2000));
-    assert!(a.holds(Instant(end + 1999)) && !a.holds(Instant(end + 2000)));
+    assert!(a.is_held(Instant(end - 1)) && !a.is_held(Instant(end)));
+    a.lease_renewed(Instant(3000));
+    a.lease_renewed(Instant(2000));
+    assert!(a.is_held(Instant(end + 1999)) && !a.is_held(Instant(end + 2000)));
     a.resign();
-    a.renewed(Instant(9000));
-    assert!(!a.holds(Instant(3000)));
+    a.lease_renewed(Instant(9000));
+    assert!(!a.is_held(Instant(3000)));
 }
 
 /// Touches are served, but what is known of the jobs grows old: authority ends all the same, and an
@@ -67,11 +66,11 @@
 fn authority_ends_with_what_is_known() {
     let a = Authority::new(times(), Instant(0));
     for t in 1..=30 {
-        a.renewed(Instant(t * 1000));
+        a.lease_renewed(Instant(t * 1000));
     }
-    assert!(a.holds(Instant(19_999)) && !a.holds(Instant(20_000)));
-    a.knows(Instant(5000));
-    assert!(a.holds(Instant(24_999)) && !a.holds(Instant(25_000)));
+    assert!(a.is_held(Instant(19_999)) && !a.is_held(Instant(20_000)));
+    a.view_refreshed(Instant(5000));
+    assert!(a.is_held(Instant(24_999)) && !a.is_held(Instant(25_000)));
 }
 
 /// The inequality of docs/SAFETY.md, over many settings: the staleness allowed and a worker's lease,
@@ -109,24 +108,15 @@
 #[test]
 fn the_reason_for_which_authority_ended_is_told() {
     let a = Authority::new(times(), Instant(0));
-    assert_eq!(a.authority_loss(Instant(3000)), None);
-    assert_eq!(
-        a.authority_loss(Instant(4000)),
-        Some(AuthorityLoss::LeaseExpired)
-    );
-    a.renewed(Instant(19_000));
-    assert_eq!(a.authority_loss(Instant(19_999)), None);
+    assert_eq!(a.loss(Instant(3000)), None);
+    assert_eq!(a.loss(Instant(4000)), Some(AuthorityLoss::LeaseExpired));
+    a.lease_renewed(Instant(19_000));
+    assert_eq!(a.loss(Instant(19_999)), None);
     assert_eq!(a.view_age(Instant(19_999)), TimeSpan(19_999));
-    assert_eq!(
-        a.authority_loss(Instant(20_000)),
-        Some(AuthorityLoss::ViewTooOld)
-    );
-    a.knows(Instant(18_000));
-    assert_eq!(a.authority_loss(Instant(20_000)), None);
+    assert_eq!(a.loss(Instant(20_000)), Some(AuthorityLoss::ViewTooOld));
+    a.view_refreshed(Instant(18_000));
+    assert_eq!(a.loss(Instant(20_000)), None);
     assert_eq!(a.view_age(Instant(20_000)), TimeSpan(2000));
     a.resign();
-    assert_eq!(
-        a.authority_loss(Instant(20_000)),
-        Some(AuthorityLoss::Resigned)
-    );
+    assert_eq!(a.loss(Instant(20_000)), Some(AuthorityLoss::Resigned));
 }
--- a/tests/support/leader.rs
+++ b/tests/support/leader.rs
@@ -1,6 +1,6 @@
 //! A leader's settings and leadership, for tests of the core alone.
 
-use chalklug::coordination::leadership::authority::LeadershipTerm;
+use chalklug::coordination::leadership::LeadershipTerm;
 use chalklug::coordination::Policy;
 use chalklug::ids::{FencingToken, KeyRevision, LeaseId};
 use chalklug::settings::Operator;
@@ -29,9 +29,9 @@
 pub fn lead(token: u64) -> LeadershipTerm {
     LeadershipTerm {
         token: FencingToken(token),
-        first: FencingToken(token),
-        revision: KeyRevision(2),
-        token_stamp: KeyRevision(2),
+        initial_token: FencingToken(token),
+        leader_key_revision: KeyRevision(2),
+        token_counter_revision: KeyRevision(2),
         lease: LeaseId(1),
         host_name: "n".into(),
     }
--- a/tests/support/recorded_core.rs
+++ b/tests/support/recorded_core.rs
@@ -2,8 +2,8 @@
 
 use super::wire_digest::WireDigest;
 use chalklug::coordination::attempts::reconciliation::HeartbeatOutcome;
-use chalklug::coordination::leadership::authority::LeadershipTerm;
 use chalklug::coordination::leadership::recovery::{RecoveredState, UnreadableRecord};
+use chalklug::coordination::leadership::LeadershipTerm;
 use chalklug::coordination::{Effect, Policy, Scheduler};
 use chalklug::protocol::workers::WorkerStatus;
 use chalklug::time::Instant;
--- a/tests/upgrade/repacking.rs
+++ b/tests/upgrade/repacking.rs
@@ -4,8 +4,8 @@
 use super::machine_type::machine_type;
 use super::recorded_core::RecordedCore;
 use super::world::store::Store;
-use chalklug::coordination::leadership::authority::LeadershipTerm;
 use chalklug::coordination::leadership::recovery::RecoveredState;
+use chalklug::coordination::leadership::LeadershipTerm;
 use chalklug::coordination::{Effect, Event, Policy};
 use chalklug::ids::*;
 use chalklug::protocol::state::{Change, Transaction};
@@ -77,9 +77,9 @@
 fn recover(store: &Store, now: Instant, token: u64, next: &str) -> RecordedCore {
     let lead = LeadershipTerm {
         token: FencingToken(token),
-        first: FencingToken(token),
-        revision: KeyRevision(0),
-        token_stamp: KeyRevision(0),
+        initial_token: FencingToken(token),
+        leader_key_revision: KeyRevision(0),
+        token_counter_revision: KeyRevision(0),
         lease: LeaseId(1),
         host_name: "controller-1".into(),
     };
--- a/tests/world/leading.rs
+++ b/tests/world/leading.rs
@@ -1,8 +1,9 @@
 //! Who leads: leases, takeovers, and what reaches the leader of the jobs.
 
 use super::World;
-use chalklug::coordination::leadership::authority::{Authority, LeadershipTerm};
+use chalklug::coordination::leadership::authority::Authority;
 use chalklug::coordination::leadership::recovery::RecoveredState;
+use chalklug::coordination::leadership::LeadershipTerm;
 use chalklug::coordination::{Event, Scheduler};
 use chalklug::ids::*;
 use chalklug::protocol::state::{Change, Transaction};
@@ -36,10 +37,10 @@
                 self.touched = now;
                 self.lease_until = now + self.times.life;
                 if let Some(a) = &self.authority {
-                    a.renewed(now);
+                    a.lease_renewed(now);
                 }
             }
-            let holds = self.authority.as_ref().is_none_or(|a| a.holds(now));
+            let holds = self.authority.as_ref().is_none_or(|a| a.is_held(now));
             if !holds {
                 self.crash();
                 if self.leader_served() {
@@ -102,9 +103,9 @@
         self.seen_epoch = self.store.store_revision;
         let lead = LeadershipTerm {
             token,
-            first: token,
-            revision,
-            token_stamp: revision,
+            initial_token: token,
+            leader_key_revision: revision,
+            token_counter_revision: revision,
             lease,
             host_name: record.host_name,
         };
@@ -145,7 +146,7 @@
             return;
         }
         if let Some(a) = &self.authority {
-            a.knows(self.now);
+            a.view_refreshed(self.now);
         }
         if self.core.is_none() {
             return;
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -273,7 +273,7 @@
         assert!(self.store.apply(&transaction).is_some());
         self.checker.cancelled(id, self.now);
         // Whoever confirmed it tells its siblings.
-        if let Some(leader) = self.core.as_ref().map(Scheduler::first_token) {
+        if let Some(leader) = self.core.as_ref().map(Scheduler::initial_token) {
             if self.campaigns && self.now >= self.peers_cut {
                 let cancelled = Event::JobCancelled { id: id.clone() };
                 self.send(10, Message::ToCore(leader, cancelled));
@@ -525,7 +525,7 @@
                         return;
                     }
                 }
-                if let Some(core) = self.core.as_mut().filter(|c| c.first_token() == leader) {
+                if let Some(core) = self.core.as_mut().filter(|c| c.initial_token() == leader) {
                     core.on(now, event);
                 }
             }
@@ -535,7 +535,7 @@
                 transaction,
                 answer,
             } => {
-                let current = self.core.as_ref().map(Scheduler::first_token) == Some(leader);
+                let current = self.core.as_ref().map(Scheduler::initial_token) == Some(leader);
                 if now < self.state_down || (current && now < self.leader_refused) {
                     if answer {
                         self.send(10, Message::ToCore(leader, Event::NotWritten { seq }));
@@ -573,7 +573,7 @@
     }
 
     fn carry_out(&mut self, e: Effect) {
-        let Some(leader) = self.core.as_ref().map(Scheduler::first_token) else {
+        let Some(leader) = self.core.as_ref().map(Scheduler::initial_token) else {
             return;
         };
         let now = self.now;
