--- a/src/coordination/leadership/recovery.rs
+++ b/src/coordination/leadership/recovery.rs
@@ -7,8 +7,8 @@
 use crate::coordination::jobs::aging::Aging;
 use crate::coordination::jobs::estimates::Estimates;
 use crate::coordination::jobs::table::JobTable;
-use crate::coordination::leadership::authority::LeadershipTerm;
 use crate::coordination::leadership::Leadership;
+use crate::coordination::leadership::LeadershipTerm;
 use crate::coordination::machines::machine::{Machine, MachineState};
 use crate::coordination::machines::table::MachineTable;
 use crate::coordination::persistence::Writer;
@@ -127,11 +127,10 @@
         self.writer.progress.insert(key, item.revision);
     }
 
-    /// A time of day on record, in seconds since 1970, on this process's steady clock. Only hints rest on
-    /// it: the time of day may be off.
+    /// A time of day on record, in seconds since 1970, on this process's steady clock.
     fn on_steady_clock(&self, time_of_day_s: u64) -> Instant {
-        Instant((time_of_day_s as i64).saturating_mul(1000))
-            - TimeSpan(self.leadership.wall_clock_at_zero_ms as i64)
+        let time_of_day = TimeSpan((time_of_day_s as i64).saturating_mul(1000));
+        self.leadership.on_steady_clock(time_of_day)
     }
 
     /// Small pages first: a machine that a former leader was moving from a page that had grown too large
@@ -224,8 +223,7 @@
         for intent in record.intents() {
             let LaunchIntent {
                 machine_id,
-                task,
-                attempt_id,
+                attempt: key,
             } = &intent;
             let Some(m) = self.machines.get_mut(machine_id) else {
                 // Proof 4, on record: a start is written only once its machine's page is, and a
@@ -235,22 +233,21 @@
             };
             // It had been given work: its worker has reported.
             m.state = MachineState::Up;
-            let key = intent.attempt_key();
             let known = self.machines.get(machine_id);
-            if known.is_some_and(|m| m.attempts.contains_key(&key)) {
+            if known.is_some_and(|m| m.attempts.contains_key(key)) {
                 continue;
             }
-            let placed = record.placed_s.get(attempt_id);
+            let placed = record.placed_s.get(&key.attempt_id);
             let since = placed.map_or(now, |s| self.on_steady_clock(*s).min(now));
-            let mut s = self.new_attempt(machine_id, task.clone(), *attempt_id, since);
-            if let Some(takes) = record.jobs.get(&task.job) {
+            let mut s = self.new_attempt(machine_id, key.task.clone(), key.attempt_id, since);
+            if let Some(takes) = record.jobs.get(&key.task.job) {
                 s.request = takes.request;
                 s.team = self.policy.team_index(&takes.team);
             }
             s.page = Some(page);
             s.recovered = true;
             self.insert_attempt(machine_id, s);
-            self.add_place(machine_id, task);
+            self.add_place(machine_id, &key.task);
             self.writer.intents.holds(page, intent);
         }
         Ok(())
--- a/src/coordination/persistence/outcomes.rs
+++ b/src/coordination/persistence/outcomes.rs
@@ -2,10 +2,11 @@
 
 use super::{Flight, Work, REFUSED};
 use crate::coordination::jobs::lifecycle::Closure;
+use crate::coordination::leadership::LeaderKeyOwner;
 use crate::coordination::{Effect, Scheduler};
 use crate::ids::{JobId, KeyRevision, PageNumber, StoreRevision};
 use crate::protocol::state::KeyValue;
-use crate::storage::records::{LaunchIntent, LeaderRecord, ProgressKey, RecordKey, LEADER_KEY};
+use crate::storage::records::{LaunchIntent, ProgressKey, RecordKey, LEADER_KEY};
 use crate::time::{Instant, TimeSpan};
 use std::collections::BTreeSet;
 
@@ -36,9 +37,7 @@
                 }
                 Work::Raise { token } => {
                     tracing::debug!(token = %token, "our token is raised");
-                    self.leadership.term.token = token;
-                    self.leadership.term.revision = revision;
-                    self.leadership.term.token_stamp = revision;
+                    self.leadership.token_raised(token, revision);
                     self.writer.raised_at = now;
                 }
                 Work::Progress { key, tasks } => {
@@ -90,7 +89,7 @@
         let mut gone = false;
         for k in keys {
             let m = self.machines.get_mut(&k.machine_id);
-            let attempt = m.and_then(|m| m.attempts.get_mut(&(k.task.clone(), k.attempt_id)));
+            let attempt = m.and_then(|m| m.attempts.get_mut(&k.attempt));
             match attempt.filter(|s| !s.ended()) {
                 Some(s) => {
                     if s.page.is_none() {
@@ -197,7 +196,7 @@
             let revision = item.as_ref().map_or(KeyRevision(0), |i| i.revision);
             match RecordKey::parse(&key) {
                 Some(RecordKey::Leader) => self.lead_reread(now, item),
-                Some(RecordKey::FencingToken) => self.leadership.term.token_stamp = revision,
+                Some(RecordKey::FencingToken) => self.leadership.token_counter_reread(revision),
                 Some(RecordKey::Hints) => self.writer.hints = revision,
                 Some(RecordKey::OpenJob(id)) => self.open_reread(now, &id, revision),
                 Some(RecordKey::IntentPage(page)) => {
@@ -236,25 +235,12 @@
         }
     }
 
-    /// The leader key is ours as long as it is on our lease. It may carry a token that we raised
-    /// without learning of it.
+    /// The leader key as it stands. Without it this leader may not write, nor act for long.
     pub(crate) fn lead_reread(&mut self, now: Instant, item: Option<KeyValue>) {
-        let ours = item
-            .filter(|i| i.lease == Some(self.leadership.term.lease))
-            .and_then(|i| {
-                let record: LeaderRecord = serde_json::from_value(i.data).ok()?;
-                (record.host_name == self.leadership.term.host_name)
-                    .then_some((record.token, i.revision))
-            });
-        match ours {
-            Some((token, revision)) => {
-                if token > self.leadership.term.token {
-                    self.leadership.term.token = token;
-                    self.writer.raised_at = now;
-                }
-                self.leadership.term.revision = revision;
-            }
-            None => self.effects.push(Effect::StepDown {
+        match self.leadership.leader_key_reread(item) {
+            LeaderKeyOwner::Us => {}
+            LeaderKeyOwner::UsWithRaisedToken => self.writer.raised_at = now,
+            LeaderKeyOwner::Other => self.effects.push(Effect::StepDown {
                 why: "the leader key is no longer ours",
             }),
         }
--- a/src/coordination/persistence/pages.rs
+++ b/src/coordination/persistence/pages.rs
@@ -45,19 +45,19 @@
     }
     /// Takes a start in.
     pub fn add(&mut self, key: &LaunchIntent, team: &str) {
-        let job = &key.task.job;
+        let job = &key.attempt.task.job;
         // A task's number and a comma; numbers have at most six digits.
         self.bytes += 7;
-        if self.tries.insert(key.attempt_id) {
+        if self.tries.insert(key.attempt.attempt_id) {
             // Once for its starts, and once for when it was placed.
             self.bytes += 26 + 36;
         }
-        if self.tried.insert((key.attempt_id, job.clone())) {
+        if self.tried.insert((key.attempt.attempt_id, job.clone())) {
             self.bytes += job.as_str().len() + 6;
         }
         if self
             .seen
-            .insert((key.attempt_id, job.clone(), key.machine_id.clone()))
+            .insert((key.attempt.attempt_id, job.clone(), key.machine_id.clone()))
         {
             self.bytes += key.machine_id.as_str().len() + 6;
         }
--- a/src/storage/records/intents.rs
+++ b/src/storage/records/intents.rs
@@ -1,6 +1,6 @@
 //! Pages of launch intents: which task attempts may be on which machines.
 
-use crate::ids::{AttemptId, JobId, MachineId, TaskId};
+use crate::ids::{AttemptId, AttemptKey, JobId, MachineId, TaskId};
 use crate::protocol::users::JobSpec;
 use crate::resources::Resources;
 use serde::{Deserialize, Serialize};
@@ -11,25 +11,22 @@
 pub struct LaunchIntent {
     /// The machine.
     pub machine_id: MachineId,
-    /// The task.
-    pub task: TaskId,
-    /// Which attempt at the task.
-    pub attempt_id: AttemptId,
+    /// The task attempt.
+    pub attempt: AttemptKey,
 }
 
 impl LaunchIntent {
-    /// From a machine and a key of its task attempts.
-    pub fn new(machine_id: &MachineId, key: &(TaskId, AttemptId)) -> LaunchIntent {
+    /// The intent to launch an attempt on a machine.
+    pub fn new(machine_id: &MachineId, attempt: &AttemptKey) -> LaunchIntent {
         LaunchIntent {
             machine_id: machine_id.clone(),
-            task: key.0.clone(),
-            attempt_id: key.1,
+            attempt: attempt.clone(),
         }
     }
 
-    /// The key of the attempt among those of its machine.
-    pub fn attempt_key(&self) -> (TaskId, AttemptId) {
-        (self.task.clone(), self.attempt_id)
+    /// The job that the attempt is of.
+    pub fn job(&self) -> &JobId {
+        &self.attempt.task.job
     }
 }
 
@@ -110,11 +107,13 @@
                 machines.iter().flat_map(move |(machine_id, tasks)| {
                     tasks.iter().map(move |index| LaunchIntent {
                         machine_id: machine_id.clone(),
-                        task: TaskId {
-                            job: job.clone(),
-                            index: *index,
+                        attempt: AttemptKey {
+                            task: TaskId {
+                                job: job.clone(),
+                                index: *index,
+                            },
+                            attempt_id: *attempt_id,
                         },
-                        attempt_id: *attempt_id,
                     })
                 })
             })
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -285,7 +285,8 @@
                 };
                 if put.starts_with(INTENT_PAGE_PREFIX) {
                     let page: IntentPage = serde_json::from_value(data).unwrap();
-                    for LaunchIntent { task, .. } in page.intents() {
+                    for LaunchIntent { attempt, .. } in page.intents() {
+                        let task = attempt.task;
                         tasks.entry(task.job).or_default().insert(task.index);
                     }
                 }
