--- a/src/coordination/attempts/reconciliation.rs
+++ b/src/coordination/attempts/reconciliation.rs
@@ -4,6 +4,7 @@
 //! where that happens, and each caller names its proof.
 
 use crate::coordination::attempts::task_attempt::{LastStatus, PushDelivery, TaskAttempt};
+use crate::coordination::autoscaler::MachineOffer;
 use crate::coordination::machines::machine::{MachineState, MAX_UNACKNOWLEDGED_RESPONSES};
 use crate::coordination::{Effect, Scheduler};
 use crate::ids::{AttemptId, JobId, MachineId, Session, TaskId};
@@ -155,15 +156,12 @@
             tracing::info!(machine = %r.machine_id, machine_type = %r.machine_type, "a machine reports that was not known");
             // Not verified: this may be a late copy of a report of a machine long returned. It is
             // given work once it has shown our token.
-            self.enter_machine(
-                now,
-                machine_id,
-                &r.machine_type,
-                &r.zone,
-                r.spot,
-                now,
-                false,
-            );
+            let offer = MachineOffer {
+                machine_type: r.machine_type.clone(),
+                zone: r.zone.clone(),
+                spot: r.spot,
+            };
+            self.add_machine(now, machine_id, &offer, now, false);
         }
         let first = self.leadership.term.first;
         let Some(m) = self.machines.get_mut(machine_id) else {
--- a/src/coordination/autoscaler/forecast.rs
+++ b/src/coordination/autoscaler/forecast.rs
@@ -7,7 +7,7 @@
 //! a burst, each of whose tasks by itself would not wait longer than for a new machine.
 
 use crate::coordination::attempts::task_attempt::TaskAttempt;
-use crate::coordination::autoscaler::Kind;
+use crate::coordination::autoscaler::MachineOffer;
 use crate::coordination::machines::machine::{Machine, MachineState};
 use crate::coordination::placement::candidates::emptiness;
 use crate::coordination::placement::UnplacedTasks;
@@ -20,16 +20,16 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
 /// What the forecast says.
-pub(crate) struct Seen {
+pub(crate) struct ForecastResult {
     /// Machines to rent.
-    pub rent: BTreeMap<Kind, u32>,
+    pub scale_out: BTreeMap<MachineOffer, u32>,
     /// Idle machines that nothing was given to.
     pub spare: BTreeSet<MachineId>,
 }
 
 /// A machine in the forecast: there, coming, or one that might be rented.
 struct Bin {
-    kind: Kind,
+    offer: MachineOffer,
     /// The machine, if it is there and idle and nothing has been given to it.
     idle: Option<MachineId>,
     /// The part of it that is free: fuller ones are filled first.
@@ -119,7 +119,12 @@
 impl Scheduler {
     /// Looks ahead with what waits, in queue order, and what is to come; at most so many machines are
     /// rented.
-    pub(crate) fn look_ahead(&self, now: Instant, unplaced: &[UnplacedTasks], most: usize) -> Seen {
+    pub(crate) fn look_ahead(
+        &self,
+        now: Instant,
+        unplaced: &[UnplacedTasks],
+        most: usize,
+    ) -> ForecastResult {
         let mut zones: BTreeMap<Zone, usize> = BTreeMap::new();
         for m in self.machines.values() {
             *zones.entry(m.zone.clone()).or_default() += 1;
@@ -144,12 +149,15 @@
         self.give_to_come(now, &mut fleet, true);
         fleet.most = 0;
         self.give_to_come(now, &mut fleet, false);
-        let mut rent: BTreeMap<Kind, u32> = BTreeMap::new();
+        let mut rent: BTreeMap<MachineOffer, u32> = BTreeMap::new();
         for b in fleet.bins.drain(coming..) {
-            *rent.entry(b.kind).or_default() += 1;
+            *rent.entry(b.offer).or_default() += 1;
         }
         let spare = fleet.bins.into_iter().filter_map(|b| b.idle).collect();
-        Seen { rent, spare }
+        ForecastResult {
+            scale_out: rent,
+            spare,
+        }
     }
 
     fn give_waiting(&self, now: Instant, unplaced: &[UnplacedTasks], fleet: &mut ForecastFleet) {
@@ -185,10 +193,14 @@
             let jobs_per_s = d.jobs_per_s(now);
             let parts = d.last().len() as f64;
             for (i, like) in d.last().enumerate() {
-                let Some(kind) = self.choose_kind(now, like, u32::MAX, &fleet.zones) else {
+                let Some(kind) =
+                    self.autoscaler
+                        .cheapest_offer(&self.view(now), like, u32::MAX, &fleet.zones)
+                else {
                     continue;
                 };
-                let ahead = self.boot_s(&kind.0) + self.fetch_s(&kind.0, like.image_gb);
+                let ahead = self.boot_s(&kind.machine_type)
+                    + self.fetch_s(&kind.machine_type, like.image_gb);
                 let jobs = jobs_per_s * ahead;
                 // Machines are rented for what is to be expected, and kept for a little more.
                 let jobs = if rent { jobs } else { jobs.sqrt().min(jobs) };
@@ -221,9 +233,9 @@
     fn forecast(&self, now: Instant) -> Vec<Bin> {
         let mut bins: Vec<Bin> = Vec::new();
         for m in self.machines.values() {
-            let kind = (m.machine_type.clone(), m.zone.clone(), m.spot);
+            let kind = MachineOffer::of(m);
             let bin = |from_s, room| Bin {
-                kind: kind.clone(),
+                offer: kind.clone(),
                 idle: None,
                 empty: 1.0,
                 from_s,
@@ -263,15 +275,15 @@
                 _ => {}
             }
         }
-        for h in self.autoscaler.scale_out_requests.values() {
-            let rest = self.boot_s(&h.kind.0) - (now - h.asked).secs();
+        for h in self.autoscaler.requests.iter() {
+            let rest = self.boot_s(&h.offer.machine_type) - (now - h.requested_at).secs();
             for _ in 0..h.count {
                 bins.push(Bin {
-                    kind: h.kind.clone(),
+                    offer: h.offer.clone(),
                     idle: None,
                     empty: 1.0,
                     from_s: rest.max(1.0),
-                    room: self.machines.capacity(&h.kind.0),
+                    room: self.machines.capacity(&h.offer.machine_type),
                     freed: Vec::new(),
                     images: Vec::new(),
                     class: None,
@@ -295,15 +307,18 @@
             let there = fleet
                 .bins
                 .iter()
-                .filter(|b| b.kind.1 == *zone && Self::kind_allowed(spec, &b.kind))
+                .filter(|b| b.offer.zone == *zone && b.offer.is_allowed_by(spec))
                 .filter(|b| b.class.as_ref().is_none_or(|c| *c == spec.class))
                 .map(|b| request.count_in(&b.room, spec.tasks))
                 .sum::<u32>()
                 .min(spec.tasks);
             let mut here = spec.clone();
             here.zone = Some(zone.clone());
-            let rest =
-                there >= spec.tasks || self.choose_kind(now, &here, 1, &fleet.zones).is_some();
+            let rest = there >= spec.tasks
+                || self
+                    .autoscaler
+                    .cheapest_offer(&self.view(now), &here, 1, &fleet.zones)
+                    .is_some();
             let machines = fleet.zones.get(zone).copied().unwrap_or(0);
             (rest, there, Reverse(machines))
         };
@@ -326,7 +341,7 @@
             if b.images.contains(&spec.image) {
                 0.0
             } else {
-                self.fetch_s(&b.kind.0, spec.image_gb)
+                self.fetch_s(&b.offer.machine_type, spec.image_gb)
             }
         };
         let when = |b: &Bin| {
@@ -336,7 +351,7 @@
         let serves = |b: &Bin| {
             // Small tasks will fill the gaps of a machine shared by several: a large task can't
             // count on all of them ending.
-            Self::kind_allowed(spec, &b.kind)
+            b.offer.is_allowed_by(spec)
                 && b.class.as_ref().is_none_or(|c| *c == spec.class)
                 && (!ask.ready || request.fits(&b.room))
                 && (!bulk || b.freed.len() <= 1)
@@ -348,8 +363,10 @@
             .filter(|(_, b)| serves(b))
             .map(|(i, b)| Reverse((when(b), i)))
             .collect();
-        let choose =
-            |left: u32, zones: &BTreeMap<Zone, usize>| self.choose_kind(now, spec, left, zones);
+        let choose = |left: u32, zones: &BTreeMap<Zone, usize>| {
+            self.autoscaler
+                .cheapest_offer(&self.view(now), spec, left, zones)
+        };
         let mut given = 0;
         let mut new = choose(ask.n, &fleet.zones);
         while given < ask.n {
@@ -358,9 +375,9 @@
             }
             let best = soonest.pop().map(|Reverse(b)| b);
             let sooner = new.as_ref().map(|kind| {
-                let boot = self.boot_s(&kind.0);
+                let boot = self.boot_s(&kind.machine_type);
                 let from = ask.from_s.map_or(0.0, |t| t + PATIENCE_S);
-                boot.max(from) + self.fetch_s(&kind.0, spec.image_gb)
+                boot.max(from) + self.fetch_s(&kind.machine_type, spec.image_gb)
             });
             let (at, i) = match (best, sooner) {
                 (Some((Soon(t, _), i)), Some(sooner)) if t <= sooner => (t, i),
@@ -368,14 +385,14 @@
                 (back, Some(t)) => {
                     soonest.extend(back.map(Reverse));
                     let Some(kind) = new.take() else { break };
-                    *fleet.zones.entry(kind.1.clone()).or_default() += 1;
+                    *fleet.zones.entry(kind.zone.clone()).or_default() += 1;
                     new = choose(ask.n - given, &fleet.zones);
                     fleet.bins.push(Bin {
-                        room: self.machines.capacity(&kind.0),
+                        room: self.machines.capacity(&kind.machine_type),
                         idle: None,
                         empty: 1.0,
-                        from_s: self.boot_s(&kind.0),
-                        kind,
+                        from_s: self.boot_s(&kind.machine_type),
+                        offer: kind,
                         freed: Vec::new(),
                         images: vec![spec.image.clone()],
                         class: None,
--- /dev/null
+++ b/src/coordination/autoscaler/report.rs
@@ -0,0 +1,91 @@
+//! A periodic log line about what the machines are doing: where the money goes.
+
+use crate::coordination::machines::machine::MachineState;
+use crate::coordination::{ClusterView, Scheduler};
+use crate::time::{Instant, TimeSpan};
+
+/// How often the line is logged.
+const LOG_INTERVAL: TimeSpan = TimeSpan(10_000);
+
+/// Counts over all machines.
+#[derive(Debug, Default)]
+struct MachineCounts {
+    up: u32,
+    booting: u32,
+    idle: u32,
+    spot: u32,
+    draining: u32,
+    /// GPUs of the machines that are up.
+    gpus: f64,
+    free_gpus: f64,
+    /// GPUs of task attempts that run.
+    running_gpus: f64,
+    /// GPUs of task attempts that do not run yet.
+    starting_gpus: f64,
+}
+
+impl MachineCounts {
+    fn of(cluster: &ClusterView<'_>) -> MachineCounts {
+        let mut counts = MachineCounts::default();
+        for machine in cluster.machines.values() {
+            counts.booting += u32::from(machine.state == MachineState::Booting);
+            counts.spot += u32::from(machine.spot);
+            counts.draining += u32::from(machine.draining || machine.reclaim_at.is_some());
+            if machine.state != MachineState::Up {
+                continue;
+            }
+            counts.up += 1;
+            counts.idle += u32::from(machine.live_count == 0);
+            counts.gpus += cluster.machines.capacity(&machine.machine_type).gpus;
+            counts.free_gpus += machine.free.gpus.max(0.0);
+            for attempt in machine.live_attempts() {
+                if attempt.running_since.is_some() {
+                    counts.running_gpus += attempt.request.gpus;
+                } else {
+                    counts.starting_gpus += attempt.request.gpus;
+                }
+            }
+        }
+        counts
+    }
+}
+
+fn pending_tasks(cluster: &ClusterView<'_>) -> usize {
+    let pending = cluster.jobs.index.pending.iter();
+    pending
+        .filter_map(|id| cluster.jobs.get(id))
+        .map(|job| job.pending.len())
+        .sum()
+}
+
+impl Scheduler {
+    /// Logs the state of the cluster, and why jobs wait, if it is time to.
+    pub(crate) fn log_cluster_state(&mut self, now: Instant) {
+        if now - self.autoscaler.last_logged_at < LOG_INTERVAL {
+            return;
+        }
+        self.autoscaler.last_logged_at = now;
+        let cluster = self.view(now);
+        let machines = MachineCounts::of(&cluster);
+        let (intent_pages, unwritten_intents) = self.writer.intents.sizes();
+        tracing::info!(
+            up = machines.up,
+            booting = machines.booting,
+            idle = machines.idle,
+            spot = machines.spot,
+            draining = machines.draining,
+            warm_pool = self.autoscaler.warm_pool.len(),
+            scale_out_requests = self.autoscaler.requests.len(),
+            gpus = machines.gpus,
+            free_gpus = machines.free_gpus,
+            running_gpus = machines.running_gpus,
+            starting_gpus = machines.starting_gpus,
+            jobs = self.jobs.len(),
+            pending_tasks = pending_tasks(&cluster),
+            intent_pages,
+            unwritten_intents,
+            "cluster state"
+        );
+        self.log_waiting(now);
+    }
+}
--- a/src/coordination/autoscaler/scale_in.rs
+++ b/src/coordination/autoscaler/scale_in.rs
@@ -1,6 +1,5 @@
 //! Returning machines: those given up, and those that are idle for too long.
 
-use super::DRAIN_PATIENCE;
 use crate::coordination::machines::machine::MachineState;
 use crate::coordination::{Effect, Scheduler};
 use crate::ids::{MachineId, Zone};
@@ -20,6 +19,9 @@
 /// The same when nothing waits and nothing is to be expected.
 const NO_USE: f64 = 0.1;
 
+/// A draining machine is given back after this even if something on it does not end.
+pub(super) const DRAIN_TIMEOUT: TimeSpan = TimeSpan(20_000);
+
 impl Scheduler {
     /// Silent machines that are returned rather than waited for.
     ///
@@ -49,14 +51,16 @@
         let share = self.policy.operator.give_up_share;
         for (zone, (up, lost)) in zones {
             if lost > (up * share).max(2.0) {
-                self.autoscaler.suspected.insert(zone, now + quiet);
+                self.autoscaler.suspected_zones.insert(zone, now + quiet);
             }
         }
-        self.autoscaler.suspected.retain(|_, until| now < *until);
+        self.autoscaler
+            .suspected_zones
+            .retain(|_, until| now < *until);
         self.machines
             .values()
             .filter(|m| m.silent(now, silence))
-            .filter(|m| !self.autoscaler.suspected.contains_key(&m.zone))
+            .filter(|m| !self.autoscaler.suspected_zones.contains_key(&m.zone))
             .map(|m| m.id.clone())
             .collect()
     }
@@ -83,7 +87,7 @@
             let dead_boot = m.state == MachineState::Booting
                 && age.secs() > self.boot_s(&m.machine_type) * DEAD_BOOTS + DEAD_PLUS_S;
             // Idle and spare: returned soon. Otherwise kept for as long as it may be of use.
-            let spare = self.autoscaler.spare.contains(&m.id);
+            let spare = self.autoscaler.spare_machines.contains(&m.id);
             let keep_s = self.renewal_s(m)
                 * self.policy.operator.idle_boots
                 * match (spare, ebbed) {
@@ -94,7 +98,7 @@
             let idle = m.state == MachineState::Up
                 && !self.autoscaler.warm_pool.contains_key(&m.id)
                 && m.idle_since.is_some_and(|t| (now - t).secs() > keep_s);
-            let stuck = m.draining_since.is_some_and(|t| now - t > DRAIN_PATIENCE);
+            let stuck = m.draining_since.is_some_and(|t| now - t > DRAIN_TIMEOUT);
             if dead_boot
                 || m.listed_as_failed
                 || (idle && !busy)
@@ -111,8 +115,8 @@
             .collect();
         back.extend(again);
         if back.is_empty()
-            || now < self.autoscaler.return_after
-            || !self.autoscaler.calls.take(now, 1.0)
+            || now < self.autoscaler.scale_in_not_before
+            || !self.autoscaler.api_calls.take(now, 1.0)
         {
             return;
         }
@@ -129,7 +133,7 @@
         self.effects.push(Effect::ScaleIn { machine_ids });
     }
 
-    pub(crate) fn returned(&mut self, now: Instant, machine_ids: &[MachineId]) {
+    pub(crate) fn machines_terminated(&mut self, now: Instant, machine_ids: &[MachineId]) {
         for h in machine_ids {
             // Proof 4: the cloud's 200 to returning the machine.
             self.empty_machine(now, h);
@@ -147,8 +151,8 @@
         self.placement.due = true;
     }
 
-    pub(crate) fn return_failed(&mut self, now: Instant, machine_ids: &[MachineId]) {
-        self.autoscaler.return_after = now + TimeSpan(1_000);
+    pub(crate) fn scale_in_failed(&mut self, now: Instant, machine_ids: &[MachineId]) {
+        self.autoscaler.scale_in_not_before = now + TimeSpan(1_000);
         for h in machine_ids {
             if let Some(m) = self.machines.get_mut(h) {
                 m.push_not_before = now + TimeSpan(2_000);
--- a/src/coordination/autoscaler/scale_out.rs
+++ b/src/coordination/autoscaler/scale_out.rs
@@ -1,229 +1,245 @@
-//! Renting machines: what, how many, and what became of each request.
+//! Scale-out: which machines are rented, how many, and what becomes of each request.
 
-use super::{Kind, ScaleOutRequest, CALLS, LOOK_A_MACHINE, LOOK_EVERY, LOOK_S, STILL_SILENT};
+use super::forecast::ForecastResult;
+use super::{Autoscaler, MachineOffer, API_RATE_SHARE};
 use crate::coordination::machines::machine::MachineState;
 use crate::coordination::placement::UnplacedTasks;
-use crate::coordination::{Effect, Scheduler};
-use crate::ids::{MachineId, Zone};
+use crate::coordination::{ClusterView, Effect, ScaleOutAnswer, Scheduler};
+use crate::ids::{FencingToken, IdempotencyKey, MachineId, Zone};
+use crate::protocol::cloud::MachineTypeInfo;
 use crate::protocol::users::JobSpec;
 use crate::resources::Resources;
 use crate::time::{Instant, TimeSpan};
 use std::collections::BTreeMap;
 
-/// The most one rental may ask for, by the protocol.
-const MOST_PER_HIRE: u32 = 50;
-/// Waits after a refusal.
-const REFUSED: (TimeSpan, TimeSpan) = (TimeSpan(8_000), TimeSpan(40_000));
-/// An unclear rental is asked again after this, and given up after that: its machines, if any,
-/// show up in the list and in their workers' reports.
-const HIRE_AGAIN: TimeSpan = TimeSpan(1_500);
-const HIRE_GIVEN_UP: TimeSpan = TimeSpan(90_000);
+/// The most machines that one request may ask for, by the cloud's protocol.
+const MAX_MACHINES_PER_REQUEST: u32 = 50;
+/// The forecast is made at most this often, and less often the more machines there are: it costs
+/// more than a placement does.
+const FORECAST_INTERVAL: TimeSpan = TimeSpan(400);
+/// Milliseconds by which each machine known lengthens the interval between forecasts.
+const FORECAST_INTERVAL_MS_PER_MACHINE: i64 = 1;
+/// One forecast asks for no more than can be requested in so many seconds at the cloud's rate.
+const REQUEST_SECS_PER_FORECAST: f64 = 2.0;
+/// A new leader rents nothing while more than this share of the machines has yet to send it a heartbeat.
+const MAX_SHARE_WITHOUT_HEARTBEAT: f64 = 0.1;
 
 impl Scheduler {
-    pub(crate) fn repeat_hires(&mut self, now: Instant) {
-        self.autoscaler
-            .scale_out_requests
-            .retain(|_, h| now - h.asked < HIRE_GIVEN_UP);
-        let due: Vec<String> = self
-            .autoscaler
-            .scale_out_requests
-            .iter()
-            .filter(|(_, h)| h.again_at.is_some_and(|t| t <= now))
-            .map(|(n, _)| n.clone())
-            .collect();
-        for name in due {
-            if !self.autoscaler.calls.take(now, 1.0) {
-                return;
-            }
-            if let Some(h) = self.autoscaler.scale_out_requests.get_mut(&name) {
-                h.again_at = None;
-                let (machine_type, zone, spot) = h.kind.clone();
-                self.effects.push(Effect::ScaleOut {
-                    idempotency_key: name,
-                    machine_type,
-                    zone,
-                    spot,
-                    count: h.count,
-                });
-            }
-        }
-    }
-
     /// Rents what makes waiting tasks start sooner, as the forecast says.
-    pub(crate) fn rent(&mut self, now: Instant, unplaced: &[UnplacedTasks]) {
-        let pause = LOOK_EVERY + TimeSpan(LOOK_A_MACHINE * self.machines.len() as i64);
-        if now - self.autoscaler.looked < pause || self.awaits_reports(now) {
+    pub(super) fn scale_out(&mut self, now: Instant, unplaced: &[UnplacedTasks]) {
+        if !self.autoscaler.is_forecast_due(now, self.machines.len())
+            || self.awaits_first_heartbeats(now)
+        {
             return;
         }
-        self.autoscaler.looked = now;
-        let calls = (self.policy.facts.cloud.rps * CALLS * LOOK_S).max(1.0);
-        let seen = self.look_ahead(now, unplaced, calls as usize * MOST_PER_HIRE as usize);
+        let forecast = self.look_ahead(now, unplaced, self.max_machines_per_forecast());
         tracing::debug!(
-            unplaced = unplaced.len(),
-            tasks = unplaced.iter().map(|u| u.count).sum::<u32>(),
-            new = seen.rent.values().sum::<u32>(),
-            spare = seen.spare.len(),
-            "forecast"
+            unplaced_jobs = unplaced.len(),
+            unplaced_tasks = unplaced.iter().map(|tasks| tasks.count).sum::<u32>(),
+            scale_out = forecast.scale_out.values().sum::<u32>(),
+            spare = forecast.spare.len(),
+            "forecast made"
         );
-        self.autoscaler.spare = seen.spare;
-        for (kind, mut count) in seen.rent {
-            while count > 0 && self.autoscaler.calls.take(now, 1.0) {
-                let part = count.min(MOST_PER_HIRE);
-                self.hire(now, kind.clone(), part);
-                count -= part;
-            }
-        }
+        let first_token = self.first_token();
+        let requests = self.autoscaler.apply_forecast(now, first_token, forecast);
+        self.effects.extend(requests);
     }
 
-    /// Whether a new leader still waits for the first reports of most of its machines.
+    fn max_machines_per_forecast(&self) -> usize {
+        let rate = self.policy.facts.cloud.rps * API_RATE_SHARE;
+        let requests = (rate * REQUEST_SECS_PER_FORECAST).max(1.0);
+        requests as usize * MAX_MACHINES_PER_REQUEST as usize
+    }
+
+    /// Whether a new leader still waits for the first heartbeats of most of its machines.
     ///
     /// Guards against rentals for which there is no use a moment later: each change of leaders rented up to
-    /// 180 machines on the recorded day a974. Until a machine has reported it can't be given work, and what
-    /// ended on it while nobody led still seems to be there.
-    pub(crate) fn awaits_reports(&self, now: Instant) -> bool {
+    /// 180 machines on the recorded day a974. Until a machine has sent a heartbeat it can't be given work, and
+    /// what ended on it while nobody led still seems to be there.
+    fn awaits_first_heartbeats(&self, now: Instant) -> bool {
         if now - self.leadership.began_at > self.policy.first_reports() {
             return false;
         }
         let up = self
             .machines
             .values()
-            .filter(|m| m.state == MachineState::Up);
-        let (silent, all) = up.fold((0, 0), |(silent, all), m| {
-            (silent + usize::from(m.last_heartbeat_at.is_none()), all + 1)
+            .filter(|machine| machine.state == MachineState::Up);
+        let (silent, all) = up.fold((0, 0), |(silent, all), machine| {
+            let is_silent = machine.last_heartbeat_at.is_none();
+            (silent + usize::from(is_silent), all + 1)
         });
-        silent as f64 > all as f64 * STILL_SILENT
+        silent as f64 > all as f64 * MAX_SHARE_WITHOUT_HEARTBEAT
     }
 
-    pub(crate) fn hire(&mut self, now: Instant, kind: Kind, count: u32) {
-        // Unique for ever: tokens are, and so is the count within one.
-        self.autoscaler.hired += 1;
-        let name = format!("r-{}-{}", self.leadership.term.first, self.autoscaler.hired);
-        tracing::debug!(idempotency_key = %name, machine_type = %kind.0, zone = %kind.1, spot = kind.2, count, "renting");
-        let (machine_type, zone, spot) = kind.clone();
-        self.autoscaler.scale_out_requests.insert(
-            name.clone(),
-            ScaleOutRequest {
-                kind,
-                count,
-                asked: now,
-                again_at: None,
-            },
-        );
-        self.effects.push(Effect::ScaleOut {
-            idempotency_key: name,
-            machine_type,
-            zone,
-            spot,
-            count,
-        });
+    /// The cloud answered a scale-out request: the machines granted are known from now on.
+    pub(crate) fn scale_out_answered(
+        &mut self,
+        now: Instant,
+        key: &IdempotencyKey,
+        answer: ScaleOutAnswer,
+    ) {
+        let Some(granted) = self.autoscaler.close_scale_out(now, key, answer) else {
+            return;
+        };
+        for id in granted.machine_ids {
+            if !self.machines.terminated.contains(&id) {
+                self.add_machine(now, &id, &granted.offer, granted.requested_at, true);
+            }
+        }
+        self.placement.due = true;
     }
+}
+
+/// The machines that a request brought.
+struct GrantedMachines {
+    machine_ids: Vec<MachineId>,
+    offer: MachineOffer,
+    requested_at: Instant,
+}
 
-    pub(crate) fn kind_allowed(spec: &JobSpec, kind: &Kind) -> bool {
-        (spec.spot || !kind.2)
-            && spec.zone.as_ref().is_none_or(|s| *s == kind.1)
-            && spec
-                .machine_types
-                .as_ref()
-                .is_none_or(|r| r.contains(&kind.0))
+impl Autoscaler {
+    fn is_forecast_due(&self, now: Instant, machines: usize) -> bool {
+        let for_machines = TimeSpan(FORECAST_INTERVAL_MS_PER_MACHINE * machines as i64);
+        now - self.last_forecast_at >= FORECAST_INTERVAL + for_machines
     }
 
-    /// The cheapest kind for `left` tasks of the job, among those not refused lately; among equals
-    /// the zone with least machines.
-    pub(crate) fn choose_kind(
-        &self,
+    /// Takes over what a forecast says; the effects request the machines, as far as the cloud's rate allows.
+    #[must_use]
+    fn apply_forecast(
+        &mut self,
         now: Instant,
-        spec: &JobSpec,
-        left: u32,
-        zones: &BTreeMap<Zone, usize>,
-    ) -> Option<Kind> {
-        let request = Resources::of(spec);
-        let mut best: Option<((f64, usize), Kind)> = None;
-        for machine_type in self.machines.types.values() {
-            let n = request.count_in(&self.machines.capacity(&machine_type.name), left);
-            if n == 0 {
-                continue;
+        first_token: FencingToken,
+        forecast: ForecastResult,
+    ) -> Vec<Effect> {
+        self.last_forecast_at = now;
+        self.spare_machines = forecast.spare;
+        let mut effects = Vec::new();
+        for (offer, mut count) in forecast.scale_out {
+            while count > 0 && self.api_calls.take(now, 1.0) {
+                let part = count.min(MAX_MACHINES_PER_REQUEST);
+                let offer = offer.clone();
+                effects.push(self.requests.open(now, first_token, offer, part));
+                count -= part;
             }
-            for zone in &machine_type.zones {
-                for spot in [true, false] {
-                    let kind = (machine_type.name.clone(), zone.clone(), spot);
-                    let refused = self.autoscaler.refused.get(&kind);
-                    if !Self::kind_allowed(spec, &kind) || refused.is_some_and(|r| r.0 > now) {
-                        continue;
-                    }
-                    let price = if spot {
-                        machine_type.spot_price
-                    } else {
-                        machine_type.price
-                    };
-                    let here = zones.get(zone).copied().unwrap_or(0);
-                    let rank = (price / f64::from(n), here);
-                    if best.as_ref().is_none_or(|(b, _)| rank < *b) {
-                        best = Some((rank, kind));
-                    }
-                }
+        }
+        effects
+    }
+
+    /// Repeats the requests whose outcome is unclear, as far as the cloud's rate allows.
+    #[must_use]
+    pub(super) fn repeat_unclear_requests(&mut self, now: Instant) -> Vec<Effect> {
+        self.requests.abandon_expired(now);
+        let mut effects = Vec::new();
+        for key in self.requests.due(now) {
+            if !self.api_calls.take(now, 1.0) {
+                break;
             }
+            effects.extend(self.requests.repeat(&key));
         }
-        best.map(|(_, k)| k)
+        effects
     }
 
-    /// Whether a machine for the job is coming or may yet be rented.
-    pub(crate) fn may_rent(&self, now: Instant, spec: &JobSpec) -> bool {
-        let request = Resources::of(spec);
-        let serves = |kind: &Kind| {
-            Self::kind_allowed(spec, kind) && request.fits(&self.machines.capacity(&kind.0))
-        };
-        self.choose_kind(now, spec, 1, &BTreeMap::new()).is_some()
-            || self
-                .autoscaler
-                .scale_out_requests
-                .values()
-                .any(|h| serves(&h.kind))
-            || self.machines.values().any(|m| {
-                m.state == MachineState::Booting
-                    && serves(&(m.machine_type.clone(), m.zone.clone(), m.spot))
-            })
+    /// Whether the cloud executed a scale-out request is not known.
+    pub(crate) fn scale_out_unclear(&mut self, now: Instant, key: &IdempotencyKey) {
+        self.requests.retry_later(now, key);
     }
 
-    pub(crate) fn rented(
+    /// Notes the answer to a request; None if the request was abandoned or answered before.
+    fn close_scale_out(
         &mut self,
         now: Instant,
-        idempotency_key: &str,
-        machine_ids: Option<Vec<MachineId>>,
-    ) {
-        let Some(h) = self.autoscaler.scale_out_requests.remove(idempotency_key) else {
-            return;
+        key: &IdempotencyKey,
+        answer: ScaleOutAnswer,
+    ) -> Option<GrantedMachines> {
+        let request = self.requests.close(key)?;
+        let machine_ids = match answer {
+            ScaleOutAnswer::Granted(machine_ids) => machine_ids,
+            ScaleOutAnswer::NoCapacity => Vec::new(),
         };
-        let got = machine_ids.as_ref().map_or(0, Vec::len) as u32;
-        if got < h.count {
-            let wait = self
-                .autoscaler
-                .refused
-                .get(&h.kind)
-                .map_or(REFUSED.0, |r| TimeSpan(r.1 .0 * 2).min(REFUSED.1));
+        let granted = machine_ids.len() as u32;
+        if granted < request.count {
             tracing::debug!(
-                idempotency_key,
-                got,
-                asked = h.count,
-                "refused for want of capacity"
+                idempotency_key = %key,
+                granted,
+                requested = request.count,
+                "scale-out refused for want of capacity"
             );
-            self.autoscaler
-                .refused
-                .insert(h.kind.clone(), (now + wait, wait));
+            self.offer_backoff.note_refused(&request.offer, now);
         } else {
-            self.autoscaler.refused.remove(&h.kind);
+            self.offer_backoff.note_granted(&request.offer);
         }
-        let (machine_type, zone, spot) = h.kind;
-        for id in machine_ids.into_iter().flatten() {
-            if !self.machines.terminated.contains(&id) {
-                self.enter_machine(now, &id, &machine_type, &zone, spot, h.asked, true);
+        Some(GrantedMachines {
+            machine_ids,
+            offer: request.offer,
+            requested_at: request.requested_at,
+        })
+    }
+
+    /// The cheapest offer for so many tasks of a job, among those not refused lately; among equals in
+    /// the zone with the fewest machines.
+    pub(crate) fn cheapest_offer(
+        &self,
+        cluster: &ClusterView<'_>,
+        spec: &JobSpec,
+        tasks: u32,
+        machines_by_zone: &BTreeMap<Zone, usize>,
+    ) -> Option<MachineOffer> {
+        let request = Resources::of(spec);
+        let mut best: Option<((f64, usize), MachineOffer)> = None;
+        for machine_type in cluster.machines.types.values() {
+            let capacity = cluster.machines.capacity(&machine_type.name);
+            let tasks_per_machine = request.count_in(&capacity, tasks);
+            if tasks_per_machine == 0 {
+                continue;
+            }
+            for offer in offers_of(machine_type) {
+                if !offer.is_allowed_by(spec)
+                    || self.offer_backoff.is_backing_off(&offer, cluster.now)
+                {
+                    continue;
+                }
+                let price = price_of(machine_type, &offer);
+                let machines_in_zone = machines_by_zone.get(&offer.zone).copied().unwrap_or(0);
+                let rank = (price / f64::from(tasks_per_machine), machines_in_zone);
+                if best.as_ref().is_none_or(|(lowest, _)| rank < *lowest) {
+                    best = Some((rank, offer));
+                }
             }
         }
-        self.placement.due = true;
+        best.map(|(_, offer)| offer)
     }
 
-    pub(crate) fn rent_unclear(&mut self, now: Instant, idempotency_key: &str) {
-        if let Some(h) = self.autoscaler.scale_out_requests.get_mut(idempotency_key) {
-            h.again_at = Some(now + HIRE_AGAIN);
-        }
+    /// Whether a machine for the job is coming or may yet be rented.
+    pub(crate) fn may_scale_out_for(&self, cluster: &ClusterView<'_>, spec: &JobSpec) -> bool {
+        let request = Resources::of(spec);
+        let serves = |offer: &MachineOffer| {
+            offer.is_allowed_by(spec)
+                && request.fits(&cluster.machines.capacity(&offer.machine_type))
+        };
+        self.cheapest_offer(cluster, spec, 1, &BTreeMap::new())
+            .is_some()
+            || self.requests.iter().any(|request| serves(&request.offer))
+            || cluster.machines.values().any(|machine| {
+                machine.state == MachineState::Booting && serves(&MachineOffer::of(machine))
+            })
+    }
+}
+
+/// What the cloud offers of a machine type: in each zone as a spot instance, then as an ordinary one.
+fn offers_of(machine_type: &MachineTypeInfo) -> impl Iterator<Item = MachineOffer> + '_ {
+    machine_type.zones.iter().flat_map(|zone| {
+        [true, false].map(|spot| MachineOffer {
+            machine_type: machine_type.name.clone(),
+            zone: zone.clone(),
+            spot,
+        })
+    })
+}
+
+fn price_of(machine_type: &MachineTypeInfo, offer: &MachineOffer) -> f64 {
+    if offer.spot {
+        machine_type.spot_price
+    } else {
+        machine_type.price
     }
 }
--- a/src/coordination/effect.rs
+++ b/src/coordination/effect.rs
@@ -1,6 +1,7 @@
 //! What the scheduler asks its runtime to do.
 
-use crate::ids::{FencingToken, JobId, MachineId, MachineType, Session, Zone};
+use super::autoscaler::MachineOffer;
+use crate::ids::{FencingToken, IdempotencyKey, JobId, MachineId, Session};
 use crate::protocol::state::Transaction;
 use crate::protocol::workers::Command;
 
@@ -27,13 +28,19 @@
         session: Session,
         commands: Vec<Command>,
     },
+    /// Ask the cloud for machines; the answer is [`Event::ScaleOutAnswered`] or [`Event::ScaleOutUnclear`].
+    ///
+    /// [`Event::ScaleOutAnswered`]: super::Event::ScaleOutAnswered
+    /// [`Event::ScaleOutUnclear`]: super::Event::ScaleOutUnclear
     ScaleOut {
-        idempotency_key: String,
-        machine_type: MachineType,
-        zone: Zone,
-        spot: bool,
+        /// The same for every repetition of one request.
+        idempotency_key: IdempotencyKey,
+        /// What kind of machine.
+        offer: MachineOffer,
+        /// How many of them.
         count: u32,
     },
+    /// Ask the cloud to terminate machines.
     ScaleIn {
         machine_ids: Vec<MachineId>,
     },
--- a/src/coordination/event.rs
+++ b/src/coordination/event.rs
@@ -1,12 +1,21 @@
 //! What the scheduler takes in.
 
-use crate::ids::{JobId, KeyRevision, MachineId, StoreRevision};
+use crate::ids::{IdempotencyKey, JobId, KeyRevision, MachineId, StoreRevision};
 use crate::protocol::cloud::{ListedMachine, MachineTypeInfo};
 use crate::protocol::state::KeyValue;
 use crate::protocol::workers::WorkerStatus;
 use crate::storage::records::{OpenJobRecord, TerminalRecord};
 use crate::time::{Instant, TimeSpan};
 
+/// The cloud's answer to a scale-out request.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum ScaleOutAnswer {
+    /// These machines were started: perhaps fewer than asked for.
+    Granted(Vec<MachineId>),
+    /// There is no capacity for any.
+    NoCapacity,
+}
+
 /// What happened.
 #[derive(Debug)]
 pub enum Event {
@@ -47,13 +56,13 @@
         asked: Instant,
         machines: Vec<ListedMachine>,
     },
-    /// A rental was answered: machines, or None for no capacity.
+    /// The cloud answered a scale-out request.
     ScaleOutAnswered {
-        idempotency_key: String,
-        machine_ids: Option<Vec<MachineId>>,
+        idempotency_key: IdempotencyKey,
+        answer: ScaleOutAnswer,
     },
-    /// A rental's outcome is unclear; it is asked again under the same name.
-    ScaleOutUnclear { idempotency_key: String },
+    /// Whether a scale-out request was executed is not known; it is repeated under the same key.
+    ScaleOutUnclear { idempotency_key: IdempotencyKey },
     /// The cloud confirmed that the machines are gone.
     MachinesTerminated { machine_ids: Vec<MachineId> },
     /// Returning was not confirmed.
--- a/src/coordination/machines/table.rs
+++ b/src/coordination/machines/table.rs
@@ -9,6 +9,9 @@
 use crate::resources::Resources;
 use std::collections::{btree_map, BTreeMap, BTreeSet};
 
+/// Seconds that a machine of an unknown type is taken to boot.
+const UNKNOWN_TYPE_BOOT_SECS: f64 = 30.0;
+
 /// All machines of a leadership.
 ///
 /// Whoever changes a machine's state or its free capacity calls [`MachineTable::reindex`] afterwards.
@@ -108,6 +111,12 @@
             })
     }
 
+    /// Seconds that a machine of the type takes to boot.
+    pub fn boot_s(&self, machine_type: &MachineType) -> f64 {
+        let info = self.types.get(machine_type);
+        info.map_or(UNKNOWN_TYPE_BOOT_SECS, |info| info.boot_s)
+    }
+
     /// Gigabytes of images that a machine caches; 0 if it or its type is not known.
     pub fn cache_gb(&self, id: &MachineId) -> f64 {
         self.machines
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -15,7 +15,7 @@
 mod view;
 
 pub use effect::Effect;
-pub use event::Event;
+pub use event::{Event, ScaleOutAnswer};
 pub use policy::Policy;
 pub use view::ClusterView;
 
@@ -138,11 +138,15 @@
             Event::MachinesListed { asked, machines } => self.machines_listed(now, asked, machines),
             Event::ScaleOutAnswered {
                 idempotency_key,
-                machine_ids,
-            } => self.rented(now, &idempotency_key, machine_ids),
-            Event::ScaleOutUnclear { idempotency_key } => self.rent_unclear(now, &idempotency_key),
-            Event::MachinesTerminated { machine_ids } => self.returned(now, &machine_ids),
-            Event::ScaleInFailed { machine_ids } => self.return_failed(now, &machine_ids),
+                answer,
+            } => self.scale_out_answered(now, &idempotency_key, answer),
+            Event::ScaleOutUnclear { idempotency_key } => {
+                self.autoscaler.scale_out_unclear(now, &idempotency_key)
+            }
+            Event::MachinesTerminated { machine_ids } => {
+                self.machines_terminated(now, &machine_ids)
+            }
+            Event::ScaleInFailed { machine_ids } => self.scale_in_failed(now, &machine_ids),
             Event::Written {
                 seq,
                 store_revision,
@@ -165,7 +169,7 @@
             self.recheck_aging(now);
             self.recheck_images();
             self.forget_closed_jobs();
-            self.log_state(now);
+            self.log_cluster_state(now);
             self.placement.due = true;
         }
         self.read_terminal_records(now);
@@ -177,7 +181,7 @@
             self.choose_warm_pool(now);
             let unplaced = self.place(now);
             self.preempt(now, &unplaced);
-            self.size_fleet(now, unplaced);
+            self.autoscale(now, &unplaced);
         }
         self.write(now);
         self.send_pushes(now);
--- a/src/coordination/placement/preemption.rs
+++ b/src/coordination/placement/preemption.rs
@@ -211,7 +211,7 @@
         let spec = &job.spec;
         let by_class = self.policy.started_within(&spec.class);
         let Some(within) = by_class else {
-            return !self.may_rent(now, spec);
+            return !self.autoscaler.may_scale_out_for(&self.view(now), spec);
         };
         let waited = (now - job.ready).secs();
         let request = Resources::of(spec);
@@ -222,7 +222,7 @@
             .filter(|r| request.fits(&self.machines.capacity(&r.name)))
             .map(|r| r.boot_s)
             .fold(f64::INFINITY, f64::min);
-        waited + rental > within || !self.may_rent(now, spec)
+        waited + rental > within || !self.autoscaler.may_scale_out_for(&self.view(now), spec)
     }
 
     fn eviction(
--- a/src/coordination/placement/reservations.rs
+++ b/src/coordination/placement/reservations.rs
@@ -46,7 +46,10 @@
         if several && (aged || self.bulk(spec)) {
             self.hold_machines(now, spec, pass);
         }
-        if (several && aged) || (self.bulk(spec) && (aged || !self.may_rent(now, spec))) {
+        if (several && aged)
+            || (self.bulk(spec)
+                && (aged || !self.autoscaler.may_scale_out_for(&self.view(now), spec)))
+        {
             let n = if several { spec.tasks } else { 1 };
             for _ in 0..n {
                 self.keep_a_machine(now, spec, pass);
--- a/src/coordination/view.rs
+++ b/src/coordination/view.rs
@@ -26,7 +26,6 @@
 
 impl Scheduler {
     /// The cluster at that moment, for a decision to read.
-    #[allow(dead_code, reason = "decisions are moved to it one by one")]
     pub(crate) fn view(&self, now: Instant) -> ClusterView<'_> {
         ClusterView {
             now,
--- a/src/ids.rs
+++ b/src/ids.rs
@@ -76,6 +76,8 @@
     Zone);
 name!(/// An image that tasks need.
     Image);
+name!(/// Names one scale-out request for ever: the cloud answers a repetition with what it answered first.
+    IdempotencyKey);
 
 impl JobId {
     /// Reads an id as users write it: `wk-` and digits; anything else is no job's id.
--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -1,6 +1,6 @@
 //! Controllers -> cloud.
 
-use crate::ids::{MachineId, MachineType, Zone};
+use crate::ids::{IdempotencyKey, MachineId, MachineType, Zone};
 use serde::{Deserialize, Serialize};
 
 /// A machine type.
@@ -38,7 +38,7 @@
 #[derive(Clone, Debug, Serialize)]
 pub struct RentRequest {
     #[serde(rename = "hire")]
-    pub idempotency_key: String,
+    pub idempotency_key: IdempotencyKey,
     #[serde(rename = "rig")]
     pub machine_type: MachineType,
     #[serde(rename = "site")]
--- a/src/runtime/clients/cloud.rs
+++ b/src/runtime/clients/cloud.rs
@@ -1,6 +1,7 @@
 //! Calls to the cloud: the machine list, rentals and returns.
 
-use crate::coordination::Event;
+use crate::coordination::{Event, ScaleOutAnswer};
+use crate::ids::IdempotencyKey;
 use crate::protocol::cloud::{ListedMachine, MachineListPage, RentReply, RentRequest};
 use crate::runtime::Node;
 use crate::transport::client::NoAnswer;
@@ -59,7 +60,7 @@
 
 pub(in crate::runtime) async fn rent(
     node: &Node,
-    idempotency_key: String,
+    idempotency_key: IdempotencyKey,
     request: &RentRequest,
 ) -> Event {
     let body = serde_json::to_vec(request).unwrap_or_default();
@@ -67,14 +68,14 @@
         Ok((200, body)) => match serde_json::from_slice::<RentReply>(&body) {
             Ok(r) => Event::ScaleOutAnswered {
                 idempotency_key,
-                machine_ids: Some(r.machine_ids),
+                answer: ScaleOutAnswer::Granted(r.machine_ids),
             },
             Err(_) => Event::ScaleOutUnclear { idempotency_key },
         },
         Ok((503, body)) if String::from_utf8_lossy(&body).contains("no capacity") => {
             Event::ScaleOutAnswered {
                 idempotency_key,
-                machine_ids: None,
+                answer: ScaleOutAnswer::NoCapacity,
             }
         }
         _ => Event::ScaleOutUnclear { idempotency_key },
--- a/src/runtime/leader/effects.rs
+++ b/src/runtime/leader/effects.rs
@@ -81,16 +81,14 @@
         }
         Effect::ScaleOut {
             idempotency_key,
-            machine_type,
-            zone,
-            spot,
+            offer,
             count,
         } => {
             let request = RentRequest {
                 idempotency_key: idempotency_key.clone(),
-                machine_type,
-                zone,
-                spot,
+                machine_type: offer.machine_type,
+                zone: offer.zone,
+                spot: offer.spot,
                 count,
             };
             Some(rent(node, idempotency_key, &request).await)
--- a/tests/support/wire_digest.rs
+++ b/tests/support/wire_digest.rs
@@ -96,16 +96,14 @@
             }
             Effect::ScaleOut {
                 idempotency_key,
-                machine_type,
-                zone,
-                spot,
+                offer,
                 count,
             } => {
                 let request = RentRequest {
                     idempotency_key: idempotency_key.clone(),
-                    machine_type: machine_type.clone(),
-                    zone: zone.clone(),
-                    spot: *spot,
+                    machine_type: offer.machine_type.clone(),
+                    zone: offer.zone.clone(),
+                    spot: offer.spot,
                     count: *count,
                 };
                 self.message(now, "rental", &request);
--- a/tests/world/cloud.rs
+++ b/tests/world/cloud.rs
@@ -2,7 +2,8 @@
 
 use super::worker::Worker;
 use super::World;
-use chalklug::coordination::Event;
+use chalklug::coordination::autoscaler::MachineOffer;
+use chalklug::coordination::{Event, ScaleOutAnswer};
 use chalklug::ids::*;
 use chalklug::protocol::cloud::{CloudPhase, ListedMachine};
 use chalklug::time::TimeSpan;
@@ -51,27 +52,25 @@
 
     pub(super) fn rent(
         &mut self,
-        idempotency_key: &str,
-        machine_type: &MachineType,
-        zone: &Zone,
-        spot: bool,
+        idempotency_key: &IdempotencyKey,
+        offer: &MachineOffer,
         n: u32,
-    ) -> Option<Vec<MachineId>> {
+    ) -> ScaleOutAnswer {
         if let Some(machine_ids) = self.hired.get(idempotency_key) {
-            return Some(machine_ids.clone());
+            return ScaleOutAnswer::Granted(machine_ids.clone());
         }
         let free = self
             .capacity
             .saturating_sub(self.workers.len() as u32)
             .min(n);
         if free == 0 {
-            return None;
+            return ScaleOutAnswer::NoCapacity;
         }
-        let boot = self
-            .machine_types
-            .iter()
-            .find(|r| r.name == *machine_type)?
-            .boot_s;
+        let mut types = self.machine_types.iter();
+        let Some(machine_type) = types.find(|t| t.name == offer.machine_type) else {
+            return ScaleOutAnswer::NoCapacity;
+        };
+        let boot = machine_type.boot_s;
         let machine_ids: Vec<MachineId> = (0..free)
             .map(|_| {
                 self.rented += 1;
@@ -81,9 +80,9 @@
                 let up = self.now + TimeSpan::from_secs(wait);
                 let w = Worker::new(
                     id.clone(),
-                    machine_type.clone(),
-                    zone.clone(),
-                    spot,
+                    offer.machine_type.clone(),
+                    offer.zone.clone(),
+                    offer.spot,
                     self.now,
                     up,
                 );
@@ -92,7 +91,7 @@
             })
             .collect();
         self.hired
-            .insert(idempotency_key.into(), machine_ids.clone());
-        Some(machine_ids)
+            .insert(idempotency_key.clone(), machine_ids.clone());
+        ScaleOutAnswer::Granted(machine_ids)
     }
 }
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -109,7 +109,7 @@
     /// Direct commands that were answered: they aren't given up as well.
     answered: BTreeSet<(FencingToken, u64)>,
     sent: u64,
-    hired: BTreeMap<String, Vec<MachineId>>,
+    hired: BTreeMap<IdempotencyKey, Vec<MachineId>>,
     rented: u32,
     list_history: Vec<(Instant, Vec<ListedMachine>)>,
     pub cloud_down: Instant,
@@ -671,19 +671,16 @@
             }
             Effect::ScaleOut {
                 idempotency_key,
-                machine_type,
-                zone,
-                spot,
+                offer,
                 count,
             } => {
                 let event = if now < self.cloud_down {
                     Event::ScaleOutUnclear { idempotency_key }
                 } else {
-                    let machine_ids =
-                        self.rent(&idempotency_key, &machine_type, &zone, spot, count);
+                    let answer = self.rent(&idempotency_key, &offer, count);
                     Event::ScaleOutAnswered {
                         idempotency_key,
-                        machine_ids,
+                        answer,
                     }
                 };
                 self.send(120, Message::ToCore(leader, event));
