--- a/src/coordination/autoscaler/requests.rs
+++ b/src/coordination/autoscaler/requests.rs
@@ -42,18 +42,18 @@
 }
 
 impl ScaleOutRequests {
-    /// Opens a request under a new key; the effect sends it. `first_token` is the fencing token that
+    /// Opens a request under a new key; the effect sends it. `initial_token` is the fencing token that
     /// this leadership began with.
     pub(super) fn open(
         &mut self,
         now: Instant,
-        first_token: FencingToken,
+        initial_token: FencingToken,
         offer: MachineOffer,
         count: u32,
     ) -> Effect {
         // Unique for ever: tokens are, and so is the number within one leadership.
         self.last_number += 1;
-        let key = format!("r-{first_token}-{}", self.last_number);
+        let key = format!("r-{initial_token}-{}", self.last_number);
         let key = IdempotencyKey::from(key.as_str());
         tracing::debug!(
             idempotency_key = %key,
--- a/src/coordination/autoscaler/scale_out.rs
+++ b/src/coordination/autoscaler/scale_out.rs
@@ -40,8 +40,8 @@
             spare = forecast.spare.len(),
             "forecast made"
         );
-        let first_token = self.first_token();
-        let requests = self.autoscaler.apply_forecast(now, first_token, forecast);
+        let initial_token = self.initial_token();
+        let requests = self.autoscaler.apply_forecast(now, initial_token, forecast);
         self.effects.extend(requests);
     }
 
@@ -57,7 +57,7 @@
     /// 180 machines on the recorded day a974. Until a machine has sent a heartbeat it can't be given work, and
     /// what ended on it while nobody led still seems to be there.
     fn awaits_first_heartbeats(&self, now: Instant) -> bool {
-        if now - self.leadership.began_at > self.policy.first_reports() {
+        if self.leadership.age(now) > self.policy.first_reports() {
             return false;
         }
         let up = self
@@ -108,7 +108,7 @@
     fn apply_forecast(
         &mut self,
         now: Instant,
-        first_token: FencingToken,
+        initial_token: FencingToken,
         forecast: ForecastResult,
     ) -> Vec<Effect> {
         self.last_forecast_at = now;
@@ -118,7 +118,7 @@
             while count > 0 && self.api_calls.take(now, 1.0) {
                 let part = count.min(MAX_MACHINES_PER_REQUEST);
                 let offer = offer.clone();
-                effects.push(self.requests.open(now, first_token, offer, part));
+                effects.push(self.requests.open(now, initial_token, offer, part));
                 count -= part;
             }
         }
--- a/src/coordination/leadership/recovery.rs
+++ b/src/coordination/leadership/recovery.rs
@@ -7,14 +7,14 @@
 use crate::coordination::jobs::aging::Aging;
 use crate::coordination::jobs::estimates::Estimates;
 use crate::coordination::jobs::table::JobTable;
-use crate::coordination::leadership::authority::LeadershipTerm;
 use crate::coordination::leadership::Leadership;
+use crate::coordination::leadership::LeadershipTerm;
 use crate::coordination::machines::machine::{Machine, MachineState};
 use crate::coordination::machines::table::MachineTable;
 use crate::coordination::persistence::Writer;
 use crate::coordination::placement::PlacementState;
 use crate::coordination::{Policy, Scheduler};
-use crate::ids::{KeyRevision, MachineId};
+use crate::ids::{AttemptKey, KeyRevision, MachineId};
 use crate::protocol::cloud::MachineTypeInfo;
 use crate::protocol::state::KeyValue;
 use crate::resources::Resources;
@@ -129,11 +129,10 @@
         self.writer.progress.insert((id, chunk), item.revision);
     }
 
-    /// A time of day on record, in seconds since 1970, on this process's steady clock. Only hints rest on
-    /// it: the time of day may be off.
+    /// A time of day on record, in seconds since 1970, on this process's steady clock.
     fn on_steady_clock(&self, time_of_day_s: u64) -> Instant {
-        Instant((time_of_day_s as i64).saturating_mul(1000))
-            - TimeSpan(self.leadership.wall_clock_at_zero_ms as i64)
+        let time_of_day = TimeSpan((time_of_day_s as i64).saturating_mul(1000));
+        self.leadership.on_steady_clock(time_of_day)
     }
 
     /// Small pages first: a machine that a former leader was moving from a page that had grown too large
@@ -227,7 +226,10 @@
             };
             // It had been given work: its worker has reported.
             m.state = MachineState::Up;
-            let key = (task.clone(), attempt_id);
+            let key = AttemptKey {
+                task: task.clone(),
+                attempt_id,
+            };
             let known = self.machines.get(&machine_id);
             if known.is_some_and(|m| m.attempts.contains_key(&key)) {
                 continue;
