--- a/tests/random/faults.rs
+++ b/tests/random/faults.rs
@@ -1,160 +1,238 @@
-//! Random troubles, seeded: no rule is broken and every job comes to its end.
+//! Random faults, seeded: no rule is broken and every job ends.
 
-use super::log_if_asked;
-use super::world::given::{given_lines, spec};
-use super::world::troubles::trouble;
-use super::world::{Cut, World};
-use chalklug::ids::*;
+use super::logging::log_if_asked;
+use super::scenario_language::{submit, Setup};
+use super::simulation::random_faults::start_random_fault;
+use super::simulation::{PartitionMode, Simulation};
+use chalklug::ids::{JobId, MachineId};
 use chalklug::protocol::users::JobPhase;
-use chalklug::time::TimeSpan;
-
-/// No rule is broken, and every job that wasn't cancelled is done.
-fn ended_well(w: &mut World, seed: u64, cancelled: &[JobId]) {
-    w.checker.at_end(w.now);
-    let broken = &w.checker.broken;
-    assert!(broken.is_empty(), "seed {seed}: {:?}", w.checker.first);
-    for id in w.specs.keys().filter(|id| !cancelled.contains(id)) {
-        assert_eq!(w.poll(id), Some(JobPhase::Done), "seed {seed}: {id}");
-    }
+use chalklug::time::{Instant, TimeSpan};
+use rand::rngs::StdRng;
+use rand::{Rng, SeedableRng};
+
+/// Runs of pairs of faults, and of single faults; `SEEDS` gives another number.
+const PAIR_RUNS: u64 = 16;
+const SINGLE_RUNS: u64 = 12;
+/// Batches of jobs in a run of pairs of faults.
+const BATCHES: u32 = 10;
+/// Jobs in a run of single faults.
+const JOBS: u32 = 24;
+/// After the last fault everything has this long to end.
+const QUIET_AFTER_PAIRS: TimeSpan = TimeSpan(500_000);
+const QUIET_AFTER_SINGLES: TimeSpan = TimeSpan(400_000);
+
+/// The seeds to run: from `FIRST` to `SEEDS`, where these are set.
+fn seeds(last: u64) -> std::ops::RangeInclusive<u64> {
+    let variable = |name: &str| std::env::var(name).ok().and_then(|n| n.parse().ok());
+    variable("FIRST").unwrap_or(1)..=variable("SEEDS").unwrap_or(last)
 }
 
-/// Pairs of troubles, random and seeded, with leaders that come and go by their leases: the rules hold
-/// and every job comes to its end.
-#[test]
-fn random_pairs_of_troubles_break_no_rule() {
-    use rand::{Rng, SeedableRng};
-    log_if_asked();
-    let number = |name: &str| std::env::var(name).ok().and_then(|n| n.parse().ok());
-    let first: u64 = number("FIRST").unwrap_or(1);
-    for seed in first..=number("SEEDS").unwrap_or(16u64) {
-        let mut rng = rand::rngs::StdRng::seed_from_u64(seed);
-        let mut g = given_lines(&[
+/// One run: the simulation, what draws the faults, and the jobs that were cancelled.
+struct Run {
+    simulation: Simulation,
+    rng: StdRng,
+    seed: u64,
+    submitted: u32,
+    cancelled: Vec<JobId>,
+}
+
+impl Run {
+    fn new(seed: u64, elections: bool) -> Run {
+        let mut setup = Setup::from_lines(&[
             "team blue gpus 8 max 24",
             "team red gpus 8 max 20",
             "rig box gpus 4 boot 6 sites a,b,c",
         ]);
-        (g.machines, g.seed, g.campaigns) = (14, seed, true);
-        let mut w = g.world();
-        w.copies = if seed % 3 == 0 { 0.3 } else { 0.0 };
-        w.repeats = w.copies;
-        w.lead();
-        let mut cancelled = Vec::new();
-        let mut next = 0u32;
-        for _ in 0..10 {
-            for _ in 0..rng.random_range(1..4) {
-                let (id, tasks) = (format!("wk-{next:06}"), rng.random_range(1..6).to_string());
-                let run = rng.random_range(3..40).to_string();
-                let team = ["blue", "red"][next as usize % 2];
-                next += 1;
-                let mut words = vec![id.as_str(), "team", team, "pieces", &tasks, "run", &run];
-                words.extend(match rng.random_range(0..5) {
-                    0 => vec!["shape", "gang", "together"],
-                    1 => vec!["scatter", "checkpoint", "4"],
-                    2 => vec!["site", "b"],
-                    3 => vec!["together"],
-                    _ => vec!["spot", "checkpoint", "5"],
-                });
-                w.submit(spec(&words), run.parse().unwrap(), Vec::new());
-            }
-            w.run_until(w.now + TimeSpan(rng.random_range(2_000..9_000)));
-            for _ in 0..2 {
-                trouble(&mut w, &mut rng);
-                w.run_until(w.now + TimeSpan(rng.random_range(100..4_000)));
-                // Users cancel in the very moment, too.
-                if rng.random_bool(0.4) {
-                    let id = JobId::from(format!("wk-{:06}", rng.random_range(0..next)).as_str());
-                    if w.cancel(&id) {
-                        cancelled.push(id);
-                    }
-                }
+        (setup.machines, setup.seed, setup.elections) = (14, seed, elections);
+        Run {
+            simulation: setup.simulation(),
+            rng: StdRng::seed_from_u64(seed),
+            seed,
+            submitted: 0,
+            cancelled: Vec::new(),
+        }
+    }
+
+    fn duplicate_messages(&mut self, share: f64) {
+        self.simulation.faults.duplicate_heartbeat_share = share;
+        self.simulation.faults.duplicate_push_share = share;
+    }
+
+    /// Runs for a time drawn from the range, in milliseconds.
+    fn wait(&mut self, range_ms: std::ops::Range<i64>) {
+        let span = TimeSpan(self.rng.random_range(range_ms));
+        self.simulation.run_for(span);
+    }
+
+    /// Submits the next job, with further words drawn from the list.
+    fn submit(&mut self, tasks: u32, run_secs: u32, choices: &[&[&str]]) {
+        let id = format!("wk-{:06}", self.submitted);
+        let team = ["blue", "red"][self.submitted as usize % 2];
+        let (tasks, run) = (tasks.to_string(), run_secs.to_string());
+        let mut words = vec![id.as_str(), "team", team, "pieces", &tasks, "run", &run];
+        words.extend(choices[self.rng.random_range(0..choices.len())]);
+        submit(&mut self.simulation, &words);
+        self.submitted += 1;
+    }
+
+    fn cancel(&mut self, number: u32) {
+        let id = JobId::from(format!("wk-{number:06}").as_str());
+        if self.simulation.cancel(&id) {
+            self.cancelled.push(id);
+        }
+    }
+
+    /// No rule is broken, and every job that wasn't cancelled is done.
+    fn check(&mut self) {
+        let seed = self.seed;
+        let checker = &mut self.simulation.checker;
+        checker.at_end(self.simulation.now);
+        let first = &checker.first_violation;
+        assert!(checker.broken_rules.is_empty(), "seed {seed}: {first:?}");
+        let ids = self.simulation.workload.specs.keys();
+        for id in ids.filter(|id| !self.cancelled.contains(id)) {
+            let phase = self.simulation.phase(id);
+            assert_eq!(phase, Some(JobPhase::Done), "seed {seed}: {id}");
+        }
+    }
+
+    /// A few jobs, then two faults a moment apart; users cancel in the very moment, too.
+    fn batch_with_two_faults(&mut self) {
+        for _ in 0..self.rng.random_range(1..4) {
+            let tasks = self.rng.random_range(1..6);
+            let run_secs = self.rng.random_range(3..40);
+            let choices: [&[&str]; 5] = [
+                &["shape", "gang", "together"],
+                &["scatter", "checkpoint", "4"],
+                &["site", "b"],
+                &["together"],
+                &["spot", "checkpoint", "5"],
+            ];
+            self.submit(tasks, run_secs, &choices);
+        }
+        self.wait(2_000..9_000);
+        for _ in 0..2 {
+            start_random_fault(&mut self.simulation, &mut self.rng);
+            self.wait(100..4_000);
+            if self.rng.random_bool(0.4) {
+                let number = self.rng.random_range(0..self.submitted);
+                self.cancel(number);
             }
-            w.run_until(w.now + TimeSpan(rng.random_range(500..30_000)));
-            w.late_writes = 0.0;
         }
-        (w.copies, w.repeats) = (0.0, 0.0);
-        w.run_until(w.now + TimeSpan(500_000));
-        ended_well(&mut w, seed, &cancelled);
+        self.wait(500..30_000);
+        self.simulation.faults.late_transaction_share = 0.0;
+    }
+
+    /// A job, perhaps a fault, a cancellation, and a change of leaders.
+    fn job_with_one_fault(&mut self) {
+        let number = self.submitted;
+        let tasks = self.rng.random_range(1..8);
+        let run_secs = self.rng.random_range(3..25);
+        let choices: [&[&str]; 4] = [
+            &["shape", "gang", "together"],
+            &["scatter", "checkpoint", "4"],
+            &["spot", "checkpoint", "5"],
+            &["together"],
+        ];
+        self.submit(tasks, run_secs, &choices);
+        self.start_single_fault();
+        if self.rng.random_bool(0.15) {
+            self.cancel(number);
+        }
+        self.wait(500..9_000);
+        if self.rng.random_bool(0.25) {
+            self.simulation.crash_leader();
+            self.wait(100..6_000);
+            self.simulation.elect_leader();
+        }
+    }
+
+    /// A machine, if there is any.
+    fn some_machine(&mut self) -> Option<MachineId> {
+        let mut ids: Vec<&MachineId> = self.simulation.workers.keys().collect();
+        if ids.is_empty() {
+            return None;
+        }
+        let index = self.rng.random_range(0..ids.len());
+        Some(ids.swap_remove(index).clone())
+    }
+
+    fn start_single_fault(&mut self) {
+        let machine_id = self.some_machine();
+        let now = self.simulation.now;
+        let end = now + TimeSpan(self.rng.random_range(2_000..30_000));
+        let kind = self.rng.random_range(0..12);
+        match machine_id {
+            Some(id) if matches!(kind, 0..=3 | 10 | 11) => self.start_machine_fault(&id, kind, end),
+            _ => self.start_service_fault(kind, end),
+        }
+    }
+
+    fn start_machine_fault(&mut self, machine_id: &MachineId, kind: u32, end: Instant) {
+        let workers = &mut self.simulation.workers;
+        if kind == 3 {
+            workers.remove(machine_id);
+            return;
+        }
+        let faults = &mut workers.get_mut(machine_id).expect("a machine").faults;
+        match kind {
+            0 => faults.suspend_until(end),
+            1 => faults.partition_until(end, PartitionMode::Delay),
+            2 => faults.partition_until(end, PartitionMode::Drop),
+            10 => faults.inbound_unreachable_until(end),
+            _ => faults.inbound_unreachable_until(end + TimeSpan(60_000)),
+        }
+    }
+
+    fn start_service_fault(&mut self, kind: u32, end: Instant) {
+        let now = self.simulation.now;
+        let faults = &mut self.simulation.faults;
+        match kind {
+            4 => faults.store_responses_lost_until = now + TimeSpan(2_000),
+            5 => faults.transactions_late_until = now + TimeSpan(4_000),
+            6 => faults.cloud_unavailable_until = end,
+            7 => faults.lost_heartbeat_share = 0.2,
+            8 => faults.store_unavailable_until = now + TimeSpan(4_000),
+            _ => faults.lost_heartbeat_share = 0.0,
+        }
     }
 }
 
-/// A day of random faults, bounded and seeded: the rules hold and every job comes to its end.
+/// Pairs of faults, random and seeded, with leaders that come and go by their leases: the rules hold
+/// and every job ends.
+#[test]
+fn random_pairs_of_troubles_break_no_rule() {
+    log_if_asked();
+    for seed in seeds(PAIR_RUNS) {
+        let mut run = Run::new(seed, true);
+        if seed % 3 == 0 {
+            run.duplicate_messages(0.3);
+        }
+        run.simulation.elect_leader();
+        for _ in 0..BATCHES {
+            run.batch_with_two_faults();
+        }
+        run.duplicate_messages(0.0);
+        run.simulation.run_for(QUIET_AFTER_PAIRS);
+        run.check();
+    }
+}
+
+/// A day of random faults, bounded and seeded: the rules hold and every job ends.
 #[test]
 fn random_faults_break_no_rule() {
-    use rand::{Rng, SeedableRng};
     log_if_asked();
-    let first: u64 = std::env::var("FIRST")
-        .ok()
-        .and_then(|n| n.parse().ok())
-        .unwrap_or(1);
-    let seeds = std::env::var("SEEDS").ok().and_then(|n| n.parse().ok());
-    for seed in first..=seeds.unwrap_or(12u64) {
-        let mut rng = rand::rngs::StdRng::seed_from_u64(seed);
-        let mut g = given_lines(&[
-            "team blue gpus 8 max 24",
-            "team red gpus 8 max 20",
-            "rig box gpus 4 boot 6 sites a,b,c",
-        ]);
-        (g.machines, g.seed) = (14, seed);
-        let mut w = g.world();
-        w.lead();
+    for seed in seeds(SINGLE_RUNS) {
+        let mut run = Run::new(seed, false);
+        run.simulation.elect_leader();
         if seed % 2 == 1 {
-            w.copies = 0.4;
-            w.repeats = 0.4;
-        }
-        let mut cancelled = Vec::new();
-        for n in 0..24u32 {
-            let id = format!("wk-{n:06}");
-            let (team, tasks, run) = (
-                ["blue", "red"][n as usize % 2],
-                rng.random_range(1..8).to_string(),
-                rng.random_range(3..25).to_string(),
-            );
-            let mut words = vec![id.as_str(), "team", team, "pieces", &tasks, "run", &run];
-            let shape = rng.random_range(0..4);
-            words.extend(match shape {
-                0 => vec!["shape", "gang", "together"],
-                1 => vec!["scatter", "checkpoint", "4"],
-                2 => vec!["spot", "checkpoint", "5"],
-                _ => vec!["together"],
-            });
-            w.submit(spec(&words), run.parse().unwrap(), Vec::new());
-            let machine_ids: Vec<MachineId> = w.workers.keys().cloned().collect();
-            let pick = (!machine_ids.is_empty())
-                .then(|| machine_ids[rng.random_range(0..machine_ids.len())].clone());
-            let until = w.now + TimeSpan(rng.random_range(2_000..30_000));
-            match (rng.random_range(0..12), pick) {
-                (0, Some(h)) => w.workers.get_mut(&h).unwrap().hang_until(until),
-                (1, Some(h)) => w.workers.get_mut(&h).unwrap().cut_until(until, Cut::Hold),
-                (2, Some(h)) => w.workers.get_mut(&h).unwrap().cut_until(until, Cut::Drop),
-                (3, Some(h)) => drop(w.workers.remove(&h)),
-                (10, Some(h)) => w.workers.get_mut(&h).unwrap().deaf_until(until),
-                (11, Some(h)) => {
-                    let long = until + TimeSpan(60_000);
-                    w.workers.get_mut(&h).unwrap().deaf_until(long)
-                }
-                (4, _) => w.state_mute = w.now + TimeSpan(2000),
-                (5, _) => w.state_late = w.now + TimeSpan(4000),
-                (6, _) => w.cloud_down = until,
-                (7, _) => w.drop_reports = 0.2,
-                (8, _) => w.state_down = w.now + TimeSpan(4000),
-                _ => w.drop_reports = 0.0,
-            }
-            if rng.random_bool(0.15) {
-                let id = JobId::from(id.as_str());
-                if w.cancel(&id) {
-                    cancelled.push(id);
-                }
-            }
-            w.run_until(w.now + TimeSpan(rng.random_range(500..9_000)));
-            if rng.random_bool(0.25) {
-                w.crash();
-                w.run_until(w.now + TimeSpan(rng.random_range(100..6_000)));
-                w.lead();
-            }
+            run.duplicate_messages(0.4);
+        }
+        for _ in 0..JOBS {
+            run.job_with_one_fault();
         }
-        w.drop_reports = 0.0;
-        let end = w.now + TimeSpan(400_000);
-        w.run_until(end);
-        ended_well(&mut w, seed, &cancelled);
+        run.simulation.faults.lost_heartbeat_share = 0.0;
+        run.simulation.run_for(QUIET_AFTER_SINGLES);
+        run.check();
     }
 }
--- /dev/null
+++ b/tests/scenario_language/expectations.rs
@@ -0,0 +1,89 @@
+//! What a scenario expects.
+
+use super::{job_number, parse, Words};
+use crate::simulation::Simulation;
+use chalklug::ids::{JobId, TaskId};
+use chalklug::protocol::users::JobPhase;
+
+/// Checks an expectation; panics with the reason if it doesn't hold.
+pub fn expect(simulation: &Simulation, rest: &[&str], scenario: &str) {
+    let context = format!("{scenario}, {:.1} s", simulation.now.secs());
+    match rest {
+        ["phase", id, phase] => expect_phase(simulation, id, phase, &context),
+        ["ended", first, count] => expect_ended(simulation, first, count, &context),
+        ["starts", task, count] => expect_starts(simulation, task, count, &context),
+        ["tries", id, ..] => {
+            let starts = starts_of(simulation, &JobId::from(*id));
+            expect_within(
+                f64::from(starts),
+                &Words(rest),
+                &format!("{context}: starts of {id}"),
+            );
+        }
+        ["running", id, count] => {
+            let running = tasks_running(simulation, &JobId::from(*id));
+            assert_eq!(running.to_string(), *count, "{context}: tasks of {id}");
+        }
+        ["machines", ..] => {
+            let machines = simulation.workers.len() as f64;
+            expect_within(machines, &Words(rest), &format!("{context}: machines"));
+        }
+        ["hosts", id, count] => {
+            let machines = simulation.machines_of(&JobId::from(*id)).len();
+            assert_eq!(machines.to_string(), *count, "{context}: machines of {id}");
+        }
+        ["broken", rule] => expect_violation(simulation, rule, &context),
+        other => panic!("{context}: not an expectation: {other:?}"),
+    }
+}
+
+fn expect_phase(simulation: &Simulation, id: &str, phase: &str, context: &str) {
+    let expected: JobPhase = serde_json::from_value(phase.into()).expect("a phase");
+    let actual = simulation.phase(&JobId::from(id));
+    assert_eq!(actual, Some(expected), "{context}: {id}");
+}
+
+/// So many jobs, numbered on from the first, have ended, one way or the other.
+fn expect_ended(simulation: &Simulation, first: &str, count: &str, context: &str) {
+    let first = job_number(first);
+    let count: u32 = parse(count, "a number of jobs");
+    for number in first..first + count {
+        let phase = simulation.phase(&JobId::from(format!("wk-{number}").as_str()));
+        let ended = matches!(phase, Some(JobPhase::Done | JobPhase::Cancelled));
+        assert!(ended, "{context}: wk-{number} is {phase:?}");
+    }
+}
+
+fn expect_starts(simulation: &Simulation, task: &str, count: &str, context: &str) {
+    let task = TaskId::parse(task).expect("a task");
+    let starts = simulation.checker.attempts.get(&task).copied();
+    let starts = starts.unwrap_or(0);
+    assert_eq!(starts.to_string(), count, "{context}: starts of {task}");
+}
+
+fn starts_of(simulation: &Simulation, id: &JobId) -> u32 {
+    let attempts = simulation.checker.attempts.iter();
+    let of_job = attempts.filter(|(task, _)| task.job == *id);
+    of_job.map(|(_, starts)| starts).sum()
+}
+
+fn tasks_running(simulation: &Simulation, id: &JobId) -> usize {
+    let workers = simulation.workers.values();
+    let tasks = workers.flat_map(|worker| worker.tasks_on_machine());
+    tasks.filter(|(task, _)| task.job == *id).count()
+}
+
+/// At least `least` and at most `most`, where these are given.
+fn expect_within(actual: f64, words: &Words, context: &str) {
+    let least = words.number("least", 0.0);
+    let most = words.number("most", f64::INFINITY);
+    assert!((least..=most).contains(&actual), "{context}: {actual}");
+}
+
+fn expect_violation(simulation: &Simulation, rule: &str, context: &str) {
+    let broken = &simulation.checker.broken_rules;
+    assert!(
+        broken.contains(rule),
+        "{context}: the checker did not see {rule}, only {broken:?}"
+    );
+}
--- /dev/null
+++ b/tests/scenario_language/job.rs
@@ -0,0 +1,66 @@
+//! Jobs as scenarios describe them.
+
+use super::Words;
+use crate::simulation::{Simulation, TaskBehavior};
+use chalklug::ids::{Image, JobId, Zone};
+use chalklug::protocol::users::{JobSpec, Priority, Shape};
+
+/// How long tasks run unless a scenario says otherwise.
+const DEFAULT_RUN_SECS: f64 = 10.0;
+
+/// The job that these words describe, its id first.
+pub fn job_spec(rest: &[&str]) -> JobSpec {
+    let words = Words(rest);
+    let run_secs = words.number("run", DEFAULT_RUN_SECS);
+    JobSpec {
+        id: JobId::parse(rest[0]).expect("a job id"),
+        class: words.get("class").unwrap_or("any").into(),
+        team: words.get("team").unwrap_or("blue").into(),
+        shape: shape(words.get("shape").unwrap_or("array")),
+        priority: priority(words.get("urgency").unwrap_or("normal")),
+        tasks: words.number("pieces", 1.0) as u32,
+        cpus: words.number("cpus", 1.0),
+        gpus: words.number("gpus", 1.0),
+        ram_gb: 1.0,
+        image: Image::from(words.get("image").unwrap_or("img")),
+        image_gb: words.number("gb", 2.0),
+        machine_types: None,
+        zone: words.get("site").map(Zone::from),
+        together: words.has("together"),
+        scatter: words.has("scatter"),
+        spot: words.has("spot"),
+        guess_s: words.number("guess", run_secs),
+        checkpoint_s: words.number("checkpoint", 0.0),
+        save_s: words.number("save", 1.0),
+        due_s: words.get("due").map(|secs| super::parse(secs, "due")),
+    }
+}
+
+fn shape(word: &str) -> Shape {
+    match word {
+        "array" => Shape::Array,
+        "gang" => Shape::Gang,
+        "standing" => Shape::Service,
+        other => panic!("not a shape: {other}"),
+    }
+}
+
+fn priority(word: &str) -> Priority {
+    match word {
+        "low" => Priority::Low,
+        "normal" => Priority::Normal,
+        "urgent" => Priority::Urgent,
+        "production" => Priority::Production,
+        other => panic!("not a priority: {other}"),
+    }
+}
+
+/// Submits the job that these words describe.
+pub fn submit(simulation: &mut Simulation, rest: &[&str]) {
+    let words = Words(rest);
+    let behavior = match words.has("mistaken") {
+        true => TaskBehavior::FailsEverywhere,
+        false => TaskBehavior::RunsForSecs(words.number("run", DEFAULT_RUN_SECS)),
+    };
+    simulation.submit(job_spec(rest), behavior, words.jobs("after"));
+}
--- /dev/null
+++ b/tests/scenario_language/rogue.rs
@@ -0,0 +1,71 @@
+//! What the scheduler never does, done on purpose: scenarios show with it that the checker sees it.
+
+use super::events::machine;
+use super::{job_spec, Words};
+use crate::simulation::Simulation;
+use chalklug::ids::{AttemptId, JobId, MachineId, TaskId};
+use chalklug::protocol::state::{Change, Transaction};
+use chalklug::protocol::users::{JobPhase, JobSpec};
+use chalklug::protocol::workers::Command;
+use chalklug::storage::records::{open_key, terminal_key, OpenJobRecord, TerminalRecord};
+
+/// An attempt id that no leader draws.
+const ROGUE_ATTEMPT: AttemptId = AttemptId(1 << 50);
+
+/// Launches the task on the machine that the words name, or on one that has no task `not-of` a job.
+pub fn launch_rogue_task(simulation: &mut Simulation, rest: &[&str]) {
+    let words = Words(rest);
+    let command = Command::Launch {
+        task: TaskId::parse(rest[0]).expect("a task"),
+        attempt_id: ROGUE_ATTEMPT,
+    };
+    let machine_id = match words.get("not-of") {
+        Some(job) => machine_without(simulation, &JobId::from(job)),
+        None => machine(simulation, &words),
+    };
+    simulation.send_rogue_command(&machine_id, command);
+}
+
+fn machine_without(simulation: &Simulation, job: &JobId) -> MachineId {
+    let used = simulation.machines_of(job);
+    let mut workers = simulation.workers.values();
+    let other = workers.find(|w| !used.contains(&w.id) && w.up_at <= simulation.now);
+    other.expect("another machine").id.clone()
+}
+
+/// Deletes a job's records, writes that it is done, or opens it again.
+pub fn write_rogue_records(simulation: &mut Simulation, event: &str, id: &JobId) {
+    let spec = simulation.workload.specs.get(id).cloned();
+    let spec = spec.unwrap_or_else(|| job_spec(&[id.as_str()]));
+    let delete = |key| Change::Delete { delete: key };
+    let changes = match event {
+        "rogue-delete" => vec![delete(open_key(id)), delete(terminal_key(id))],
+        "rogue-done" => vec![delete(open_key(id)), put_done(&spec)],
+        _ => vec![delete(terminal_key(id)), put_open(spec)],
+    };
+    simulation.store.apply(&Transaction {
+        preconditions: Vec::new(),
+        changes,
+    });
+}
+
+fn put_done(spec: &JobSpec) -> Change {
+    let record = TerminalRecord {
+        phase: JobPhase::Done,
+        tasks: spec.tasks,
+        at_ms: None,
+    };
+    let data = serde_json::to_value(record).expect("a record");
+    Change::put(terminal_key(&spec.id), data)
+}
+
+fn put_open(spec: JobSpec) -> Change {
+    let key = open_key(&spec.id);
+    let record = OpenJobRecord {
+        spec,
+        at_ms: 0,
+        after: Vec::new(),
+        dependency_pages: 0,
+    };
+    Change::put(key, serde_json::to_value(record).expect("a record"))
+}
--- /dev/null
+++ b/tests/simulation/attempt.rs
@@ -0,0 +1,141 @@
+//! One attempt of a task on a machine: from fetching its image to its end.
+
+use super::workload::{SavedProgress, TaskBehavior, Workload};
+use chalklug::ids::TaskId;
+use chalklug::protocol::users::{JobSpec, Shape};
+use chalklug::protocol::workers::{Cause, TaskPhase};
+use chalklug::settings::Workers as WorkerTimes;
+use chalklug::time::{Instant, TimeSpan};
+
+/// On a faulty machine a task fails after so long.
+const FAILS_ON_FAULTY_MACHINE_AFTER_SECS: f64 = 0.5;
+/// A task that fails everywhere does so after so long.
+const FAILS_EVERYWHERE_AFTER_SECS: f64 = 0.2;
+
+/// A task attempt as its machine knows it.
+pub struct Attempt {
+    pub phase: TaskPhase,
+    pub cause: Option<Cause>,
+    /// Whether it saved a checkpoint as it was stopped.
+    pub stored: bool,
+    /// When the present phase ends by itself.
+    phase_ends_at: Instant,
+    running_since: Instant,
+    /// How long it runs once it begins.
+    run_secs: f64,
+    /// An earlier attempt has left the result.
+    completed_before: bool,
+    fails_everywhere: bool,
+}
+
+impl Attempt {
+    /// Begins to fetch the image.
+    pub fn launch(
+        now: Instant,
+        task: &TaskId,
+        workload: &Workload,
+        machine_faulty: bool,
+        fetch: TimeSpan,
+    ) -> Attempt {
+        let behavior = workload.behavior(&task.job);
+        let saved = workload.saved_progress(task);
+        let run_secs = match (behavior, saved) {
+            _ if machine_faulty => FAILS_ON_FAULTY_MACHINE_AFTER_SECS,
+            (TaskBehavior::FailsEverywhere, _) => FAILS_EVERYWHERE_AFTER_SECS,
+            (_, Some(SavedProgress::RemainingSecs(remaining))) => remaining,
+            (TaskBehavior::RunsForSecs(secs), _) => secs,
+        };
+        let fails_everywhere = behavior == TaskBehavior::FailsEverywhere;
+        Attempt {
+            phase: TaskPhase::Fetching,
+            cause: None,
+            stored: false,
+            phase_ends_at: now + fetch,
+            running_since: now,
+            run_secs,
+            completed_before: saved == Some(SavedProgress::Completed)
+                && !machine_faulty
+                && !fails_everywhere,
+            fails_everywhere,
+        }
+    }
+
+    pub fn has_ended(&self) -> bool {
+        self.phase == TaskPhase::Ended
+    }
+
+    /// Whether it has its image and hasn't ended: it is on the machine, in the rules' sense.
+    pub fn is_on_machine(&self) -> bool {
+        !matches!(self.phase, TaskPhase::Fetching | TaskPhase::Ended)
+    }
+
+    pub fn end(&mut self, cause: Cause) {
+        self.phase = TaskPhase::Ended;
+        self.cause = Some(cause);
+    }
+
+    pub fn run(&mut self, now: Instant) {
+        self.phase = TaskPhase::Running;
+        self.running_since = now;
+        self.phase_ends_at = now + TimeSpan::from_secs(self.run_secs);
+    }
+
+    /// How long it has been running.
+    pub fn running_for(&self, now: Instant) -> TimeSpan {
+        now - self.running_since
+    }
+
+    /// Stops it: with enough grace it saves a checkpoint first.
+    pub fn stop(&mut self, now: Instant, spec: &JobSpec, grace_secs: f64) {
+        match self.phase {
+            TaskPhase::Ended => {}
+            TaskPhase::Running if spec.checkpoint_s > 0.0 && grace_secs >= spec.save_s => {
+                self.phase = TaskPhase::Saving;
+                self.phase_ends_at = now + TimeSpan::from_secs(spec.save_s);
+            }
+            TaskPhase::Saving if grace_secs > 0.0 => {}
+            _ => self.end(Cause::Stopped),
+        }
+    }
+
+    /// Whether its phase is over by itself.
+    pub fn phase_is_over(&self, now: Instant) -> bool {
+        now >= self.phase_ends_at && !self.has_ended()
+    }
+
+    /// Its phase is over: the next one begins.
+    pub fn next_phase(
+        &mut self,
+        now: Instant,
+        task: &TaskId,
+        machine_faulty: bool,
+        workload: &mut Workload,
+        times: &WorkerTimes,
+    ) {
+        match self.phase {
+            TaskPhase::Fetching => {
+                if self.completed_before {
+                    self.end(Cause::Done);
+                } else if workload.spec(&task.job).shape == Shape::Gang {
+                    self.phase = TaskPhase::Waiting;
+                    self.phase_ends_at = now + TimeSpan::from_secs(times.gang_wait_s);
+                } else {
+                    self.run(now);
+                }
+            }
+            TaskPhase::Waiting => self.end(Cause::Incomplete),
+            TaskPhase::Running if machine_faulty || self.fails_everywhere => self.end(Cause::Error),
+            TaskPhase::Running => {
+                workload.complete(task);
+                self.end(Cause::Done);
+            }
+            TaskPhase::Saving => {
+                let ran_secs = self.running_for(now).secs();
+                workload.save_checkpoint(task, (self.run_secs - ran_secs).max(0.0));
+                self.stored = true;
+                self.end(Cause::Stopped);
+            }
+            TaskPhase::Ended => {}
+        }
+    }
+}
--- /dev/null
+++ b/tests/simulation/checker/job_states.rs
@@ -0,0 +1,76 @@
+//! Rules on what users are told: no job is forgotten, invented, called done too early, or changes once
+//! it has ended; jobs downstream of a cancelled one are cancelled in time.
+
+use super::Checker;
+use crate::simulation::state_store::StateStore;
+use chalklug::ids::JobId;
+use chalklug::protocol::users::JobPhase;
+use chalklug::time::{Instant, TimeSpan};
+use std::collections::BTreeSet;
+
+/// After the last fault a leader has this long to write the terminal records of jobs cancelled with
+/// others.
+const SETTLING_TIME: TimeSpan = TimeSpan(20_000);
+
+impl Checker {
+    pub(super) fn check_job_states(&mut self, now: Instant, store: &StateStore) {
+        if store.phase(&self.unknown_job).is_some() {
+            self.record_violation(now, "invented", self.unknown_job.to_string());
+        }
+        let ids: Vec<JobId> = self.jobs.keys().cloned().collect();
+        for id in ids {
+            match store.phase(&id) {
+                Some(phase) => self.check_job_state(now, &id, phase),
+                None => self.record_violation(now, "forgotten", id.to_string()),
+            }
+        }
+    }
+
+    fn check_job_state(&mut self, now: Instant, id: &JobId, phase: JobPhase) {
+        let done_tasks = self.done_tasks.get(id).map_or(0, BTreeSet::len) as u32;
+        if phase == JobPhase::Done && done_tasks < self.jobs[id].tasks {
+            self.record_violation(now, "not_done", id.to_string());
+        }
+        let upstream_cancelled_at = self.upstream_cancelled_at(id);
+        if phase == JobPhase::Queued && self.is_orphaned(now, id, upstream_cancelled_at) {
+            self.record_violation(now, "orphaned", id.to_string());
+        }
+        let before = self.last_phases.insert(id.clone(), phase);
+        let was_terminal = matches!(before, Some(JobPhase::Done | JobPhase::Cancelled));
+        let cancelled_by_nobody = phase == JobPhase::Cancelled
+            && !self.cancelled_at.contains_key(id)
+            && upstream_cancelled_at.is_none();
+        if (was_terminal && before != Some(phase)) || cancelled_by_nobody {
+            self.record_violation(now, "went_back", id.to_string());
+        }
+    }
+
+    /// Controllers answer from the upstream jobs' terminal records, at any time; the job's own record
+    /// must follow in time, unless some fault keeps the leader from writing it.
+    fn is_orphaned(
+        &self,
+        now: Instant,
+        id: &JobId,
+        upstream_cancelled_at: Option<Instant>,
+    ) -> bool {
+        let limit = TimeSpan::from_secs(self.facts.workers.cancel_s);
+        let settled = now - self.last_fault_at > SETTLING_TIME;
+        let since = upstream_cancelled_at.map(|at| at.max(self.accepted_at[id]));
+        settled && since.is_some_and(|at| now - at > limit)
+    }
+
+    /// When the first of all jobs that a job depends on, directly or through others, was cancelled.
+    fn upstream_cancelled_at(&self, id: &JobId) -> Option<Instant> {
+        let mut seen = BTreeSet::new();
+        let mut pending: Vec<&JobId> = self.upstream[id].iter().collect();
+        let mut first: Option<Instant> = None;
+        while let Some(ancestor) = pending.pop() {
+            if seen.insert(ancestor) {
+                let at = self.cancelled_at.get(ancestor).copied();
+                first = first.into_iter().chain(at).min();
+                pending.extend(self.upstream.get(ancestor).into_iter().flatten());
+            }
+        }
+        first
+    }
+}
--- /dev/null
+++ b/tests/simulation/checker/starvation.rs
@@ -0,0 +1,166 @@
+//! A rule on waiting: once the faults are over, no job waits for long while there is room for it.
+
+use super::{Checker, EPSILON};
+use crate::simulation::attempt::Attempt;
+use crate::simulation::state_store::StateStore;
+use crate::simulation::worker::Worker;
+use chalklug::ids::*;
+use chalklug::protocol::users::{JobPhase, JobSpec, Shape};
+use chalklug::time::{Instant, TimeSpan};
+use std::collections::{BTreeMap, BTreeSet};
+
+/// Once the faults are over, no job may wait longer than this while there is room for it.
+const MAX_WAIT: TimeSpan = TimeSpan(90_000);
+/// One machine counts for at most so many tasks.
+const MAX_TASKS_PER_MACHINE: u32 = 1_000;
+
+/// A machine that responds and does its work, with what is free on it.
+struct FreeMachine<'a> {
+    worker: &'a Worker,
+    cpus: f64,
+    gpus: f64,
+}
+
+impl FreeMachine<'_> {
+    /// So many tasks of the job fit.
+    fn tasks_that_fit(&self, spec: &JobSpec) -> u32 {
+        let fitting = |free: f64, need: f64| match need > 0.0 {
+            true => ((free + EPSILON) / need).floor().max(0.0) as u32,
+            false => u32::MAX,
+        };
+        fitting(self.cpus, spec.cpus)
+            .min(fitting(self.gpus, spec.gpus))
+            .min(MAX_TASKS_PER_MACHINE)
+    }
+}
+
+/// What is used and what is free, from all machines.
+struct Usage<'a> {
+    gpus_by_team: BTreeMap<&'a str, f64>,
+    /// Tasks that are on some machine or fetch their image there.
+    placed_tasks: BTreeSet<&'a TaskId>,
+    free: Vec<FreeMachine<'a>>,
+}
+
+impl Checker {
+    pub(super) fn check_starvation(
+        &mut self,
+        now: Instant,
+        workers: &BTreeMap<MachineId, Worker>,
+        store: &StateStore,
+    ) {
+        let usage = self.usage(now, workers);
+        let mut room_since = BTreeMap::new();
+        let mut starving = Vec::new();
+        for (id, spec) in &self.jobs {
+            if !self.could_start(spec, &usage, workers, store) {
+                continue;
+            }
+            let since = self.room_since.get(id).copied().unwrap_or(now);
+            if now - since.max(self.last_fault_at) > MAX_WAIT {
+                starving.push(id.to_string());
+            }
+            room_since.insert(id.clone(), since);
+        }
+        self.room_since = room_since;
+        for id in starving {
+            self.record_violation(now, "left_waiting", id);
+        }
+    }
+
+    fn usage<'a>(&'a self, now: Instant, workers: &'a BTreeMap<MachineId, Worker>) -> Usage<'a> {
+        let mut usage = Usage {
+            gpus_by_team: BTreeMap::new(),
+            placed_tasks: BTreeSet::new(),
+            free: Vec::new(),
+        };
+        for worker in workers.values() {
+            let (mut cpus, mut gpus) = (worker.machine_type.cpus, worker.machine_type.gpus);
+            for ((task, _), attempt) in &worker.attempts {
+                if attempt.has_ended() {
+                    continue;
+                }
+                let spec = &self.jobs[&task.job];
+                cpus -= spec.cpus;
+                gpus -= spec.gpus;
+                *usage.gpus_by_team.entry(&spec.team).or_default() += spec.gpus;
+                usage.placed_tasks.insert(task);
+            }
+            let usable = !worker.faults.faulty && !worker.preemption_noticed;
+            if worker.is_responsive(now) && usable {
+                usage.free.push(FreeMachine { worker, cpus, gpus });
+            }
+        }
+        usage
+    }
+
+    /// Whether a task, or for a gang all of them, waits for nothing and has room.
+    fn could_start(
+        &self,
+        spec: &JobSpec,
+        usage: &Usage,
+        workers: &BTreeMap<MachineId, Worker>,
+        store: &StateStore,
+    ) -> bool {
+        let is_done = |id: &JobId| store.phase(id) == Some(JobPhase::Done);
+        let is_open = store.phase(&spec.id) == Some(JobPhase::Queued);
+        let is_released = self.upstream[&spec.id].iter().all(is_done);
+        if !is_open || !is_released || spec.scatter {
+            return false;
+        }
+        let missing = self.missing_tasks(spec, usage);
+        let is_gang = spec.shape == Shape::Gang;
+        if missing == 0 || (is_gang && self.done_tasks.contains_key(&spec.id)) {
+            return false;
+        }
+        let at_once = if is_gang { missing } else { 1 };
+        self.is_under_team_limit(spec, usage, at_once) && room_for(spec, usage, workers) >= at_once
+    }
+
+    /// So many tasks are neither done nor on any machine.
+    fn missing_tasks(&self, spec: &JobSpec, usage: &Usage) -> u32 {
+        let done = self.done_tasks.get(&spec.id);
+        let is_missing = |index: &u32| {
+            let job = spec.id.clone();
+            let task = TaskId { job, index: *index };
+            done.is_none_or(|done| !done.contains(index)) && !usage.placed_tasks.contains(&task)
+        };
+        (0..spec.tasks).filter(is_missing).count() as u32
+    }
+
+    fn is_under_team_limit(&self, spec: &JobSpec, usage: &Usage, at_once: u32) -> bool {
+        let max = self.team(&spec.team).map_or(0.0, |team| team.gpus_max);
+        let used = usage.gpus_by_team.get(spec.team.as_str());
+        let used = used.copied().unwrap_or(0.0);
+        max <= 0.0 || used + spec.gpus * f64::from(at_once) <= max + EPSILON
+    }
+}
+
+/// So many more tasks of the job fit on the machines that it may use; with affinity, in one zone.
+fn room_for(spec: &JobSpec, usage: &Usage, workers: &BTreeMap<MachineId, Worker>) -> u32 {
+    let zones_in_use = zones_of(spec, workers);
+    let mut room: BTreeMap<&Zone, u32> = BTreeMap::new();
+    for machine in &usage.free {
+        let zone = &machine.worker.zone;
+        let affine = !spec.together || zones_in_use.iter().all(|in_use| *in_use == zone);
+        if machine.worker.allows(spec) && affine {
+            *room.entry(zone).or_default() += machine.tasks_that_fit(spec);
+        }
+    }
+    match spec.together {
+        true => room.values().copied().max().unwrap_or(0),
+        false => room.values().sum(),
+    }
+}
+
+/// Zones in which the job has tasks that haven't ended.
+fn zones_of<'a>(spec: &JobSpec, workers: &'a BTreeMap<MachineId, Worker>) -> BTreeSet<&'a Zone> {
+    let is_live = |((task, _), attempt): (&(TaskId, AttemptId), &Attempt)| {
+        task.job == spec.id && !attempt.has_ended()
+    };
+    let workers = workers.values();
+    workers
+        .filter(|worker| worker.attempts.iter().any(is_live))
+        .map(|worker| &worker.zone)
+        .collect()
+}
--- /dev/null
+++ b/tests/simulation/cloud.rs
@@ -0,0 +1,122 @@
+//! The cloud: machines are rented, boot, and appear in a list that lags.
+
+use super::worker::Worker;
+use super::Simulation;
+use chalklug::coordination::Event;
+use chalklug::ids::*;
+use chalklug::protocol::cloud::{CloudPhase, ListedMachine, MachineTypeInfo};
+use chalklug::time::{Instant, TimeSpan};
+use std::collections::BTreeMap;
+
+/// The boot time of a machine that never comes up.
+const NEVER_BOOTS: TimeSpan = TimeSpan(1_000_000_000);
+
+/// What the cloud knows besides the machines themselves.
+pub(super) struct Cloud {
+    pub machine_types: Vec<MachineTypeInfo>,
+    /// So many machines may run at once.
+    capacity: u32,
+    /// Machines given for each request, by idempotency key.
+    scale_outs: BTreeMap<String, Vec<MachineId>>,
+    /// So many machines were ever rented.
+    rented: u32,
+    list_history: Vec<(Instant, Vec<ListedMachine>)>,
+}
+
+impl Cloud {
+    pub(super) fn new(machine_types: Vec<MachineTypeInfo>, capacity: u32) -> Cloud {
+        Cloud {
+            machine_types,
+            capacity,
+            scale_outs: BTreeMap::new(),
+            rented: 0,
+            list_history: Vec::new(),
+        }
+    }
+
+    /// The list as it was `lag` ago.
+    fn lagging_list(&self, now: Instant, lag: TimeSpan) -> Option<Vec<ListedMachine>> {
+        let mut latest_first = self.list_history.iter().rev();
+        let (_, machines) = latest_first.find(|(taken, _)| now - *taken >= lag)?;
+        Some(machines.clone())
+    }
+
+    fn next_machine_id(&mut self) -> MachineId {
+        self.rented += 1;
+        MachineId::from(format!("host-{:06}", self.rented).as_str())
+    }
+}
+
+impl Simulation {
+    /// The leader gets the machine list, unless the cloud is unavailable.
+    pub(super) fn list_machines(&mut self) {
+        let now = self.now;
+        let workers = self.workers.values();
+        let machines = workers.map(|worker| listed(worker, now)).collect();
+        self.cloud.list_history.push((now, machines));
+        if now < self.faults.cloud_unavailable_until {
+            return;
+        }
+        let lag = TimeSpan::from_secs(self.policy.facts.cloud.list_lag_s);
+        let machines = self.cloud.lagging_list(now, lag);
+        if let (Some(machines), Some(scheduler)) = (machines, self.leadership.scheduler.as_mut()) {
+            let asked = now;
+            scheduler.on(now, Event::MachinesListed { asked, machines });
+        }
+    }
+
+    /// Rents up to `count` machines; a repeated request gets the machines of the first.
+    pub(super) fn rent_machines(
+        &mut self,
+        idempotency_key: &str,
+        machine_type: &MachineType,
+        zone: &Zone,
+        spot: bool,
+        count: u32,
+    ) -> Option<Vec<MachineId>> {
+        if let Some(machine_ids) = self.cloud.scale_outs.get(idempotency_key) {
+            return Some(machine_ids.clone());
+        }
+        let running = self.workers.len() as u32;
+        let available = self.cloud.capacity.saturating_sub(running).min(count);
+        if available == 0 {
+            return None;
+        }
+        let mut types = self.cloud.machine_types.iter();
+        let info = types.find(|info| info.name == *machine_type)?.clone();
+        let machine_ids: Vec<MachineId> = (0..available)
+            .map(|_| self.rent_machine(&info, zone, spot))
+            .collect();
+        let key = idempotency_key.to_owned();
+        self.cloud.scale_outs.insert(key, machine_ids.clone());
+        Some(machine_ids)
+    }
+
+    fn rent_machine(&mut self, info: &MachineTypeInfo, zone: &Zone, spot: bool) -> MachineId {
+        let id = self.cloud.next_machine_id();
+        let boot_time = match self.cloud.rented <= self.faults.machines_never_booting {
+            true => NEVER_BOOTS,
+            false => TimeSpan::from_secs(info.boot_s),
+        };
+        let now = self.now;
+        let up_at = now + boot_time;
+        let worker = Worker::new(id.clone(), info.clone(), zone.clone(), spot, now, up_at);
+        self.workers.insert(id.clone(), worker);
+        id
+    }
+}
+
+fn listed(worker: &Worker, now: Instant) -> ListedMachine {
+    ListedMachine {
+        id: worker.id.clone(),
+        endpoint: worker.endpoint(),
+        machine_type: worker.machine_type.name.clone(),
+        zone: worker.zone.clone(),
+        spot: worker.spot,
+        phase: match worker.up_at <= now {
+            true => CloudPhase::Running,
+            false => CloudPhase::Starting,
+        },
+        age_s: (now - worker.rented_at).secs(),
+    }
+}
--- /dev/null
+++ b/tests/simulation/effects.rs
@@ -0,0 +1,166 @@
+//! Carrying out what the leader's scheduler asks for.
+
+use super::network::{unclear_write, Message, Push, LATENCY};
+use super::Simulation;
+use chalklug::coordination::{Effect, Event};
+use chalklug::ids::*;
+use chalklug::protocol::state::Transaction;
+use chalklug::storage::records::terminal_key;
+use chalklug::time::TimeSpan;
+use rand::Rng;
+
+/// A leader gives a transaction without a response up after this time.
+const WRITE_TIMEOUT: TimeSpan = TimeSpan(900);
+/// A leader gives a push without a response up after this time.
+const PUSH_TIMEOUT: TimeSpan = TimeSpan(2_500);
+/// How late transactions are while all of them are.
+const LATE_TRANSACTION_DELAY: TimeSpan = TimeSpan(3_000);
+/// How late single transactions are carried out, in milliseconds.
+const SINGLE_LATE_TRANSACTION_MS: std::ops::Range<i64> = 2_000..12_000;
+/// What a slow state store takes more.
+const SLOW_STORE_DELAY: TimeSpan = TimeSpan(700);
+const READ_LATENCY: TimeSpan = TimeSpan(20);
+const CLOUD_LATENCY: TimeSpan = TimeSpan(120);
+
+impl Simulation {
+    /// Carries out one effect for the present leader.
+    pub(super) fn carry_out(&mut self, effect: Effect) {
+        let Some(leader) = self.leadership.token() else {
+            return;
+        };
+        match effect {
+            Effect::Write { seq, transaction } => self.write(leader, seq, transaction),
+            Effect::Reread { seq, keys } => self.reread(leader, seq, &keys),
+            Effect::ReadTerminalRecords { ids } => self.read_terminal_records(leader, &ids),
+            Effect::Push {
+                machine_id,
+                seq,
+                token,
+                session,
+                commands,
+                ..
+            } => self.push(Push {
+                leader,
+                token,
+                machine_id,
+                seq,
+                session,
+                commands,
+            }),
+            Effect::ScaleOut {
+                idempotency_key,
+                machine_type,
+                zone,
+                spot,
+                count,
+            } => self.scale_out(leader, idempotency_key, &machine_type, &zone, spot, count),
+            Effect::ScaleIn { machine_ids } => self.scale_in(leader, machine_ids),
+            Effect::StepDown { .. } => self.crash_leader(),
+        }
+    }
+
+    /// Sends a transaction; one that is late, or whose response is lost, has an unclear outcome.
+    fn write(&mut self, leader: FencingToken, seq: u64, transaction: Transaction) {
+        let now = self.now;
+        let mut delay = LATENCY;
+        if now < self.faults.transactions_late_until {
+            delay = LATE_TRANSACTION_DELAY;
+        }
+        if self.rng.random_bool(self.faults.late_transaction_share) {
+            delay = TimeSpan(self.rng.random_range(SINGLE_LATE_TRANSACTION_MS));
+        }
+        let respond = delay == LATENCY && now >= self.faults.store_responses_lost_until;
+        if !respond {
+            self.send_to_leader(WRITE_TIMEOUT, leader, unclear_write(seq));
+        }
+        if now < self.faults.store_slow_until {
+            delay = delay + SLOW_STORE_DELAY;
+        }
+        let message = Message::Transaction {
+            leader,
+            seq,
+            transaction,
+            respond,
+        };
+        self.send(delay, message);
+    }
+
+    fn reread(&mut self, leader: FencingToken, seq: u64, keys: &[String]) {
+        let keys = keys.iter();
+        let items = keys.map(|key| (key.clone(), self.store.get(key))).collect();
+        self.respond_to_read(leader, Event::Reread { seq, items });
+    }
+
+    fn read_terminal_records(&mut self, leader: FencingToken, ids: &[JobId]) {
+        let terminal_record = |id: &JobId| {
+            let item = self.store.get(&terminal_key(id))?;
+            Some(serde_json::from_value(item.data).expect("a terminal record"))
+        };
+        let terminal_records = ids
+            .iter()
+            .map(|id| (id.clone(), terminal_record(id)))
+            .collect();
+        self.respond_to_read(leader, Event::TerminalRecordsRead { terminal_records });
+    }
+
+    /// A read is repeated until the state store serves the leader.
+    fn respond_to_read(&mut self, leader: FencingToken, event: Event) {
+        let refuses_leader = self.faults.store_refuses_leader_until;
+        let unserved = refuses_leader.max(self.faults.store_unavailable_until) - self.now;
+        let wait = match self.leadership.elections_enabled {
+            true => unserved.max(TimeSpan::ZERO),
+            false => TimeSpan::ZERO,
+        };
+        self.send_to_leader(wait + READ_LATENCY, leader, event);
+    }
+
+    /// Pushes commands, and perhaps a late duplicate of them.
+    fn push(&mut self, push: Push) {
+        self.check_launches(&push.commands);
+        let machine_id = push.machine_id.clone();
+        let timed_out = Event::PushFailed {
+            machine_id: machine_id.clone(),
+            seq: push.seq,
+            sent: true,
+        };
+        self.send_to_leader(PUSH_TIMEOUT, push.leader, timed_out);
+        if self.rng.random_bool(self.faults.duplicate_push_share) {
+            let delay = self.duplicate_delay();
+            self.send(delay, Message::Push(push.clone()));
+        }
+        self.send_past_partition(&machine_id, Message::Push(push));
+    }
+
+    fn scale_out(
+        &mut self,
+        leader: FencingToken,
+        idempotency_key: String,
+        machine_type: &MachineType,
+        zone: &Zone,
+        spot: bool,
+        count: u32,
+    ) {
+        let event = if self.now < self.faults.cloud_unavailable_until {
+            Event::ScaleOutUnclear { idempotency_key }
+        } else {
+            let machine_ids = self.rent_machines(&idempotency_key, machine_type, zone, spot, count);
+            Event::ScaleOutAnswered {
+                idempotency_key,
+                machine_ids,
+            }
+        };
+        self.send_to_leader(CLOUD_LATENCY, leader, event);
+    }
+
+    fn scale_in(&mut self, leader: FencingToken, machine_ids: Vec<MachineId>) {
+        if self.now < self.faults.cloud_unavailable_until {
+            self.send_to_leader(CLOUD_LATENCY, leader, Event::ScaleInFailed { machine_ids });
+            return;
+        }
+        let message = Message::TerminateMachines {
+            leader,
+            machine_ids,
+        };
+        self.send(CLOUD_LATENCY, message);
+    }
+}
--- /dev/null
+++ b/tests/simulation/leadership.rs
@@ -0,0 +1,275 @@
+//! Who leads: the leader's lease on the state store, elections, failover, and what reaches the leader
+//! of the jobs.
+
+use super::Simulation;
+use chalklug::coordination::leadership::authority::{Authority, LeadershipTerm};
+use chalklug::coordination::leadership::recovery::RecoveredState;
+use chalklug::coordination::{Event, Policy, Scheduler};
+use chalklug::ids::*;
+use chalklug::protocol::state::{Change, Transaction};
+use chalklug::protocol::workers::Command;
+use chalklug::settings::LeaderTimes;
+use chalklug::storage::records::*;
+use chalklug::time::{Instant, TimeSpan};
+
+/// How long after a lease's expiry another controller notices.
+const ELECTION_DELAY: TimeSpan = TimeSpan(500);
+/// A leader renews its lease this many times in the lease's life.
+const RENEWALS_PER_LEASE: i64 = 5;
+/// A slow state store tells of changes only so often.
+const SLOW_WATCH_INTERVAL: TimeSpan = TimeSpan(1_500);
+
+/// The present leader, and the lease behind it.
+pub(super) struct Leadership {
+    pub scheduler: Option<Scheduler>,
+    /// The leader's right to act; none: it lasts for ever.
+    authority: Option<Authority>,
+    /// Leaders come and go by their leases: whoever loses its authority ends, and another is elected
+    /// once the lease on the state store has expired.
+    pub elections_enabled: bool,
+    times: LeaderTimes,
+    lease_expires_at: Instant,
+    lease_renewed_at: Instant,
+    terms: u64,
+    /// Up to here the leader has heard of changes.
+    watched_revision: StoreRevision,
+}
+
+impl Leadership {
+    pub(super) fn new(policy: &Policy) -> Leadership {
+        let times = LeaderTimes::derive(&policy.facts.workers, &policy.operator);
+        Leadership {
+            scheduler: None,
+            authority: None,
+            elections_enabled: false,
+            times: times.expect("cancel_s leaves room beyond lease_s"),
+            lease_expires_at: Instant(0),
+            lease_renewed_at: Instant(0),
+            terms: 0,
+            watched_revision: StoreRevision(0),
+        }
+    }
+
+    /// The first fencing token of the present leader, which tells leaders apart.
+    pub(super) fn token(&self) -> Option<FencingToken> {
+        self.scheduler.as_ref().map(Scheduler::first_token)
+    }
+
+    /// The scheduler of that leader, if it still leads.
+    pub(super) fn scheduler_of(&mut self, leader: FencingToken) -> Option<&mut Scheduler> {
+        let scheduler = self.scheduler.as_mut();
+        scheduler.filter(|scheduler| scheduler.first_token() == leader)
+    }
+
+    fn renewal_is_due(&self, now: Instant) -> bool {
+        let interval = TimeSpan(self.times.life.0 / RENEWALS_PER_LEASE);
+        now - self.lease_renewed_at >= interval && self.lease_expires_at > now
+    }
+
+    fn renew(&mut self, now: Instant) {
+        self.lease_renewed_at = now;
+        self.lease_expires_at = now + self.times.life;
+        if let Some(authority) = &self.authority {
+            authority.renewed(now);
+        }
+    }
+
+    fn has_authority(&self, now: Instant) -> bool {
+        let authority = self.authority.as_ref();
+        authority.is_none_or(|authority| authority.holds(now))
+    }
+}
+
+impl Simulation {
+    /// From now on leaders come and go by their leases.
+    pub fn enable_elections(&mut self) {
+        self.leadership.elections_enabled = true;
+    }
+
+    /// The leader dies. What it has sent stays on its way.
+    pub fn crash_leader(&mut self) {
+        self.leadership.scheduler = None;
+        self.leadership.authority = None;
+    }
+
+    /// The leader's lease: renewed while that is possible, expired after its life, and with its full
+    /// time again once an outage of the state store ends. Then another leader is elected.
+    pub(super) fn renew_lease_or_elect(&mut self) {
+        let now = self.now;
+        let outage_end = self.faults.store_unavailable_until;
+        let outage = now < outage_end;
+        if outage && self.leadership.lease_expires_at > now {
+            self.leadership.lease_expires_at = outage_end + self.leadership.times.life;
+        }
+        if self.leadership.scheduler.is_some() {
+            self.renew_lease_or_step_down();
+        }
+        let expired = now - self.leadership.lease_expires_at >= ELECTION_DELAY;
+        if expired && !outage {
+            if self.leadership.scheduler.is_some() {
+                self.checker.two_leaders(now);
+            }
+            self.elect_leader();
+        }
+    }
+
+    fn renew_lease_or_step_down(&mut self) {
+        let now = self.now;
+        let served = self.faults.store_serves_leader(now);
+        if served && self.leadership.renewal_is_due(now) {
+            self.leadership.renew(now);
+        }
+        if !self.leadership.has_authority(now) {
+            self.crash_leader();
+            if served {
+                // It ends its own lease: others needn't wait for it.
+                self.leadership.lease_expires_at = now;
+            }
+        }
+    }
+
+    /// A new leader is elected and recovers its state from the state store.
+    pub fn elect_leader(&mut self) {
+        let now = self.now;
+        let term = self.begin_term();
+        let recovered = self.read_recovered_state();
+        self.leadership.watched_revision = self.store.store_revision;
+        let times = self.leadership.times;
+        let elections = self.leadership.elections_enabled;
+        self.leadership.authority = elections.then(|| Authority::new(times, now));
+        self.leadership.lease_expires_at = now + times.life;
+        self.leadership.lease_renewed_at = now;
+        // The next leader is another controller, which the state store serves.
+        self.faults.store_refuses_leader_until = Instant(0);
+        let scheduler = Scheduler::recover(self.policy.clone(), term, now, recovered);
+        self.leadership.scheduler = Some(scheduler.unwrap_or_else(|e| panic!("{e}")));
+    }
+
+    /// Writes the keys that a new leader writes.
+    fn begin_term(&mut self) -> LeadershipTerm {
+        let last = self.store.get(FENCING_TOKEN_KEY);
+        let last = last.and_then(|item| item.data.as_u64()).unwrap_or(0);
+        let token = FencingToken(last + 1);
+        self.leadership.terms += 1;
+        let lease = LeaseId(self.leadership.terms);
+        let record = LeaderRecord {
+            host_name: format!("controller-{}", self.leadership.terms),
+            token,
+        };
+        let transaction = Transaction {
+            preconditions: Vec::new(),
+            changes: vec![
+                Change::Put {
+                    put: LEADER_KEY.into(),
+                    data: serde_json::to_value(&record).expect("a record"),
+                    lease: Some(lease),
+                },
+                Change::put(FENCING_TOKEN_KEY.into(), token.0.into()),
+            ],
+        };
+        let applied = self.store.apply(&transaction).expect("no precondition");
+        let revision = KeyRevision(applied.0);
+        LeadershipTerm {
+            token,
+            first: token,
+            revision,
+            token_stamp: revision,
+            lease,
+            host_name: record.host_name,
+        }
+    }
+
+    /// All that a new leader reads from the state store.
+    fn read_recovered_state(&self) -> RecoveredState {
+        let open = self.store.list(OPEN_JOB_PREFIX).into_iter();
+        RecoveredState {
+            open: open
+                .map(|item| {
+                    let revision = item.revision;
+                    (self.read_open_record(item), revision, self.now)
+                })
+                .collect(),
+            progress: self.store.list(PROGRESS_PREFIX),
+            intents: self.store.list(INTENT_PAGE_PREFIX),
+            machine_pages: self.store.list(MACHINE_PAGE_PREFIX),
+            machine_types: self.cloud.machine_types.clone(),
+            hints: self.store.get(HINTS_KEY),
+            day_ms: 0,
+        }
+    }
+
+    /// Whether controllers hear of each other.
+    pub(super) fn peers_connected(&self) -> bool {
+        self.leadership.elections_enabled && self.now >= self.faults.peers_partitioned_until
+    }
+
+    /// For how long the leader can't have heard of what was confirmed elsewhere.
+    fn max_staleness(&self) -> TimeSpan {
+        let now = self.now;
+        let served = self.faults.store_serves_leader(now);
+        if self.peers_connected() || (served && now >= self.faults.watch_stalled_until) {
+            return TimeSpan::ZERO;
+        }
+        match served {
+            true => self.leadership.times.max_staleness,
+            false => self.leadership.times.life,
+        }
+    }
+
+    /// The checker sees each launch as it leaves the leader.
+    pub(super) fn check_launches(&mut self, commands: &[Command]) {
+        let max_staleness = self.max_staleness();
+        for command in commands {
+            if let Command::Launch { task, .. } = command {
+                self.checker.launch_sent(self.now, task, max_staleness);
+            }
+        }
+    }
+
+    /// A command that the scheduler would never send, to show that the checker sees it.
+    pub fn send_rogue_command(&mut self, machine_id: &MachineId, command: Command) {
+        let commands = [command];
+        self.check_launches(&commands);
+        if let Some(worker) = self.workers.get_mut(machine_id) {
+            worker.execute(self.now, &commands, &self.workload);
+        }
+    }
+
+    /// The leader hears of jobs that were opened or closed.
+    pub(super) fn deliver_job_changes(&mut self) {
+        let now = self.now;
+        let slow = now < self.faults.store_slow_until && now.0 % SLOW_WATCH_INTERVAL.0 != 0;
+        let served = self.faults.store_serves_leader(now);
+        let stalled = now < self.faults.watch_stalled_until;
+        if !served || stalled || slow || self.faults.watch_blocked {
+            return;
+        }
+        if let Some(authority) = &self.leadership.authority {
+            authority.knows(now);
+        }
+        if self.leadership.scheduler.is_none() {
+            return;
+        }
+        let since = self.leadership.watched_revision;
+        let changes = self.store.changes_since(since).into_iter();
+        let events: Vec<Event> = changes
+            .filter_map(|(key, item)| {
+                let id = JobId::from(key.strip_prefix(OPEN_JOB_PREFIX)?);
+                Some(match item {
+                    Some(item) => Event::JobOpened {
+                        revision: item.revision,
+                        record: Box::new(self.read_open_record(item)),
+                        submitted: now,
+                    },
+                    None => Event::JobClosed { id },
+                })
+            })
+            .collect();
+        if let Some(scheduler) = self.leadership.scheduler.as_mut() {
+            for event in events {
+                scheduler.on(now, event);
+            }
+        }
+        self.leadership.watched_revision = self.store.store_revision;
+    }
+}
--- /dev/null
+++ b/tests/simulation/users.rs
@@ -0,0 +1,124 @@
+//! What users do through any controller: they submit jobs, cancel them, and ask for their states.
+
+use super::network::LATENCY;
+use super::workload::TaskBehavior;
+use super::Simulation;
+use chalklug::coordination::Event;
+use chalklug::ids::{JobId, KeyRevision};
+use chalklug::protocol::state::{Change, KeyValue, Precondition, Transaction};
+use chalklug::protocol::users::{JobPhase, JobSpec};
+use chalklug::storage::records::*;
+
+/// Open records are kept this short, so that upstream jobs often stand on pages of their own.
+const MAX_OPEN_RECORD_BYTES: usize = 420;
+
+fn to_json<T: serde::Serialize>(record: &T) -> serde_json::Value {
+    serde_json::to_value(record).expect("records can be serialized")
+}
+
+impl Simulation {
+    /// A controller accepts a job that depends on the `upstream` jobs.
+    pub fn submit(&mut self, spec: JobSpec, behavior: TaskBehavior, upstream: Vec<JobId>) {
+        let id = spec.id.clone();
+        self.workload.add(spec.clone(), behavior);
+        let record = self.write_dependency_pages(OpenJobRecord {
+            spec: spec.clone(),
+            at_ms: 0,
+            after: upstream.clone(),
+            dependency_pages: 0,
+        });
+        // As controllers do: with a cancelled upstream job it is cancelled from the start.
+        let is_cancelled = |id: &JobId| self.store.phase(id) == Some(JobPhase::Cancelled);
+        let change = match upstream.iter().any(is_cancelled) {
+            true => {
+                let terminal_record = TerminalRecord::cancelled(spec.tasks);
+                Change::put(terminal_key(&id), to_json(&terminal_record))
+            }
+            false => Change::put(open_key(&id), to_json(&record)),
+        };
+        let absent = |key| Precondition {
+            key,
+            revision: KeyRevision(0),
+        };
+        let transaction = Transaction {
+            preconditions: vec![absent(open_key(&id)), absent(terminal_key(&id))],
+            changes: vec![change],
+        };
+        let applied = self.store.apply(&transaction);
+        assert!(applied.is_some(), "a job is submitted once");
+        self.checker.job_accepted(self.now, spec, upstream);
+    }
+
+    /// Writes what is too long for the record to pages; returns what stays in it.
+    fn write_dependency_pages(&mut self, mut record: OpenJobRecord) -> OpenJobRecord {
+        let pages = record.move_dependencies_to_pages(MAX_OPEN_RECORD_BYTES);
+        for (page, names) in (0..).zip(pages.expect("a short description")) {
+            let key = dependency_page_key(&record.spec.id, page);
+            let transaction = Transaction {
+                preconditions: Vec::new(),
+                changes: vec![Change::put(key, to_json(&names))],
+            };
+            self.store.apply(&transaction);
+        }
+        record
+    }
+
+    /// An open record with all its upstream jobs, as controllers read it.
+    pub(super) fn read_open_record(&self, item: KeyValue) -> OpenJobRecord {
+        let mut record: OpenJobRecord = serde_json::from_value(item.data).expect("an open record");
+        for page in 0..record.dependency_pages {
+            let item = self.store.get(&dependency_page_key(&record.spec.id, page));
+            let data = item.expect("a page of an open job").data;
+            let names: Vec<JobId> = serde_json::from_value(data).expect("a page of names");
+            record.after.extend(names);
+        }
+        record
+    }
+
+    /// A user cancels a job; whether a controller confirmed it.
+    #[must_use]
+    pub fn cancel(&mut self, id: &JobId) -> bool {
+        let elections = self.leadership.elections_enabled;
+        if elections && self.now < self.faults.store_unavailable_until {
+            // No controller can confirm it: the user is told to come back.
+            return false;
+        }
+        let Some(open) = self.store.get(&open_key(id)) else {
+            return false;
+        };
+        let terminal_record = TerminalRecord::cancelled(self.workload.spec(id).tasks);
+        let transaction = Transaction {
+            preconditions: vec![Precondition {
+                key: open_key(id),
+                revision: open.revision,
+            }],
+            changes: vec![
+                Change::Delete {
+                    delete: open_key(id),
+                },
+                Change::put(terminal_key(id), to_json(&terminal_record)),
+            ],
+        };
+        let applied = self.store.apply(&transaction);
+        assert!(applied.is_some(), "nobody else closes the job meanwhile");
+        self.checker.job_cancelled(id, self.now);
+        self.broadcast_cancellation(id);
+        true
+    }
+
+    /// The controller that confirmed a cancellation tells its peers, the leader among them.
+    fn broadcast_cancellation(&mut self, id: &JobId) {
+        if !self.peers_connected() {
+            return;
+        }
+        if let Some(leader) = self.leadership.token() {
+            let id = id.clone();
+            self.send_to_leader(LATENCY, leader, Event::JobCancelled { id });
+        }
+    }
+
+    /// What a user is told of a job, read as controllers read it.
+    pub fn phase(&self, id: &JobId) -> Option<JobPhase> {
+        self.store.phase(id)
+    }
+}
--- /dev/null
+++ b/tests/simulation/worker.rs
@@ -0,0 +1,325 @@
+//! A worker as the protocol describes it: sessions, a lease, fencing tokens, images, and its tasks.
+
+use super::attempt::Attempt;
+use super::network::PartitionMode;
+use super::workload::Workload;
+use chalklug::ids::*;
+use chalklug::protocol::cloud::MachineTypeInfo;
+use chalklug::protocol::users::JobSpec;
+use chalklug::protocol::workers::{Cause, Command, TaskPhase, TaskStatus, WorkerStatus};
+use chalklug::settings::Workers as WorkerTimes;
+use chalklug::time::{Instant, TimeSpan};
+use rand::rngs::StdRng;
+use rand::Rng;
+use std::collections::{BTreeMap, BTreeSet};
+
+/// What a worker with a preemption notice tells of the time it has left.
+const PREEMPTION_NOTICE_SECS: f64 = 10.0;
+/// Heartbeats come at the announced interval, times a factor drawn from here.
+const HEARTBEAT_JITTER: std::ops::Range<f64> = 0.75..1.25;
+/// A worker with news reports this much earlier than it may at the soonest.
+const NEWS_MARGIN_SECS: f64 = 0.5;
+/// Rounding errors of sums of resources.
+const EPSILON: f64 = 1e-9;
+
+/// Faults of one machine.
+#[derive(Default)]
+pub struct WorkerFaults {
+    suspended_until: Option<Instant>,
+    inbound_unreachable_until: Option<Instant>,
+    outbound_unreachable_until: Option<Instant>,
+    partition: Option<(Instant, PartitionMode)>,
+    /// Every task fails on it.
+    pub faulty: bool,
+}
+
+impl WorkerFaults {
+    /// Nothing on the machine goes on until then.
+    pub fn suspend_until(&mut self, end: Instant) {
+        self.suspended_until = Some(end);
+    }
+
+    /// Its heartbeats arrive, but nothing reaches it until then.
+    pub fn inbound_unreachable_until(&mut self, end: Instant) {
+        self.inbound_unreachable_until = Some(end);
+    }
+
+    /// It reaches no controller until then, while pushed commands reach it.
+    pub fn outbound_unreachable_until(&mut self, end: Instant) {
+        self.outbound_unreachable_until = Some(end);
+    }
+
+    /// Nothing passes to or from it until then.
+    pub fn partition_until(&mut self, end: Instant, mode: PartitionMode) {
+        self.partition = Some((end, mode));
+    }
+
+    pub fn is_inbound_unreachable(&self, now: Instant) -> bool {
+        is_active(self.inbound_unreachable_until, now)
+    }
+
+    pub fn is_outbound_unreachable(&self, now: Instant) -> bool {
+        is_active(self.outbound_unreachable_until, now)
+    }
+
+    /// The partition around it, and when it ends.
+    pub fn partition(&self, now: Instant) -> Option<(Instant, PartitionMode)> {
+        self.partition.filter(|(end, _)| now < *end)
+    }
+
+    /// Whether any of them is active.
+    pub fn any_active(&self, now: Instant) -> bool {
+        self.faulty
+            || is_active(self.suspended_until, now)
+            || self.is_inbound_unreachable(now)
+            || self.is_outbound_unreachable(now)
+            || self.partition(now).is_some()
+    }
+}
+
+fn is_active(until: Option<Instant>, now: Instant) -> bool {
+    until.is_some_and(|end| now < end)
+}
+
+/// One machine and the worker on it.
+pub struct Worker {
+    pub id: MachineId,
+    pub machine_type: MachineTypeInfo,
+    pub zone: Zone,
+    pub spot: bool,
+    pub rented_at: Instant,
+    /// When it has booted.
+    pub up_at: Instant,
+    pub session: Session,
+    /// The highest fencing token that reached it.
+    pub token: FencingToken,
+    pub attempts: BTreeMap<(TaskId, AttemptId), Attempt>,
+    pub faults: WorkerFaults,
+    /// Images take so many times as long to fetch.
+    pub fetch_slowdown: f64,
+    /// It has been told that the cloud takes it back.
+    pub preemption_noticed: bool,
+    /// Its lease counts from when the last answered heartbeat was sent.
+    lease_from: Instant,
+    tick: u64,
+    images: BTreeSet<Image>,
+    next_heartbeat: Instant,
+    /// It has news, and reports as soon as it may.
+    has_news: bool,
+}
+
+impl Worker {
+    /// A machine that was rented now, and is up at `up_at`.
+    pub fn new(
+        id: MachineId,
+        machine_type: MachineTypeInfo,
+        zone: Zone,
+        spot: bool,
+        now: Instant,
+        up_at: Instant,
+    ) -> Worker {
+        Worker {
+            id,
+            machine_type,
+            zone,
+            spot,
+            rented_at: now,
+            up_at,
+            session: Session(1),
+            token: FencingToken(0),
+            attempts: BTreeMap::new(),
+            faults: WorkerFaults::default(),
+            fetch_slowdown: 1.0,
+            preemption_noticed: false,
+            lease_from: up_at,
+            tick: 0,
+            images: BTreeSet::new(),
+            next_heartbeat: up_at,
+            has_news: false,
+        }
+    }
+
+    pub fn endpoint(&self) -> String {
+        format!("{}:9000", self.id)
+    }
+
+    /// When it responds again, if it doesn't now: it boots or is suspended.
+    pub fn unresponsive_until(&self, now: Instant) -> Option<Instant> {
+        let suspended = self.faults.suspended_until.into_iter();
+        let end = suspended.chain([self.up_at]).max()?;
+        (now < end).then_some(end)
+    }
+
+    pub fn is_responsive(&self, now: Instant) -> bool {
+        self.unresponsive_until(now).is_none()
+    }
+
+    /// Whether the spec's job may run on this kind of machine, in this zone.
+    pub fn allows(&self, spec: &JobSpec) -> bool {
+        let types = spec.machine_types.as_ref();
+        (spec.spot || !self.spot)
+            && spec.zone.as_ref().is_none_or(|zone| *zone == self.zone)
+            && types.is_none_or(|types| types.contains(&self.machine_type.name))
+    }
+
+    /// Tasks that have their image and haven't ended.
+    pub fn tasks_on_machine(&self) -> impl Iterator<Item = (&TaskId, &Attempt)> {
+        let attempts = self.attempts.iter();
+        attempts
+            .filter(|(_, attempt)| attempt.is_on_machine())
+            .map(|((task, _), attempt)| (task, attempt))
+    }
+
+    /// The status that the worker tells now.
+    pub fn status(&mut self) -> WorkerStatus {
+        self.tick += 1;
+        let attempts = self.attempts.iter();
+        let tasks = attempts
+            .map(|((task, attempt_id), attempt)| TaskStatus {
+                task: task.clone(),
+                attempt_id: *attempt_id,
+                phase: attempt.phase,
+                cause: attempt.cause,
+                stored: attempt.stored,
+            })
+            .collect();
+        WorkerStatus {
+            machine_id: self.id.clone(),
+            endpoint: self.endpoint(),
+            machine_type: self.machine_type.name.clone(),
+            zone: self.zone.clone(),
+            spot: self.spot,
+            session: self.session,
+            tick: Tick(self.tick),
+            token: self.token,
+            recall_s: self.preemption_noticed.then_some(PREEMPTION_NOTICE_SECS),
+            tasks,
+        }
+    }
+
+    /// The next heartbeat is sent as soon as it may.
+    pub fn report_soon(&mut self) {
+        self.has_news = true;
+    }
+
+    /// The heartbeat that is due now, if one is.
+    pub fn heartbeat_due(
+        &mut self,
+        now: Instant,
+        times: &WorkerTimes,
+        rng: &mut StdRng,
+    ) -> Option<WorkerStatus> {
+        if !self.is_responsive(now) {
+            return None;
+        }
+        let earliest = times.report_s * HEARTBEAT_JITTER.start - NEWS_MARGIN_SECS;
+        let early = self.has_news && self.next_heartbeat - now < TimeSpan::from_secs(earliest);
+        if now < self.next_heartbeat && !early {
+            return None;
+        }
+        self.has_news = false;
+        let interval = times.report_s * rng.random_range(HEARTBEAT_JITTER);
+        self.next_heartbeat = now + TimeSpan::from_secs(interval);
+        Some(self.status())
+    }
+
+    /// A leader answered the heartbeat sent at `heartbeat_sent`: the lease is renewed.
+    pub fn lease_renewed(&mut self, heartbeat_sent: Instant) {
+        self.lease_from = heartbeat_sent;
+    }
+
+    /// Lets the lease expire, and tasks go on to their next phases.
+    pub fn advance(&mut self, now: Instant, workload: &mut Workload, times: &WorkerTimes) {
+        self.expire_lease(now, times);
+        if !self.is_responsive(now) {
+            return;
+        }
+        for ((task, _), attempt) in self.attempts.iter_mut() {
+            if !attempt.phase_is_over(now) {
+                continue;
+            }
+            if attempt.phase == TaskPhase::Fetching {
+                self.images.insert(workload.spec(&task.job).image.clone());
+            }
+            attempt.next_phase(now, task, self.faults.faulty, workload, times);
+            self.has_news = true;
+        }
+    }
+
+    /// The lease expires also while the machine is suspended: beyond it, nothing of it resumes.
+    fn expire_lease(&mut self, now: Instant, times: &WorkerTimes) {
+        if self.up_at <= now && (now - self.lease_from).secs() > times.lease_s {
+            self.attempts.clear();
+            self.session = Session(self.session.0 + 1);
+            self.lease_from = now;
+            self.has_news = true;
+        }
+    }
+
+    /// Executes commands, one after the other.
+    pub fn execute(&mut self, now: Instant, commands: &[Command], workload: &Workload) {
+        for command in commands {
+            self.has_news = true;
+            match command {
+                Command::Launch { task, attempt_id } => {
+                    self.launch(now, task, *attempt_id, workload);
+                }
+                Command::Stop {
+                    task,
+                    attempt_id,
+                    grace_s,
+                } => {
+                    let key = (task.clone(), *attempt_id);
+                    if let Some(attempt) = self.attempts.get_mut(&key) {
+                        attempt.stop(now, workload.spec(&task.job), *grace_s);
+                    }
+                }
+                Command::Clear { task, attempt_id } => {
+                    let key = (task.clone(), *attempt_id);
+                    if self.attempts.get(&key).is_some_and(Attempt::has_ended) {
+                        self.attempts.remove(&key);
+                    }
+                }
+            }
+        }
+    }
+
+    /// A repeated launch changes nothing; one that can't be carried out ends at once.
+    fn launch(&mut self, now: Instant, task: &TaskId, attempt_id: AttemptId, workload: &Workload) {
+        let key = (task.clone(), attempt_id);
+        if self.attempts.contains_key(&key) {
+            return;
+        }
+        let spec = workload.spec(&task.job);
+        let fetch = self.fetch_time(spec);
+        let mut attempt = Attempt::launch(now, task, workload, self.faults.faulty, fetch);
+        if self.has_other_attempt(task) {
+            attempt.end(Cause::Busy);
+        }
+        if self.gpus_used(workload) + spec.gpus > self.machine_type.gpus + EPSILON {
+            attempt.end(Cause::Full);
+        }
+        self.attempts.insert(key, attempt);
+    }
+
+    fn fetch_time(&self, spec: &JobSpec) -> TimeSpan {
+        if self.images.contains(&spec.image) {
+            return TimeSpan::ZERO;
+        }
+        let secs = spec.image_gb / self.machine_type.fetch_gb_per_s * self.fetch_slowdown;
+        TimeSpan::from_secs(secs)
+    }
+
+    fn has_other_attempt(&self, task: &TaskId) -> bool {
+        let mut attempts = self.attempts.iter();
+        attempts.any(|((other, _), attempt)| other == task && !attempt.has_ended())
+    }
+
+    fn gpus_used(&self, workload: &Workload) -> f64 {
+        let attempts = self.attempts.iter();
+        attempts
+            .filter(|(_, attempt)| !attempt.has_ended())
+            .map(|((task, _), _)| workload.spec(&task.job).gpus)
+            .sum()
+    }
+}
--- a/tests/support/recorded_core.rs
+++ b/tests/support/recorded_core.rs
@@ -43,7 +43,7 @@
     pub fn heartbeat(&mut self, now: Instant, report: &WorkerStatus) -> HeartbeatOutcome {
         let answer = self.core.heartbeat(now, report);
         let token = self.core.token();
-        self.digest.check_in_answer(now, token, &answer);
+        self.digest.heartbeat_response(now, token, &answer);
         answer
     }
 }
--- a/tests/support/wire_digest.rs
+++ b/tests/support/wire_digest.rs
@@ -56,7 +56,7 @@
     }
 
     /// The answer to a worker's check-in.
-    pub fn check_in_answer(
+    pub fn heartbeat_response(
         &mut self,
         now: Instant,
         token: FencingToken,
--- a/tests/upgrade/repacking.rs
+++ b/tests/upgrade/repacking.rs
@@ -3,7 +3,7 @@
 
 use super::machine_type::machine_type;
 use super::recorded_core::RecordedCore;
-use super::world::store::Store;
+use super::simulation::state_store::StateStore;
 use chalklug::coordination::leadership::authority::LeadershipTerm;
 use chalklug::coordination::leadership::recovery::RecoveredState;
 use chalklug::coordination::{Effect, Event, Policy};
@@ -49,8 +49,8 @@
 }
 
 /// Pages as a leader with room for 8 KiB leaves them, without images.
-fn large_pages() -> Store {
-    let mut store = Store::default();
+fn large_pages() -> StateStore {
+    let mut store = StateStore::default();
     for first in (0..MACHINES).step_by(MACHINES_A_PAGE as usize) {
         let mut page = MachinePage {
             kinds: vec![(MachineType::from("box"), Zone::from("a"), false)],
@@ -74,7 +74,7 @@
     store
 }
 
-fn recover(store: &Store, now: Instant, token: u64, next: &str) -> RecordedCore {
+fn recover(store: &StateStore, now: Instant, token: u64, next: &str) -> RecordedCore {
     let lead = LeadershipTerm {
         token: FencingToken(token),
         first: FencingToken(token),
@@ -94,13 +94,13 @@
 }
 
 /// Machines on any page, and how often each is listed.
-fn listed(store: &Store) -> Vec<MachineId> {
+fn listed(store: &StateStore) -> Vec<MachineId> {
     let pages = store.list(MACHINE_PAGE_PREFIX).into_iter();
     let pages = pages.map(|i| serde_json::from_value::<MachinePage>(i.data).expect("a page"));
     pages.flat_map(|p| p.machines.into_keys()).collect()
 }
 
-fn sizes(store: &Store) -> Vec<usize> {
+fn sizes(store: &StateStore) -> Vec<usize> {
     let pages = store.list(MACHINE_PAGE_PREFIX);
     pages.iter().map(|i| i.data.to_string().len()).collect()
 }
@@ -118,7 +118,7 @@
 /// transactions the service has refused for their size.
 fn write_for(
     core: &mut RecordedCore,
-    store: &mut Store,
+    store: &mut StateStore,
     now: &mut Instant,
     span: TimeSpan,
 ) -> usize {
