--- a/tests/simulation/leadership.rs
+++ b/tests/simulation/leadership.rs
@@ -2,8 +2,9 @@
 //! of the jobs.
 
 use super::Simulation;
-use chalklug::coordination::leadership::authority::{Authority, LeadershipTerm};
+use chalklug::coordination::leadership::authority::Authority;
 use chalklug::coordination::leadership::recovery::RecoveredState;
+use chalklug::coordination::leadership::LeadershipTerm;
 use chalklug::coordination::{Event, Policy, Scheduler};
 use chalklug::ids::*;
 use chalklug::protocol::state::{Change, Transaction};
@@ -50,15 +51,15 @@
         }
     }
 
-    /// The first fencing token of the present leader, which tells leaders apart.
+    /// The initial fencing token of the present leader, which tells leaders apart.
     pub(super) fn token(&self) -> Option<FencingToken> {
-        self.scheduler.as_ref().map(Scheduler::first_token)
+        self.scheduler.as_ref().map(Scheduler::initial_token)
     }
 
     /// The scheduler of that leader, if it still leads.
     pub(super) fn scheduler_of(&mut self, leader: FencingToken) -> Option<&mut Scheduler> {
         let scheduler = self.scheduler.as_mut();
-        scheduler.filter(|scheduler| scheduler.first_token() == leader)
+        scheduler.filter(|scheduler| scheduler.initial_token() == leader)
     }
 
     fn renewal_is_due(&self, now: Instant) -> bool {
@@ -70,13 +71,13 @@
         self.lease_renewed_at = now;
         self.lease_expires_at = now + self.times.life;
         if let Some(authority) = &self.authority {
-            authority.renewed(now);
+            authority.lease_renewed(now);
         }
     }
 
     fn has_authority(&self, now: Instant) -> bool {
         let authority = self.authority.as_ref();
-        authority.is_none_or(|authority| authority.holds(now))
+        authority.is_none_or(|authority| authority.is_held(now))
     }
 }
 
@@ -171,9 +172,9 @@
         let revision = KeyRevision(applied.0);
         LeadershipTerm {
             token,
-            first: token,
-            revision,
-            token_stamp: revision,
+            initial_token: token,
+            leader_key_revision: revision,
+            token_counter_revision: revision,
             lease,
             host_name: record.host_name,
         }
@@ -245,7 +246,7 @@
             return;
         }
         if let Some(authority) = &self.leadership.authority {
-            authority.knows(now);
+            authority.view_refreshed(now);
         }
         if self.leadership.scheduler.is_none() {
             return;
--- a/tests/simulation/network.rs
+++ b/tests/simulation/network.rs
@@ -23,7 +23,7 @@
     Drop,
 }
 
-/// What is on its way. Leaders are told apart by their first fencing tokens.
+/// What is on its way. Leaders are told apart by their initial fencing tokens.
 pub(super) enum Message {
     Heartbeat {
         status: WorkerStatus,
