--- a/src/coordination/attempts/ledger.rs
+++ b/src/coordination/attempts/ledger.rs
@@ -126,7 +126,7 @@
         }
         if let Some(page) = s.page {
             let gone = LaunchIntent::new(machine_id, key);
-            self.writer.intents.gone(now, page, &gone);
+            self.writer.intent_obsolete(now, page, &gone);
         }
         self.jobs.reindex(&key.task.job);
         self.machines.reindex(machine_id);
--- a/src/coordination/attempts/reconciliation.rs
+++ b/src/coordination/attempts/reconciliation.rs
@@ -178,7 +178,7 @@
             let page = m.page;
             self.machines.reindex(machine_id);
             if let Some(page) = page {
-                self.writer.machine_pages.changed(now, page);
+                self.writer.machine_changed(now, page);
             }
         }
         let Some(m) = self.machines.get_mut(machine_id) else {
@@ -325,7 +325,7 @@
         let new = !machine.has_image(&job.spec.image);
         machine.use_image(&job.spec.image, job.spec.image_gb, cache_gb);
         if let Some(page) = machine.page.filter(|_| new) {
-            self.writer.machine_pages.changed(now, page);
+            self.writer.machine_changed(now, page);
         }
     }
 
--- a/src/coordination/autoscaler/arrivals.rs
+++ b/src/coordination/autoscaler/arrivals.rs
@@ -199,6 +199,6 @@
             .entry(spec.class.clone())
             .or_insert_with(|| ArrivalRate::new(spec));
         d.note(spec, at);
-        self.writer.hints_news = true;
+        self.writer.hints_changed();
     }
 }
--- a/src/coordination/autoscaler/inventory.rs
+++ b/src/coordination/autoscaler/inventory.rs
@@ -52,7 +52,7 @@
         let machine = self.machines.get_mut(id);
         if let Some(machine) = machine.filter(|machine| !machine.verified) {
             machine.verified = true;
-            machine.page = Some(self.writer.machine_pages.enter(id));
+            machine.page = Some(self.writer.assign_machine_page(id));
             self.placement.due = true;
         }
     }
--- a/src/coordination/autoscaler/report.rs
+++ b/src/coordination/autoscaler/report.rs
@@ -67,7 +67,8 @@
         self.autoscaler.last_logged_at = now;
         let cluster = self.view(now);
         let machines = MachineCounts::of(&cluster);
-        let (intent_pages, unwritten_intents) = self.writer.intents.sizes();
+        let intent_pages = self.writer.intent_page_count();
+        let unwritten_intents = self.writer.queued_intent_count();
         tracing::info!(
             up = machines.up,
             booting = machines.booting,
--- a/src/coordination/autoscaler/scale_in.rs
+++ b/src/coordination/autoscaler/scale_in.rs
@@ -143,7 +143,7 @@
                     self.outbox.pushes_in_flight = self.outbox.pushes_in_flight.saturating_sub(1);
                 }
                 if let Some(page) = m.page {
-                    self.writer.machine_pages.leave(now, page, h);
+                    self.writer.machine_terminated(now, page, h);
                 }
             }
             self.machines.reindex(h);
--- a/src/coordination/jobs/estimates.rs
+++ b/src/coordination/jobs/estimates.rs
@@ -70,7 +70,7 @@
         o.ran_s += ran_s;
         o.guessed_s += job.spec.guess_s;
         o.count += 1;
-        self.writer.hints_news = true;
+        self.writer.hints_changed();
     }
 
     /// How long a task of the job should run: the owner's guess, corrected by what was seen of its
--- a/src/coordination/jobs/lifecycle.rs
+++ b/src/coordination/jobs/lifecycle.rs
@@ -126,7 +126,7 @@
         }
         job.closed = true;
         job.pending.clear();
-        self.writer.orphan_edges(id, job.dependency_pages);
+        self.writer.orphan_dependencies(id, job.dependency_pages);
         self.placement.due = true;
         let machine_ids: BTreeSet<MachineId> = job.placements.values().flatten().cloned().collect();
         for h in machine_ids {
--- a/src/coordination/leadership/recovery.rs
+++ b/src/coordination/leadership/recovery.rs
@@ -85,7 +85,7 @@
             core.job_opened(now, record, revision, submitted);
         }
         if let Some(item) = found.hints {
-            core.writer.hints = item.revision;
+            core.writer.recover_hints(item.revision);
             if let Ok(hints) = serde_json::from_value(item.data) {
                 core.load_hints(now, hints);
             }
@@ -112,9 +112,7 @@
         };
         let open = self.jobs.get_mut(&key.job).filter(|j| !j.closed);
         let Some(job) = open else {
-            self.writer
-                .orphaned_progress
-                .insert(item.key, item.revision);
+            self.writer.recover_orphaned_progress(&key, item.revision);
             return;
         };
         if let Some(text) = item.data.as_str() {
@@ -124,7 +122,7 @@
             job.has_run |= done.count() > 0;
             self.jobs.reindex(&key.job);
         }
-        self.writer.progress.insert(key, item.revision);
+        self.writer.recover_progress(key, item.revision);
     }
 
     /// A time of day on record, in seconds since 1970, on this process's steady clock.
@@ -164,10 +162,9 @@
             record.machines.keys().filter(new).cloned().collect();
         let twice = machine_ids.len() < all;
         self.writer
-            .machine_pages
-            .found(page, item.revision, machine_ids.clone());
+            .recover_machine_page(page, item.revision, machine_ids.clone());
         if twice {
-            self.writer.machine_pages.changed(now, page);
+            self.writer.machine_changed(now, page);
         }
         for (id, note) in record.machines {
             if !machine_ids.contains(&id) {
@@ -219,7 +216,7 @@
             return Ok(());
         };
         let record: IntentPage = read(item)?;
-        self.writer.intents.found(page, item.revision);
+        self.writer.recover_intent_page(page, item.revision);
         for intent in record.intents() {
             let LaunchIntent {
                 machine_id,
@@ -228,7 +225,7 @@
             let Some(m) = self.machines.get_mut(machine_id) else {
                 // Proof 4, on record: a start is written only once its machine's page is, and a
                 // machine leaves its page only once the cloud has confirmed that it is gone.
-                self.writer.intents.outdated(now, page);
+                self.writer.recover_void_intent(now, page);
                 continue;
             };
             // It had been given work: its worker has reported.
@@ -248,7 +245,7 @@
             s.recovered = true;
             self.insert_attempt(machine_id, s);
             self.add_place(machine_id, &key.task);
-            self.writer.intents.holds(page, intent);
+            self.writer.recover_intent(page, intent);
         }
         Ok(())
     }
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -227,7 +227,7 @@
             .index
             .forgettable
             .iter()
-            .filter(|id| !self.writer.mentions(id))
+            .filter(|id| !self.writer.is_writing_about(id))
             .cloned()
             .collect();
         for id in idle {
--- /dev/null
+++ b/src/coordination/persistence/draft/job_ends.rs
@@ -0,0 +1,80 @@
+//! Ends of jobs: terminal records of those that are done, and of those cancelled with a job upstream of them.
+
+use super::{Draft, DraftContext, RecordUpdate};
+use crate::coordination::jobs::job::Job;
+use crate::coordination::persistence::limits::JOB_END_OPS;
+use crate::ids::{JobId, KeyRevision};
+use crate::protocol::state::Change;
+use crate::protocol::users::JobPhase;
+use crate::storage::records::{open_key, terminal_key, TerminalRecord};
+
+impl DraftContext<'_> {
+    /// Finishes of jobs that others depend on, in at most half of a transaction: a burst of them must not hold up
+    /// launches.
+    pub fn draft_upstream_finishes(&self, draft: &mut Draft) {
+        let max_ops = (draft.limits().max_ops / 2).max(JOB_END_OPS);
+        for (id, job) in self.jobs_in(&self.cluster.jobs.index.complete) {
+            if draft.op_count() + JOB_END_OPS > max_ops {
+                return;
+            }
+            if self.has_downstream_jobs(id) && !self.draft_finish(id, job, draft) {
+                return;
+            }
+        }
+    }
+
+    /// Finishes of jobs that no other depends on.
+    pub fn draft_other_finishes(&self, draft: &mut Draft) {
+        for (id, job) in self.jobs_in(&self.cluster.jobs.index.complete) {
+            if !self.has_downstream_jobs(id) && !self.draft_finish(id, job, draft) {
+                return;
+            }
+        }
+    }
+
+    /// Cancellations of jobs that depend on a cancelled one, directly or through others.
+    pub fn draft_cancellations(&self, draft: &mut Draft) {
+        for (id, job) in self.jobs_in(&self.cluster.jobs.index.ancestor_cancelled) {
+            let record = TerminalRecord::cancelled(job.spec.tasks);
+            let update = RecordUpdate::JobCancelled { job: id.clone() };
+            if !close_job(draft, id, job.revision, &record, update) {
+                return;
+            }
+        }
+    }
+
+    fn draft_finish(&self, id: &JobId, job: &Job, draft: &mut Draft) -> bool {
+        let now = self.cluster.now;
+        let time_of_day_ms = || self.leadership.time_of_day_ms(now);
+        let record = TerminalRecord {
+            phase: JobPhase::Done,
+            tasks: job.spec.tasks,
+            at_ms: self.has_downstream_jobs(id).then(time_of_day_ms),
+        };
+        let update = RecordUpdate::JobFinished { job: id.clone() };
+        close_job(draft, id, job.revision, &record, update)
+    }
+
+    fn has_downstream_jobs(&self, id: &JobId) -> bool {
+        self.cluster.jobs.graph.has_consumers(id)
+    }
+}
+
+/// Adds the end of an open job, whose open record then gives way to the terminal one; false if it doesn't fit.
+fn close_job(
+    draft: &mut Draft,
+    id: &JobId,
+    revision: KeyRevision,
+    record: &TerminalRecord,
+    update: RecordUpdate,
+) -> bool {
+    let Ok(data) = serde_json::to_value(record) else {
+        return true;
+    };
+    let preconditions = vec![(open_key(id), revision), (terminal_key(id), KeyRevision(0))];
+    let changes = vec![
+        Change::delete(open_key(id)),
+        Change::put(terminal_key(id), data),
+    ];
+    draft.add(preconditions, changes, update)
+}
--- /dev/null
+++ b/src/coordination/persistence/draft/machines.rs
@@ -0,0 +1,106 @@
+//! Pages of machines, as they are written.
+
+use super::{Draft, DraftContext, RecordUpdate};
+use crate::coordination::machines::machine::{Machine, MachineState};
+use crate::coordination::persistence::machine_pages::WriteUrgency;
+use crate::ids::{Image, MachineId};
+use crate::protocol::state::Change;
+use crate::storage::records::{machine_page_key, MachineEntry, MachineKind, MachinePage};
+use crate::time::TimeSpan;
+use std::collections::{BTreeMap, BTreeSet};
+
+/// Pages that aren't urgent are written once they have been outdated for so long.
+const OUTDATED_MACHINE_PAGE_DELAY: TimeSpan = TimeSpan(15_000);
+/// Images named for each machine: the first of these numbers with which the page fits.
+const IMAGES_PER_MACHINE: [usize; 4] = [16, 10, 6, 3];
+
+impl DraftContext<'_> {
+    /// The pages of that urgency that are due.
+    pub fn draft_machine_pages(&self, urgency: WriteUrgency, draft: &mut Draft) {
+        let pages = &self.writer.machine_pages;
+        let now = self.cluster.now;
+        for page in pages.due(now, OUTDATED_MACHINE_PAGE_DELAY, urgency) {
+            let (machine_ids, revision) = pages.contents(page);
+            let key = machine_page_key(page);
+            let data = self.machine_page(&machine_ids, draft.limits().max_value_bytes);
+            let changes = vec![Change::put(key.clone(), data)];
+            let update = RecordUpdate::MachinePage { page, machine_ids };
+            if !draft.add(vec![(key, revision)], changes, update) {
+                return;
+            }
+        }
+    }
+
+    /// A page with hints about images, if they fit.
+    fn machine_page(
+        &self,
+        machine_ids: &BTreeSet<MachineId>,
+        max_bytes: usize,
+    ) -> serde_json::Value {
+        for max_images in IMAGES_PER_MACHINE {
+            let page = self.machine_page_with(machine_ids, max_images);
+            if page.to_string().len() <= max_bytes {
+                return page;
+            }
+        }
+        self.machine_page_with(machine_ids, 0)
+    }
+
+    fn machine_page_with(
+        &self,
+        machine_ids: &BTreeSet<MachineId>,
+        max_images: usize,
+    ) -> serde_json::Value {
+        let mut builder = MachinePageBuilder::default();
+        let machines = machine_ids.iter();
+        for machine in machines.filter_map(|id| self.cluster.machines.get(id)) {
+            let rented_s = self.leadership.time_of_day_ms(machine.since) / 1000;
+            builder.add(machine, rented_s, max_images);
+        }
+        serde_json::to_value(&builder.page).unwrap_or_default()
+    }
+}
+
+/// A page under construction, with the numbers of what it has named so far.
+#[derive(Default)]
+struct MachinePageBuilder {
+    page: MachinePage,
+    kind_numbers: BTreeMap<MachineKind, usize>,
+    image_numbers: BTreeMap<Image, usize>,
+}
+
+impl MachinePageBuilder {
+    /// Adds a machine with the images that were used last, at most so many.
+    fn add(&mut self, machine: &Machine, rented_s: u64, max_images: usize) {
+        let first_image = machine.images.len().saturating_sub(max_images);
+        let images = machine.images.iter().skip(first_image);
+        let entry = MachineEntry {
+            kind: self.kind_number(machine),
+            rented_s,
+            has_reported: machine.state != MachineState::Booting,
+            images: images
+                .map(|(image, gb)| self.image_number(image, *gb))
+                .collect(),
+        };
+        self.page.machines.insert(machine.id.clone(), entry);
+    }
+
+    fn kind_number(&mut self, machine: &Machine) -> usize {
+        let machine_type = machine.machine_type.clone();
+        let kind = MachineKind::new(machine_type, machine.zone.clone(), machine.spot);
+        let kinds = &mut self.page.kinds;
+        *self.kind_numbers.entry(kind).or_insert_with_key(|kind| {
+            kinds.push(kind.clone());
+            kinds.len() - 1
+        })
+    }
+
+    fn image_number(&mut self, image: &Image, gb: f64) -> usize {
+        let images = &mut self.page.images;
+        let numbers = &mut self.image_numbers;
+        *numbers.entry(image.clone()).or_insert_with_key(|image| {
+            images.push((image.clone(), gb));
+            images.len() - 1
+        })
+    }
+}
--- /dev/null
+++ b/src/coordination/persistence/draft/progress.rs
@@ -0,0 +1,55 @@
+//! Progress of jobs: completed tasks that aren't persisted yet.
+
+use super::{Draft, DraftContext, RecordUpdate};
+use crate::coordination::jobs::job::Job;
+use crate::ids::JobId;
+use crate::protocol::state::Change;
+use crate::storage::records::{open_key, ProgressKey, TASKS_PER_PROGRESS_RECORD};
+use std::cmp::Reverse;
+use std::collections::BTreeSet;
+
+impl DraftContext<'_> {
+    /// Progress of jobs that aren't complete, those with the most unpersisted tasks first: it is they whose
+    /// tombstones fill heartbeats.
+    pub fn draft_progress(&self, draft: &mut Draft) {
+        if !self.writer.progress.is_due(self.cluster.now) {
+            return;
+        }
+        let unpersisted = &self.cluster.jobs.index.unpersisted;
+        let mut jobs: Vec<(&JobId, &Job)> = self.jobs_in(unpersisted).collect();
+        jobs.sort_by_key(|(id, job)| (Reverse(job.unpersisted.len()), *id));
+        for (id, job) in jobs {
+            if !job.is_complete() && !self.draft_job_progress(id, job, draft) {
+                return;
+            }
+        }
+    }
+
+    /// Progress of one job; false if not all of it fits.
+    fn draft_job_progress(&self, id: &JobId, job: &Job, draft: &mut Draft) -> bool {
+        let chunk_of = |task: &u32| task / TASKS_PER_PROGRESS_RECORD;
+        let chunks: BTreeSet<u32> = job.unpersisted.iter().map(chunk_of).collect();
+        chunks.into_iter().all(|chunk| {
+            let job_id = id.clone();
+            let key = ProgressKey { job: job_id, chunk };
+            self.draft_chunk(key, job, draft)
+        })
+    }
+
+    fn draft_chunk(&self, key: ProgressKey, job: &Job, draft: &mut Draft) -> bool {
+        let stored_key = key.to_string();
+        let preconditions = vec![
+            (open_key(&key.job), job.revision),
+            (stored_key.clone(), self.writer.progress.revision(&key)),
+        ];
+        let changes = vec![Change::put(stored_key, job.done.chunk(key.chunk).into())];
+        let first_task = key.chunk * TASKS_PER_PROGRESS_RECORD;
+        let tasks = first_task..first_task + TASKS_PER_PROGRESS_RECORD;
+        let tasks = job.unpersisted.range(tasks).copied().collect();
+        draft.add(
+            preconditions,
+            changes,
+            RecordUpdate::Progress { key, tasks },
+        )
+    }
+}
--- a/src/coordination/persistence/limits.rs
+++ b/src/coordination/persistence/limits.rs
@@ -1,91 +1,64 @@
-//! How large a transaction and a value may be. The settings say; should the service refuse something for
-//! its size all the same, less is tried.
+//! How large a transaction and a value may be. The settings say; should the state store refuse something for its
+//! size all the same, less is tried.
 
-use super::draft::FINISH_OPS;
-use super::{Flight, REFUSED};
-use crate::coordination::Scheduler;
 use crate::protocol::state::{Change, Transaction};
 use crate::settings::StateLimits;
-use crate::time::Instant;
 
-/// The part of the service's limit on values that is used: a little room.
-const VALUE_PART: f64 = 0.95;
-/// Values are never held smaller than this: the lists of one machine and one start need about as much.
-const LEAST_VALUE_BYTES: usize = 512;
+/// Changes that finish or cancel one job.
+pub(super) const JOB_END_OPS: usize = 2;
+/// The state store takes so many preconditions for each change that it takes.
+const PRECONDITIONS_PER_OP: usize = 4;
+/// Bytes of one transaction: the state store takes 64 KiB.
+pub(super) const MAX_TRANSACTION_BYTES: usize = 56 * 1024;
+/// The part of the state store's limit on values that is used: a little room.
+const VALUE_LIMIT_USED: f64 = 0.95;
+/// Values are never held smaller than this: the lists of one machine and one attempt need about as much.
+const MIN_VALUE_BYTES: usize = 512;
 
 /// What the writer keeps to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct WriteLimits {
+pub(super) struct WriteLimits {
     /// Puts and deletes in one transaction.
-    pub ops: usize,
+    pub max_ops: usize,
     /// Bytes of one value.
-    pub value_bytes: usize,
+    pub max_value_bytes: usize,
 }
 
 impl WriteLimits {
+    /// The limits that the settings give.
     pub fn new(state: &StateLimits) -> WriteLimits {
         WriteLimits {
-            ops: state.txn_ops,
-            value_bytes: (state.value_kb * 1024.0 * VALUE_PART) as usize,
+            max_ops: state.txn_ops,
+            max_value_bytes: (state.value_kb * 1024.0 * VALUE_LIMIT_USED) as usize,
         }
     }
 
-    /// The limits to try after a transaction was refused for what it is: fewer operations, or, if it had
-    /// the fewest already, smaller values.
-    fn below(self, refused: &Transaction) -> WriteLimits {
-        let ops = refused.changes.len();
-        if ops > FINISH_OPS {
+    /// Preconditions in one transaction.
+    pub fn max_preconditions(self) -> usize {
+        self.max_ops * PRECONDITIONS_PER_OP
+    }
+
+    /// The limits to try after a transaction was rejected for what it is: fewer operations, or, if it had the
+    /// fewest already, smaller values.
+    pub fn below(self, rejected: &Transaction) -> WriteLimits {
+        let ops = rejected.changes.len();
+        if ops > JOB_END_OPS {
             return WriteLimits {
-                ops: (ops / 2).max(FINISH_OPS),
+                max_ops: (ops / 2).max(JOB_END_OPS),
                 ..self
             };
         }
-        let largest = refused.changes.iter().map(value_size).max().unwrap_or(0);
+        let largest = rejected.changes.iter().map(value_bytes).max().unwrap_or(0);
         WriteLimits {
-            value_bytes: (largest.min(self.value_bytes) / 2).max(LEAST_VALUE_BYTES),
+            max_value_bytes: (largest.min(self.max_value_bytes) / 2).max(MIN_VALUE_BYTES),
             ..self
         }
     }
 }
 
-fn value_size(change: &Change) -> usize {
+fn value_bytes(change: &Change) -> usize {
     match change {
         Change::Put { data, .. } => data.to_string().len(),
         Change::Delete { .. } => 0,
     }
 }
-
-impl Scheduler {
-    /// The service refuses a transaction for what it is, and would each time. Guards against a leader that
-    /// sends it again and again while nothing else is written: its limits may be lower than the settings
-    /// say.
-    pub(crate) fn write_rejected(&mut self, now: Instant, seq: u64) {
-        let transaction = match &self.writer.flight {
-            Flight::Writing {
-                seq: s,
-                transaction,
-                ..
-            } if *s == seq => transaction.clone(),
-            _ => return,
-        };
-        self.writer.flight = Flight::None;
-        self.writer.not_before = now + REFUSED;
-        let limits = self.writer.limits.below(&transaction);
-        tracing::info!(
-            ?limits,
-            "the state service takes no such transaction: trying less"
-        );
-        self.writer.limits = limits;
-        self.writer.machine_pages.hold_at_most(limits.value_bytes);
-        self.split_machine_pages();
-    }
-
-    /// Machines of pages that are too large to be written go to further pages.
-    pub(crate) fn split_machine_pages(&mut self) {
-        for (machine_id, page) in self.writer.machine_pages.split() {
-            if let Some(m) = self.machines.get_mut(&machine_id) {
-                m.page = Some(page);
-            }
-        }
-    }
-}
--- a/src/coordination/persistence/mod.rs
+++ b/src/coordination/persistence/mod.rs
@@ -1,349 +1,93 @@
 //! Durable writes: one transaction at a time, so that each sees the outcome of the one before.
 //!
-//! Every write is guarded by the leader key's version and by the record's own: applied late, it
-//! can do nothing. After an unclear outcome the keys are read again before anything else is
-//! written.
+//! Owns what the leader knows of its stored records: revisions, which page holds what, what waits to be written.
+//! Every transaction requires the leader key's revision and those of the records that it changes: applied late, it
+//! can do nothing. After an unclear outcome the keys are read again before anything else is written.
+//!
+//! Drafting reads the cluster and returns a [`draft::Draft`]; it changes nothing. What was drafted takes effect in
+//! memory only in `outcomes.rs`, once the transaction is known to be applied.
 
 mod draft;
-mod ends;
-mod garbage_collection;
-mod launches;
+mod hints;
+mod intent_pages;
 mod limits;
 mod machine_pages;
+mod orphans;
 mod outcomes;
-mod pages;
-
-use crate::coordination::attempts::task_attempt::{PushDelivery, TaskAttempt};
-use crate::coordination::jobs::job::Job;
-use crate::coordination::machines::machine::Machine;
-use crate::coordination::{Effect, Scheduler};
-use crate::ids::{FencingToken, JobId, KeyRevision, MachineId, PageNumber};
-use crate::protocol::state::{Change, Precondition, Transaction};
-use crate::settings::StateLimits;
-use crate::storage::records::{
-    dependency_list_key, dependency_page_key, open_key, LaunchIntent, LeaderRecord, ProgressKey,
-    FENCING_TOKEN_KEY, HINTS_KEY, LEADER_KEY, TASKS_PER_PROGRESS_RECORD,
-};
-use crate::time::{Instant, TimeSpan};
-use crate::transport::budget::Budget;
-use draft::{Draft, FINISH_OPS};
-use limits::WriteLimits;
-use pages::{IntentPages, MachinePages};
-use std::cmp::Reverse;
-use std::collections::{BTreeMap, BTreeSet};
-
-/// One thing that a transaction does.
-#[derive(Debug, Clone)]
-pub(crate) enum Work {
-    /// A page of intents holds these, and nothing else.
-    Intents {
-        page: PageNumber,
-        keys: Vec<LaunchIntent>,
-    },
-    /// A page of intents goes: nothing on it is true any more.
-    DropIntents { page: PageNumber },
-    /// A page of machines lists these.
-    MachinePage {
-        page: PageNumber,
-        machine_ids: BTreeSet<MachineId>,
-    },
-    /// Done tasks of one chunk.
-    Progress {
-        key: ProgressKey,
-        tasks: BTreeSet<u32>,
-    },
-    /// A job is done.
-    Finish { job: JobId },
-    /// A job is cancelled because a job that it needs is.
-    Cancel { job: JobId },
-    /// A progress record left by a job that is over.
-    DropProgress { key: String },
-    /// A page of producers left by a job that is over.
-    DropEdges { key: String },
-    /// What was seen of classes.
-    Hints,
-    /// Our own token is raised.
-    Raise { token: FencingToken },
-}
-
-#[derive(Debug)]
-enum Flight {
-    None,
-    Writing {
-        seq: u64,
-        transaction: Transaction,
-        works: Vec<Work>,
-        at: Instant,
-    },
-    Reading {
-        seq: u64,
-        keys: Vec<String>,
-        at: Instant,
-    },
-}
-
-/// The writer's memory.
-#[derive(Debug)]
-pub struct Writer {
-    flight: Flight,
-    limits: WriteLimits,
-    budget: Budget,
-    not_before: Instant,
-    /// When the last transaction was begun.
-    last: Instant,
-    /// Where starts and machines are recorded.
-    pub(crate) intents: IntentPages,
-    pub(crate) machine_pages: MachinePages,
-    /// Versions of progress records, and when progress was last written.
-    pub(crate) progress: BTreeMap<ProgressKey, KeyRevision>,
-    progress_at: Instant,
-    /// Progress records of jobs that are over.
-    pub(crate) orphaned_progress: BTreeMap<String, KeyRevision>,
-    /// Pages of producers of jobs that are over.
-    orphaned_edges: BTreeSet<String>,
-    /// The version of the hints, when they were last written, and whether there is news.
-    pub(crate) hints: KeyRevision,
-    hints_at: Instant,
-    pub(crate) hints_news: bool,
-    /// When our token was last raised.
-    raised_at: Instant,
-}
+mod progress;
+mod reread;
+mod stored_page;
+mod writer;
 
-/// Hints are written at most this often.
-const HINTS_EVERY: TimeSpan = TimeSpan(10_000);
-/// Transactions are begun at most this often: what is ready meanwhile goes together.
-const WRITE_EVERY: TimeSpan = TimeSpan(100);
-/// Progress is written this often: until then a tombstone keeps it, or else the task's result.
-const PROGRESS_EVERY: TimeSpan = TimeSpan(2_000);
-/// Our token is raised this often while tombstones wait for it, and at once when one machine has so
-/// many.
-const RAISE_EVERY: TimeSpan = TimeSpan(60_000);
-const RAISE_SOON: TimeSpan = TimeSpan(5_000);
-const RAISE_AT: usize = 150;
-/// The pause after a write that the service refused.
-const REFUSED: TimeSpan = TimeSpan(300);
-/// An answer this late is taken for none, should the runtime have lost it.
-const LOST: TimeSpan = TimeSpan(8_000);
-
-impl Writer {
-    /// A writer that keeps within its part of the write rate.
-    pub fn new(state: &StateLimits, now: Instant) -> Writer {
-        // The rest is left to submissions, cancellations and the lease.
-        let mine = state.write_rps * 0.7;
-        let limits = WriteLimits::new(state);
-        Writer {
-            flight: Flight::None,
-            limits,
-            budget: Budget::new(mine, mine),
-            not_before: Instant(0),
-            last: Instant::LONG_AGO,
-            intents: IntentPages::default(),
-            machine_pages: MachinePages::new(limits.value_bytes),
-            progress: BTreeMap::new(),
-            progress_at: Instant(0),
-            orphaned_progress: BTreeMap::new(),
-            orphaned_edges: BTreeSet::new(),
-            hints: KeyRevision(0),
-            hints_at: Instant(0),
-            hints_news: false,
-            raised_at: now,
-        }
-    }
+pub use writer::Writer;
 
-    /// The pages of producers of a job that is over are swept when there is time.
-    pub(crate) fn orphan_edges(&mut self, id: &JobId, pages: u32) {
-        if pages > 0 {
-            self.orphaned_edges.insert(dependency_list_key(id));
-            let keys = (0..pages).map(|page| dependency_page_key(id, page));
-            self.orphaned_edges.extend(keys);
-        }
-    }
-
-    /// Whether a write about the job is under way.
-    pub(crate) fn mentions(&self, id: &JobId) -> bool {
-        match &self.flight {
-            Flight::Writing { works, .. } => works.iter().any(|w| match w {
-                Work::Progress { key, .. } => key.job == *id,
-                Work::Finish { job } | Work::Cancel { job } => job == id,
-                _ => false,
-            }),
-            _ => false,
-        }
-    }
-}
+use crate::coordination::{Effect, Scheduler};
+use crate::time::Instant;
+use draft::{Draft, DraftContext};
+use limits::JOB_END_OPS;
+use machine_pages::WriteUrgency;
+use writer::NextStep;
 
 impl Scheduler {
-    /// Starts the next transaction if none is under way and there is something to write.
+    /// Begins the next transaction if none is under way and there is something to write.
     pub(crate) fn write(&mut self, now: Instant) {
-        match &self.writer.flight {
-            Flight::None => {}
-            Flight::Writing { seq, at, .. } if now - *at > LOST => {
-                let seq = *seq;
-                self.write_unclear(now, seq, &[]);
-                return;
-            }
-            Flight::Reading { keys, at, .. } if now - *at > LOST => {
-                let keys = keys.clone();
-                self.read_again(now, keys);
-                return;
-            }
-            _ => return,
-        }
-        if now < self.writer.not_before || now - self.writer.last < WRITE_EVERY {
-            return;
+        match self.writer.next_step(now) {
+            NextStep::Wait => {}
+            NextStep::Write => self.begin_transaction(now),
+            NextStep::Reread(keys) => self.begin_reread(now, keys),
         }
-        let mut draft = Draft {
-            preconditions: BTreeMap::from([(
-                LEADER_KEY.to_string(),
-                self.leadership.term().leader_key_revision,
-            )]),
-            changes: Vec::new(),
-            works: Vec::new(),
-            most_ops: self.writer.limits.ops,
-            bytes: 0,
-        };
-        self.draft_raise(now, &mut draft);
-        self.draft_machine_pages(now, false, &mut draft);
-        // Every step of a chain waits for a finish mark: those go first.
-        self.draft_finishes_of_producers(now, &mut draft);
-        // Launches leave room for finishes: neither starves the other.
-        self.draft_launches(&mut draft, FINISH_OPS);
-        self.draft_finishes(now, &mut draft);
-        self.draft_cancellations(&mut draft);
-        self.draft_launches(&mut draft, 0);
-        // What may wait takes only what is left of the rate.
-        if self.writer.budget.left(now) > 0.4 {
-            self.draft_progress(now, &mut draft);
-            self.draft_sweeping(now, &mut draft);
-            self.draft_machine_pages(now, true, &mut draft);
-            self.draft_hints(now, &mut draft);
-        }
-        if draft.changes.is_empty() || !self.writer.budget.take(now, draft.changes.len() as f64) {
+    }
+
+    fn begin_transaction(&mut self, now: Instant) {
+        let machines = &self.machines;
+        self.writer
+            .intent_pages
+            .drop_settled(|intent| draft::awaits_page(machines, intent));
+        let draft = self.draft_transaction(now);
+        if draft.is_empty() || !self.writer.take_budget(now, draft.op_count()) {
             return;
         }
-        let transaction = Transaction {
-            preconditions: draft
-                .preconditions
-                .into_iter()
-                .map(|(key, revision)| Precondition { key, revision })
-                .collect(),
-            changes: draft.changes,
-        };
+        let (transaction, updates) = draft.into_transaction();
         let seq = self.seq();
-        self.writer.last = now;
-        self.writer.flight = Flight::Writing {
-            seq,
-            transaction: transaction.clone(),
-            works: draft.works,
-            at: now,
-        };
+        self.writer
+            .begin_writing(now, seq, transaction.clone(), updates);
         self.effects.push(Effect::Write { seq, transaction });
     }
 
-    /// A leader raises its own token from time to time, so that tombstones of direct launches can be
-    /// cleared: a copy of the command that launched carries a lower one by then.
-    fn draft_raise(&self, now: Instant, draft: &mut Draft) {
-        let since = now - self.writer.raised_at;
-        if since < RAISE_SOON {
-            return;
-        }
-        let tombs = |m: &Machine| m.attempts.len() - m.live_count as usize;
-        let blocked =
-            |s: &TaskAttempt| s.ended() && s.launched_with == Some(self.leadership.token());
-        let lost = |m: &Machine| {
-            m.attempts
-                .values()
-                .any(|s| matches!(s.push, PushDelivery::Lost(..)))
-        };
-        let soon = self.machines.values().any(|m| tombs(m) >= RAISE_AT);
-        let due = since >= RAISE_EVERY
-            && self
-                .machines
-                .values()
-                .any(|m| lost(m) || (tombs(m) > 0 && m.attempts.values().any(blocked)));
-        if !soon && !due {
-            return;
-        }
-        let token = FencingToken(self.leadership.token().0 + 1);
-        let record = LeaderRecord {
-            host_name: self.leadership.term().host_name.clone(),
-            token,
-        };
-        let Ok(data) = serde_json::to_value(&record) else {
-            return;
+    /// All that is ready to be written and fits into one transaction, the most urgent first.
+    fn draft_transaction(&self, now: Instant) -> Draft {
+        let context = DraftContext {
+            cluster: self.view(now),
+            leadership: &self.leadership,
+            writer: &self.writer,
         };
-        let changes = vec![
-            Change::Put {
-                put: LEADER_KEY.into(),
-                data,
-                lease: Some(self.leadership.term().lease),
-            },
-            Change::put(FENCING_TOKEN_KEY.into(), token.0.into()),
-        ];
-        let preconditions = vec![(
-            FENCING_TOKEN_KEY.to_string(),
-            self.leadership.term().token_counter_revision,
-        )];
-        draft.add(preconditions, changes, Work::Raise { token });
-    }
-
-    fn jobs_in<'a>(
-        &'a self,
-        ids: &'a BTreeSet<JobId>,
-    ) -> impl Iterator<Item = (&'a JobId, &'a Job)> {
-        ids.iter().filter_map(|id| Some((id, self.jobs.get(id)?)))
-    }
-
-    fn draft_progress(&self, now: Instant, draft: &mut Draft) {
-        if now - self.writer.progress_at < PROGRESS_EVERY {
-            return;
-        }
-        // Most unsaved first: it is they whose tombstones fill reports.
-        let mut jobs: Vec<(&JobId, &Job)> = self.jobs_in(&self.jobs.index.unpersisted).collect();
-        jobs.sort_by_key(|(id, j)| (Reverse(j.unpersisted.len()), *id));
-        for (id, job) in jobs {
-            if job.is_complete() {
-                continue;
-            }
-            let chunks: BTreeSet<u32> = job
-                .unpersisted
-                .iter()
-                .map(|i| i / TASKS_PER_PROGRESS_RECORD)
-                .collect();
-            for chunk in chunks {
-                let key = ProgressKey {
-                    job: id.clone(),
-                    chunk,
-                };
-                let revision = self.writer.progress.get(&key).copied().unwrap_or_default();
-                let preconditions = vec![(open_key(id), job.revision), (key.to_string(), revision)];
-                let changes = vec![Change::put(key.to_string(), job.done.chunk(chunk).into())];
-                let tasks = job
-                    .unpersisted
-                    .range(
-                        chunk * TASKS_PER_PROGRESS_RECORD..(chunk + 1) * TASKS_PER_PROGRESS_RECORD,
-                    )
-                    .copied()
-                    .collect();
-                let work = Work::Progress { key, tasks };
-                if !draft.add(preconditions, changes, work) {
-                    return;
-                }
+        let leader_key_revision = self.leadership.term().leader_key_revision;
+        let mut draft = Draft::new(leader_key_revision, self.writer.limits());
+        context.draft_token(&mut draft);
+        context.draft_machine_pages(WriteUrgency::Urgent, &mut draft);
+        // Every step of a chain of jobs waits for a terminal record: those go first.
+        context.draft_upstream_finishes(&mut draft);
+        // Launches leave room for finishes: neither starves the other.
+        context.draft_launches(JOB_END_OPS, &mut draft);
+        context.draft_other_finishes(&mut draft);
+        context.draft_cancellations(&mut draft);
+        context.draft_launches(0, &mut draft);
+        if self.writer.has_spare_budget(now) {
+            context.draft_progress(&mut draft);
+            context.draft_garbage_collection(&mut draft);
+            context.draft_machine_pages(WriteUrgency::Deferrable, &mut draft);
+            if self.writer.hints.is_due(now) {
+                context.draft_hints(&self.hints(now), &mut draft);
             }
         }
+        draft
     }
 
-    fn draft_hints(&self, now: Instant, draft: &mut Draft) {
-        let due = self.writer.hints_news && now - self.writer.hints_at > HINTS_EVERY;
-        if let (true, Ok(data)) = (due, serde_json::to_value(self.hints(now))) {
-            let small = data.to_string().len() <= self.writer.limits.value_bytes;
-            if small {
-                let changes = vec![Change::put(HINTS_KEY.into(), data)];
-                draft.add(
-                    vec![(HINTS_KEY.into(), self.writer.hints)],
-                    changes,
-                    Work::Hints,
-                );
+    /// Machines of pages that are too large to be written go to further pages.
+    pub(crate) fn split_machine_pages(&mut self) {
+        for (machine_id, page) in self.writer.machine_pages.split() {
+            if let Some(machine) = self.machines.get_mut(&machine_id) {
+                machine.page = Some(page);
             }
         }
     }
--- a/src/coordination/persistence/outcomes.rs
+++ b/src/coordination/persistence/outcomes.rs
@@ -1,248 +1,175 @@
-//! What became of the writer's transactions: done, refused, or unclear and to be read again.
+//! What became of the writer's transactions: applied, not executed, or unclear.
+//!
+//! What was drafted takes effect in memory here, and only once the transaction is known to be applied.
 
-use super::{Flight, Work, REFUSED};
+use super::draft::RecordUpdate;
 use crate::coordination::jobs::lifecycle::Closure;
-use crate::coordination::leadership::LeaderKeyOwner;
 use crate::coordination::{Effect, Scheduler};
-use crate::ids::{JobId, KeyRevision, PageNumber, StoreRevision};
-use crate::protocol::state::KeyValue;
-use crate::storage::records::{LaunchIntent, ProgressKey, RecordKey, LEADER_KEY};
+use crate::ids::{FencingToken, JobId, KeyRevision, MachineId, PageNumber, StoreRevision};
+use crate::storage::records::{LaunchIntent, ProgressKey};
 use crate::time::{Instant, TimeSpan};
 use std::collections::BTreeSet;
 
 impl Scheduler {
+    /// A transaction has been applied at that revision of the store.
     pub(crate) fn written(&mut self, now: Instant, seq: u64, store_revision: StoreRevision) {
-        if !matches!(&self.writer.flight, Flight::Writing { seq: s, .. } if *s == seq) {
-            return;
-        }
-        let Flight::Writing { works, .. } =
-            std::mem::replace(&mut self.writer.flight, Flight::None)
-        else {
+        let Some(settled) = self.writer.settle(seq) else {
             return;
         };
         let revision = KeyRevision(store_revision.0);
-        for work in works {
-            match work {
-                Work::Intents { page, keys } => self.intents_written(now, page, revision, keys),
-                Work::DropIntents { page } => self.writer.intents.deleted(page),
-                Work::MachinePage { page, machine_ids } => {
-                    self.writer
-                        .machine_pages
-                        .written(now, page, revision, &machine_ids);
-                    for h in &machine_ids {
-                        if let Some(m) = self.machines.get_mut(h) {
-                            m.is_recorded = true;
-                        }
-                    }
-                }
-                Work::Raise { token } => {
-                    tracing::debug!(token = %token, "our token is raised");
-                    self.leadership.token_raised(token, revision);
-                    self.writer.raised_at = now;
-                }
-                Work::Progress { key, tasks } => {
-                    let job = key.job.clone();
-                    self.writer.progress.insert(key, revision);
-                    self.writer.progress_at = now;
-                    if let Some(j) = self.jobs.get_mut(&job) {
-                        j.unpersisted.retain(|i| !tasks.contains(i));
-                        if j.closed {
-                            self.collect_orphaned_progress(&job);
-                        }
-                        self.jobs.reindex(&job);
-                    }
-                }
-                Work::Finish { job } => {
-                    tracing::debug!(job = %job, "done");
-                    self.job_closed(now, &job, Closure::Finished);
-                    self.collect_orphaned_progress(&job);
-                }
-                Work::Cancel { job } => {
-                    tracing::debug!(job = %job, "cancelled with a job that it needs");
-                    self.job_closed(now, &job, Closure::Cancelled);
-                }
-                Work::DropEdges { key } => {
-                    self.writer.orphaned_edges.remove(&key);
-                }
-                Work::DropProgress { key } => {
-                    self.writer.orphaned_progress.remove(&key);
-                }
-                Work::Hints => {
-                    self.writer.hints = revision;
-                    self.writer.hints_at = now;
-                    self.writer.hints_news = false;
-                }
+        for update in settled.updates {
+            self.update_written(now, revision, update);
+        }
+    }
+
+    fn update_written(&mut self, now: Instant, revision: KeyRevision, update: RecordUpdate) {
+        match update {
+            RecordUpdate::IntentPage { page, intents } => {
+                self.intent_page_written(now, page, revision, intents);
+            }
+            RecordUpdate::IntentPageDeleted { page } => self.writer.intent_pages.deleted(page),
+            RecordUpdate::MachinePage { page, machine_ids } => {
+                self.machine_page_written(now, page, revision, &machine_ids);
             }
+            RecordUpdate::Token { token } => self.token_written(now, token, revision),
+            RecordUpdate::Progress { key, tasks } => {
+                self.progress_written(now, key, revision, &tasks);
+            }
+            RecordUpdate::JobFinished { job } => {
+                tracing::debug!(%job, "job done");
+                self.job_closed(now, &job, Closure::Finished);
+                self.writer.orphan_progress(&job);
+            }
+            RecordUpdate::JobCancelled { job } => {
+                tracing::debug!(%job, "job cancelled with an upstream job");
+                self.job_closed(now, &job, Closure::Cancelled);
+            }
+            RecordUpdate::OrphanDeleted { key } => self.writer.orphans.deleted(&key),
+            RecordUpdate::Hints => self.writer.hints.written(now, revision),
         }
     }
 
-    /// A page is written: its new starts may be launched.
-    pub(crate) fn intents_written(
+    /// A page of launch intents is written: the attempts that are new on it may be launched.
+    fn intent_page_written(
         &mut self,
         now: Instant,
         page: PageNumber,
         revision: KeyRevision,
-        keys: Vec<LaunchIntent>,
+        intents: Vec<LaunchIntent>,
     ) {
-        let mut machine_ids = BTreeSet::new();
+        let written_count = intents.len();
+        let mut launchable_on = BTreeSet::new();
         let mut live = Vec::new();
-        let mut gone = false;
-        for k in keys {
-            let m = self.machines.get_mut(&k.machine_id);
-            let attempt = m.and_then(|m| m.attempts.get_mut(&k.attempt));
-            match attempt.filter(|s| !s.ended()) {
-                Some(s) => {
-                    if s.page.is_none() {
-                        machine_ids.insert(k.machine_id.clone());
-                    }
-                    s.page = Some(page);
-                    live.push(k);
-                }
-                None => gone = true,
+        for intent in intents {
+            let machine = self.machines.get_mut(&intent.machine_id);
+            let attempt = machine.and_then(|machine| machine.attempts.get_mut(&intent.attempt));
+            let Some(attempt) = attempt.filter(|attempt| !attempt.ended()) else {
+                continue;
+            };
+            if attempt.page.is_none() {
+                launchable_on.insert(intent.machine_id.clone());
             }
+            attempt.page = Some(page);
+            live.push(intent);
         }
-        self.writer.intents.written(now, page, revision, live, gone);
-        self.outbox.pushes_due.extend(machine_ids);
+        let outdated = live.len() < written_count;
+        self.writer
+            .intent_pages
+            .written(now, page, revision, live, outdated);
+        self.outbox.pushes_due.extend(launchable_on);
     }
 
-    /// Progress records of a job that is over are swept when there is time.
-    pub(crate) fn collect_orphaned_progress(&mut self, id: &JobId) {
-        let keys: Vec<ProgressKey> = self
-            .writer
-            .progress
-            .keys()
-            .filter(|key| key.job == *id)
-            .cloned()
-            .collect();
-        for key in keys {
-            if let Some(revision) = self.writer.progress.remove(&key) {
-                self.writer
-                    .orphaned_progress
-                    .insert(key.to_string(), revision);
+    /// A page of machines is written: intents to launch on them may be.
+    fn machine_page_written(
+        &mut self,
+        now: Instant,
+        page: PageNumber,
+        revision: KeyRevision,
+        machine_ids: &BTreeSet<MachineId>,
+    ) {
+        self.writer
+            .machine_pages
+            .written(now, page, revision, machine_ids);
+        for machine_id in machine_ids {
+            if let Some(machine) = self.machines.get_mut(machine_id) {
+                machine.is_recorded = true;
             }
         }
     }
 
+    fn token_written(&mut self, now: Instant, token: FencingToken, revision: KeyRevision) {
+        tracing::debug!(fencing_token = %token, "fencing token raised");
+        self.leadership.token_raised(token, revision);
+        self.writer.token_raised(now);
+    }
+
+    fn progress_written(
+        &mut self,
+        now: Instant,
+        key: ProgressKey,
+        revision: KeyRevision,
+        tasks: &BTreeSet<u32>,
+    ) {
+        let id = key.job.clone();
+        self.writer.progress.written(now, key, revision);
+        let Some(job) = self.jobs.get_mut(&id) else {
+            return;
+        };
+        job.unpersisted.retain(|task| !tasks.contains(task));
+        if job.closed {
+            self.writer.orphan_progress(&id);
+        }
+        self.jobs.reindex(&id);
+    }
+
+    /// A transaction was certainly not executed, nor will it be.
     pub(crate) fn not_written(&mut self, now: Instant, seq: u64) {
-        if matches!(&self.writer.flight, Flight::Writing { seq: s, .. } if *s == seq) {
-            self.writer.flight = Flight::None;
-            self.writer.not_before = now + REFUSED;
+        if self.writer.settle(seq).is_some() {
+            self.writer.back_off(now);
         }
     }
 
-    /// The service takes no more changes for now. What may wait does so until the rate allowed to this
-    /// leader has come up again: leases, launches and ends of jobs go first.
+    /// A transaction was not executed since the state store takes no more changes for now. What may wait does so
+    /// until the rate allowed to this leader has come up again: leases, launches and ends of jobs go first.
     pub(crate) fn write_limited(&mut self, now: Instant, seq: u64, pause: TimeSpan) {
-        if matches!(&self.writer.flight, Flight::Writing { seq: s, .. } if *s == seq) {
-            self.writer.flight = Flight::None;
-            self.writer.not_before = now + pause;
-            self.writer.budget.empty(now);
+        if self.writer.settle(seq).is_some() {
+            self.writer.rate_limited(now, pause);
         }
     }
 
-    /// A write whose guards failed (these, if it is known which), or of which nothing is known.
-    pub(crate) fn write_unclear(&mut self, now: Instant, seq: u64, failed: &[String]) {
-        let Flight::Writing {
-            seq: s,
-            transaction,
-            ..
-        } = &self.writer.flight
-        else {
+    /// The state store rejects a transaction for what it is, and would each time. Guards against a leader that
+    /// sends it again and again while nothing else is written: the limits may be lower than the settings say.
+    pub(crate) fn write_rejected(&mut self, now: Instant, seq: u64) {
+        let Some(settled) = self.writer.settle(seq) else {
             return;
         };
-        if *s != seq {
-            return;
-        }
-        let mut keys: BTreeSet<String> = transaction
-            .changes
-            .iter()
-            .map(|c| c.key().to_string())
-            .collect();
-        keys.insert(LEADER_KEY.into());
-        // Of open jobs only those that failed, if the service said which; else all of them.
-        let preconditions = transaction.preconditions.iter().map(|g| &g.key);
-        keys.extend(
-            preconditions
-                .filter(|k| failed.is_empty() || failed.contains(k))
-                .cloned(),
+        self.writer.back_off(now);
+        let limits = self.writer.reduce_limits(&settled.transaction);
+        tracing::info!(
+            max_ops = limits.max_ops,
+            max_value_bytes = limits.max_value_bytes,
+            "transaction rejected for its size, limits reduced"
         );
-        self.read_again(now, keys.into_iter().collect());
-    }
-
-    pub(crate) fn read_again(&mut self, now: Instant, keys: Vec<String>) {
-        let seq = self.seq();
-        self.writer.flight = Flight::Reading {
-            seq,
-            keys: keys.clone(),
-            at: now,
-        };
-        self.effects.push(Effect::Reread { seq, keys });
+        self.split_machine_pages();
     }
 
-    /// The keys as they stand: versions are taken over, and what still differs is written again.
-    /// A transaction that may yet be applied late carries the old versions: if it is, our next one
-    /// fails and we come here again; if ours is first, the late one does nothing.
-    pub(crate) fn reread(
-        &mut self,
-        now: Instant,
-        seq: u64,
-        items: Vec<(String, Option<KeyValue>)>,
-    ) {
-        if !matches!(&self.writer.flight, Flight::Reading { seq: s, .. } if *s == seq) {
-            return;
-        }
-        self.writer.flight = Flight::None;
-        for (key, item) in items {
-            let revision = item.as_ref().map_or(KeyRevision(0), |i| i.revision);
-            match RecordKey::parse(&key) {
-                Some(RecordKey::Leader) => self.lead_reread(now, item),
-                Some(RecordKey::FencingToken) => self.leadership.token_counter_reread(revision),
-                Some(RecordKey::Hints) => self.writer.hints = revision,
-                Some(RecordKey::OpenJob(id)) => self.open_reread(now, &id, revision),
-                Some(RecordKey::IntentPage(page)) => {
-                    self.writer.intents.reread(now, page, revision)
-                }
-                Some(RecordKey::MachinePage(page)) => {
-                    self.writer.machine_pages.reread(now, page, revision)
-                }
-                Some(RecordKey::Dependencies) => {
-                    if revision == KeyRevision(0) {
-                        self.writer.orphaned_edges.remove(&key);
-                    }
-                }
-                Some(RecordKey::Progress(progress_key)) => {
-                    if self.writer.orphaned_progress.remove(&key).is_some() {
-                        if revision != KeyRevision(0) {
-                            self.writer.orphaned_progress.insert(key, revision);
-                        }
-                    } else {
-                        self.writer.progress.insert(progress_key, revision);
-                    }
-                }
-                // The leader keeps no revision of these.
-                Some(RecordKey::Terminal(_) | RecordKey::Catalog) | None => {}
-            }
+    /// Preconditions of a transaction failed (these, if it is known which), or nothing is known of it.
+    pub(crate) fn write_unclear(&mut self, now: Instant, seq: u64, failed: &[String]) {
+        if let Some(keys) = self.writer.unclear_keys(seq, failed) {
+            self.begin_reread(now, keys);
         }
-        self.placement.due = true;
     }
 
-    pub(crate) fn open_reread(&mut self, now: Instant, id: &JobId, revision: KeyRevision) {
-        if revision == KeyRevision(0) {
-            self.job_closed(now, id, Closure::Unknown);
-            self.collect_orphaned_progress(id);
-        } else if let Some(job) = self.jobs.get_mut(id) {
-            job.revision = revision;
-        }
+    /// Asks for keys to be read again.
+    pub(super) fn begin_reread(&mut self, now: Instant, keys: Vec<String>) {
+        let seq = self.seq();
+        self.writer.begin_reading(now, seq, keys.clone());
+        self.effects.push(Effect::Reread { seq, keys });
     }
 
-    /// The leader key as it stands. Without it this leader may not write, nor act for long.
-    pub(crate) fn lead_reread(&mut self, now: Instant, item: Option<KeyValue>) {
-        match self.leadership.leader_key_reread(item) {
-            LeaderKeyOwner::Us => {}
-            LeaderKeyOwner::UsWithRaisedToken => self.writer.raised_at = now,
-            LeaderKeyOwner::Other => self.effects.push(Effect::StepDown {
-                why: "the leader key is no longer ours",
-            }),
-        }
+    /// A job is found to be open no longer, without its end being known.
+    pub(super) fn open_record_gone(&mut self, now: Instant, job: &JobId) {
+        self.job_closed(now, job, Closure::Unknown);
+        self.writer.orphan_progress(job);
     }
 }
--- /dev/null
+++ b/src/coordination/persistence/reread.rs
@@ -0,0 +1,75 @@
+//! Keys read again after a transaction whose outcome was unclear.
+//!
+//! Revisions are taken over, and what still differs is written again. A transaction that may yet be applied late
+//! requires the old revisions: if it is applied, our next one fails and the keys are read once more; if ours is
+//! first, the late one does nothing.
+
+use crate::coordination::leadership::LeaderKeyOwner;
+use crate::coordination::{Effect, Scheduler};
+use crate::ids::{JobId, KeyRevision};
+use crate::protocol::state::KeyValue;
+use crate::storage::records::{ProgressKey, RecordKey};
+use crate::time::Instant;
+
+impl Scheduler {
+    /// The keys as they stand; `None`: absent.
+    pub(crate) fn reread(
+        &mut self,
+        now: Instant,
+        seq: u64,
+        items: Vec<(String, Option<KeyValue>)>,
+    ) {
+        if !self.writer.end_reading(seq) {
+            return;
+        }
+        for (key, item) in items {
+            self.key_reread(now, &key, item);
+        }
+        self.placement.due = true;
+    }
+
+    fn key_reread(&mut self, now: Instant, key: &str, item: Option<KeyValue>) {
+        let revision = item.as_ref().map_or(KeyRevision(0), |found| found.revision);
+        let Some(record_key) = RecordKey::parse(key) else {
+            return;
+        };
+        let writer = &mut self.writer;
+        match record_key {
+            RecordKey::Leader => self.leader_key_reread(now, item),
+            RecordKey::FencingToken => self.leadership.token_counter_reread(revision),
+            RecordKey::Hints => writer.hints.read(revision),
+            RecordKey::OpenJob(job) => self.open_record_reread(now, &job, revision),
+            RecordKey::IntentPage(page) => writer.intent_pages.reread(now, page, revision),
+            RecordKey::MachinePage(page) => writer.machine_pages.reread(now, page, revision),
+            RecordKey::Dependencies => writer.orphans.dependencies_reread(key, revision),
+            RecordKey::Progress(progress) => self.progress_reread(key, progress, revision),
+            // The leader keeps no revision of these.
+            RecordKey::Terminal(_) | RecordKey::Catalog => {}
+        }
+    }
+
+    fn progress_reread(&mut self, key: &str, progress: ProgressKey, revision: KeyRevision) {
+        if !self.writer.orphans.progress_reread(key, revision) {
+            self.writer.progress.read(progress, revision);
+        }
+    }
+
+    fn open_record_reread(&mut self, now: Instant, id: &JobId, revision: KeyRevision) {
+        if revision == KeyRevision(0) {
+            self.open_record_gone(now, id);
+        } else if let Some(job) = self.jobs.get_mut(id) {
+            job.revision = revision;
+        }
+    }
+
+    /// Without the leader key this leader may not write, nor act for long.
+    fn leader_key_reread(&mut self, now: Instant, item: Option<KeyValue>) {
+        match self.leadership.leader_key_reread(item) {
+            LeaderKeyOwner::Us => {}
+            LeaderKeyOwner::UsWithRaisedToken => self.writer.token_raised(now),
+            LeaderKeyOwner::Other => self.effects.push(Effect::StepDown {
+                why: "the leader key is no longer ours",
+            }),
+        }
+    }
+}
--- a/src/coordination/placement/mod.rs
+++ b/src/coordination/placement/mod.rs
@@ -389,7 +389,7 @@
             let placed = LaunchIntent::new(&machine_id, &attempt.key());
             self.insert_attempt(&machine_id, attempt);
             self.add_place(&machine_id, &task);
-            self.writer.intents.wait(placed);
+            self.writer.enqueue_intent(placed);
             keep(pass, 1.0);
         }
         left
--- a/src/protocol/state.rs
+++ b/src/protocol/state.rs
@@ -58,6 +58,10 @@
             lease: None,
         }
     }
+    /// A deletion.
+    pub fn delete(key: String) -> Change {
+        Change::Delete { delete: key }
+    }
     /// The key changed.
     pub fn key(&self) -> &str {
         match self {
