--- a/tests/random/chains.rs
+++ b/tests/random/chains.rs
@@ -33,9 +33,9 @@
 impl Run {
     fn new(seed: u64) -> Run {
         let mut setup = Setup::from_lines(&[
-            "team blue gpus 8 max 24",
-            "team red gpus 8 max 20",
-            "rig box gpus 4 boot 6 sites a,b,c",
+            "team blue guaranteed-gpus 8 max-gpus 24",
+            "team red guaranteed-gpus 8 max-gpus 20",
+            "machine-type box gpus 4 boot 6 zones a,b,c",
         ]);
         (setup.machines, setup.seed, setup.elections) = (14, seed, true);
         let mut simulation = setup.simulation();
@@ -64,10 +64,10 @@
         let run = self.rng.random_range(2..20).to_string();
         let team = ["blue", "red"][self.rng.random_range(0..2)];
         let priority = ["low", "normal", "urgent"][self.rng.random_range(0..3)];
-        let mut words = vec![name.as_str(), "team", team, "urgency", priority];
-        words.extend(["pieces", &tasks, "run", &run]);
+        let mut words = vec![name.as_str(), "team", team, "priority", priority];
+        words.extend(["tasks", &tasks, "run", &run]);
         words.extend(match self.rng.random_range(0..4) {
-            0 => vec!["shape", "gang", "together"],
+            0 => vec!["shape", "gang", "affinity"],
             1 => vec!["spot", "checkpoint", "4"],
             2 => vec!["gpus", "0"],
             _ => vec![],
@@ -76,7 +76,7 @@
         let names: Vec<&str> = upstream.iter().map(JobId::as_str).collect();
         let names = names.join(",");
         if !upstream.is_empty() {
-            words.extend(["after", &names]);
+            words.extend(["upstream", &names]);
         }
         submit(&mut self.simulation, &words);
         self.upstream.insert(id(n), upstream);
--- a/tests/random/faults.rs
+++ b/tests/random/faults.rs
@@ -39,9 +39,9 @@
 impl Run {
     fn new(seed: u64, elections: bool) -> Run {
         let mut setup = Setup::from_lines(&[
-            "team blue gpus 8 max 24",
-            "team red gpus 8 max 20",
-            "rig box gpus 4 boot 6 sites a,b,c",
+            "team blue guaranteed-gpus 8 max-gpus 24",
+            "team red guaranteed-gpus 8 max-gpus 20",
+            "machine-type box gpus 4 boot 6 zones a,b,c",
         ]);
         (setup.machines, setup.seed, setup.elections) = (14, seed, elections);
         Run {
@@ -69,7 +69,7 @@
         let id = format!("wk-{:06}", self.submitted);
         let team = ["blue", "red"][self.submitted as usize % 2];
         let (tasks, run) = (tasks.to_string(), run_secs.to_string());
-        let mut words = vec![id.as_str(), "team", team, "pieces", &tasks, "run", &run];
+        let mut words = vec![id.as_str(), "team", team, "tasks", &tasks, "run", &run];
         words.extend(choices[self.rng.random_range(0..choices.len())]);
         submit(&mut self.simulation, &words);
         self.submitted += 1;
@@ -102,10 +102,10 @@
             let tasks = self.rng.random_range(1..6);
             let run_secs = self.rng.random_range(3..40);
             let choices: [&[&str]; 5] = [
-                &["shape", "gang", "together"],
-                &["scatter", "checkpoint", "4"],
-                &["site", "b"],
-                &["together"],
+                &["shape", "gang", "affinity"],
+                &["anti-affinity", "checkpoint", "4"],
+                &["zone", "b"],
+                &["affinity"],
                 &["spot", "checkpoint", "5"],
             ];
             self.submit(tasks, run_secs, &choices);
@@ -129,10 +129,10 @@
         let tasks = self.rng.random_range(1..8);
         let run_secs = self.rng.random_range(3..25);
         let choices: [&[&str]; 4] = [
-            &["shape", "gang", "together"],
-            &["scatter", "checkpoint", "4"],
+            &["shape", "gang", "affinity"],
+            &["anti-affinity", "checkpoint", "4"],
             &["spot", "checkpoint", "5"],
-            &["together"],
+            &["affinity"],
         ];
         self.submit(tasks, run_secs, &choices);
         self.start_single_fault();
--- a/tests/scenario_language/events.rs
+++ b/tests/scenario_language/events.rs
@@ -22,8 +22,8 @@
 /// Leaders, and what users do.
 fn perform_on_jobs(simulation: &mut Simulation, event: &str, rest: &[&str]) -> bool {
     match event {
-        "lead" => simulation.elect_leader(),
-        "crash" => simulation.crash_leader(),
+        "elect-leader" => simulation.elect_leader(),
+        "crash-leader" => simulation.crash_leader(),
         "submit" => submit(simulation, rest),
         "cancel" => {
             let confirmed = simulation.cancel(&JobId::from(rest[0]));
@@ -31,7 +31,7 @@
         }
         // The job may have ended: then it stays as it is.
         "try-cancel" => drop(simulation.cancel(&JobId::from(rest[0]))),
-        "end-of-day" => simulation.checker.at_end(simulation.now),
+        "end-of-run" => simulation.checker.at_end(simulation.now),
         _ => return false,
     }
     true
@@ -41,14 +41,14 @@
 fn perform_on_services(simulation: &mut Simulation, event: &str, until: Instant) -> bool {
     let faults = &mut simulation.faults;
     match event {
-        "cloud-down" => faults.cloud_unavailable_until = until,
-        "state-down" => faults.store_unavailable_until = until,
-        "state-refuses-leader" => faults.store_refuses_leader_until = until,
-        "state-mute" => faults.store_responses_lost_until = until,
-        "state-late" => faults.transactions_late_until = until,
-        "state-slow" => faults.store_slow_until = until,
-        "watch-stuck" => faults.watch_stalled_until = until,
-        "peers-cut" => faults.peers_partitioned_until = until,
+        "cloud-unavailable" => faults.cloud_unavailable_until = until,
+        "store-unavailable" => faults.store_unavailable_until = until,
+        "store-refuses-leader" => faults.store_refuses_leader_until = until,
+        "store-responses-lost" => faults.store_responses_lost_until = until,
+        "store-transactions-late" => faults.transactions_late_until = until,
+        "store-slow" => faults.store_slow_until = until,
+        "watch-stalled" => faults.watch_stalled_until = until,
+        "peers-partitioned" => faults.peers_partitioned_until = until,
         _ => return false,
     }
     true
@@ -58,11 +58,11 @@
 fn perform_on_messages(simulation: &mut Simulation, event: &str, words: &Words) -> bool {
     let faults = &mut simulation.faults;
     match event {
-        "copies" => faults.duplicate_heartbeat_share = words.number("share", 1.0),
-        "repeats" => faults.duplicate_push_share = words.number("share", 1.0),
-        "late-writes" => faults.late_transaction_share = words.number("share", 0.3),
-        "drop-reports" => faults.lost_heartbeat_share = words.number("share", 0.1),
-        "boots-never" => faults.machines_never_booting = parse(words.0[0], event),
+        "duplicate-heartbeats" => faults.duplicate_heartbeat_share = words.number("share", 1.0),
+        "duplicate-pushes" => faults.duplicate_push_share = words.number("share", 1.0),
+        "late-transactions" => faults.late_transaction_share = words.number("share", 0.3),
+        "lose-heartbeats" => faults.lost_heartbeat_share = words.number("share", 0.1),
+        "never-boot" => faults.machines_never_booting = parse(words.0[0], event),
         _ => return false,
     }
     true
@@ -72,8 +72,8 @@
 fn perform_rogue(simulation: &mut Simulation, event: &str, rest: &[&str]) -> bool {
     match event {
         "rogue-launch" => launch_rogue_task(simulation, rest),
-        "rogue-deaf-leader" => simulation.faults.watch_blocked = true,
-        "rogue-delete" | "rogue-done" | "rogue-reopen" => {
+        "rogue-watch-blocked" => simulation.faults.watch_blocked = true,
+        "rogue-delete-records" | "rogue-done" | "rogue-reopen" => {
             write_rogue_records(simulation, event, &JobId::from(rest[0]));
         }
         _ => return false,
@@ -89,7 +89,7 @@
     until: Instant,
 ) -> bool {
     let machine_id = machine(simulation, words);
-    if event == "take" {
+    if event == "reclaim" {
         simulation.workers.remove(&machine_id);
         return true;
     }
@@ -100,19 +100,19 @@
 
 fn perform_on_worker(worker: &mut Worker, event: &str, words: &Words, until: Instant) -> bool {
     match event {
-        "hang" => worker.faults.suspend_until(until),
-        "cut" => {
-            let mode = match words.has("hold") {
+        "suspend" => worker.faults.suspend_until(until),
+        "partition" => {
+            let mode = match words.has("delay") {
                 true => PartitionMode::Delay,
                 false => PartitionMode::Drop,
             };
             worker.faults.partition_until(until, mode);
         }
-        "deaf" => worker.faults.inbound_unreachable_until(until),
-        "mute" => worker.faults.outbound_unreachable_until(until),
-        "sick" => worker.faults.faulty = true,
-        "slow-fetch" => worker.fetch_slowdown = words.number("times", 2.0),
-        "recall" => worker.preemption_noticed = true,
+        "inbound-unreachable" => worker.faults.inbound_unreachable_until(until),
+        "outbound-unreachable" => worker.faults.outbound_unreachable_until(until),
+        "faulty" => worker.faults.faulty = true,
+        "slow-fetch" => worker.fetch_slowdown = words.number("factor", 2.0),
+        "preemption-notice" => worker.preemption_noticed = true,
         _ => return false,
     }
     true
@@ -126,6 +126,9 @@
         let now = simulation.now.secs();
         return first.unwrap_or_else(|| panic!("{job} is on no machine at {now:.1} s"));
     }
-    let number: u32 = parse(words.get("host").expect("host N or of JOB"), "host");
+    let number: u32 = parse(
+        words.get("machine").expect("machine N or of JOB"),
+        "machine",
+    );
     MachineId::from(format!("host-{number:06}").as_str())
 }
--- a/tests/scenario_language/expectations.rs
+++ b/tests/scenario_language/expectations.rs
@@ -10,9 +10,9 @@
     let context = format!("{scenario}, {:.1} s", simulation.now.secs());
     match rest {
         ["phase", id, phase] => expect_phase(simulation, id, phase, &context),
-        ["ended", first, count] => expect_ended(simulation, first, count, &context),
-        ["starts", task, count] => expect_starts(simulation, task, count, &context),
-        ["tries", id, ..] => {
+        ["jobs-ended", first, count] => expect_ended(simulation, first, count, &context),
+        ["attempts", task, count] => expect_starts(simulation, task, count, &context),
+        ["total-attempts", id, ..] => {
             let starts = starts_of(simulation, &JobId::from(*id));
             expect_within(
                 f64::from(starts),
@@ -20,7 +20,7 @@
                 &format!("{context}: starts of {id}"),
             );
         }
-        ["running", id, count] => {
+        ["running-tasks", id, count] => {
             let running = tasks_running(simulation, &JobId::from(*id));
             assert_eq!(running.to_string(), *count, "{context}: tasks of {id}");
         }
@@ -28,17 +28,23 @@
             let machines = simulation.workers.len() as f64;
             expect_within(machines, &Words(rest), &format!("{context}: machines"));
         }
-        ["hosts", id, count] => {
+        ["machines-of", id, count] => {
             let machines = simulation.machines_of(&JobId::from(*id)).len();
             assert_eq!(machines.to_string(), *count, "{context}: machines of {id}");
         }
-        ["broken", rule] => expect_violation(simulation, rule, &context),
+        ["rule-broken", rule] => expect_violation(simulation, rule, &context),
         other => panic!("{context}: not an expectation: {other:?}"),
     }
 }
 
 fn expect_phase(simulation: &Simulation, id: &str, phase: &str, context: &str) {
-    let expected: JobPhase = serde_json::from_value(phase.into()).expect("a phase");
+    let expected = match phase {
+        "queued" => JobPhase::Queued,
+        "running" => JobPhase::Running,
+        "done" => JobPhase::Done,
+        "cancelled" => JobPhase::Cancelled,
+        other => panic!("{context}: not a phase: {other}"),
+    };
     let actual = simulation.phase(&JobId::from(id));
     assert_eq!(actual, Some(expected), "{context}: {id}");
 }
@@ -73,10 +79,10 @@
     tasks.filter(|(task, _)| task.job == *id).count()
 }
 
-/// At least `least` and at most `most`, where these are given.
+/// At least `at-least` and at most `at-most`, where these are given.
 fn expect_within(actual: f64, words: &Words, context: &str) {
-    let least = words.number("least", 0.0);
-    let most = words.number("most", f64::INFINITY);
+    let least = words.number("at-least", 0.0);
+    let most = words.number("at-most", f64::INFINITY);
     assert!((least..=most).contains(&actual), "{context}: {actual}");
 }
 
--- a/tests/scenario_language/job.rs
+++ b/tests/scenario_language/job.rs
@@ -17,22 +17,24 @@
         class: words.get("class").unwrap_or("any").into(),
         team: words.get("team").unwrap_or("blue").into(),
         shape: shape(words.get("shape").unwrap_or("array")),
-        priority: priority(words.get("urgency").unwrap_or("normal")),
-        tasks: words.number("pieces", 1.0) as u32,
+        priority: priority(words.get("priority").unwrap_or("normal")),
+        tasks: words.number("tasks", 1.0) as u32,
         cpus: words.number("cpus", 1.0),
         gpus: words.number("gpus", 1.0),
         ram_gb: 1.0,
         image: Image::from(words.get("image").unwrap_or("img")),
-        image_gb: words.number("gb", 2.0),
+        image_gb: words.number("image-gb", 2.0),
         machine_types: None,
-        zone: words.get("site").map(Zone::from),
-        together: words.has("together"),
-        scatter: words.has("scatter"),
+        zone: words.get("zone").map(Zone::from),
+        together: words.has("affinity"),
+        scatter: words.has("anti-affinity"),
         spot: words.has("spot"),
-        guess_s: words.number("guess", run_secs),
+        guess_s: words.number("estimate", run_secs),
         checkpoint_s: words.number("checkpoint", 0.0),
         save_s: words.number("save", 1.0),
-        due_s: words.get("due").map(|secs| super::parse(secs, "due")),
+        due_s: words
+            .get("deadline")
+            .map(|secs| super::parse(secs, "deadline")),
     }
 }
 
@@ -40,7 +42,7 @@
     match word {
         "array" => Shape::Array,
         "gang" => Shape::Gang,
-        "standing" => Shape::Service,
+        "service" => Shape::Service,
         other => panic!("not a shape: {other}"),
     }
 }
@@ -58,9 +60,9 @@
 /// Submits the job that these words describe.
 pub fn submit(simulation: &mut Simulation, rest: &[&str]) {
     let words = Words(rest);
-    let behavior = match words.has("mistaken") {
+    let behavior = match words.has("fails-everywhere") {
         true => TaskBehavior::FailsEverywhere,
         false => TaskBehavior::RunsForSecs(words.number("run", DEFAULT_RUN_SECS)),
     };
-    simulation.submit(job_spec(rest), behavior, words.jobs("after"));
+    simulation.submit(job_spec(rest), behavior, words.jobs("upstream"));
 }
--- a/tests/scenario_language/mod.rs
+++ b/tests/scenario_language/mod.rs
@@ -18,7 +18,7 @@
 use chalklug::time::TimeSpan;
 
 /// Words that stand alone; all others are names, each followed by its value.
-const FLAGS: [&str; 4] = ["together", "scatter", "spot", "mistaken"];
+const FLAGS: [&str; 4] = ["affinity", "anti-affinity", "spot", "fails-everywhere"];
 
 /// The words of a line after the first: `name value` pairs and flags.
 pub struct Words<'a>(pub &'a [&'a str]);
--- a/tests/scenario_language/rogue.rs
+++ b/tests/scenario_language/rogue.rs
@@ -39,7 +39,7 @@
     let spec = spec.unwrap_or_else(|| job_spec(&[id.as_str()]));
     let delete = |key| Change::Delete { delete: key };
     let changes = match event {
-        "rogue-delete" => vec![delete(open_key(id)), delete(terminal_key(id))],
+        "rogue-delete-records" => vec![delete(open_key(id)), delete(terminal_key(id))],
         "rogue-done" => vec![delete(open_key(id)), put_done(&spec)],
         _ => vec![delete(terminal_key(id)), put_open(spec)],
     };
--- a/tests/scenario_language/script.rs
+++ b/tests/scenario_language/script.rs
@@ -70,7 +70,7 @@
     /// Whether the scenario shows that the checker sees a broken rule.
     fn expects_violation(&self) -> bool {
         let mut steps = self.steps.values().flatten();
-        steps.any(|words| words[0] == "expect" && words[1] == "broken")
+        steps.any(|words| words[0] == "expect" && words[1] == "rule-broken")
     }
 
     /// Plays the scenario; panics if an expectation doesn't hold or a rule is broken.
--- a/tests/scenario_language/setup.rs
+++ b/tests/scenario_language/setup.rs
@@ -76,13 +76,13 @@
     pub fn add_line(&mut self, first: &str, rest: &[&str]) {
         match first {
             "team" => self.facts.teams.push(team(rest)),
-            "rig" => self.machine_types.push(machine_type(rest)),
-            "objective" => self.facts.objectives.push(objective(rest)),
+            "machine-type" => self.machine_types.push(machine_type(rest)),
+            "slo" => self.facts.objectives.push(objective(rest)),
             "machines" => self.machines = parse(rest[0], first),
             "seed" => self.seed = parse(rest[0], first),
-            "lease" => self.facts.workers.lease_s = parse(rest[0], first),
+            "worker-lease" => self.facts.workers.lease_s = parse(rest[0], first),
             "cancel-within" => self.facts.workers.cancel_s = parse(rest[0], first),
-            "campaigns" => self.elections = true,
+            "elections" => self.elections = true,
             other => panic!("not a word of scenarios: {other}"),
         }
     }
@@ -108,14 +108,14 @@
         name: rest[0].into(),
         cpus: 0.0,
         cpus_max: 0.0,
-        gpus: words.number("gpus", 0.0),
-        gpus_max: words.number("max", 0.0),
+        gpus: words.number("guaranteed-gpus", 0.0),
+        gpus_max: words.number("max-gpus", 0.0),
     }
 }
 
 fn machine_type(rest: &[&str]) -> MachineTypeInfo {
     let words = Words(rest);
-    let zones = words.get("sites").unwrap_or("a");
+    let zones = words.get("zones").unwrap_or("a");
     MachineTypeInfo {
         name: MachineType::from(rest[0]),
         cpus: words.number("cpus", 64.0),
@@ -124,7 +124,7 @@
         cache_gb: 100.0,
         fetch_gb_per_s: words.number("fetch", 1.0),
         price: words.number("price", 10.0),
-        spot_price: words.number("spotprice", 4.0),
+        spot_price: words.number("spot-price", 4.0),
         boot_s: words.number("boot", 5.0),
         zones: zones.split(',').map(Zone::from).collect(),
     }
--- a/tests/simulation/checker/mod.rs
+++ b/tests/simulation/checker/mod.rs
@@ -1,5 +1,5 @@
 //! The protocol's rules, applied to what the simulated parts see. A rule that is broken is recorded by
-//! name, as `expect broken` in scenarios names it.
+//! name, as `expect rule-broken` in scenarios names it.
 
 mod job_states;
 mod placement;
