--- a/tests/simulation/cloud.rs
+++ b/tests/simulation/cloud.rs
@@ -2,7 +2,8 @@
 
 use super::worker::Worker;
 use super::Simulation;
-use chalklug::coordination::Event;
+use chalklug::coordination::autoscaler::MachineOffer;
+use chalklug::coordination::{Event, ScaleOutAnswer};
 use chalklug::ids::*;
 use chalklug::protocol::cloud::{CloudPhase, ListedMachine, MachineTypeInfo};
 use chalklug::time::{Instant, TimeSpan};
@@ -17,7 +18,7 @@
     /// So many machines may run at once.
     capacity: u32,
     /// Machines given for each request, by idempotency key.
-    scale_outs: BTreeMap<String, Vec<MachineId>>,
+    scale_outs: BTreeMap<IdempotencyKey, Vec<MachineId>>,
     /// So many machines were ever rented.
     rented: u32,
     list_history: Vec<(Instant, Vec<ListedMachine>)>,
@@ -68,28 +69,28 @@
     /// Rents up to `count` machines; a repeated request gets the machines of the first.
     pub(super) fn rent_machines(
         &mut self,
-        idempotency_key: &str,
-        machine_type: &MachineType,
-        zone: &Zone,
-        spot: bool,
+        idempotency_key: &IdempotencyKey,
+        offer: &MachineOffer,
         count: u32,
-    ) -> Option<Vec<MachineId>> {
+    ) -> ScaleOutAnswer {
         if let Some(machine_ids) = self.cloud.scale_outs.get(idempotency_key) {
-            return Some(machine_ids.clone());
+            return ScaleOutAnswer::Granted(machine_ids.clone());
         }
         let running = self.workers.len() as u32;
         let available = self.cloud.capacity.saturating_sub(running).min(count);
         if available == 0 {
-            return None;
+            return ScaleOutAnswer::NoCapacity;
         }
         let mut types = self.cloud.machine_types.iter();
-        let info = types.find(|info| info.name == *machine_type)?.clone();
+        let Some(info) = types.find(|info| info.name == offer.machine_type).cloned() else {
+            return ScaleOutAnswer::NoCapacity;
+        };
         let machine_ids: Vec<MachineId> = (0..available)
-            .map(|_| self.rent_machine(&info, zone, spot))
+            .map(|_| self.rent_machine(&info, &offer.zone, offer.spot))
             .collect();
-        let key = idempotency_key.to_owned();
+        let key = idempotency_key.clone();
         self.cloud.scale_outs.insert(key, machine_ids.clone());
-        Some(machine_ids)
+        ScaleOutAnswer::Granted(machine_ids)
     }
 
     fn rent_machine(&mut self, info: &MachineTypeInfo, zone: &Zone, spot: bool) -> MachineId {
--- a/tests/simulation/effects.rs
+++ b/tests/simulation/effects.rs
@@ -2,6 +2,7 @@
 
 use super::network::{unclear_write, Message, Push, LATENCY};
 use super::Simulation;
+use chalklug::coordination::autoscaler::MachineOffer;
 use chalklug::coordination::{Effect, Event};
 use chalklug::ids::*;
 use chalklug::protocol::state::Transaction;
@@ -49,11 +50,9 @@
             }),
             Effect::ScaleOut {
                 idempotency_key,
-                machine_type,
-                zone,
-                spot,
+                offer,
                 count,
-            } => self.scale_out(leader, idempotency_key, &machine_type, &zone, spot, count),
+            } => self.scale_out(leader, idempotency_key, &offer, count),
             Effect::ScaleIn { machine_ids } => self.scale_in(leader, machine_ids),
             Effect::StepDown { .. } => self.crash_leader(),
         }
@@ -134,19 +133,17 @@
     fn scale_out(
         &mut self,
         leader: FencingToken,
-        idempotency_key: String,
-        machine_type: &MachineType,
-        zone: &Zone,
-        spot: bool,
+        idempotency_key: IdempotencyKey,
+        offer: &MachineOffer,
         count: u32,
     ) {
         let event = if self.now < self.faults.cloud_unavailable_until {
             Event::ScaleOutUnclear { idempotency_key }
         } else {
-            let machine_ids = self.rent_machines(&idempotency_key, machine_type, zone, spot, count);
+            let answer = self.rent_machines(&idempotency_key, offer, count);
             Event::ScaleOutAnswered {
                 idempotency_key,
-                machine_ids,
+                answer,
             }
         };
         self.send_to_leader(CLOUD_LATENCY, leader, event);
