--- /dev/null
+++ b/tests/loopback/cluster.rs
@@ -0,0 +1,281 @@
+//! Controllers as real processes, with stand-ins of the state store, the cloud and the workers.
+
+use super::client::{heartbeat, wait_for};
+use super::cloud::start_cloud;
+use super::http::http;
+use super::state_store::start_state_store;
+use super::store_proxy::StoreProxy;
+use super::worker::WorkerLog;
+use std::net::{SocketAddr, TcpListener};
+use std::path::{Path, PathBuf};
+use std::process::{Child, Command, Stdio};
+use std::sync::atomic::{AtomicU64, Ordering};
+use std::sync::Arc;
+
+/// One process of `chalklug serve`.
+pub struct Controller {
+    child: Child,
+    config: PathBuf,
+    /// Where users and workers reach it.
+    pub front: String,
+}
+
+impl Controller {
+    /// With `LOOPBACK_LOG` set, its log goes to standard error.
+    fn start(config: &Path, front: &str) -> Controller {
+        let log = match std::env::var_os("LOOPBACK_LOG") {
+            Some(_) => Stdio::inherit(),
+            None => Stdio::null(),
+        };
+        let mut command = Command::new(env!("CARGO_BIN_EXE_chalklug"));
+        command.args(["serve", "--config"]).arg(config).stderr(log);
+        let operator = config.with_file_name("operator.json");
+        if operator.exists() {
+            command.arg("--operator").arg(operator);
+        }
+        Controller {
+            child: command.spawn().expect("a process"),
+            config: config.into(),
+            front: front.into(),
+        }
+    }
+
+    /// Kills the process and waits for its end.
+    pub fn kill(&mut self) {
+        self.child.kill().expect("killed");
+        self.child.wait().expect("ended");
+    }
+
+    /// Starts a killed controller again.
+    pub fn restart(&mut self) {
+        let restarted = Controller::start(&self.config, &self.front);
+        *self = restarted;
+    }
+
+    pub fn wait_until_healthy(&self) {
+        wait_for("health", || {
+            let (status, _) = http(&self.front, "GET", "/healthz", b"")?;
+            (status == 200).then_some(())
+        });
+    }
+}
+
+impl Drop for Controller {
+    fn drop(&mut self) {
+        let _ = self.child.kill();
+        let _ = self.child.wait();
+    }
+}
+
+/// What the settings of a cluster's controllers say.
+pub struct ClusterOptions<'a> {
+    /// Names the cluster's directory.
+    pub name: &'a str,
+    pub controllers: usize,
+    pub max_sockets: usize,
+    pub cancel_secs: f64,
+    /// The operator's file, if there is one.
+    pub operator: Option<&'a str>,
+}
+
+impl<'a> ClusterOptions<'a> {
+    pub fn new(name: &'a str) -> ClusterOptions<'a> {
+        ClusterOptions {
+            name,
+            controllers: 3,
+            max_sockets: 500,
+            cancel_secs: 30.0,
+            operator: None,
+        }
+    }
+
+    /// The leader's lease is long, so that a busy machine doesn't decide the test.
+    pub fn with_long_leader_lease(name: &'a str) -> ClusterOptions<'a> {
+        ClusterOptions {
+            cancel_secs: 90.0,
+            operator: Some(r#"{"leader_life_ms": 40000}"#),
+            ..ClusterOptions::new(name)
+        }
+    }
+}
+
+/// Controllers, each with its own connection to the state store.
+pub struct Cluster {
+    pub controllers: Vec<Controller>,
+    /// Where users and workers reach each controller.
+    pub fronts: Vec<String>,
+    pub store_proxies: Vec<StoreProxy>,
+    pub worker_log: Arc<WorkerLog>,
+    directory: PathBuf,
+}
+
+impl Cluster {
+    /// Starts three controllers.
+    pub fn start(name: &str) -> Cluster {
+        Cluster::start_with(&ClusterOptions::new(name))
+    }
+
+    /// Starts all processes and waits until they are healthy.
+    pub fn start_with(options: &ClusterOptions) -> Cluster {
+        let count = options.controllers;
+        let ports = free_ports(2 * count);
+        let (front_ports, peer_ports) = ports.split_at(count);
+        let fronts: Vec<String> = front_ports.iter().map(|port| loopback(*port)).collect();
+        let worker_log = Arc::new(WorkerLog::new());
+        let store = start_state_store();
+        let store_proxies: Vec<StoreProxy> = (0..count).map(|_| StoreProxy::start(store)).collect();
+        let cloud = start_cloud(fronts.clone(), worker_log.clone());
+        let directory = create_directory(options);
+        let controllers: Vec<Controller> = (0..count)
+            .map(|index| {
+                let settings = Settings {
+                    options,
+                    index,
+                    front: &fronts[index],
+                    peer_ports,
+                    cloud,
+                    store: store_proxies[index].addr,
+                };
+                let config = directory.join(format!("n{index}.toml"));
+                std::fs::write(&config, settings.text()).expect("settings written");
+                Controller::start(&config, &fronts[index])
+            })
+            .collect();
+        for controller in &controllers {
+            controller.wait_until_healthy();
+        }
+        Cluster {
+            controllers,
+            fronts,
+            store_proxies,
+            worker_log,
+            directory,
+        }
+    }
+
+    /// Waits until one of them leads: its index and its fencing token.
+    pub fn wait_for_leader(&self, ticks: &mut Ticks) -> (usize, u64) {
+        self.wait_for_leader_except(ticks, None)
+    }
+
+    /// Waits until another controller than that one leads.
+    pub fn wait_for_leader_except(
+        &self,
+        ticks: &mut Ticks,
+        excepted: Option<usize>,
+    ) -> (usize, u64) {
+        wait_for("a leader", || {
+            let mut fronts = self.fronts.iter().enumerate();
+            fronts.find_map(|(index, front)| {
+                if Some(index) == excepted {
+                    return None;
+                }
+                let (status, token) = heartbeat(front, ticks.next())?;
+                (status == 200).then_some((index, token))
+            })
+        })
+    }
+}
+
+impl Drop for Cluster {
+    fn drop(&mut self) {
+        let _ = std::fs::remove_dir_all(&self.directory);
+    }
+}
+
+/// Numbers the heartbeats of the machine that nobody rented.
+#[derive(Default)]
+pub struct Ticks(u64);
+
+impl Ticks {
+    pub fn next(&mut self) -> u64 {
+        self.0 += 1;
+        self.0
+    }
+}
+
+fn loopback(port: u16) -> String {
+    format!("127.0.0.1:{port}")
+}
+
+fn create_directory(options: &ClusterOptions) -> PathBuf {
+    let name = format!("chalklug-{}-{}", options.name, std::process::id());
+    let directory = std::env::temp_dir().join(name);
+    std::fs::create_dir_all(&directory).expect("a directory");
+    if let Some(text) = options.operator {
+        std::fs::write(directory.join("operator.json"), text).expect("the operator's file");
+    }
+    directory
+}
+
+/// The settings of one controller.
+struct Settings<'a> {
+    options: &'a ClusterOptions<'a>,
+    index: usize,
+    front: &'a str,
+    peer_ports: &'a [u16],
+    cloud: SocketAddr,
+    store: SocketAddr,
+}
+
+impl Settings<'_> {
+    fn text(&self) -> String {
+        let Settings {
+            options,
+            index,
+            front,
+            cloud,
+            store,
+            ..
+        } = self;
+        let ClusterOptions {
+            controllers,
+            max_sockets,
+            cancel_secs,
+            ..
+        } = options;
+        let peer_bind = loopback(self.peer_ports[*index]);
+        let peers = self.peers();
+        format!(
+            "host_name = \"n{index}\"\nlocation = \"a\"\nfront = \"{front}\"\npeer_bind = \"{peer_bind}\"\nnew_field = 1\n{peers}\n\
+             [endpoints]\ncloud = \"{cloud}\"\nstate = \"{store}\"\n[facts]\nnodes = {controllers}\nclock_error_ms = 10.0\n\
+             [[facts.teams]]\nname = \"blue\"\ngpus = 4.0\ngpus_max = 20.0\n\
+             [facts.workers]\nreport_s = 0.3\nlease_s = 20.0\ngang_wait_s = 20.0\ngang_peer_s = 4.0\ncancel_s = {cancel_secs}\n\
+             [facts.state]\nrps = 1000.0\nwrite_rps = 500.0\nvalue_kb = 4.0\ntxn_ops = 8\n\
+             [facts.cloud]\nrps = 50.0\nlist_lag_s = 1.0\n[facts.quota]\ncores = 1.0\nmemory_mb = 500.0\nmax_sockets = {max_sockets}\n"
+        )
+    }
+
+    /// The tables of the other controllers.
+    fn peers(&self) -> String {
+        let mut text = String::new();
+        for (peer, port) in self.peer_ports.iter().enumerate() {
+            if peer != self.index {
+                let addr = loopback(*port);
+                let table = format!(
+                    "[[siblings]]\nhost_name = \"n{peer}\"\nlocation = \"a\"\naddr = \"{addr}\"\n"
+                );
+                text.push_str(&table);
+            }
+        }
+        text
+    }
+}
+
+/// Ports for controllers to listen on: below those that outgoing connections get by themselves, and
+/// given to one cluster only.
+///
+/// Guards against a controller that never came up: its port, found free and let go, had meanwhile gone
+/// to a connection of another test.
+fn free_ports(count: usize) -> Vec<u16> {
+    static NEXT: AtomicU64 = AtomicU64::new(0);
+    const MIN_PORT: u64 = 12_000;
+    const PORTS: u64 = 18_000;
+    let first = u64::from(std::process::id()) * 97;
+    let port = || (MIN_PORT + (first + NEXT.fetch_add(1, Ordering::Relaxed)) % PORTS) as u16;
+    (0..PORTS)
+        .map(|_| port())
+        .filter(|port| TcpListener::bind(("127.0.0.1", *port)).is_ok())
+        .take(count)
+        .collect()
+}
