--- a/src/protocol/state.rs
+++ b/src/protocol/state.rs
@@ -34,6 +34,16 @@
     pub revision: KeyRevision,
 }
 
+impl Precondition {
+    /// The key must not exist.
+    pub fn absent(key: String) -> Precondition {
+        Precondition {
+            key,
+            revision: KeyRevision(0),
+        }
+    }
+}
+
 /// A change.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(untagged)]
--- /dev/null
+++ b/src/runtime/api/submissions.rs
@@ -0,0 +1,207 @@
+//! `POST /submissions`: judging a job and accepting it by writing its open record.
+//!
+//! A submission is idempotent: if the job is known already, its current state is the response, whatever else is
+//! wrong with the repeat.
+
+use super::error::{ApiError, NeverRuns};
+use super::response::ApiResponse;
+use super::status;
+use crate::ids::JobId;
+use crate::protocol::cloud::MachineTypeInfo;
+use crate::protocol::state::{Change, Precondition, Transaction};
+use crate::protocol::users::{JobPhase, JobSpec, Malformed, Shape, Submission};
+use crate::resources::{within_limit, Resources};
+use crate::runtime::clients::dependency_pages::{self, PagesOutcome};
+use crate::runtime::clients::job_lookup::TerminalState;
+use crate::runtime::clients::state_store::{StateStoreError, TransactionOutcome};
+use crate::runtime::clients::upstream_jobs::{find_upstream, UpstreamState};
+use crate::runtime::{time_of_day_ms, Node};
+use crate::settings::Team;
+use crate::storage::records::{open_key, terminal_key, OpenJobRecord, TerminalRecord};
+
+/// The share of a value's size limit that an open record may take.
+const MAX_RECORD_SHARE: f64 = 0.9;
+
+/// Why a job was not accepted.
+enum Refusal {
+    /// The response, unless the job is known already.
+    UnlessKnown(ApiError),
+    /// The response.
+    Always(ApiError),
+}
+
+/// Accepts a job, or answers with the state of a job that is known already.
+pub async fn submit(
+    node: &Node,
+    submission: &Result<Submission, Malformed>,
+) -> Result<ApiResponse, ApiError> {
+    let (id, outcome) = match submission {
+        Ok(submission) => (Some(&submission.spec.id), accept(node, submission).await),
+        Err(malformed) => {
+            let reason = malformed.reason.clone();
+            let refusal = Refusal::UnlessKnown(ApiError::MalformedSubmission { reason });
+            (malformed.id.as_ref(), Err(refusal))
+        }
+    };
+    match (outcome, id) {
+        (Ok(response), _) => Ok(response),
+        (Err(Refusal::UnlessKnown(error)), Some(id)) => {
+            let known = status::known_job(node, id).await?;
+            known.ok_or(error)
+        }
+        (Err(Refusal::UnlessKnown(error) | Refusal::Always(error)), _) => Err(error),
+    }
+}
+
+async fn accept(node: &Node, submission: &Submission) -> Result<ApiResponse, Refusal> {
+    let Submission { spec, waits_on } = submission;
+    let machine_types = node.catalog.machine_types();
+    if machine_types.is_empty() {
+        return Err(Refusal::UnlessKnown(ApiError::MachineTypesUnknown));
+    }
+    check_can_run(spec, &machine_types, &node.policy.facts.teams)
+        .map_err(|reason| Refusal::UnlessKnown(reason.into()))?;
+    if waits_on.contains(&spec.id) {
+        return Err(Refusal::UnlessKnown(ApiError::DependsOnItself));
+    }
+    match find_upstream(node, waits_on.clone()).await {
+        Ok(UpstreamState::Unfinished(dependencies)) => open_job(node, spec, dependencies).await,
+        Ok(UpstreamState::Cancelled) => accept_cancelled(node, spec).await,
+        Ok(UpstreamState::NeverAccepted(unknown)) => {
+            let error = ApiError::UnknownDependency(unknown);
+            Err(Refusal::UnlessKnown(error))
+        }
+        Err(_) => Err(Refusal::UnlessKnown(ApiError::DependenciesUnavailable)),
+    }
+}
+
+/// Checks that a job could ever run here.
+fn check_can_run(
+    spec: &JobSpec,
+    machine_types: &[MachineTypeInfo],
+    teams: &[Team],
+) -> Result<(), NeverRuns> {
+    let Some(team) = teams.iter().find(|team| team.name == spec.team) else {
+        return Err(NeverRuns::UnknownTeam);
+    };
+    if !machine_types.iter().any(|info| task_fits(spec, info)) {
+        return Err(NeverRuns::NoMachineTypeFits);
+    }
+    let concurrent_tasks = match spec.shape {
+        Shape::Array => 1,
+        Shape::Gang | Shape::Service => spec.tasks,
+    };
+    let request = Resources::of(spec).times(f64::from(concurrent_tasks));
+    if within_limit(request.cpus, team.cpus_max) && within_limit(request.gpus, team.gpus_max) {
+        Ok(())
+    } else {
+        Err(NeverRuns::ExceedsTeamLimit)
+    }
+}
+
+/// Whether a machine of this type could run a task of the job.
+fn task_fits(spec: &JobSpec, machine_type: &MachineTypeInfo) -> bool {
+    let capacity = Resources {
+        cpus: machine_type.cpus,
+        gpus: machine_type.gpus,
+        ram_gb: machine_type.ram_gb,
+    };
+    let type_allowed = |allowed: &Vec<_>| allowed.contains(&machine_type.name);
+    let zone_offered = |zone| machine_type.zones.contains(zone);
+    Resources::of(spec).fits(&capacity)
+        && spec.machine_types.as_ref().is_none_or(type_allowed)
+        && spec.zone.as_ref().is_none_or(zone_offered)
+}
+
+/// Accepts a job that depends on these unfinished jobs, or on none.
+async fn open_job(
+    node: &Node,
+    spec: &JobSpec,
+    dependencies: Vec<JobId>,
+) -> Result<ApiResponse, Refusal> {
+    let id = &spec.id;
+    let dependency_count = dependencies.len();
+    let mut record = OpenJobRecord {
+        spec: spec.clone(),
+        at_ms: time_of_day_ms(),
+        after: dependencies,
+        dependency_pages: 0,
+    };
+    let max_bytes = (node.policy.facts.state.value_kb * 1024.0 * MAX_RECORD_SHARE) as usize;
+    let Some(pages) = record.move_dependencies_to_pages(max_bytes) else {
+        return Err(Refusal::UnlessKnown(ApiError::DescriptionTooLong));
+    };
+    match write_open_job(node, &record, &pages).await? {
+        Ok(TransactionOutcome::Applied(store_revision)) => {
+            node.leadership.request_step();
+            tracing::debug!(
+                job = %id,
+                %store_revision,
+                class = spec.class,
+                team = spec.team,
+                dependencies = dependency_count,
+                "job accepted"
+            );
+            Ok(ApiResponse::job_created(id, JobPhase::Queued))
+        }
+        failed => Err(refusal(failed)),
+    }
+}
+
+/// Writes the pages of dependencies, if there are any, and then the open record.
+async fn write_open_job(
+    node: &Node,
+    record: &OpenJobRecord,
+    pages: &[Vec<JobId>],
+) -> Result<Result<TransactionOutcome, StateStoreError>, Refusal> {
+    let id = &record.spec.id;
+    let data = serde_json::to_value(record).map_err(|_| Refusal::Always(ApiError::NotStorable))?;
+    let max_operations = node.policy.facts.state.txn_ops;
+    let written = dependency_pages::write_pages(&node.state_store, max_operations, id, pages).await;
+    Ok(match written {
+        Ok(PagesOutcome::Written(preconditions)) => {
+            let transaction = Transaction {
+                preconditions,
+                changes: vec![Change::put(open_key(id), data)],
+            };
+            node.state_store.transaction(&transaction).await
+        }
+        Ok(PagesOutcome::Conflict(failed)) => Ok(TransactionOutcome::Conflict(failed)),
+        // Whatever became of the pages, the open record was certainly not written.
+        Err(_) => Err(StateStoreError::NotExecuted),
+    })
+}
+
+/// Accepts a job that depends on a cancelled one: it is cancelled from the start.
+async fn accept_cancelled(node: &Node, spec: &JobSpec) -> Result<ApiResponse, Refusal> {
+    let id = &spec.id;
+    let data = serde_json::to_value(TerminalRecord::cancelled(spec.tasks))
+        .map_err(|_| Refusal::Always(ApiError::NotStorable))?;
+    let transaction = Transaction {
+        preconditions: vec![
+            Precondition::absent(open_key(id)),
+            Precondition::absent(terminal_key(id)),
+        ],
+        changes: vec![Change::put(terminal_key(id), data)],
+    };
+    match node.state_store.transaction(&transaction).await {
+        Ok(TransactionOutcome::Applied(_)) => {
+            tracing::debug!(job = %id, "job accepted and cancelled with its dependency");
+            let cancelled = TerminalState::cancelled(spec.tasks);
+            node.terminal_states.insert(id, cancelled);
+            Ok(ApiResponse::job_created(id, JobPhase::Cancelled))
+        }
+        failed => Err(refusal(failed)),
+    }
+}
+
+/// Why a job was not accepted whose transaction was not applied, as far as is known. A conflict (the job is known
+/// already) and an unknown outcome are settled by reading before anything is answered.
+fn refusal(outcome: Result<TransactionOutcome, StateStoreError>) -> Refusal {
+    match outcome {
+        Ok(_) | Err(StateStoreError::OutcomeUnknown) => {
+            Refusal::UnlessKnown(ApiError::OutcomeUnknown)
+        }
+        Err(_) => Refusal::Always(ApiError::StateStoreUnavailable),
+    }
+}
--- a/src/runtime/clients/cloud.rs
+++ b/src/runtime/clients/cloud.rs
@@ -1,97 +1,127 @@
-//! Calls to the cloud: the machine list, rentals and returns.
+//! Calls to the cloud: machine types, the machine list, scale out and scale in.
 
-use crate::coordination::Event;
-use crate::protocol::cloud::{ListedMachine, MachineListPage, RentReply, RentRequest};
-use crate::runtime::Node;
-use crate::transport::client::NoAnswer;
+use crate::ids::MachineId;
+use crate::protocol::cloud::{
+    ListedMachine, MachineListPage, MachineTypeInfo, MachineTypeList, RentReply, RentRequest,
+    ReturnRequest,
+};
+use crate::transport::client::{Answer, Client};
 use hyper::Method;
-use rand::Rng;
-use std::sync::Arc;
 use std::time::Duration;
-use tokio_util::sync::CancellationToken;
 
-/// Machines on a page of the list, the most that the protocol allows.
-const LIST_PAGE: usize = 500;
-/// The part of the cloud's rate that reading the list may use.
-const LIST_SHARE: f64 = 0.25;
+/// Machines on a page of the list: the maximum that the cloud allows.
+pub const LIST_PAGE_SIZE: usize = 500;
+/// Deadline of a call, machine types apart.
+const CALL_TIMEOUT: Duration = Duration::from_secs(4);
+/// Deadline of a request for the machine types.
+const MACHINE_TYPES_TIMEOUT: Duration = Duration::from_secs(3);
+/// Time allowed to establish a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Reads the cloud's machine list over and over.
-pub(in crate::runtime) async fn list_hosts(node: Arc<Node>, end: CancellationToken) {
-    while !end.is_cancelled() {
-        let asked = node.now();
-        let mut listed = 0;
-        if let Some(machines) = whole_list(&node).await {
-            listed = machines.len();
-            node.leader
-                .event(node.now(), Event::MachinesListed { asked, machines });
-        }
-        // Rentals and returns come first: a list of many pages is read less often.
-        let pages = (listed / LIST_PAGE + 1) as f64;
-        let least_s = pages / (node.policy.facts.cloud.rps * LIST_SHARE);
-        let pause = Duration::from_secs_f64(least_s.clamp(3.0, 30.0));
-        let pause = pause + Duration::from_millis(rand::rng().random_range(0..500));
-        tokio::select! {
-            _ = end.cancelled() => return,
-            _ = tokio::time::sleep(pause) => {}
+/// The outcome of a request to rent machines.
+#[derive(Debug)]
+pub enum RentOutcome {
+    /// These machines are rented.
+    Rented(Vec<MachineId>),
+    /// The cloud has no such machines to rent at the moment.
+    NoCapacity,
+    /// The machines may have been rented: to be asked again with the same idempotency key.
+    Unknown,
+}
+
+/// The client.
+pub struct CloudClient {
+    http: Client,
+    address: String,
+}
+
+impl CloudClient {
+    /// A client for the cloud at the address, with at most so many idle connections.
+    pub fn new(address: String, max_idle_connections: usize) -> Self {
+        CloudClient {
+            http: Client::new(CONNECT_TIMEOUT, max_idle_connections),
+            address,
         }
     }
-}
 
-async fn whole_list(node: &Node) -> Option<Vec<ListedMachine>> {
-    let mut machines: Vec<ListedMachine> = Vec::new();
-    loop {
-        let since = machines
-            .last()
-            .map_or(String::new(), |h| format!("since={}&", h.id));
-        let path = format!("/rentals?{since}most={LIST_PAGE}");
-        let a = cloud(node, Method::GET, &path, None).await.ok()?;
-        if a.0 != 200 {
+    /// Reads the machine types; None if the cloud does not answer or knows none.
+    pub async fn machine_types(&self) -> Option<Vec<MachineTypeInfo>> {
+        let path = "/machine_types";
+        let response = self
+            .send(Method::GET, path, None, MACHINE_TYPES_TIMEOUT)
+            .await?;
+        if response.status != 200 {
             return None;
         }
-        let page: MachineListPage = serde_json::from_slice(&a.1).ok()?;
-        let more = page.more && !page.machines.is_empty();
-        machines.extend(page.machines);
-        if !more {
-            return Some(machines);
+        let list: MachineTypeList = serde_json::from_slice(&response.body).ok()?;
+        (!list.machine_types.is_empty()).then_some(list.machine_types)
+    }
+
+    /// Reads the whole machine list, page by page; None if any page fails.
+    pub async fn list_machines(&self) -> Option<Vec<ListedMachine>> {
+        let mut machines: Vec<ListedMachine> = Vec::new();
+        loop {
+            let since = machines
+                .last()
+                .map_or(String::new(), |last| format!("since={}&", last.id));
+            let path = format!("/rentals?{since}most={LIST_PAGE_SIZE}");
+            let response = self.send(Method::GET, &path, None, CALL_TIMEOUT).await?;
+            if response.status != 200 {
+                return None;
+            }
+            let page: MachineListPage = serde_json::from_slice(&response.body).ok()?;
+            let more = page.more && !page.machines.is_empty();
+            machines.extend(page.machines);
+            if !more {
+                return Some(machines);
+            }
         }
     }
-}
 
-pub(in crate::runtime) async fn rent(
-    node: &Node,
-    idempotency_key: String,
-    request: &RentRequest,
-) -> Event {
-    let body = serde_json::to_vec(request).unwrap_or_default();
-    match cloud(node, Method::POST, "/rentals", Some(body)).await {
-        Ok((200, body)) => match serde_json::from_slice::<RentReply>(&body) {
-            Ok(r) => Event::ScaleOutAnswered {
-                idempotency_key,
-                machine_ids: Some(r.machine_ids),
-            },
-            Err(_) => Event::ScaleOutUnclear { idempotency_key },
-        },
-        Ok((503, body)) if String::from_utf8_lossy(&body).contains("no capacity") => {
-            Event::ScaleOutAnswered {
-                idempotency_key,
-                machine_ids: None,
+    /// Rents machines. Idempotent by the key in the request.
+    pub async fn rent(&self, request: &RentRequest) -> RentOutcome {
+        let body = serde_json::to_vec(request).unwrap_or_default();
+        let response = self
+            .send(Method::POST, "/rentals", Some(body), CALL_TIMEOUT)
+            .await;
+        match response {
+            Some(Answer { status: 200, body }) => {
+                match serde_json::from_slice::<RentReply>(&body) {
+                    Ok(reply) => RentOutcome::Rented(reply.machine_ids),
+                    Err(_) => RentOutcome::Unknown,
+                }
+            }
+            Some(Answer { status: 503, body })
+                if String::from_utf8_lossy(&body).contains("no capacity") =>
+            {
+                RentOutcome::NoCapacity
             }
+            _ => RentOutcome::Unknown,
         }
-        _ => Event::ScaleOutUnclear { idempotency_key },
     }
-}
 
-pub(in crate::runtime) async fn cloud(
-    node: &Node,
-    method: Method,
-    path: &str,
-    body: Option<Vec<u8>>,
-) -> Result<(u16, bytes::Bytes), NoAnswer> {
-    let machine_id = node.settings.platform.endpoints.cloud.to_string();
-    let deadline = Duration::from_secs(4);
-    let a = node
-        .cloud
-        .send(method, &machine_id, path, body, deadline)
-        .await?;
-    Ok((a.status, a.body))
+    /// Returns machines. True if the cloud has confirmed that they are terminated.
+    pub async fn return_machines(
+        &self,
+        request: &ReturnRequest,
+    ) -> Result<bool, serde_json::Error> {
+        let body = serde_json::to_vec(request)?;
+        let response = self
+            .send(Method::POST, "/rentals/return", Some(body), CALL_TIMEOUT)
+            .await;
+        Ok(response.is_some_and(|response| response.status == 200))
+    }
+
+    async fn send(
+        &self,
+        method: Method,
+        path: &str,
+        body: Option<Vec<u8>>,
+        deadline: Duration,
+    ) -> Option<Answer> {
+        self.http
+            .send(method, &self.address, path, body, deadline)
+            .await
+            .ok()
+    }
 }
--- a/src/runtime/clients/state_store.rs
+++ b/src/runtime/clients/state_store.rs
@@ -1,4 +1,6 @@
-//! Typed calls to the state service. Every failure says whether the request can have been executed.
+//! Typed calls to the state store (a consensus-backed key-value store).
+//!
+//! Every failure says whether the request can have been executed. Nothing is retried here.
 
 use crate::ids::{LeaseId, StoreRevision};
 use crate::protocol::state::{
@@ -12,127 +14,111 @@
 use std::time::Duration;
 
 /// Why a call brought no result.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum StateError {
+#[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
+pub enum StateStoreError {
     /// Certainly not executed, nor will be.
-    Refused,
-    /// The same, for there are too many requests or changes.
-    Limited,
-    /// Not executed, nor would it be if it were sent again.
-    Rejected,
+    #[error("the request was not executed")]
+    NotExecuted,
+    /// Certainly not executed: too many requests or changes.
+    #[error("the state store limits our rate")]
+    RateLimited,
+    /// Not executed, and would be refused each time it is sent.
+    #[error("the state store calls the request invalid")]
+    Invalid,
     /// May have been executed, or may yet be.
-    Unclear,
-    /// A watch began too far back.
-    TooOld,
-    /// The lease is over.
-    NoLease,
+    #[error("the outcome of the request is unknown")]
+    OutcomeUnknown,
+    /// A watch began at a revision that the store no longer keeps.
+    #[error("the revision is compacted")]
+    RevisionCompacted,
+    /// The lease has expired or was revoked.
+    #[error("the lease has expired")]
+    LeaseExpired,
 }
 
 /// The outcome of a transaction that was answered.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum TxnOutcome {
+#[must_use = "a conflict means that nothing was written"]
+pub enum TransactionOutcome {
+    /// All changes were made, at this store revision.
     Applied(StoreRevision),
-    /// Guards failed, these at least.
+    /// Preconditions failed, and nothing was written: the keys of these preconditions at least.
     Conflict(Vec<String>),
 }
 
-/// Time allowed for one ordinary call. Answers usually take milliseconds.
-pub const CALL: Duration = Duration::from_millis(900);
+/// Deadline of an ordinary call. Responses usually take milliseconds.
+pub const CALL_TIMEOUT: Duration = Duration::from_millis(900);
+/// Deadline of one page of a listing.
+const LIST_PAGE_TIMEOUT: Duration = Duration::from_millis(2500);
+/// A watch that returns at once may take this much longer than its hold time of zero.
+const CHANGES_PATIENCE: TimeSpan = TimeSpan(2000);
+/// Time allowed to establish a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(600);
+/// Keys on one page of a listing.
+const LIST_PAGE_SIZE: usize = 1000;
+/// Idle connections kept open between calls.
+const MAX_IDLE_CONNECTIONS: usize = 8;
+/// What `last_success_ms` holds before the first success.
+const NEVER_MS: i64 = -1_000_000;
 
-/// Connections kept open between calls.
-const KEPT_OPEN: usize = 8;
-
-/// The client.
-pub struct StateClient {
+/// The client. It notes when the store last served a request, whatever the response said.
+pub struct StateStoreClient {
     http: Client,
-    addr: String,
-    began: std::time::Instant,
-    last_ok_ms: AtomicI64,
+    address: String,
+    started: std::time::Instant,
+    /// Milliseconds from `started` to the last response that was no refusal.
+    last_success_ms: AtomicI64,
 }
 
-impl StateClient {
-    /// A client for the service at the address, with at most so many sockets.
-    pub fn new(addr: String, sockets: usize) -> Self {
-        StateClient {
-            http: Client::new(Duration::from_millis(600), sockets.min(KEPT_OPEN)),
-            addr,
-            began: std::time::Instant::now(),
-            last_ok_ms: AtomicI64::new(-1_000_000),
+impl StateStoreClient {
+    /// A client for the store at the address, with at most `max_sockets` idle connections.
+    pub fn new(address: String, max_sockets: usize) -> Self {
+        StateStoreClient {
+            http: Client::new(CONNECT_TIMEOUT, max_sockets.min(MAX_IDLE_CONNECTIONS)),
+            address,
+            started: std::time::Instant::now(),
+            last_success_ms: AtomicI64::new(NEVER_MS),
         }
     }
 
-    /// How long ago the service last served us.
-    pub fn since_ok(&self) -> Duration {
-        let now = self.began.elapsed().as_millis() as i64;
-        Duration::from_millis((now - self.last_ok_ms.load(Ordering::Relaxed)).max(0) as u64)
+    /// How long ago the store last served this controller.
+    pub fn time_since_success(&self) -> Duration {
+        let last_success_ms = self.last_success_ms.load(Ordering::Relaxed);
+        Duration::from_millis((self.elapsed_ms() - last_success_ms).max(0) as u64)
     }
 
-    async fn call(
-        &self,
-        method: Method,
-        path: &str,
-        body: Option<Vec<u8>>,
-        deadline: Duration,
-    ) -> Result<Answer, StateError> {
-        let read_only = method == Method::GET;
-        match self
-            .http
-            .send(method, &self.addr, path, body, deadline)
-            .await
-        {
-            Ok(a) if a.status == 503 => Err(StateError::Refused),
-            Ok(a) if a.status == 429 => {
-                tracing::info!(path, "the state service limits our rate");
-                Err(StateError::Limited)
-            }
-            Ok(a) => {
-                let now = self.began.elapsed().as_millis() as i64;
-                self.last_ok_ms.store(now, Ordering::Relaxed);
-                Ok(a)
-            }
-            Err(NoAnswer::NotSent) => Err(StateError::Refused),
-            Err(NoAnswer::Unclear) if read_only => Err(StateError::Refused),
-            Err(NoAnswer::Unclear) => Err(StateError::Unclear),
-        }
-    }
-
-    fn read<T: DeserializeOwned>(a: &Answer) -> Result<T, StateError> {
-        serde_json::from_slice(&a.body).map_err(|e| {
-            tracing::error!(status = a.status, error = %e, "an answer of the state service can't be read");
-            StateError::Unclear
-        })
-    }
-
-    /// One key; None if it is absent. Linearizable.
-    pub async fn get(&self, key: &str) -> Result<Option<KeyValue>, StateError> {
-        let a = self
-            .call(Method::GET, &format!("/store/{key}"), None, CALL)
-            .await?;
-        match a.status {
-            200 => Self::read(&a).map(Some),
+    /// Reads one key; None if it is absent. Linearizable.
+    pub async fn get(&self, key: &str) -> Result<Option<KeyValue>, StateStoreError> {
+        let path = format!("/store/{key}");
+        let response = self.call(Method::GET, &path, None, CALL_TIMEOUT).await?;
+        match response.status {
+            200 => parse_body(&response).map(Some),
             404 => Ok(None),
-            _ => Err(StateError::Refused),
+            _ => Err(StateStoreError::NotExecuted),
         }
     }
 
-    /// All keys with the prefix, and the epoch before which every change is included. Later
-    /// changes may be too: take changes from that epoch on, they are the same again.
-    pub async fn list(&self, prefix: &str) -> Result<(Vec<KeyValue>, StoreRevision), StateError> {
+    /// Lists all keys with the prefix, and the store revision up to which every change is included. Later
+    /// changes may be included too: a watch from that revision reports them again.
+    pub async fn list(
+        &self,
+        prefix: &str,
+    ) -> Result<(Vec<KeyValue>, StoreRevision), StateStoreError> {
         let mut items: Vec<KeyValue> = Vec::new();
-        let mut first = None;
+        let mut first_revision = None;
         loop {
             let since = items
                 .last()
-                .map_or(String::new(), |i| format!("&since={}", i.key));
-            let path = format!("/store?prefix={prefix}{since}&most=1000");
-            let a = self
-                .call(Method::GET, &path, None, Duration::from_millis(2500))
+                .map_or(String::new(), |item| format!("&since={}", item.key));
+            let path = format!("/store?prefix={prefix}{since}&most={LIST_PAGE_SIZE}");
+            let response = self
+                .call(Method::GET, &path, None, LIST_PAGE_TIMEOUT)
                 .await?;
-            if a.status != 200 {
-                return Err(StateError::Refused);
+            if response.status != 200 {
+                return Err(StateStoreError::NotExecuted);
             }
-            let page: KeyValuePage = Self::read(&a)?;
-            let store_revision = *first.get_or_insert(page.store_revision);
+            let page: KeyValuePage = parse_body(&response)?;
+            let store_revision = *first_revision.get_or_insert(page.store_revision);
             let more = page.more && !page.pairs.is_empty();
             items.extend(page.pairs);
             if !more {
@@ -141,86 +127,142 @@
         }
     }
 
-    /// All or nothing.
-    pub async fn transaction(&self, transaction: &Transaction) -> Result<TxnOutcome, StateError> {
-        let body = serde_json::to_vec(transaction).map_err(|_| StateError::Refused)?;
-        let a = self.call(Method::POST, "/multi", Some(body), CALL).await?;
-        match a.status {
-            200 => Ok(TxnOutcome::Applied(
-                Self::read::<AtRevision>(&a)?.store_revision,
-            )),
-            409 => {
-                let conflict: Option<Conflict> = serde_json::from_slice(&a.body).ok();
-                Ok(TxnOutcome::Conflict(
-                    conflict.map(|c| c.failed).unwrap_or_default(),
-                ))
+    /// Executes a transaction: all of its changes, if all preconditions hold, or none.
+    pub async fn transaction(
+        &self,
+        transaction: &Transaction,
+    ) -> Result<TransactionOutcome, StateStoreError> {
+        let body = serde_json::to_vec(transaction).map_err(|_| StateStoreError::NotExecuted)?;
+        let response = self
+            .call(Method::POST, "/multi", Some(body), CALL_TIMEOUT)
+            .await?;
+        match response.status {
+            200 => {
+                let applied: AtRevision = parse_body(&response)?;
+                Ok(TransactionOutcome::Applied(applied.store_revision))
             }
-            400 => {
-                let text = String::from_utf8_lossy(&a.body);
-                if text.contains("no such lease") {
-                    return Err(StateError::NoLease);
-                }
-                tracing::error!(answer = %text, "the state service calls a transaction malformed");
-                Err(StateError::Rejected)
+            409 => {
+                let conflict: Option<Conflict> = serde_json::from_slice(&response.body).ok();
+                let failed = conflict.map(|conflict| conflict.failed).unwrap_or_default();
+                Ok(TransactionOutcome::Conflict(failed))
             }
-            _ => Err(StateError::Unclear),
+            400 => Err(invalid_transaction(&response)),
+            _ => Err(StateStoreError::OutcomeUnknown),
         }
     }
 
-    /// A new lease.
-    pub async fn grant(&self, life_ms: u64) -> Result<LeaseId, StateError> {
-        let body = format!("{{\"lifeMs\":{life_ms}}}").into_bytes();
-        let a = self.call(Method::POST, "/grants", Some(body), CALL).await?;
-        if a.status != 200 {
-            return Err(StateError::Unclear);
+    /// Grants a lease that expires `ttl` after its last renewal.
+    pub async fn grant_lease(&self, ttl: TimeSpan) -> Result<LeaseId, StateStoreError> {
+        let body = format!("{{\"lifeMs\":{}}}", ttl.0).into_bytes();
+        let response = self
+            .call(Method::POST, "/grants", Some(body), CALL_TIMEOUT)
+            .await?;
+        if response.status != 200 {
+            return Err(StateStoreError::OutcomeUnknown);
         }
-        Ok(Self::read::<Granted>(&a)?.lease)
+        let granted: Granted = parse_body(&response)?;
+        Ok(granted.lease)
     }
 
     /// Renews a lease.
-    pub async fn touch(&self, lease: LeaseId, deadline: Duration) -> Result<(), StateError> {
+    pub async fn renew_lease(
+        &self,
+        lease: LeaseId,
+        deadline: Duration,
+    ) -> Result<(), StateStoreError> {
         let path = format!("/grants/{lease}/touch");
-        let a = self
-            .call(Method::POST, &path, Some(b"{}".to_vec()), deadline)
-            .await?;
-        match a.status {
+        let body = Some(b"{}".to_vec());
+        let response = self.call(Method::POST, &path, body, deadline).await?;
+        match response.status {
             200 => Ok(()),
-            404 => Err(StateError::NoLease),
-            _ => Err(StateError::Unclear),
+            404 => Err(StateStoreError::LeaseExpired),
+            _ => Err(StateStoreError::OutcomeUnknown),
         }
     }
 
-    /// Ends a lease.
-    pub async fn revoke(&self, lease: LeaseId) {
+    /// Revokes a lease; if that fails, the lease expires by itself.
+    pub async fn revoke_lease(&self, lease: LeaseId) {
         let path = format!("/grants/{lease}");
-        let _ = self.call(Method::DELETE, &path, None, CALL).await;
+        let _ = self.call(Method::DELETE, &path, None, CALL_TIMEOUT).await;
     }
 
-    /// Changes under the prefix after the epoch, as they stand now.
+    /// Returns the changes under the prefix after the revision, without waiting for any.
     pub async fn changes(
         &self,
         prefix: &str,
         since: StoreRevision,
-    ) -> Result<WatchResponse, StateError> {
-        let patience = TimeSpan(2000);
-        self.watch(prefix, since, TimeSpan::ZERO, patience).await
+    ) -> Result<WatchResponse, StateStoreError> {
+        self.watch(prefix, since, TimeSpan::ZERO, CHANGES_PATIENCE)
+            .await
     }
 
-    /// Waits for changes under the prefix after the epoch; the answer may take so much longer.
+    /// Waits up to `hold` for changes under the prefix after the revision; the response may take `patience`
+    /// longer.
     pub async fn watch(
         &self,
         prefix: &str,
         since: StoreRevision,
         hold: TimeSpan,
         patience: TimeSpan,
-    ) -> Result<WatchResponse, StateError> {
+    ) -> Result<WatchResponse, StateStoreError> {
         let path = format!("/watch?prefix={prefix}&since={since}&holdMs={}", hold.0);
         let deadline = Duration::from_millis((hold + patience).0 as u64);
-        let a = self.call(Method::GET, &path, None, deadline).await?;
-        match a.status {
-            200 => Self::read(&a),
-            410 => Err(StateError::TooOld),
-            _ => Err(StateError::Refused),
+        let response = self.call(Method::GET, &path, None, deadline).await?;
+        match response.status {
+            200 => parse_body(&response),
+            410 => Err(StateStoreError::RevisionCompacted),
+            _ => Err(StateStoreError::NotExecuted),
+        }
+    }
+
+    async fn call(
+        &self,
+        method: Method,
+        path: &str,
+        body: Option<Vec<u8>>,
+        deadline: Duration,
+    ) -> Result<Answer, StateStoreError> {
+        let read_only = method == Method::GET;
+        let response = self
+            .http
+            .send(method, &self.address, path, body, deadline)
+            .await;
+        match response {
+            Ok(response) if response.status == 503 => Err(StateStoreError::NotExecuted),
+            Ok(response) if response.status == 429 => {
+                tracing::info!(path, "state store rate limit exceeded");
+                Err(StateStoreError::RateLimited)
+            }
+            Ok(response) => {
+                self.last_success_ms
+                    .store(self.elapsed_ms(), Ordering::Relaxed);
+                Ok(response)
+            }
+            Err(NoAnswer::NotSent) => Err(StateStoreError::NotExecuted),
+            Err(NoAnswer::Unclear) if read_only => Err(StateStoreError::NotExecuted),
+            Err(NoAnswer::Unclear) => Err(StateStoreError::OutcomeUnknown),
         }
     }
+
+    fn elapsed_ms(&self) -> i64 {
+        self.started.elapsed().as_millis() as i64
+    }
+}
+
+/// Parses a response's body. One that can't be parsed leaves open what was executed.
+fn parse_body<T: DeserializeOwned>(response: &Answer) -> Result<T, StateStoreError> {
+    serde_json::from_slice(&response.body).map_err(|error| {
+        tracing::error!(status = response.status, %error, "unreadable state store response");
+        StateStoreError::OutcomeUnknown
+    })
+}
+
+/// Why the store refused a transaction as malformed.
+fn invalid_transaction(response: &Answer) -> StateStoreError {
+    let text = String::from_utf8_lossy(&response.body);
+    if text.contains("no such lease") {
+        return StateStoreError::LeaseExpired;
+    }
+    tracing::error!(response = %text, "state store refused a transaction as malformed");
+    StateStoreError::Invalid
 }
--- a/src/runtime/leader/activity.rs
+++ b/src/runtime/leader/activity.rs
@@ -8,54 +8,54 @@
 use std::sync::Mutex;
 
 /// Between two lines of the log.
-const LOG_EVERY: TimeSpan = TimeSpan(10_000);
+const LOG_INTERVAL: TimeSpan = TimeSpan(10_000);
 
-/// What has been counted since the last line.
+/// What has been counted since the last line of the log.
 #[derive(Debug, Default)]
 struct Counts {
     since: Instant,
-    answers: u32,
+    heartbeats: u32,
     launches: u32,
     stops: u32,
-    commands: u32,
+    pushes: u32,
     writes: u32,
     longest_step: TimeSpan,
     longest_lag: TimeSpan,
     oldest_view: TimeSpan,
 }
 
-/// The activity of one leadership.
+/// The activity of one leadership term.
 #[derive(Debug)]
 pub struct Activity {
     counts: Mutex<Counts>,
 }
 
 impl Activity {
-    /// Nothing counted yet.
+    /// Counters at zero, counting from `now`.
     pub fn new(now: Instant) -> Activity {
         Activity {
-            counts: Mutex::new(Counts::from(now)),
+            counts: Mutex::new(Counts::starting_at(now)),
         }
     }
 
-    /// A check-in was answered with these orders, on a view of the open jobs of that age.
-    pub fn answered(&self, commands: &[Command], view_age: TimeSpan) {
+    /// A heartbeat was answered with these commands, on a view of the open jobs of that age.
+    pub fn heartbeat_answered(&self, commands: &[Command], view_age: TimeSpan) {
         let mut counts = lock(&self.counts);
-        counts.answers += 1;
+        counts.heartbeats += 1;
         counts.oldest_view = counts.oldest_view.max(view_age);
-        counts.add_orders(commands);
+        counts.add_commands(commands);
     }
 
-    /// A step took so long, and began so much later than it was due.
-    pub fn stepped(&self, effects: &[Effect], took: TimeSpan, lag: TimeSpan) {
+    /// A step with these effects took `duration`, and began `lag` after it was due.
+    pub fn step_finished(&self, effects: &[Effect], duration: TimeSpan, lag: TimeSpan) {
         let mut counts = lock(&self.counts);
-        counts.longest_step = counts.longest_step.max(took);
+        counts.longest_step = counts.longest_step.max(duration);
         counts.longest_lag = counts.longest_lag.max(lag);
         for effect in effects {
             match effect {
                 Effect::Push { commands, .. } => {
-                    counts.commands += 1;
-                    counts.add_orders(commands);
+                    counts.pushes += 1;
+                    counts.add_commands(commands);
                 }
                 Effect::Write { .. } => counts.writes += 1,
                 _ => {}
@@ -63,44 +63,44 @@
         }
     }
 
-    /// Logs what has been counted, if it is time, and begins anew.
+    /// Logs the counters and resets them, if the interval has passed.
     pub fn log_if_due(&self, now: Instant) {
-        let due = now - lock(&self.counts).since >= LOG_EVERY;
+        let due = now - lock(&self.counts).since >= LOG_INTERVAL;
         if due {
             self.log(now);
         }
     }
 
-    /// Logs what has been counted, and begins anew.
+    /// Logs the counters and resets them.
     pub fn log(&self, now: Instant) {
         let mut counts = lock(&self.counts);
         tracing::info!(
-            for_ms = (now - counts.since).0,
-            answers = counts.answers,
+            period_ms = (now - counts.since).0,
+            heartbeats = counts.heartbeats,
             launches = counts.launches,
             stops = counts.stops,
-            commands = counts.commands,
+            pushes = counts.pushes,
             writes = counts.writes,
             longest_step_ms = counts.longest_step.0,
             longest_lag_ms = counts.longest_lag.0,
             oldest_view_ms = counts.oldest_view.0,
-            "activity"
+            "leader activity"
         );
-        *counts = Counts::from(now);
+        *counts = Counts::starting_at(now);
     }
 }
 
 impl Counts {
-    fn from(now: Instant) -> Counts {
+    fn starting_at(now: Instant) -> Counts {
         Counts {
             since: now,
             ..Counts::default()
         }
     }
 
-    fn add_orders(&mut self, commands: &[Command]) {
-        for order in commands {
-            match order {
+    fn add_commands(&mut self, commands: &[Command]) {
+        for command in commands {
+            match command {
                 Command::Launch { .. } => self.launches += 1,
                 Command::Stop { .. } => self.stops += 1,
                 Command::Clear { .. } => {}
--- a/src/runtime/leader/effects.rs
+++ b/src/runtime/leader/effects.rs
@@ -1,13 +1,16 @@
-//! Carrying out what the core decides.
+//! Carrying out what the scheduler decides: each effect becomes one or more requests, and their outcome an
+//! event.
+//!
+//! Nothing is decided here. A failure is reported as what is known of it: not executed, refused, or unknown.
 
 use crate::coordination::leadership::authority::Authority;
 use crate::coordination::{Effect, Event};
-use crate::ids::MachineId;
+use crate::ids::{JobId, MachineId};
 use crate::protocol::cloud::{RentRequest, ReturnRequest};
-use crate::protocol::state::KeyValue;
+use crate::protocol::state::{KeyValue, Transaction};
 use crate::protocol::workers::{CommandBatch, WorkerStatus};
-use crate::runtime::clients::cloud::{cloud, rent};
-use crate::runtime::clients::state_store::{StateError, TxnOutcome};
+use crate::runtime::clients::cloud::RentOutcome;
+use crate::runtime::clients::state_store::{StateStoreError, TransactionOutcome};
 use crate::runtime::Node;
 use crate::storage::records::terminal_key;
 use crate::time::TimeSpan;
@@ -16,54 +19,22 @@
 use rand::Rng;
 use std::time::Duration;
 
-/// The leader writes nothing for so long after the state service has refused a write for its rate, by
-/// chance: whoever else was refused comes again at another moment.
-const LIMITED_PAUSE_MS: std::ops::Range<i64> = 200..500;
-/// Between reads of finish marks: a takeover with many chains must not use up the service's rate.
-const BETWEEN_MARKS: Duration = Duration::from_millis(15);
+/// The leader writes nothing for so long after the state store has refused a write for its rate, chosen at
+/// random: whoever else was refused comes again at another moment.
+const RATE_LIMITED_PAUSE_MS: std::ops::Range<i64> = 200..500;
+/// Between reads of terminal records: a failover with many dependencies must not use up the store's rate.
+const TERMINAL_READ_SPACING: Duration = Duration::from_millis(15);
+/// Pause before a failed read is tried again, plus a random part up to the same again.
+const READ_RETRY_MS: u64 = 150;
+/// Deadline of a push.
+const PUSH_TIMEOUT: Duration = Duration::from_millis(2500);
 
-pub(in crate::runtime) async fn carry_out(
-    node: &Node,
-    authority: &Authority,
-    effect: Effect,
-) -> Option<Event> {
+/// Carries out an effect. The event says what came of it; None if the leader's authority has lapsed meanwhile.
+pub async fn carry_out(node: &Node, authority: &Authority, effect: Effect) -> Option<Event> {
     match effect {
-        Effect::Write { seq, transaction } => {
-            Some(match node.state.transaction(&transaction).await {
-                Ok(TxnOutcome::Applied(store_revision)) => Event::Written {
-                    seq,
-                    store_revision,
-                },
-                Ok(TxnOutcome::Conflict(failed)) => Event::WriteUnclear { seq, failed },
-                Err(StateError::Refused) => Event::NotWritten { seq },
-                Err(StateError::Limited) => {
-                    let ms = rand::rng().random_range(LIMITED_PAUSE_MS);
-                    let pause = TimeSpan(ms);
-                    Event::WriteLimited { seq, pause }
-                }
-                Err(StateError::Rejected) => Event::WriteRejected { seq },
-                Err(_) => Event::WriteUnclear {
-                    seq,
-                    failed: Vec::new(),
-                },
-            })
-        }
-        Effect::Reread { seq, keys } => {
-            let mut items = Vec::new();
-            for key in keys {
-                items.push((key.clone(), read_surely(node, authority, &key).await?));
-            }
-            Some(Event::Reread { seq, items })
-        }
-        Effect::ReadTerminalRecords { ids } => {
-            let mut terminal_records = Vec::new();
-            for id in ids {
-                let item = read_surely(node, authority, &terminal_key(&id)).await?;
-                terminal_records.push((id, item.and_then(|i| serde_json::from_value(i.data).ok())));
-                tokio::time::sleep(BETWEEN_MARKS).await;
-            }
-            Some(Event::TerminalRecordsRead { terminal_records })
-        }
+        Effect::Write { seq, transaction } => Some(write(node, seq, &transaction).await),
+        Effect::Reread { seq, keys } => reread(node, authority, seq, keys).await,
+        Effect::ReadTerminalRecords { ids } => read_terminal_records(node, authority, ids).await,
         Effect::Push {
             machine_id,
             endpoint,
@@ -72,12 +43,12 @@
             session,
             commands,
         } => {
-            let commands = CommandBatch {
+            let batch = CommandBatch {
                 token,
                 session,
                 commands,
             };
-            Some(direct(node, machine_id, &endpoint, seq, &commands).await)
+            Some(push(node, machine_id, &endpoint, seq, &batch).await)
         }
         Effect::ScaleOut {
             idempotency_key,
@@ -87,81 +58,150 @@
             count,
         } => {
             let request = RentRequest {
-                idempotency_key: idempotency_key.clone(),
+                idempotency_key,
                 machine_type,
                 zone,
                 spot,
                 count,
             };
-            Some(rent(node, idempotency_key, &request).await)
-        }
-        Effect::ScaleIn { machine_ids } => {
-            let request = ReturnRequest {
-                machine_ids: machine_ids.clone(),
-            };
-            let body = serde_json::to_vec(&request).ok()?;
-            Some(
-                match cloud(node, Method::POST, "/rentals/return", Some(body)).await {
-                    Ok((200, _)) => Event::MachinesTerminated { machine_ids },
-                    _ => Event::ScaleInFailed { machine_ids },
-                },
-            )
+            Some(scale_out(node, request).await)
         }
+        Effect::ScaleIn { machine_ids } => scale_in(node, machine_ids).await,
         Effect::StepDown { .. } => None,
     }
 }
 
-/// Reads a key, again and again while we lead.
-async fn read_surely(node: &Node, authority: &Authority, key: &str) -> Option<Option<KeyValue>> {
+async fn write(node: &Node, seq: u64, transaction: &Transaction) -> Event {
+    match node.state_store.transaction(transaction).await {
+        Ok(TransactionOutcome::Applied(store_revision)) => Event::Written {
+            seq,
+            store_revision,
+        },
+        Ok(TransactionOutcome::Conflict(failed)) => Event::WriteUnclear { seq, failed },
+        Err(StateStoreError::NotExecuted) => Event::NotWritten { seq },
+        Err(StateStoreError::RateLimited) => {
+            let pause_ms = rand::rng().random_range(RATE_LIMITED_PAUSE_MS);
+            Event::WriteLimited {
+                seq,
+                pause: TimeSpan(pause_ms),
+            }
+        }
+        Err(StateStoreError::Invalid) => Event::WriteRejected { seq },
+        Err(
+            StateStoreError::OutcomeUnknown
+            | StateStoreError::RevisionCompacted
+            | StateStoreError::LeaseExpired,
+        ) => Event::WriteUnclear {
+            seq,
+            failed: Vec::new(),
+        },
+    }
+}
+
+async fn reread(node: &Node, authority: &Authority, seq: u64, keys: Vec<String>) -> Option<Event> {
+    let mut items = Vec::new();
+    for key in keys {
+        let item = read_until_served(node, authority, &key).await?;
+        items.push((key, item));
+    }
+    Some(Event::Reread { seq, items })
+}
+
+async fn read_terminal_records(
+    node: &Node,
+    authority: &Authority,
+    ids: Vec<JobId>,
+) -> Option<Event> {
+    let mut terminal_records = Vec::new();
+    for id in ids {
+        let item = read_until_served(node, authority, &terminal_key(&id)).await?;
+        let record = item.and_then(|item| serde_json::from_value(item.data).ok());
+        terminal_records.push((id, record));
+        tokio::time::sleep(TERMINAL_READ_SPACING).await;
+    }
+    Some(Event::TerminalRecordsRead { terminal_records })
+}
+
+/// Reads a key, again and again until the state store serves the read; None if the authority lapses first.
+async fn read_until_served(
+    node: &Node,
+    authority: &Authority,
+    key: &str,
+) -> Option<Option<KeyValue>> {
     loop {
-        match node.state.get(key).await {
+        match node.state_store.get(key).await {
             Ok(item) => return Some(item),
             Err(_) if !authority.holds(node.now()) => return None,
             Err(_) => {
-                let ms = 150 + rand::rng().random_range(0..150);
-                tokio::time::sleep(Duration::from_millis(ms)).await;
+                let jitter_ms = rand::rng().random_range(0..READ_RETRY_MS);
+                tokio::time::sleep(Duration::from_millis(READ_RETRY_MS + jitter_ms)).await;
             }
         }
     }
 }
 
-async fn direct(
+async fn push(
     node: &Node,
     machine_id: MachineId,
     endpoint: &str,
     seq: u64,
-    commands: &CommandBatch,
+    batch: &CommandBatch,
 ) -> Event {
-    let body = serde_json::to_vec(commands).unwrap_or_default();
-    let deadline = Duration::from_millis(2500);
-    let sent = node
+    let body = serde_json::to_vec(batch).unwrap_or_default();
+    let response = node
         .workers
-        .send(Method::POST, endpoint, "/commands", Some(body), deadline)
+        .send(
+            Method::POST,
+            endpoint,
+            "/commands",
+            Some(body),
+            PUSH_TIMEOUT,
+        )
         .await;
-    match sent {
-        Ok(a) if a.status == 200 || a.status == 409 => {
-            match serde_json::from_slice::<WorkerStatus>(&a.body) {
-                Ok(report) => Event::PushAnswered {
-                    machine_id,
-                    seq,
-                    status: Box::new(report),
-                },
-                Err(_) => Event::PushFailed {
-                    machine_id,
-                    seq,
-                    sent: true,
-                },
-            }
+    // 200: the commands were carried out; 409: they were not. Both come with the worker's status.
+    let status = match &response {
+        Ok(response) if matches!(response.status, 200 | 409) => {
+            serde_json::from_slice::<WorkerStatus>(&response.body).ok()
         }
-        Ok(_) => Event::PushFailed {
+        _ => None,
+    };
+    match status {
+        Some(status) => Event::PushAnswered {
             machine_id,
             seq,
-            sent: true,
+            status: Box::new(status),
         },
-        Err(e) => Event::PushFailed {
+        None => Event::PushFailed {
             machine_id,
             seq,
-            sent: e != NoAnswer::NotSent,
+            sent: !matches!(response, Err(NoAnswer::NotSent)),
+        },
+    }
+}
+
+async fn scale_out(node: &Node, request: RentRequest) -> Event {
+    let outcome = node.cloud.rent(&request).await;
+    let idempotency_key = request.idempotency_key;
+    match outcome {
+        RentOutcome::Rented(machine_ids) => Event::ScaleOutAnswered {
+            idempotency_key,
+            machine_ids: Some(machine_ids),
+        },
+        RentOutcome::NoCapacity => Event::ScaleOutAnswered {
+            idempotency_key,
+            machine_ids: None,
         },
+        RentOutcome::Unknown => Event::ScaleOutUnclear { idempotency_key },
     }
 }
+
+async fn scale_in(node: &Node, machine_ids: Vec<MachineId>) -> Option<Event> {
+    let request = ReturnRequest { machine_ids };
+    let terminated = node.cloud.return_machines(&request).await.ok()?;
+    let machine_ids = request.machine_ids;
+    Some(if terminated {
+        Event::MachinesTerminated { machine_ids }
+    } else {
+        Event::ScaleInFailed { machine_ids }
+    })
+}
--- a/src/runtime/leader/election.rs
+++ b/src/runtime/leader/election.rs
@@ -1,103 +1,87 @@
-//! Campaigning for the leadership: the leader key is taken when it is free, or was our predecessor's on this
-//! host.
+//! Election: the leader key is taken when it is free, or when it is that of our own predecessor on this host.
 
 use crate::coordination::leadership::authority::{Authority, LeadershipTerm};
 use crate::ids::{FencingToken, KeyRevision, LeaseId};
-use crate::protocol::state::{Change, Precondition, Transaction};
-use crate::runtime::clients::state_store::{StateError, TxnOutcome};
-use crate::runtime::leader::{lead, STAND_BACK};
-use crate::runtime::{lock, Node};
+use crate::protocol::state::{Change, KeyValue, Precondition, Transaction};
+use crate::runtime::clients::state_store::{StateStoreError, TransactionOutcome};
+use crate::runtime::Node;
 use crate::storage::records::{LeaderRecord, FENCING_TOKEN_KEY, LEADER_KEY};
-use crate::time::{Instant, TimeSpan};
-use rand::Rng;
 use std::sync::Arc;
-use std::time::Duration;
 
-/// A controller that handed over campaigns after so long all the same if nobody else has taken the lead.
-const NOBODY_ELSE: TimeSpan = TimeSpan(4_000);
+/// An election won: the leader key is ours.
+pub struct ElectionWon {
+    /// What this leader holds in the state store.
+    pub term: LeadershipTerm,
+    /// Its right to act.
+    pub authority: Arc<Authority>,
+}
 
-/// Campaigns, leads, and campaigns again, until stopped.
-pub async fn campaign(node: Arc<Node>) {
-    while !node.stop.is_cancelled() {
-        let asked = node.now();
-        match node.state.get(LEADER_KEY).await {
-            Ok(item) => {
-                let held = item.as_ref().and_then(|i| {
-                    serde_json::from_value::<LeaderRecord>(i.data.clone())
-                        .ok()
-                        .map(|r| r.host_name)
-                });
-                let mine = held.as_deref() == Some(&node.settings.platform.host_name);
-                *lock(&node.leader.other) = held.filter(|_| !mine).map(|name| (name, asked));
-                // A leader key with our own name is that of our predecessor on this host, whose
-                // process has ended: there is no need to wait for its lease.
-                let now = node.now();
-                let back = (*lock(&node.leader.stand_back)).filter(|until| now < *until);
-                let wait = back
-                    .is_some_and(|until| item.is_none() && until - now > STAND_BACK - NOBODY_ELSE);
-                if (item.is_none() || mine) && !wait {
-                    let revision = item.map(|i| i.revision).unwrap_or_default();
-                    if let Some(won) = take_lead(&node, revision).await {
-                        *lock(&node.leader.other) = None;
-                        lead(&node, won).await;
-                        continue;
-                    }
-                }
-            }
-            Err(_) => *lock(&node.leader.other) = None,
-        }
-        let pause = Duration::from_millis(500 + rand::rng().random_range(0..300));
-        tokio::select! {
-            _ = node.stop.cancelled() => {}
-            _ = tokio::time::sleep(pause) => {}
-        }
+/// Reads who leads, and tries to win the election if nobody else does.
+pub async fn campaign(node: &Node) -> Option<ElectionWon> {
+    let asked_at = node.now();
+    let Ok(leader_key) = node.state_store.get(LEADER_KEY).await else {
+        node.leadership.set_other_leader(None);
+        return None;
+    };
+    let leader = leader_key.as_ref().and_then(leader_name);
+    // A leader key with our own name is that of our predecessor on this host, whose process has ended:
+    // there is no need to wait for its lease.
+    let is_predecessor = leader.as_deref() == Some(&node.settings.platform.host_name);
+    let other = leader.filter(|_| !is_predecessor);
+    node.leadership
+        .set_other_leader(other.map(|name| (name, asked_at)));
+    let vacant = leader_key.is_none();
+    if !(vacant || is_predecessor) || node.leadership.must_stand_back(node.now(), vacant) {
+        return None;
     }
+    let revision = leader_key.map(|item| item.revision).unwrap_or_default();
+    let won = try_to_win(node, revision).await?;
+    node.leadership.set_other_leader(None);
+    Some(won)
 }
 
-/// The leader key is ours.
-pub(in crate::runtime) struct Won {
-    pub lead: LeadershipTerm,
-    pub authority: Arc<Authority>,
+fn leader_name(item: &KeyValue) -> Option<String> {
+    let record = serde_json::from_value::<LeaderRecord>(item.data.clone());
+    Some(record.ok()?.host_name)
 }
 
-/// Tries to take the leader key, raising the durable token in the same transaction.
-async fn take_lead(node: &Node, lead_stamp: KeyRevision) -> Option<Won> {
-    let life = node.settings.leader.life;
-    let sent = node.now();
-    let lease = node.state.grant(life.0 as u64).await.ok()?;
-    let won = take_with(node, lead_stamp, lease, sent).await;
-    if won.is_none() {
+/// Tries to take the leader key at this revision, raising the durable fencing token in the same transaction.
+async fn try_to_win(node: &Node, leader_key_revision: KeyRevision) -> Option<ElectionWon> {
+    let lease_sent_at = node.now();
+    let lease_ttl = node.settings.leader.life;
+    let lease = node.state_store.grant_lease(lease_ttl).await.ok()?;
+    let term = take_leader_key(node, leader_key_revision, lease).await;
+    let Some(term) = term else {
         // A late copy of our transaction can't take the key for a lease that has ended.
-        node.state.revoke(lease).await;
-    }
-    won
+        node.state_store.revoke_lease(lease).await;
+        return None;
+    };
+    let authority = Authority::new(node.settings.leader, lease_sent_at);
+    Some(ElectionWon {
+        term,
+        authority: Arc::new(authority),
+    })
 }
 
-async fn take_with(
+async fn take_leader_key(
     node: &Node,
-    lead_stamp: KeyRevision,
+    leader_key_revision: KeyRevision,
     lease: LeaseId,
-    sent: Instant,
-) -> Option<Won> {
-    let old = node.state.get(FENCING_TOKEN_KEY).await.ok()?;
-    let (last, token_stamp) = match old {
-        Some(i) => (i.data.as_u64()?, i.revision),
-        None => (0, KeyRevision(0)),
-    };
-    let token = FencingToken(last + 1);
+) -> Option<LeadershipTerm> {
+    let (last_token, token_revision) = read_fencing_token(node).await?;
     let record = LeaderRecord {
         host_name: node.settings.platform.host_name.clone(),
-        token,
+        token: FencingToken(last_token.0 + 1),
     };
     let transaction = Transaction {
         preconditions: vec![
             Precondition {
                 key: LEADER_KEY.into(),
-                revision: lead_stamp,
+                revision: leader_key_revision,
             },
             Precondition {
                 key: FENCING_TOKEN_KEY.into(),
-                revision: token_stamp,
+                revision: token_revision,
             },
         ],
         changes: vec![
@@ -106,34 +90,37 @@
                 data: serde_json::to_value(&record).ok()?,
                 lease: Some(lease),
             },
-            Change::put(FENCING_TOKEN_KEY.into(), token.0.into()),
+            Change::put(FENCING_TOKEN_KEY.into(), record.token.0.into()),
         ],
     };
-    let (revision, token_stamp) = match node.state.transaction(&transaction).await {
-        Ok(TxnOutcome::Applied(store_revision)) => {
-            (KeyRevision(store_revision.0), KeyRevision(store_revision.0))
-        }
-        Err(StateError::Unclear) => {
-            // Only what is read settles it: the key carries our lease and this token, or not.
-            let item = node.state.get(LEADER_KEY).await.ok()??;
-            let record: LeaderRecord = serde_json::from_value(item.data).ok()?;
-            if item.lease != Some(lease) || record.token != token {
-                return None;
-            }
-            // Both keys were written by the same transaction.
-            (item.revision, item.revision)
-        }
+    let revision = match node.state_store.transaction(&transaction).await {
+        Ok(TransactionOutcome::Applied(store_revision)) => KeyRevision(store_revision.0),
+        Err(StateStoreError::OutcomeUnknown) => revision_if_ours(node, lease, record.token).await?,
         _ => return None,
     };
-    Some(Won {
-        lead: LeadershipTerm {
-            token,
-            first: token,
-            revision,
-            token_stamp,
-            lease,
-            host_name: record.host_name,
-        },
-        authority: Arc::new(Authority::new(node.settings.leader, sent)),
+    Some(LeadershipTerm {
+        token: record.token,
+        first: record.token,
+        // Both keys were written by the same transaction.
+        revision,
+        token_stamp: revision,
+        lease,
+        host_name: record.host_name,
     })
 }
+
+/// The last fencing token handed out, and the revision of its key.
+async fn read_fencing_token(node: &Node) -> Option<(FencingToken, KeyRevision)> {
+    match node.state_store.get(FENCING_TOKEN_KEY).await.ok()? {
+        Some(item) => Some((FencingToken(item.data.as_u64()?), item.revision)),
+        None => Some((FencingToken(0), KeyRevision(0))),
+    }
+}
+
+/// Settles a transaction whose outcome is unknown by what is read: the leader key carries our lease and token,
+/// or it is not ours.
+async fn revision_if_ours(node: &Node, lease: LeaseId, token: FencingToken) -> Option<KeyRevision> {
+    let item = node.state_store.get(LEADER_KEY).await.ok()??;
+    let record: LeaderRecord = serde_json::from_value(item.data).ok()?;
+    (item.lease == Some(lease) && record.token == token).then_some(item.revision)
+}
--- a/src/runtime/leader/job_watch.rs
+++ b/src/runtime/leader/job_watch.rs
@@ -1,60 +1,66 @@
-//! What a leader reads of the jobs: everything as it takes over, and then what changes.
+//! What a leader reads of the jobs: everything at failover, and then what changes.
 
-use crate::coordination::leadership::authority::Authority;
+use super::term::Term;
 use crate::coordination::leadership::recovery::RecoveredState;
 use crate::coordination::Event;
 use crate::ids::{JobId, KeyRevision, StoreRevision};
-use crate::protocol::state::{KeyValue, WatchResponse};
+use crate::protocol::state::{KeyValue, WatchEvent, WatchResponse};
 use crate::runtime::clients::dependency_pages;
-use crate::runtime::clients::state_store::StateError;
-use crate::runtime::{lock, time_of_day_ms, Node};
+use crate::runtime::clients::state_store::StateStoreError;
+use crate::runtime::{time_of_day_ms, Node};
 use crate::storage::records::{
     OpenJobRecord, HINTS_KEY, INTENT_PAGE_PREFIX, MACHINE_PAGE_PREFIX, OPEN_JOB_PREFIX,
     PROGRESS_PREFIX,
 };
 use crate::time::{Instant, TimeSpan};
-use std::sync::Arc;
 use std::time::Duration;
-use tokio_util::sync::CancellationToken;
 
-/// Reads everything a new leader needs. All reads come after the leader key was written, so no
-/// former leader can add an intent that we miss: its writes are guarded by the old key.
-pub(in crate::runtime) async fn inherit(node: &Node) -> Option<(RecoveredState, StoreRevision)> {
-    let state = &node.state;
+/// Pause after a watch response: changes come in bunches, and a short pause spares requests.
+const WATCH_PAUSE: Duration = Duration::from_millis(100);
+/// Pause after a failed watch.
+const WATCH_RETRY_PAUSE: Duration = Duration::from_millis(300);
+/// Jobs count as submitted at most this long ago, whatever their records say.
+const MAX_JOB_AGE_MS: u64 = 1 << 50;
+
+/// An open job record, its revision, and when the job was submitted.
+type OpenJobEntry = (OpenJobRecord, KeyRevision, Instant);
+
+/// Reads everything a new leader needs. All reads come after the leader key was written, so no former leader
+/// can add an intent that we miss: its writes have the old key as a precondition. None if any read fails.
+pub async fn read_recovered_state(node: &Node) -> Option<(RecoveredState, StoreRevision)> {
+    let store = &node.state_store;
     let ((open, store_revision), (progress, _), (machine_pages, _), (intents, _), hints) =
         tokio::try_join!(
-            state.list(OPEN_JOB_PREFIX),
-            state.list(PROGRESS_PREFIX),
-            state.list(MACHINE_PAGE_PREFIX),
-            state.list(INTENT_PAGE_PREFIX),
-            state.get(HINTS_KEY),
+            store.list(OPEN_JOB_PREFIX),
+            store.list(PROGRESS_PREFIX),
+            store.list(MACHINE_PAGE_PREFIX),
+            store.list(INTENT_PAGE_PREFIX),
+            store.get(HINTS_KEY),
         )
         .ok()?;
-    let open = read_open(node, open).await.ok()?;
-    let found = RecoveredState {
-        open,
+    let recovered = RecoveredState {
+        open: read_open_jobs(node, open).await.ok()?,
         progress,
         intents,
         machine_pages,
-        machine_types: lock(&node.machine_types).clone(),
+        machine_types: node.catalog.machine_types(),
         hints,
         day_ms: time_of_day_ms().saturating_sub(node.now().0.max(0) as u64),
     };
-    Some((found, store_revision))
+    Some((recovered, store_revision))
 }
 
-async fn read_open(
+async fn read_open_jobs(
     node: &Node,
     items: Vec<KeyValue>,
-) -> Result<Vec<(OpenJobRecord, KeyRevision, Instant)>, StateError> {
+) -> Result<Vec<OpenJobEntry>, StateStoreError> {
     let mut jobs = Vec::new();
     for item in items {
-        let record = serde_json::from_value::<OpenJobRecord>(item.data);
-        let Ok(mut record) = record else {
-            tracing::error!(key = %item.key, "an open job can't be read");
+        let Ok(mut record) = serde_json::from_value::<OpenJobRecord>(item.data) else {
+            tracing::error!(key = %item.key, "unreadable open job record");
             continue;
         };
-        if dependency_pages::is_complete(node, &mut record).await? {
+        if dependency_pages::read_pages(&node.state_store, &mut record).await? {
             let submitted = submitted_at(node, &record);
             jobs.push((record, item.revision, submitted));
         }
@@ -62,92 +68,123 @@
     Ok(jobs)
 }
 
-/// Hands the leader what has changed. If that fails halfway, the same changes are to be asked for again:
-/// each may come twice.
-async fn take_in(node: &Node, page: &WatchResponse) -> Result<(), StateError> {
-    for events in &page.events {
-        if let Some(key) = &events.put {
-            let Ok(mut record) = serde_json::from_value::<OpenJobRecord>(events.data.clone())
-            else {
-                tracing::error!(key, "an open job can't be read");
-                continue;
-            };
-            if !dependency_pages::is_complete(node, &mut record).await? {
-                continue;
-            }
-            let opened = Event::JobOpened {
-                submitted: submitted_at(node, &record),
-                record: Box::new(record),
-                revision: events.revision,
-            };
-            node.leader.event(node.now(), opened);
-        } else if let Some(id) = events
-            .delete
-            .as_deref()
-            .and_then(|k| k.strip_prefix(OPEN_JOB_PREFIX))
-        {
-            let id = JobId::from(id);
-            node.leader.event(node.now(), Event::JobClosed { id });
-        }
-    }
-    Ok(())
-}
-
 fn submitted_at(node: &Node, record: &OpenJobRecord) -> Instant {
-    let age = time_of_day_ms().saturating_sub(record.at_ms);
-    node.now() - TimeSpan(age.min(1 << 50) as i64)
+    let age_ms = time_of_day_ms().saturating_sub(record.at_ms);
+    node.now() - TimeSpan(age_ms.min(MAX_JOB_AGE_MS) as i64)
 }
 
-/// Follows open jobs, from the epoch of the list that was read. Each answer says what had happened by
-/// the time it was asked for: the leader's authority doesn't outlast that by more than the staleness
-/// allowed.
-pub(in crate::runtime) async fn watch_jobs(
-    node: Arc<Node>,
-    authority: Arc<Authority>,
-    mut since: StoreRevision,
-    end: CancellationToken,
-) {
+/// Watches the open jobs from the revision of the list that was read, until the term ends. Each response says
+/// what had happened by the time it was asked for: the leader's authority doesn't outlast that by more than the
+/// staleness allowed.
+pub async fn run(term: Term, mut since: StoreRevision) {
+    let node = &term.node;
     let hold = node.settings.leader.watch_hold;
     let patience = node.settings.leader.watch_patience;
-    while !end.is_cancelled() {
-        let asked = node.now();
-        let events = tokio::select! {
-            _ = end.cancelled() => return,
-            n = node.state.watch(OPEN_JOB_PREFIX, since, hold, patience) => n,
+    while !term.end.is_cancelled() {
+        let asked_at = node.now();
+        let response = tokio::select! {
+            _ = term.end.cancelled() => return,
+            response = node.state_store.watch(OPEN_JOB_PREFIX, since, hold, patience) => response,
         };
-        let taken = match events {
-            Ok(page) => take_in(&node, &page).await.map(|()| page),
-            Err(e) => Err(e),
-        };
-        match taken {
+        match take_in(node, response).await {
             Ok(page) => {
-                let (age_ms, changes) = ((node.now() - asked).0, page.events.len());
-                tracing::debug!(since = %since, store_revision = %page.store_revision, age_ms, changes, "open jobs followed");
+                log_watch_response(node, since, &page, asked_at);
                 since = page.store_revision;
-                authority.knows(asked);
-                // Changes come in bunches: a short pause spares requests.
-                tokio::time::sleep(Duration::from_millis(100)).await;
+                term.authority.knows(asked_at);
+                tokio::time::sleep(WATCH_PAUSE).await;
             }
-            Err(e) => {
-                // A gap: read the whole list again rather than guess what was missed.
-                tokio::time::sleep(Duration::from_millis(300)).await;
-                if e == StateError::TooOld || e == StateError::Unclear {
-                    let asked = node.now();
-                    let listed = match node.state.list(OPEN_JOB_PREFIX).await {
-                        Ok((items, store_revision)) => {
-                            read_open(&node, items).await.map(|j| (j, store_revision))
-                        }
-                        Err(e) => Err(e),
-                    };
-                    if let Ok((jobs, store_revision)) = listed {
-                        let age_ms = (node.now() - asked).0;
-                        tracing::info!(reason = ?e, since = %since, store_revision = %store_revision, age_ms, jobs = jobs.len(), "open jobs listed again after a gap");
-                        node.leader.event(node.now(), Event::OpenJobs { jobs });
-                        since = store_revision;
-                        authority.knows(asked);
-                    }
+            Err(error) => {
+                tokio::time::sleep(WATCH_RETRY_PAUSE).await;
+                if is_gap(error) {
+                    since = list_again(&term, since, error).await.unwrap_or(since);
                 }
             }
         }
     }
 }
+
+fn log_watch_response(node: &Node, since: StoreRevision, page: &WatchResponse, asked_at: Instant) {
+    tracing::debug!(
+        %since,
+        store_revision = %page.store_revision,
+        age_ms = (node.now() - asked_at).0,
+        changes = page.events.len(),
+        "open job changes received"
+    );
+}
+
+/// Hands the scheduler what has changed. If that fails halfway, the same changes are read again: each may come
+/// twice.
+async fn take_in(
+    node: &Node,
+    response: Result<WatchResponse, StateStoreError>,
+) -> Result<WatchResponse, StateStoreError> {
+    let page = response?;
+    for change in &page.events {
+        if let Some(key) = &change.put {
+            take_in_open_job(node, key, change).await?;
+        } else if let Some(id) = change
+            .delete
+            .as_deref()
+            .and_then(|key| key.strip_prefix(OPEN_JOB_PREFIX))
+        {
+            let id = JobId::from(id);
+            let closed = Event::JobClosed { id };
+            node.leadership.handle_event(node.now(), closed);
+        }
+    }
+    Ok(page)
+}
+
+async fn take_in_open_job(
+    node: &Node,
+    key: &str,
+    change: &WatchEvent,
+) -> Result<(), StateStoreError> {
+    let Ok(mut record) = serde_json::from_value::<OpenJobRecord>(change.data.clone()) else {
+        tracing::error!(key, "unreadable open job record");
+        return Ok(());
+    };
+    if dependency_pages::read_pages(&node.state_store, &mut record).await? {
+        let opened = Event::JobOpened {
+            submitted: submitted_at(node, &record),
+            record: Box::new(record),
+            revision: change.revision,
+        };
+        node.leadership.handle_event(node.now(), opened);
+    }
+    Ok(())
+}
+
+/// Whether changes may have been missed for good.
+fn is_gap(error: StateStoreError) -> bool {
+    matches!(
+        error,
+        StateStoreError::RevisionCompacted | StateStoreError::OutcomeUnknown
+    )
+}
+
+/// Reads the whole list again rather than guess what was missed; the revision from which the watch goes on, or
+/// None if the list can't be read.
+async fn list_again(
+    term: &Term,
+    since: StoreRevision,
+    reason: StateStoreError,
+) -> Option<StoreRevision> {
+    let node = &term.node;
+    let asked_at = node.now();
+    let (items, store_revision) = node.state_store.list(OPEN_JOB_PREFIX).await.ok()?;
+    let jobs = read_open_jobs(node, items).await.ok()?;
+    tracing::info!(
+        ?reason,
+        %since,
+        %store_revision,
+        age_ms = (node.now() - asked_at).0,
+        jobs = jobs.len(),
+        "open jobs listed again"
+    );
+    let listed = Event::OpenJobs { jobs };
+    node.leadership.handle_event(node.now(), listed);
+    term.authority.knows(asked_at);
+    Some(store_revision)
+}
--- /dev/null
+++ b/src/runtime/leader/lease_renewal.rs
@@ -0,0 +1,49 @@
+//! Renewing the leader's lease until the authority is lost.
+
+use super::term::Term;
+use crate::ids::LeaseId;
+use crate::runtime::clients::state_store::StateStoreError;
+use std::time::Duration;
+use tokio::task::JoinSet;
+
+/// Renewals in the time that the lease lasts, and so many at most under way.
+const RENEWALS_PER_LEASE: u64 = 5;
+
+/// Renews the lease until the authority is lost. A renewal doesn't wait for the response to the one before.
+///
+/// Guards against a leader that ends a moment after a failover: a thousand workers sent heartbeats at once,
+/// responses waited in the sockets for longer than an ordinary call may take, and every renewal was given up
+/// though it had been answered. Each is good from when it was sent, however late its response is read.
+pub async fn renew(term: Term, lease: LeaseId) {
+    let lease_ttl_ms = term.node.settings.leader.life.0 as u64;
+    let interval = Duration::from_millis(lease_ttl_ms / RENEWALS_PER_LEASE);
+    let deadline = Duration::from_millis(lease_ttl_ms);
+    let mut renewals = JoinSet::new();
+    loop {
+        tokio::select! {
+            _ = term.end.cancelled() => return,
+            _ = tokio::time::sleep(interval) => {}
+        }
+        while renewals.try_join_next().is_some() {}
+        let now = term.node.now();
+        if !term.authority.holds(now) {
+            term.end_lapsed(now);
+            return;
+        }
+        if renewals.len() < RENEWALS_PER_LEASE as usize {
+            renewals.spawn(renew_once(term.clone(), lease, deadline));
+        }
+    }
+}
+
+async fn renew_once(term: Term, lease: LeaseId, deadline: Duration) {
+    let sent_at = term.node.now();
+    match term.node.state_store.renew_lease(lease, deadline).await {
+        Ok(()) => term.authority.renewed(sent_at),
+        Err(StateStoreError::LeaseExpired) => {
+            tracing::info!("lease expired");
+            term.authority.resign();
+        }
+        Err(_) => {}
+    }
+}
--- a/src/runtime/mod.rs
+++ b/src/runtime/mod.rs
@@ -1,87 +1,40 @@
-//! The long-lived tasks of one controller: all I/O around the decision core.
+//! All I/O of one controller, around the deterministic scheduler in [`crate::coordination`].
+//!
+//! - `api`: HTTP for users, workers and health checks; the responses to other controllers;
+//! - `leader`: election, the lease, the step loop and carrying out effects;
+//! - `clients`: the state store, the cloud, the peers, and what a controller knows through them;
+//! - `node`: what the tasks of one controller share, and its locks.
+//!
+//! `api` uses `leader` and `clients`; `leader` uses `clients`. Nothing here decides what runs where.
 
 mod api;
 mod clients;
 mod leader;
+mod node;
 
-use crate::coordination::Policy;
-use crate::ids::JobId;
-use crate::protocol::cloud::MachineTypeInfo;
 use crate::settings::Settings;
-use crate::time::{Instant, TimeSpan};
-use crate::transport::client::Client;
-use crate::transport::peer::PeerClient;
-use crate::transport::sockets::Sockets;
-use api::{peers, routes, users};
-use clients::state_store::StateClient;
-use clients::{machine_types, open_jobs};
-use leader::{election, LeaderCell};
-use std::collections::BTreeMap;
-use std::sync::atomic::{AtomicI64, Ordering};
-use std::sync::{Arc, Mutex, MutexGuard};
-use std::time::{Duration, SystemTime, UNIX_EPOCH};
+use node::{lock, time_of_day_ms, Node, STATE_STORE_FRESH};
+use std::net::SocketAddr;
+use std::sync::Arc;
+use tokio::net::TcpListener;
+use tokio::task::JoinHandle;
 use tokio_util::sync::CancellationToken;
 
-/// What the tasks of one controller share.
-pub struct Node {
-    pub settings: Settings,
-    pub policy: Arc<Policy>,
-    pub state: StateClient,
-    pub cloud: Client,
-    pub workers: Client,
-    pub siblings: Vec<PeerClient>,
-    /// What each sibling last said of itself, and when.
-    pub heard: Mutex<Vec<Option<peers::Heard>>>,
-    pub leader: LeaderCell,
-    pub machine_types: Mutex<Vec<MachineTypeInfo>>,
-    /// Task counts as the leader last told, for display.
-    pub counts: Mutex<BTreeMap<JobId, (u32, u32)>>,
-    pub copy: open_jobs::OpenCopy,
-    pub cancel_news: peers::CancelNews,
-    pub finals: Mutex<users::FinalCache>,
-    pub user_slots: tokio::sync::Semaphore,
-    pub sockets: Sockets,
-    pub stop: CancellationToken,
-    /// When a worker last reported here, whatever it was answered; negative: never.
-    pub last_check_in: AtomicI64,
-    began: std::time::Instant,
-}
-
-impl Node {
-    /// The steady clock, in milliseconds since the process began.
-    pub fn now(&self) -> Instant {
-        Instant(self.began.elapsed().as_millis() as i64)
-    }
-
-    /// How long ago a worker last reported here.
-    pub fn workers_heard(&self) -> Option<TimeSpan> {
-        let at = self.last_check_in.load(Ordering::Relaxed);
-        (at >= 0).then(|| self.now() - Instant(at))
-    }
-}
-
-/// Time of day, in milliseconds; for deadlines only.
-pub fn time_of_day_ms() -> u64 {
-    SystemTime::now()
-        .duration_since(UNIX_EPOCH)
-        .map_or(0, |d| d.as_millis() as u64)
-}
-
-/// A lock whose data stays usable whatever happened to an earlier holder.
-pub fn lock<T>(m: &Mutex<T>) -> MutexGuard<'_, T> {
-    m.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
-}
-
 /// Why a controller can't start.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    #[error("the runtime cannot be built: {0}")]
+    /// The asynchronous runtime can't be built.
+    #[error("cannot build the asynchronous runtime: {0}")]
     Runtime(std::io::Error),
-    #[error("cannot listen on {what} {addr}: {why}")]
+    /// An address of the settings can't be listened on.
+    #[error("cannot listen on {setting} {address}: {source}")]
     Listen {
-        what: &'static str,
-        addr: std::net::SocketAddr,
-        why: std::io::Error,
+        /// The field of the platform's settings.
+        setting: &'static str,
+        /// Its value.
+        address: SocketAddr,
+        /// What the operating system says.
+        source: std::io::Error,
     },
 }
 
@@ -96,63 +49,63 @@
 
 /// Runs a controller until the token is cancelled.
 pub async fn serve(settings: Settings, stop: CancellationToken) -> Result<(), StartError> {
-    let p = &settings.platform;
-    let front_socket = listen("front", p.front).await?;
-    let peer_socket = listen("peer_bind", p.peer_bind).await?;
-    tracing::info!(name = %p.host_name, zone = %p.location, front = %p.front, "controller starts");
-    let connect = Duration::from_millis(700);
-    let most = p.facts.quota.max_sockets;
-    let users = settings.operator.max_user_requests;
-    let sockets = Sockets::divide(most, p.siblings.len(), users);
-    tracing::debug!(?sockets, "sockets divided");
-    let node = Arc::new(Node {
-        policy: Arc::new(Policy::new(&settings)),
-        state: StateClient::new(p.endpoints.state.to_string(), sockets.to_state),
-        cloud: Client::new(connect, sockets.to_cloud),
-        // None is kept open: with thousands of machines, one to each would leave none for others,
-        // and the next command to the same machine seldom comes soon.
-        workers: Client::new(connect, 0),
-        siblings: p
-            .siblings
-            .iter()
-            .map(|s| PeerClient::new(s.addr, sockets.to_sibling))
-            .collect(),
-        heard: Mutex::new(vec![None; p.siblings.len()]),
-        leader: LeaderCell::default(),
-        machine_types: Mutex::new(Vec::new()),
-        counts: Mutex::new(BTreeMap::new()),
-        copy: open_jobs::OpenCopy::default(),
-        cancel_news: peers::CancelNews::default(),
-        finals: Mutex::new(users::FinalCache::default()),
-        user_slots: tokio::sync::Semaphore::new(settings.operator.max_user_requests),
-        sockets,
-        stop: stop.clone(),
-        last_check_in: AtomicI64::new(-1),
-        began: std::time::Instant::now(),
-        settings,
-    });
-    let tasks = [
-        tokio::spawn(routes::serve(node.clone(), front_socket)),
-        tokio::spawn(peers::serve(node.clone(), peer_socket)),
-        tokio::spawn(machine_types::keep(node.clone())),
-        tokio::spawn(open_jobs::keep(node.clone())),
-        tokio::spawn(peers::look(node.clone())),
-        tokio::spawn(peers::tell_cancelled(node.clone())),
-        tokio::spawn(election::campaign(node.clone())),
-    ];
-    for task in tasks {
-        if let Err(e) = task.await {
-            tracing::error!(error = %e, "a task of the controller ended");
+    let listeners = Listeners::bind(&settings).await?;
+    log_start(&settings);
+    let node = Arc::new(Node::new(settings, stop));
+    for task in spawn_tasks(&node, listeners) {
+        if let Err(error) = task.await {
+            tracing::error!(%error, "controller task failed");
         }
     }
     Ok(())
 }
 
-async fn listen(
-    what: &'static str,
-    addr: std::net::SocketAddr,
-) -> Result<tokio::net::TcpListener, StartError> {
-    tokio::net::TcpListener::bind(addr)
-        .await
-        .map_err(|why| StartError::Listen { what, addr, why })
+/// The sockets on which a controller accepts connections.
+struct Listeners {
+    /// Users, workers and health checks.
+    http: TcpListener,
+    /// Other controllers.
+    peers: TcpListener,
+}
+
+impl Listeners {
+    async fn bind(settings: &Settings) -> Result<Listeners, StartError> {
+        let platform = &settings.platform;
+        Ok(Listeners {
+            http: listen("front", platform.front).await?,
+            peers: listen("peer_bind", platform.peer_bind).await?,
+        })
+    }
+}
+
+async fn listen(setting: &'static str, address: SocketAddr) -> Result<TcpListener, StartError> {
+    let bound = TcpListener::bind(address).await;
+    bound.map_err(|source| StartError::Listen {
+        setting,
+        address,
+        source,
+    })
+}
+
+fn log_start(settings: &Settings) {
+    let platform = &settings.platform;
+    tracing::info!(
+        name = %platform.host_name,
+        zone = %platform.location,
+        front = %platform.front,
+        "controller started"
+    );
+}
+
+/// Starts the tasks that every controller runs, whether it is the leader or not.
+fn spawn_tasks(node: &Arc<Node>, listeners: Listeners) -> [JoinHandle<()>; 7] {
+    [
+        tokio::spawn(api::routes::serve(node.clone(), listeners.http)),
+        tokio::spawn(api::peers::serve(node.clone(), listeners.peers)),
+        tokio::spawn(clients::catalog::refresh(node.clone())),
+        tokio::spawn(clients::open_job_cache::refresh(node.clone())),
+        tokio::spawn(clients::peers::probe(node.clone())),
+        tokio::spawn(clients::peers::broadcast_cancellations(node.clone())),
+        tokio::spawn(leader::run(node.clone())),
+    ]
 }
