--- a/src/runtime/leader/effects.rs
+++ b/src/runtime/leader/effects.rs
@@ -131,7 +131,7 @@
     loop {
         match node.state_store.get(key).await {
             Ok(item) => return Some(item),
-            Err(_) if !authority.holds(node.now()) => return None,
+            Err(_) if !authority.is_held(node.now()) => return None,
             Err(_) => {
                 let jitter_ms = rand::rng().random_range(0..READ_RETRY_MS);
                 tokio::time::sleep(Duration::from_millis(READ_RETRY_MS + jitter_ms)).await;
--- a/src/runtime/leader/election.rs
+++ b/src/runtime/leader/election.rs
@@ -1,6 +1,7 @@
 //! Election: the leader key is taken when it is free, or when it is that of our own predecessor on this host.
 
-use crate::coordination::leadership::authority::{Authority, LeadershipTerm};
+use crate::coordination::leadership::authority::Authority;
+use crate::coordination::leadership::LeadershipTerm;
 use crate::ids::{FencingToken, KeyRevision, LeaseId};
 use crate::protocol::state::{Change, KeyValue, Precondition, Transaction};
 use crate::runtime::clients::state_store::{StateStoreError, TransactionOutcome};
@@ -100,10 +101,10 @@
     };
     Some(LeadershipTerm {
         token: record.token,
-        first: record.token,
+        initial_token: record.token,
         // Both keys were written by the same transaction.
-        revision,
-        token_stamp: revision,
+        leader_key_revision: revision,
+        token_counter_revision: revision,
         lease,
         host_name: record.host_name,
     })
--- a/src/runtime/leader/job_watch.rs
+++ b/src/runtime/leader/job_watch.rs
@@ -90,7 +90,7 @@
             Ok(page) => {
                 log_watch_response(node, since, &page, asked_at);
                 since = page.store_revision;
-                term.authority.knows(asked_at);
+                term.authority.view_refreshed(asked_at);
                 tokio::time::sleep(WATCH_PAUSE).await;
             }
             Err(error) => {
@@ -185,6 +185,6 @@
     );
     let listed = Event::OpenJobs { jobs };
     node.leadership.handle_event(node.now(), listed);
-    term.authority.knows(asked_at);
+    term.authority.view_refreshed(asked_at);
     Some(store_revision)
 }
--- a/src/runtime/leader/lease_renewal.rs
+++ b/src/runtime/leader/lease_renewal.rs
@@ -26,7 +26,7 @@
         }
         while renewals.try_join_next().is_some() {}
         let now = term.node.now();
-        if !term.authority.holds(now) {
+        if !term.authority.is_held(now) {
             term.end_lapsed(now);
             return;
         }
@@ -39,7 +39,7 @@
 async fn renew_once(term: Term, lease: LeaseId, deadline: Duration) {
     let sent_at = term.node.now();
     match term.node.state_store.renew_lease(lease, deadline).await {
-        Ok(()) => term.authority.renewed(sent_at),
+        Ok(()) => term.authority.lease_renewed(sent_at),
         Err(StateStoreError::LeaseExpired) => {
             tracing::info!("lease expired");
             term.authority.resign();
--- a/src/runtime/leader/state.rs
+++ b/src/runtime/leader/state.rs
@@ -118,7 +118,7 @@
     pub fn is_leader(&self, now: Instant) -> bool {
         lock(&self.active)
             .as_ref()
-            .is_some_and(|leader| leader.authority.holds(now))
+            .is_some_and(|leader| leader.authority.is_held(now))
     }
 
     /// Makes the step loop run soon.
@@ -171,7 +171,7 @@
     fn heartbeat_as_leader(&self, now: Instant, status: &WorkerStatus) -> Option<HeartbeatReply> {
         let mut active = lock(&self.active);
         let leader = active.as_mut()?;
-        if !leader.authority.holds(now) {
+        if !leader.authority.is_held(now) {
             return None;
         }
         let outcome = leader.scheduler.heartbeat(now, status);
@@ -213,7 +213,7 @@
         let active = lock(&self.active);
         let leader = active
             .as_ref()
-            .filter(|leader| leader.authority.holds(now))?;
+            .filter(|leader| leader.authority.is_held(now))?;
         let (completed, running) = leader.scheduler.counts_of(id);
         Some(TaskCounts { completed, running })
     }
--- a/src/runtime/leader/term.rs
+++ b/src/runtime/leader/term.rs
@@ -4,7 +4,8 @@
 use super::election::ElectionWon;
 use super::state::ActiveLeader;
 use super::{count_broadcast, job_watch, lease_renewal, machine_list, step_loop, transfer};
-use crate::coordination::leadership::authority::{Authority, LeadershipTerm};
+use crate::coordination::leadership::authority::Authority;
+use crate::coordination::leadership::LeadershipTerm;
 use crate::coordination::Scheduler;
 use crate::ids::{FencingToken, StoreRevision};
 use crate::runtime::Node;
@@ -27,7 +28,7 @@
 impl Term {
     /// Whether the leader may act at this moment.
     pub fn may_act(&self, now: Instant) -> bool {
-        !self.end.is_cancelled() && self.authority.holds(now)
+        !self.end.is_cancelled() && self.authority.is_held(now)
     }
 
     /// Gives up the right to act and ends the term.
@@ -40,7 +41,7 @@
     /// changes nothing any more.
     pub fn end_lapsed(&self, now: Instant) {
         if !self.end.is_cancelled() {
-            let reason = self.authority.authority_loss(now);
+            let reason = self.authority.loss(now);
             let view_age_ms = self.authority.view_age(now).0;
             tracing::info!(?reason, view_age_ms, "authority lapsed");
         }
@@ -51,7 +52,7 @@
 /// Leads until the authority is lost, then revokes the lease.
 pub async fn lead(node: &Arc<Node>, won: ElectionWon) {
     let started_at = node.now();
-    let (fencing_token, lease) = (won.term.first, won.term.lease);
+    let (fencing_token, lease) = (won.term.initial_token, won.term.lease);
     let term = Term {
         node: node.clone(),
         authority: won.authority,
@@ -85,7 +86,7 @@
 /// the authority lapsed meanwhile.
 async fn take_over(term: &Term, leadership: LeadershipTerm) -> Option<TakenOver> {
     let node = &term.node;
-    let fencing_token = leadership.first;
+    let fencing_token = leadership.initial_token;
     let asked_at = node.now();
     let (recovered, store_revision) = job_watch::read_recovered_state(node).await?;
     let jobs = recovered.open.len();
@@ -93,10 +94,10 @@
         // Guards against taking an attempt for never launched because its record can't be read.
         .map_err(|error| tracing::error!(%error, "failover stopped by an unreadable record"))
         .ok()?;
-    if !term.authority.holds(node.now()) {
+    if !term.authority.is_held(node.now()) {
         return None;
     }
-    term.authority.knows(asked_at);
+    term.authority.view_refreshed(asked_at);
     log_take_over(
         node,
         &scheduler,
--- a/src/runtime/leader/transfer.rs
+++ b/src/runtime/leader/transfer.rs
@@ -1,7 +1,7 @@
 //! Leadership transfer: a leader that no worker reaches gives way to a peer that workers do reach.
 
 use super::term::Term;
-use crate::coordination::leadership::authority::{should_hand_over, silence_bound};
+use crate::coordination::leadership::transfer::{should_hand_over, silence_bound};
 use crate::protocol::peers::{PeerReply, PeerRequest};
 use crate::runtime::clients::peers::PEER_TIMEOUT;
 use crate::runtime::Node;
