--- a/src/runtime/api/submissions.rs
+++ b/src/runtime/api/submissions.rs
@@ -128,7 +128,7 @@
         dependency_pages: 0,
     };
     let max_bytes = (node.policy.facts.state.value_kb * 1024.0 * MAX_RECORD_SHARE) as usize;
-    let Some(pages) = record.move_dependencies_to_pages(max_bytes) else {
+    let Ok(pages) = record.move_dependencies_to_pages(max_bytes) else {
         return Err(Refusal::UnlessKnown(ApiError::DescriptionTooLong));
     };
     match write_open_job(node, &record, &pages).await? {
--- a/src/runtime/leader/effects.rs
+++ b/src/runtime/leader/effects.rs
@@ -4,7 +4,7 @@
 //! Nothing is decided here. A failure is reported as what is known of it: not executed, refused, or unknown.
 
 use crate::coordination::leadership::authority::Authority;
-use crate::coordination::{Effect, Event};
+use crate::coordination::{Effect, Event, ScaleOutAnswer};
 use crate::ids::{JobId, MachineId};
 use crate::protocol::cloud::{RentRequest, ReturnRequest};
 use crate::protocol::state::{KeyValue, Transaction};
@@ -52,16 +52,14 @@
         }
         Effect::ScaleOut {
             idempotency_key,
-            machine_type,
-            zone,
-            spot,
+            offer,
             count,
         } => {
             let request = RentRequest {
                 idempotency_key,
-                machine_type,
-                zone,
-                spot,
+                machine_type: offer.machine_type,
+                zone: offer.zone,
+                spot: offer.spot,
                 count,
             };
             Some(scale_out(node, request).await)
@@ -185,11 +183,11 @@
     match outcome {
         RentOutcome::Rented(machine_ids) => Event::ScaleOutAnswered {
             idempotency_key,
-            machine_ids: Some(machine_ids),
+            answer: ScaleOutAnswer::Granted(machine_ids),
         },
         RentOutcome::NoCapacity => Event::ScaleOutAnswered {
             idempotency_key,
-            machine_ids: None,
+            answer: ScaleOutAnswer::NoCapacity,
         },
         RentOutcome::Unknown => Event::ScaleOutUnclear { idempotency_key },
     }
