--- a/src/coordination/attempts/placements.rs
+++ b/src/coordination/attempts/placements.rs
@@ -32,7 +32,7 @@
             let tries = (task.clone(), AttemptId(0))..=(task.clone(), AttemptId(u64::MAX));
             m.attempts.range(tries).any(|(_, s)| !s.ended())
         });
-        self.placement.due = true;
+        self.placement.request_pass();
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
--- a/src/coordination/attempts/reconciliation.rs
+++ b/src/coordination/attempts/reconciliation.rs
@@ -176,7 +176,7 @@
             m.state = MachineState::Up;
             m.idle_since = Some(now);
             tracing::debug!(machine = %m.id, boot_ms = (now - m.since).0, "machine is up");
-            self.placement.due = true;
+            self.placement.request_pass();
             let page = m.page;
             self.machines.reindex(machine_id);
             if let Some(page) = page {
@@ -209,7 +209,7 @@
         let recall = r.recall_s.map(|s| now + TimeSpan::from_secs(s));
         if m.reclaim_at.is_none() && recall.is_some() {
             tracing::debug!(machine = %m.id, "spot notice");
-            self.placement.due = true;
+            self.placement.request_pass();
             self.outbox.machines_to_review.insert(machine_id.clone());
         }
         m.reclaim_at = recall;
@@ -219,7 +219,7 @@
         if confirmed && !m.confirmed {
             m.confirmed = true;
             m.mark_reachable();
-            self.placement.due = true;
+            self.placement.request_pass();
             self.machines.reindex(machine_id);
         }
         for p in &r.tasks {
--- a/src/coordination/autoscaler/forecast.rs
+++ b/src/coordination/autoscaler/forecast.rs
@@ -9,7 +9,7 @@
 use crate::coordination::attempts::task_attempt::TaskAttempt;
 use crate::coordination::autoscaler::Kind;
 use crate::coordination::machines::machine::{Machine, MachineState};
-use crate::coordination::placement::candidates::emptiness;
+use crate::coordination::placement::candidates::free_fraction;
 use crate::coordination::placement::UnplacedTasks;
 use crate::coordination::Scheduler;
 use crate::ids::{Image, MachineId, Zone};
@@ -244,7 +244,7 @@
                 MachineState::Up if self.usable(m, now) => {
                     let mut b = bin(0.0, m.free);
                     b.idle = (m.live_count == 0).then(|| m.id.clone());
-                    b.empty = emptiness(&m.free, &self.machines.capacity(&m.machine_type));
+                    b.empty = free_fraction(&m.free, &self.machines.capacity(&m.machine_type));
                     b.class = self.autoscaler.warm_pool.get(&m.id).cloned();
                     b.images = m.images.iter().map(|(i, _)| i.clone()).collect();
                     for s in m.live_attempts() {
@@ -321,7 +321,7 @@
         } else {
             self.estimate_s(spec)
         };
-        let bulk = self.bulk(spec);
+        let bulk = self.is_large_task(spec);
         let fetch = |b: &Bin| {
             if b.images.contains(&spec.image) {
                 0.0
--- a/src/coordination/autoscaler/mod.rs
+++ b/src/coordination/autoscaler/mod.rs
@@ -149,7 +149,7 @@
         if let Some(m) = self.machines.get_mut(id).filter(|m| !m.verified) {
             m.verified = true;
             m.page = Some(self.writer.machine_pages.enter(id));
-            self.placement.due = true;
+            self.placement.request_pass();
         }
     }
 
@@ -257,6 +257,6 @@
                 m.draining_since = Some(m.draining_since.unwrap_or(now - DRAIN_PATIENCE));
             }
         }
-        self.placement.due = true;
+        self.placement.request_pass();
     }
 }
--- a/src/coordination/autoscaler/scale_in.rs
+++ b/src/coordination/autoscaler/scale_in.rs
@@ -144,7 +144,7 @@
             }
             self.machines.reindex(h);
         }
-        self.placement.due = true;
+        self.placement.request_pass();
     }
 
     pub(crate) fn return_failed(&mut self, now: Instant, machine_ids: &[MachineId]) {
--- a/src/coordination/autoscaler/scale_out.rs
+++ b/src/coordination/autoscaler/scale_out.rs
@@ -218,7 +218,7 @@
                 self.enter_machine(now, &id, &machine_type, &zone, spot, h.asked, true);
             }
         }
-        self.placement.due = true;
+        self.placement.request_pass();
     }
 
     pub(crate) fn rent_unclear(&mut self, now: Instant, idempotency_key: &str) {
--- a/src/coordination/autoscaler/warm_pool.rs
+++ b/src/coordination/autoscaler/warm_pool.rs
@@ -2,6 +2,7 @@
 //! and their image fetched. How many follows from the arrivals seen: what comes in the time that a
 //! rental would take, and a little for chance.
 
+use crate::coordination::placement::request::allows_machine;
 use crate::coordination::Scheduler;
 use crate::ids::MachineId;
 use crate::protocol::users::JobSpec;
@@ -33,7 +34,7 @@
                 .filter(|r| request.fits(&self.machines.capacity(&r.name)))
                 .map(|r| r.boot_s + spec.image_gb / r.fetch_gb_per_s.max(0.01))
                 .fold(f64::INFINITY, f64::min);
-            if !soonest.is_finite() || soonest <= within || !self.bulk(spec) {
+            if !soonest.is_finite() || soonest <= within || !self.is_large_task(spec) {
                 continue;
             }
             let jobs = d.jobs_per_s(now) * soonest;
@@ -61,7 +62,9 @@
                 .with_room
                 .iter()
                 .filter_map(|h| self.machines.get(h))
-                .filter(|m| request.fits(&m.free) && Self::allows(&spec, m) && self.usable(m, now))
+                .filter(|m| {
+                    request.fits(&m.free) && allows_machine(&spec, m) && self.usable(m, now)
+                })
                 .filter(|m| !warm_pool.contains_key(&m.id))
                 .map(|m| (!m.has_image(&spec.image), &m.id))
                 .collect();
--- a/src/coordination/jobs/lifecycle.rs
+++ b/src/coordination/jobs/lifecycle.rs
@@ -75,7 +75,7 @@
                 self.jobs.reindex(&id);
                 self.jobs.graph.add(&id, &record.after, traits);
                 self.apply_graph_changes(now);
-                self.placement.due = true;
+                self.placement.request_pass();
             }
         }
     }
@@ -127,7 +127,7 @@
         job.closed = true;
         job.pending.clear();
         self.writer.orphan_edges(id, job.dependency_pages);
-        self.placement.due = true;
+        self.placement.request_pass();
         let machine_ids: BTreeSet<MachineId> = job.placements.values().flatten().cloned().collect();
         for h in machine_ids {
             self.drop_untouched(now, &h, id);
@@ -169,7 +169,7 @@
         self.note_arrival(&spec, ready);
         self.note_size(&spec.class, spec.tasks);
         self.jobs.reindex(&release.id);
-        self.placement.due = true;
+        self.placement.request_pass();
     }
 
     /// Asks for the finish marks of producers of which nothing is known here.
--- a/src/coordination/machines/images.rs
+++ b/src/coordination/machines/images.rs
@@ -1,65 +1,13 @@
-//! Where images are, and which jobs go there: Parrot's preference for sharing, as far as it concerns
-//! waiting for it.
+//! Where container images are cached, and how long they take to get to a machine.
 
 use crate::coordination::machines::machine::{Machine, MachineState};
-use crate::coordination::placement::{Pass, ResourceRequest};
 use crate::coordination::Scheduler;
 use crate::ids::{Image, JobId, MachineId, MachineType};
-use crate::protocol::users::{JobSpec, Shape};
-use crate::time::{Instant, TimeSpan};
+use crate::protocol::users::JobSpec;
+use crate::time::Instant;
 use std::collections::BTreeMap;
 
-/// A job waits for machines that have its image for this part of the time that a fetch takes.
-const WAIT_PART: f64 = 0.5;
-
-/// All that is left of it should find such machines within so many fetches.
-const MOST_WAIT: f64 = 2.0;
-
 impl Scheduler {
-    /// Whether a job leaves the room there is to jobs behind it that need not fetch their image, for
-    /// machines that have its own should come free soon. It does so for no longer than a part of the
-    /// fetch that it spares itself, counted from when it could first have taken something.
-    ///
-    /// Guards against every image being fetched to every machine while there is too much to do: what
-    /// came free was taken at once by the first job in the queue, and half of all starts fetched.
-    pub(crate) fn waits_for_image(&mut self, now: Instant, id: &JobId, pass: &Pass) -> bool {
-        let Some(job) = self.jobs.get(id) else {
-            return false;
-        };
-        let spec = &job.spec;
-        if spec.shape != Shape::Array || job.pending.is_empty() || self.aged(job, now) {
-            return false;
-        }
-        let request = ResourceRequest::of(spec);
-        if pass.full.iter().any(|f| request.covers(f)) {
-            return false;
-        }
-        let fetch_s = self.shortest_fetch_s(spec);
-        let slots = self
-            .machines
-            .gpus_by_cached_image
-            .get(&spec.image)
-            .copied()
-            .unwrap_or(0.0)
-            / spec.gpus.max(0.1);
-        let soon_s = job.pending.len() as f64 * self.estimate_of(job) / slots.max(1e-9);
-        let limit = TimeSpan::from_secs(fetch_s * WAIT_PART);
-        let over = job.waits_since.is_some_and(|t| now - t > limit);
-        if over || soon_s > fetch_s * MOST_WAIT {
-            return false;
-        }
-        let first: Vec<u32> = job.pending.iter().take(1).copied().collect();
-        if self.headroom(spec, job.team, &pass.used) == 0
-            || self.plan(now, id, spec, &first, None, pass).is_empty()
-        {
-            return false;
-        }
-        if let Some(job) = self.jobs.get_mut(id) {
-            job.waits_since.get_or_insert(now);
-        }
-        true
-    }
-
     /// Seconds that the image takes to fetch on the type of machine that is quickest at it.
     pub(crate) fn shortest_fetch_s(&self, spec: &JobSpec) -> f64 {
         self.machines
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -22,7 +22,7 @@
 use crate::ids::{AttemptId, FencingToken, JobId, KeyRevision};
 use crate::resources::Resources;
 use crate::storage::records::OpenJobRecord;
-use crate::time::{Instant, TimeSpan};
+use crate::time::Instant;
 use attempts::Outbox;
 use autoscaler::Autoscaler;
 use jobs::aging::Aging;
@@ -133,7 +133,7 @@
             } => self.push_failed(now, &machine_id, seq, sent),
             Event::MachineTypes(machine_types) => {
                 self.machines.set_types(machine_types);
-                self.placement.due = true;
+                self.placement.request_pass();
             }
             Event::MachinesListed { asked, machines } => self.machines_listed(now, asked, machines),
             Event::ScaleOutAnswered {
@@ -166,13 +166,11 @@
             self.recheck_images();
             self.forget_closed_jobs();
             self.log_state(now);
-            self.placement.due = true;
+            self.placement.request_pass();
         }
         self.read_terminal_records(now);
         self.stop_unwanted(now);
-        if self.placement.due && now - self.placement.last_pass_at >= PASS_EVERY {
-            self.placement.last_pass_at = now;
-            self.placement.due = false;
+        if self.placement.start_pass_if_due(now) {
             self.jobs.graph.refresh();
             self.choose_warm_pool(now);
             let unplaced = self.place(now);
@@ -231,6 +229,3 @@
         }
     }
 }
-
-/// Placement looks at most this often: what happens in between is decided together.
-const PASS_EVERY: TimeSpan = TimeSpan(40);
--- a/src/coordination/persistence/outcomes.rs
+++ b/src/coordination/persistence/outcomes.rs
@@ -225,7 +225,7 @@
                 }
             }
         }
-        self.placement.due = true;
+        self.placement.request_pass();
     }
 
     pub(crate) fn open_reread(&mut self, now: Instant, id: &str, revision: KeyRevision) {
--- a/src/coordination/placement/candidates.rs
+++ b/src/coordination/placement/candidates.rs
@@ -1,158 +1,208 @@
-//! Which machines take the tasks of a job, among those that may: the cheapest first, all preferences in
-//! seconds of waiting.
+//! Which machines take the tasks of a job, among those that may: the cheapest first, with every preference
+//! expressed in seconds of waiting (the paper's `FindEngine`, whose details it leaves open).
+//!
+//! Chooses only: nothing is changed here, and no quota is looked at.
 
+use super::pass::{ImageLocality, PlacementPass};
+use super::request::allows_machine;
+use super::zones::{ZoneChoice, ZoneSpread};
+use super::Placement;
 use crate::coordination::attempts::reconciliation::MAX_LISTED;
 use crate::coordination::jobs::graph::Label;
+use crate::coordination::jobs::job::Job;
 use crate::coordination::machines::machine::Machine;
-use crate::coordination::placement::Pass;
-use crate::coordination::Scheduler;
-use crate::ids::{JobId, MachineId, Zone};
-use crate::protocol::users::JobSpec;
+use crate::ids::{JobId, MachineId, TaskId, Zone};
 use crate::resources::Resources;
-use crate::time::Instant;
 use std::cmp::Ordering;
-use std::collections::{BTreeMap, BinaryHeap};
+use std::collections::BinaryHeap;
 
-/// Seconds a machine with another label is worse by; all preferences are in seconds of waiting.
-const OTHER_LABEL_S: f64 = 1.0;
-/// Seconds an ordinary machine is worse by for a job that may use spot machines: it keeps ordinary
-/// machines free for jobs that may not.
-const ORDINARY_S: f64 = 2.0;
-/// Seconds a whole empty machine is worse by than a full one: packs tasks, leaves whole machines.
-const EMPTY_S: f64 = 3.0;
-/// Machines a job has failed on are avoided up to this many; past it, it is the job that is bad.
-const AVOID: usize = 3;
+/// Cost of a machine that runs tasks of another label.
+const LABEL_MISMATCH_COST_S: f64 = 1.0;
+/// Cost of an on-demand machine for a job that may use spot instances: it keeps on-demand machines free
+/// for jobs that may not.
+const ON_DEMAND_COST_S: f64 = 2.0;
+/// Cost of a wholly empty machine as against a full one: packs tasks, so that whole machines stay free.
+const EMPTY_MACHINE_COST_S: f64 = 3.0;
+/// Machines on which a job has failed are avoided up to this many; past it, it is the job that is bad.
+const MAX_AVOIDED_MACHINES: usize = 3;
 
-/// A machine that may take a task, as a pass sees it; the cheapest is the greatest.
-struct Candidate {
-    cost: f64,
-    fixed: f64,
-    room: Resources,
-    machine_id: MachineId,
-    zone: Zone,
-    whole: Resources,
-    listed: usize,
+/// What speaks against a machine for a task, in seconds of waiting. None of it changes as tasks are added.
+#[derive(Clone, Copy, Debug)]
+struct FixedCosts {
+    /// Until the image is there.
+    image_wait_s: f64,
+    /// For taking an on-demand machine where a spot instance would do.
+    on_demand_s: f64,
+    /// For running beside tasks of another label.
+    label_mismatch_s: f64,
 }
 
-impl Candidate {
-    fn price(mut self) -> Candidate {
-        self.cost = self.fixed + emptiness(&self.room, &self.whole) * EMPTY_S;
-        self
+impl FixedCosts {
+    fn total_s(&self) -> f64 {
+        self.image_wait_s + (self.on_demand_s + self.label_mismatch_s)
     }
 }
 
-impl PartialEq for Candidate {
-    fn eq(&self, o: &Self) -> bool {
-        self.cmp(o) == Ordering::Equal
+/// A machine that may take a task, as far as the tasks chosen so far leave it room. The cheapest is the
+/// greatest, so that a heap yields it first; of equals, the one with the lowest id.
+struct Candidate<'a> {
+    machine_id: &'a MachineId,
+    zone: &'a Zone,
+    capacity: Resources,
+    free: Resources,
+    attempt_count: usize,
+    fixed_costs: FixedCosts,
+    cost_s: f64,
+}
+
+impl Candidate<'_> {
+    fn update_cost(&mut self) {
+        let packing_cost_s = free_fraction(&self.free, &self.capacity) * EMPTY_MACHINE_COST_S;
+        self.cost_s = self.fixed_costs.total_s() + packing_cost_s;
+    }
+
+    /// Takes one more task.
+    fn take_task(&mut self, request: &Resources) {
+        self.free.sub(request);
+        self.attempt_count += 1;
+        self.update_cost();
+    }
+
+    fn has_room_for(&self, request: &Resources) -> bool {
+        request.fits(&self.free) && self.attempt_count < MAX_LISTED
+    }
+}
+
+impl PartialEq for Candidate<'_> {
+    fn eq(&self, other: &Self) -> bool {
+        self.cmp(other) == Ordering::Equal
     }
 }
-impl Eq for Candidate {}
-impl PartialOrd for Candidate {
-    fn partial_cmp(&self, o: &Self) -> Option<Ordering> {
-        Some(self.cmp(o))
+impl Eq for Candidate<'_> {}
+impl PartialOrd for Candidate<'_> {
+    fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
+        Some(self.cmp(other))
     }
 }
-impl Ord for Candidate {
-    fn cmp(&self, o: &Self) -> Ordering {
-        o.cost
-            .total_cmp(&self.cost)
-            .then_with(|| o.machine_id.cmp(&self.machine_id))
+impl Ord for Candidate<'_> {
+    fn cmp(&self, other: &Self) -> Ordering {
+        other
+            .cost_s
+            .total_cmp(&self.cost_s)
+            .then_with(|| other.machine_id.cmp(self.machine_id))
     }
 }
 
-/// The larger part of a machine that is free.
-pub(crate) fn emptiness(room: &Resources, whole: &Resources) -> f64 {
-    let part = |free: f64, all: f64| if all > 0.0 { free / all } else { 0.0 };
-    part(room.gpus, whole.gpus).max(part(room.cpus, whole.cpus))
+/// The fraction of a machine that is free: of its GPUs or of its CPUs, whichever is larger.
+pub(crate) fn free_fraction(free: &Resources, capacity: &Resources) -> f64 {
+    let fraction = |free: f64, capacity: f64| if capacity > 0.0 { free / capacity } else { 0.0 };
+    fraction(free.gpus, capacity.gpus).max(fraction(free.cpus, capacity.cpus))
 }
 
-impl Scheduler {
-    /// Chooses machines for as many of the tasks as fit.
-    pub(crate) fn plan(
+impl PlacementPass<'_> {
+    /// Chooses machines for as many of the tasks as fit, in the order given.
+    pub(super) fn choose_machines(
         &self,
-        now: Instant,
-        id: &JobId,
-        spec: &JobSpec,
-        pending: &[u32],
-        zone: Option<&Zone>,
-        pass: &Pass,
-    ) -> Vec<(u32, MachineId)> {
-        let Some(job) = self.jobs.get(id) else {
-            return Vec::new();
-        };
-        let request = Resources::of(spec);
-        let latency = self.jobs.graph.label(id) == Label::Latency;
-        let avoid = job.failed_on.len() <= AVOID;
-        let aged = self.aged(job, now);
-        let mut zones = if spec.scatter {
-            self.zones_of(job)
-        } else {
-            BTreeMap::new()
-        };
-        let most_in_zone = spec.tasks.div_ceil(2);
-        // Machines that may take it, with what does not change as tasks are added.
-        let mut heap: BinaryHeap<Candidate> = self
-            .machines
-            .with_room_for(spec)
-            .filter(|m| request.fits(&m.free) && m.attempts.len() < MAX_LISTED)
-            .filter(|m| Self::allows(spec, m) && zone.is_none_or(|z| *z == m.zone))
-            .filter(|m| self.usable(m, now) && !pass.kept.contains(&m.id))
-            .filter(|m| !pass.cached || m.has_image(&spec.image))
-            .filter(|m| !(avoid && job.failed_on.contains(&m.id)))
-            .filter(|m| {
-                m.reservation
-                    .as_ref()
-                    .is_none_or(|(j, t)| j == id || now >= *t)
-            })
-            .filter(|m| {
-                aged || self
-                    .autoscaler
-                    .warm_pool
-                    .get(&m.id)
-                    .is_none_or(|c| *c == spec.class)
-            })
-            .map(|m| {
-                Candidate {
-                    cost: 0.0,
-                    fixed: self.wait_for_image(now, m, spec) + Self::dislike(m, spec, latency),
-                    room: m.free,
-                    machine_id: m.id.clone(),
-                    zone: m.zone.clone(),
-                    whole: self.machines.capacity(&m.machine_type),
-                    listed: m.attempts.len(),
-                }
-                .price()
-            })
-            .collect();
-        let mut plan: Vec<(u32, MachineId)> = Vec::new();
-        for index in pending {
-            let Some(mut best) = heap.pop() else { break };
-            while spec.scatter && zones.get(&best.zone).copied().unwrap_or(0) >= most_in_zone {
-                // That zone is full, and stays so.
-                match heap.pop() {
-                    Some(next) => best = next,
-                    None => return plan,
-                }
+        job_id: &JobId,
+        job: &Job,
+        task_indexes: &[u32],
+        zones: &ZoneChoice,
+        locality: ImageLocality,
+    ) -> Vec<Placement> {
+        let request = Resources::of(&job.spec);
+        let mut candidates = self.candidates(job_id, job, zones, locality);
+        let mut spread = ZoneSpread::of(&self.view, job);
+        let mut placements = Vec::new();
+        for index in task_indexes {
+            let Some(mut candidate) = pop_allowed(&mut candidates, spread.as_ref()) else {
+                break;
+            };
+            placements.push(Placement {
+                task: TaskId {
+                    job: job_id.clone(),
+                    index: *index,
+                },
+                machine: candidate.machine_id.clone(),
+                image_wait_s: candidate.fixed_costs.image_wait_s,
+            });
+            if let Some(spread) = &mut spread {
+                spread.add(candidate.zone);
             }
-            plan.push((*index, best.machine_id.clone()));
-            best.room.sub(&request);
-            best.listed += 1;
-            *zones.entry(best.zone.clone()).or_default() += 1;
-            if request.fits(&best.room) && best.listed < MAX_LISTED {
-                heap.push(best.price());
+            candidate.take_task(&request);
+            if candidate.has_room_for(&request) {
+                candidates.push(candidate);
             }
         }
-        plan
+        placements
+    }
+
+    /// The machines that may take a task of the job now.
+    fn candidates(
+        &self,
+        job_id: &JobId,
+        job: &Job,
+        zones: &ZoneChoice,
+        locality: ImageLocality,
+    ) -> BinaryHeap<Candidate<'_>> {
+        let spec = &job.spec;
+        let request = Resources::of(spec);
+        let label = self.view.jobs().graph.label(job_id);
+        let avoids_failures = job.failed_on.len() <= MAX_AVOIDED_MACHINES;
+        let may_use_warm_pool = self.view.is_aged(job);
+        self.view
+            .machines()
+            .with_room_for(spec)
+            .filter(|machine| request.fits(&machine.free) && machine.attempts.len() < MAX_LISTED)
+            .filter(|machine| allows_machine(spec, machine) && zones.includes(&machine.zone))
+            .filter(|machine| self.view.is_usable(machine) && !self.state.is_reserved(&machine.id))
+            .filter(|machine| locality.is_met_by(machine, &spec.image))
+            .filter(|machine| !(avoids_failures && job.failed_on.contains(&machine.id)))
+            .filter(|machine| !self.view.is_reserved_for_another(machine, job_id))
+            .filter(|machine| {
+                may_use_warm_pool || self.view.warm_pool_admits(&machine.id, &spec.class)
+            })
+            .map(|machine| self.candidate(machine, job, label))
+            .collect()
+    }
+
+    fn candidate<'m>(&self, machine: &'m Machine, job: &Job, label: Label) -> Candidate<'m> {
+        let mut candidate = Candidate {
+            machine_id: &machine.id,
+            zone: &machine.zone,
+            capacity: self.view.capacity(machine),
+            free: machine.free,
+            attempt_count: machine.attempts.len(),
+            fixed_costs: self.fixed_costs(machine, job, label),
+            cost_s: 0.0,
+        };
+        candidate.update_cost();
+        candidate
     }
 
-    fn dislike(m: &Machine, spec: &JobSpec, latency: bool) -> f64 {
-        let mut cost = 0.0;
-        if spec.spot && !m.spot {
-            cost += ORDINARY_S;
+    fn fixed_costs(&self, machine: &Machine, job: &Job, label: Label) -> FixedCosts {
+        let cost_if = |applies: bool, cost_s: f64| if applies { cost_s } else { 0.0 };
+        let is_latency = label == Label::Latency;
+        let runs_other_label = machine
+            .live_attempts()
+            .any(|attempt| attempt.latency != is_latency);
+        FixedCosts {
+            image_wait_s: self.view.image_wait_s(machine, &job.spec),
+            on_demand_s: cost_if(job.spec.spot && !machine.spot, ON_DEMAND_COST_S),
+            label_mismatch_s: cost_if(runs_other_label, LABEL_MISMATCH_COST_S),
         }
-        if m.live_attempts().any(|s| s.latency != latency) {
-            cost += OTHER_LABEL_S;
+    }
+}
+
+/// Takes the cheapest candidate whose zone is not full for the job; those in full zones are dropped, for
+/// they stay full.
+fn pop_allowed<'a>(
+    candidates: &mut BinaryHeap<Candidate<'a>>,
+    spread: Option<&ZoneSpread>,
+) -> Option<Candidate<'a>> {
+    while let Some(candidate) = candidates.pop() {
+        if spread.is_none_or(|spread| !spread.is_full(candidate.zone)) {
+            return Some(candidate);
         }
-        cost
     }
+    None
 }
--- a/src/coordination/placement/preemption.rs
+++ b/src/coordination/placement/preemption.rs
@@ -1,346 +1,210 @@
-//! Stopping tasks to make room, as far as the protocol allows it: for a job of higher priority, or
-//! to give a team its guarantee at the cost of work that another team runs beyond its own.
+//! Preemption: stopping tasks to make room, as far as the protocol allows it, for a job of higher priority or
+//! to give a team its guaranteed share at the cost of tasks that another team runs beyond its own.
+//!
+//! Decisions return [`Eviction`]s; [`Scheduler::evict`] alone carries them out.
 
-use crate::coordination::attempts::task_attempt::{StopRequest, TaskAttempt};
+use super::eviction::{cheapest, Preemptor};
+use super::request::allows_machine;
+use super::view::PlacementView;
+use super::UnplacedTasks;
+use crate::coordination::attempts::task_attempt::StopRequest;
 use crate::coordination::jobs::job::Job;
 use crate::coordination::machines::machine::Machine;
-use crate::coordination::placement::{Pass, UnplacedTasks};
 use crate::coordination::Scheduler;
-use crate::ids::{AttemptId, JobId, MachineId, TaskId};
+use crate::ids::JobId;
+use crate::protocol::users::JobSpec;
 use crate::resources::Resources;
 use crate::time::{Instant, TimeSpan};
 use std::collections::BTreeSet;
 
-/// Machines emptied in one look, and one more for each so many that there are: the effect of the
-/// first is seen before the next.
-const MOST_AT_ONCE: usize = 2;
-const MACHINES_PER_EXTRA: usize = 100;
-/// Ways to make room are looked for this often, for so many jobs at a time.
-const LOOK_EVERY: TimeSpan = TimeSpan(200);
-const MOST_JOBS: usize = 24;
-/// A machine emptied for a job is kept for it this long.
-const KEPT: TimeSpan = TimeSpan(20_000);
-/// A fetch that takes fewer seconds than this is no reason to stop other work.
-const WORTH_EMPTYING_S: f64 = 8.0;
-/// Seconds that stopping a task costs beyond saving, if it has only just started: its start was in
-/// vain then.
-const RECENT_START_COST_S: f64 = 20.0;
-const RECENT_START: TimeSpan = TimeSpan(30_000);
+pub(super) use super::eviction::Eviction;
 
-/// The tasks to be stopped on one machine to make room, and what that costs.
-struct Eviction {
-    cost_s: f64,
-    machine_id: MachineId,
-    victims: Vec<(TaskId, AttemptId, f64)>,
-}
+/// Machines emptied in one round, and one more for each so many that there are: the effect of the
+/// first is seen before the next.
+const MIN_MACHINES_PER_ROUND: usize = 2;
+const MACHINES_PER_EXTRA_EVICTION: usize = 100;
+/// Rounds are at least this far apart.
+const ROUND_INTERVAL: TimeSpan = TimeSpan(200);
+/// Jobs for which ways to make room are looked for in one round.
+pub(super) const MAX_JOBS_PER_ROUND: usize = 24;
+/// A machine emptied for a job is reserved for it this long.
+const RESERVATION_AFTER_EVICTION: TimeSpan = TimeSpan(20_000);
+/// A pull that takes fewer seconds than this is no reason to preempt.
+const MIN_PULL_WORTH_PREEMPTING_S: f64 = 8.0;
+/// Victims may take at most this fraction of the pull to stop, if they make way for a job whose image is there.
+const MAX_GRACE_FRACTION_OF_PULL: f64 = 0.5;
 
 impl Scheduler {
-    /// Makes room for waiting jobs that would otherwise start too late.
+    /// Makes room for pending jobs that would otherwise start too late.
     pub(crate) fn preempt(&mut self, now: Instant, unplaced: &[UnplacedTasks]) {
-        if unplaced.is_empty() || now - self.placement.last_preemption_at < LOOK_EVERY {
+        if unplaced.is_empty() || now - self.placement.last_preemption_at < ROUND_INTERVAL {
             return;
         }
         self.placement.last_preemption_at = now;
-        let inside = self.guaranteed();
-        let mut emptied = 0;
-        let most = MOST_AT_ONCE + self.machines.len() / MACHINES_PER_EXTRA;
-        let mut looked = 0;
-        for u in unplaced {
-            if emptied >= most || looked >= MOST_JOBS {
+        let view = self.placement_view(now);
+        let guaranteed_jobs = view.guaranteed_jobs();
+        let lowest_priority = view.lowest_priority();
+        let max_evictions =
+            MIN_MACHINES_PER_ROUND + self.machines.len() / MACHINES_PER_EXTRA_EVICTION;
+        let mut eviction_count = 0;
+        let mut job_count = 0;
+        for tasks in unplaced {
+            if eviction_count >= max_evictions || job_count >= MAX_JOBS_PER_ROUND {
                 return;
             }
-            if !self.may_preempt(&u.job, &inside) || !self.too_late_to_rent(now, &u.job) {
+            let view = self.placement_view(now);
+            let Some(preemptor) = Preemptor::new(&view, &tasks.job, &guaranteed_jobs) else {
+                continue;
+            };
+            if !preemptor.may_preempt(lowest_priority) || !view.would_start_late(preemptor.job) {
                 continue;
             }
-            looked += 1;
-            let Some(evictions) = self.evictions(now, &u.job, u.count, &inside) else {
+            job_count += 1;
+            let evictions = view.evictions(&preemptor, tasks.count);
+            eviction_count += evictions.len();
+            self.evict(now, &tasks.job, evictions);
+        }
+    }
+
+    /// Reserves machines for a job and stops the tasks that are in its way there.
+    pub(super) fn evict(&mut self, now: Instant, job_id: &JobId, evictions: Vec<Eviction>) {
+        for eviction in evictions {
+            tracing::debug!(
+                job = %job_id,
+                machine = %eviction.machine_id,
+                count = eviction.victims.len(),
+                cost_s = eviction.cost_s,
+                "preempting tasks"
+            );
+            let Some(machine) = self.machines.get_mut(&eviction.machine_id) else {
                 continue;
             };
-            for eviction in evictions {
-                self.evict(now, &u.job, eviction);
-                emptied += 1;
+            machine.reservation = Some((job_id.clone(), now + RESERVATION_AFTER_EVICTION));
+            for victim in eviction.victims {
+                let key = (victim.task, victim.attempt_id);
+                if let Some(attempt) = machine.attempts.get_mut(&key) {
+                    attempt.stop = Some(StopRequest {
+                        grace_s: victim.grace_s,
+                        pushed: false,
+                    });
+                }
             }
+            self.outbox
+                .machines_to_review
+                .insert(eviction.machine_id.clone());
+            self.outbox.pushes_due.insert(eviction.machine_id);
         }
     }
+}
 
-    /// The machines to be emptied for a job: one at a time, but for a gang as many as it needs at
-    /// once, for fewer would not help. None: enough are being emptied, or there are not enough.
-    fn evictions(
-        &self,
-        now: Instant,
-        id: &JobId,
-        count: u32,
-        inside: &BTreeSet<JobId>,
-    ) -> Option<Vec<Eviction>> {
-        let job = self.jobs.get(id)?;
-        let request = Resources::of(&job.spec);
-        let kept = |m: &Machine| {
-            let kept = m.reservation.as_ref().filter(|(_, t)| now < *t);
-            kept.map(|(j, _)| j == id)
-        };
-        // What is free already, or is being made free.
-        let there = self
-            .machines
-            .values()
-            .filter(|m| match kept(m) {
-                Some(mine) => mine,
-                None => request.fits(&m.free) && Self::allows(&job.spec, m) && self.usable(m, now),
-            })
-            .count() as u32;
-        let wanted = if job.is_all_or_nothing() {
-            count.saturating_sub(there)
+impl PlacementView<'_> {
+    /// The machines to be emptied for a job with so many tasks that found no room: one at a time, but for a
+    /// gang as many as it needs at once, for fewer would not help. Empty if there are not enough, or if
+    /// enough are free or being emptied.
+    fn evictions(&self, preemptor: &Preemptor<'_>, unplaced_count: u32) -> Vec<Eviction> {
+        let machines_needed = if preemptor.job.is_all_or_nothing() {
+            unplaced_count
         } else {
-            1u32.saturating_sub(there)
+            1
         };
+        let available = self.machines_available_to(preemptor.id, preemptor.job);
+        let wanted = machines_needed.saturating_sub(available) as usize;
         if wanted == 0 {
-            return None;
+            return Vec::new();
         }
-        let mut evictions: Vec<Eviction> = self
-            .machines
+        let evictions = self
+            .machines()
             .values()
-            .filter_map(|m| self.eviction(now, m, id, inside))
+            .filter_map(|machine| self.eviction(machine, preemptor))
             .collect();
-        if (evictions.len() as u32) < wanted {
-            return None;
-        }
-        evictions.sort_by(|a, b| {
-            a.cost_s
-                .total_cmp(&b.cost_s)
-                .then_with(|| a.machine_id.cmp(&b.machine_id))
-        });
-        evictions.truncate(wanted as usize);
-        Some(evictions)
+        cheapest(evictions, wanted)
     }
 
-    /// Whether a job leaves the room there is, because machines that have its image can be had sooner than
-    /// the image can be fetched, at the cost of less urgent work.
-    ///
-    /// Guards against large jobs that fetch their image again and again while it is at hand: on the recorded
-    /// day 0a7c a team without a guarantee filled every machine that had come free, and the part of starts
-    /// that found their image there fell from a half to a tenth.
-    pub(crate) fn takes_machines_with_image(
-        &mut self,
-        now: Instant,
-        id: &JobId,
-        pass: &mut Pass,
-    ) -> bool {
-        if pass.favoured.contains(id) && self.is_being_made_room_for(now, id) {
-            return true;
-        }
-        if pass.looked_for_image >= MOST_JOBS {
-            return false;
-        }
-        pass.looked_for_image += 1;
-        let Some(evictions) = self.evictions_for_image(now, id) else {
-            return false;
+    /// How many machines have room for a task of the job, or are being emptied for it.
+    fn machines_available_to(&self, job_id: &JobId, job: &Job) -> u32 {
+        let is_available = |machine: &&Machine| match self.reserved_for(machine) {
+            Some(holder) => holder == job_id,
+            None => self.has_room_for(machine, &job.spec) && self.is_usable(machine),
         };
-        for eviction in evictions {
-            self.evict(now, id, eviction);
-        }
-        true
+        self.machines().values().filter(is_available).count() as u32
+    }
+
+    fn has_room_for(&self, machine: &Machine, spec: &JobSpec) -> bool {
+        Resources::of(spec).fits(&machine.free) && allows_machine(spec, machine)
     }
 
     /// Whether machines with the job's image are being emptied for it.
-    fn is_being_made_room_for(&self, now: Instant, id: &JobId) -> bool {
-        let Some(job) = self.jobs.get(id) else {
+    pub(super) fn is_room_being_made_for(&self, job_id: &JobId) -> bool {
+        let Some(job) = self.jobs().get(job_id) else {
             return false;
         };
-        let mut kept = self.machines.values().filter(|m| {
-            let reservation = m.reservation.as_ref();
-            reservation.is_some_and(|(j, until)| j == id && now < *until)
-        });
-        kept.any(|m| {
-            m.has_image(&job.spec.image)
-                && self.usable(m, now)
-                && m.live_attempts().any(|s| s.stop.is_some())
+        self.machines().values().any(|machine| {
+            self.reserved_for(machine) == Some(job_id)
+                && machine.has_image(&job.spec.image)
+                && self.is_usable(machine)
+                && machine
+                    .live_attempts()
+                    .any(|attempt| attempt.stop.is_some())
         })
     }
 
     /// The machines with the job's image to be emptied for it, if that gains time: all that it needs, or none.
-    fn evictions_for_image(&self, now: Instant, id: &JobId) -> Option<Vec<Eviction>> {
-        let job = self.jobs.get(id)?;
-        let spec = &job.spec;
-        let fetch_s = self.shortest_fetch_s(spec);
+    pub(super) fn evictions_for_image(&self, job_id: &JobId) -> Vec<Eviction> {
+        // Only tasks of lower priority go: nothing is inside a guarantee for this.
+        let no_guaranteed_jobs = BTreeSet::new();
+        let Some(preemptor) = Preemptor::new(self, job_id, &no_guaranteed_jobs) else {
+            return Vec::new();
+        };
+        let spec = &preemptor.job.spec;
+        let pull_s = self.shortest_image_pull_s(spec);
         // A job that has failed may be mistaken: nothing is stopped for it.
-        if !self.bulk(spec) || fetch_s < WORTH_EMPTYING_S || !job.failed_on.is_empty() {
-            return None;
+        if !self.is_large_task(spec)
+            || pull_s < MIN_PULL_WORTH_PREEMPTING_S
+            || !preemptor.job.failed_on.is_empty()
+        {
+            return Vec::new();
         }
-        let request = Resources::of(spec);
-        let with_image = |m: &&Machine| m.has_image(&spec.image) && self.usable(m, now);
-        let here = || self.machines.values().filter(with_image);
-        let ready = |m: &&Machine| request.fits(&m.free) && Self::allows(spec, m);
-        if here().any(|m| ready(&m)) {
-            return None;
+        let machines_with_image = || {
+            self.machines()
+                .values()
+                .filter(|machine| machine.has_image(&spec.image) && self.is_usable(machine))
+        };
+        if machines_with_image().any(|machine| self.has_room_for(machine, spec)) {
+            return Vec::new();
         }
-        let wanted = job.pending.len();
-        // Only less urgent work goes: nothing is inside a guarantee for this.
-        let nobody = BTreeSet::new();
-        let mut evictions: Vec<Eviction> = here()
-            .filter_map(|m| self.eviction(now, m, id, &nobody))
+        let max_grace_s = pull_s * MAX_GRACE_FRACTION_OF_PULL;
+        let evictions = machines_with_image()
+            .filter_map(|machine| self.eviction(machine, &preemptor))
             .filter(|eviction| {
                 eviction
                     .victims
                     .iter()
-                    .all(|(_, _, grace_s)| *grace_s < fetch_s / 2.0)
+                    .all(|victim| victim.grace_s < max_grace_s)
             })
             .collect();
-        if evictions.len() < wanted {
-            return None;
-        }
-        evictions.sort_by(|a, b| {
-            a.cost_s
-                .total_cmp(&b.cost_s)
-                .then_with(|| a.machine_id.cmp(&b.machine_id))
-        });
-        evictions.truncate(wanted);
-        Some(evictions)
+        cheapest(evictions, preemptor.job.pending.len())
     }
 
-    /// Whether anything may be stopped for the job at all.
-    fn may_preempt(&self, id: &JobId, inside: &BTreeSet<JobId>) -> bool {
-        let priority = self.jobs.get(id).map(|j| self.urgency_of(id, &j.spec));
-        let above = priority > self.least_urgent();
-        above || inside.contains(id)
-    }
-
-    /// Whether the job would miss the time by which it should start if it waited for a rental.
-    fn too_late_to_rent(&self, now: Instant, id: &JobId) -> bool {
-        let Some(job) = self.jobs.get(id) else {
-            return false;
-        };
+    /// Whether the job would miss the time by which it should start if it waited for a machine to be rented, or
+    /// none can be rented.
+    fn would_start_late(&self, job: &Job) -> bool {
         let spec = &job.spec;
-        let by_class = self.policy.started_within(&spec.class);
-        let Some(within) = by_class else {
-            return !self.may_rent(now, spec);
-        };
-        let waited = (now - job.ready).secs();
-        let request = Resources::of(spec);
-        let rental = self
-            .machines
-            .types
-            .values()
-            .filter(|r| request.fits(&self.machines.capacity(&r.name)))
-            .map(|r| r.boot_s)
-            .fold(f64::INFINITY, f64::min);
-        waited + rental > within || !self.may_rent(now, spec)
+        let waited_s = (self.now() - job.ready).secs();
+        let misses_objective = self
+            .policy()
+            .started_within(&spec.class)
+            .is_some_and(|within_s| waited_s + self.shortest_boot_s(spec) > within_s);
+        misses_objective || !self.may_scale_out_for(spec)
     }
 
-    fn eviction(
-        &self,
-        now: Instant,
-        m: &Machine,
-        id: &JobId,
-        inside: &BTreeSet<JobId>,
-    ) -> Option<Eviction> {
-        let job = self.jobs.get(id)?;
-        let spec = &job.spec;
+    /// Seconds that the machine type which is quickest to boot takes, of those on which a task fits.
+    fn shortest_boot_s(&self, spec: &JobSpec) -> f64 {
         let request = Resources::of(spec);
-        let free_to_use = self.usable(m, now)
-            && Self::allows(spec, m)
-            && request.fits(&self.machines.capacity(&m.machine_type))
-            && self
-                .autoscaler
-                .warm_pool
-                .get(&m.id)
-                .is_none_or(|c| *c == spec.class)
-            && m.reservation.as_ref().is_none_or(|(_, t)| now >= *t);
-        if !free_to_use {
-            return None;
-        }
-        let mut victims: Vec<(f64, &TaskAttempt, f64)> = m
-            .attempts
+        self.machines()
+            .types
             .values()
-            .filter(|s| !s.ended())
-            .filter_map(|s| {
-                let other = self.jobs.get(&s.task.job)?;
-                let may = s.stop.is_none() && self.may_stop(job, id, other, &s.task.job, inside);
-                // All of a gang goes down with its member.
-                let members = if other.is_all_or_nothing() {
-                    f64::from(other.spec.tasks)
-                } else {
-                    1.0
-                };
-                let other = &other.spec;
-                let save = other.checkpoint_s > 0.0;
-                let ran = s.running_since.map_or(0.0, |t| (now - t).secs());
-                let young = if now - s.since < RECENT_START {
-                    RECENT_START_COST_S
-                } else {
-                    0.0
-                };
-                let cost = (young + if save { other.save_s } else { ran }) * members;
-                let grace = if save { other.save_s + 2.0 } else { 0.0 };
-                may.then_some((cost, s, grace))
-            })
-            .collect();
-        victims.sort_by(|a, b| a.0.total_cmp(&b.0));
-        let mut room = m.free;
-        let mut chosen = Vec::new();
-        let mut cost_s = self.wait_for_image(now, m, spec);
-        for (cost, s, grace) in victims {
-            if request.fits(&room) {
-                break;
-            }
-            room.add(&s.request);
-            cost_s += cost;
-            chosen.push((s.task.clone(), s.attempt_id, grace));
-        }
-        (request.fits(&room) && !chosen.is_empty()).then(|| Eviction {
-            cost_s,
-            machine_id: m.id.clone(),
-            victims: chosen,
-        })
-    }
-
-    fn may_stop(
-        &self,
-        job: &Job,
-        id: &JobId,
-        other: &Job,
-        other_id: &JobId,
-        inside: &BTreeSet<JobId>,
-    ) -> bool {
-        let priority = self.urgency_of(id, &job.spec);
-        let other_urgency = self.urgency_of(other_id, &other.spec);
-        if other_urgency < priority {
-            return true;
-        }
-        let borrowed = || {
-            let u = self.used_by(other.team);
-            self.policy.team(other.team).is_some_and(|t| {
-                (t.gpus > 0.0 && u.gpus > t.gpus) || (t.cpus > 0.0 && u.cpus > t.cpus)
-            })
-        };
-        // Within a class the one would only be served at the other's cost: on a recorded day a gang
-        // was stopped 16 s after its start for another of its own kind. Nor is what is more urgent
-        // stopped, though the protocol allows it: on a calm day of the fleet a hundred tasks of
-        // urgent gangs were stopped for single tasks, some gangs five times, while what ends by
-        // itself every second had room for thousands.
-        inside.contains(id)
-            && other_urgency <= priority
-            && other.spec.class != job.spec.class
-            && other.team != job.team
-            && !inside.contains(other_id)
-            && borrowed()
-    }
-
-    fn evict(&mut self, now: Instant, id: &JobId, eviction: Eviction) {
-        tracing::debug!(job = %id, machine = %eviction.machine_id, tasks = eviction.victims.len(), cost_s = eviction.cost_s, "making room");
-        let Some(m) = self.machines.get_mut(&eviction.machine_id) else {
-            return;
-        };
-        m.reservation = Some((id.clone(), now + KEPT));
-        for (task, attempt_id, grace_s) in eviction.victims {
-            if let Some(s) = m.attempts.get_mut(&(task, attempt_id)) {
-                s.stop = Some(StopRequest {
-                    grace_s,
-                    pushed: false,
-                });
-            }
-        }
-        self.outbox
-            .machines_to_review
-            .insert(eviction.machine_id.clone());
-        self.outbox.pushes_due.insert(eviction.machine_id);
+            .filter(|info| request.fits(&self.machines().capacity(&info.name)))
+            .map(|info| info.boot_s)
+            .fold(f64::INFINITY, f64::min)
     }
 }
--- a/src/coordination/placement/queue.rs
+++ b/src/coordination/placement/queue.rs
@@ -1,139 +1,189 @@
-//! The order in which waiting jobs are placed.
+//! The order in which pending jobs are placed (Algorithm 1, line 1: the queue is sorted in topological order),
+//! and the rounds in which jobs are placed together (lines 3 to 7: task groups, and requests in the queue
+//! that share a prefix, for which images stand here).
 
+use super::view::PlacementView;
+use crate::coordination::jobs::graph::Label;
 use crate::coordination::jobs::job::Job;
-use crate::coordination::Scheduler;
 use crate::ids::{JobId, TeamIndex};
-use crate::protocol::users::{JobSpec, Priority};
+use crate::protocol::users::Priority;
 use crate::resources::{within_limit, Resources};
 use crate::time::{Instant, TimeSpan};
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
 
-impl Scheduler {
-    /// Jobs that fit into their team's guarantee together with the team's earlier unfinished ones.
-    pub(crate) fn guaranteed(&self) -> BTreeSet<JobId> {
-        let mut inside = BTreeSet::new();
-        for (n, jobs) in self.jobs.index.by_team.iter().enumerate() {
-            let Some(team) = self.policy.team(Some(TeamIndex(n))) else {
-                continue;
-            };
-            let any = team.cpus > 0.0 || team.gpus > 0.0;
-            let mut sum = Resources::default();
-            for (_, id) in jobs {
-                let Some(j) = self.jobs.get(id) else { continue };
-                sum.add(&j.left());
-                if any && within_limit(sum.cpus, team.cpus) && within_limit(sum.gpus, team.gpus) {
-                    inside.insert(id.clone());
-                }
-            }
-        }
-        inside
-    }
+/// Jobs that are placed in one round: first all of them on machines that have their images, then what is left
+/// of each on any machine.
+pub(super) type Round = Vec<JobId>;
 
-    /// Which of its aims the job can still meet: the sooner ones come first, and one that can't be
-    /// met any more gives way to the next. A job past all of them goes last; otherwise, when there is
-    /// too much to do, jobs already late would make every other late as well.
-    pub(crate) fn aim_of(&self, id: &JobId, job: &Job, now: Instant) -> u8 {
-        let class = &job.spec.class;
-        let after = |s: f64| job.ready + TimeSpan::from_secs(s);
-        let run = TimeSpan::from_secs(self.longest_of(job));
-        let attempts = self.policy.of_class("wait", class);
-        let mut aims: Vec<Instant> = attempts.filter_map(|o| o.within_s).map(after).collect();
-        let finishes = self.policy.of_class("finished", class);
-        aims.extend(finishes.filter_map(|o| o.within_s).map(|s| after(s) - run));
-        let has_deadline = job.spec.due_s.is_some() || self.jobs.graph.has_consumers(id);
-        if let Some(due) = self.jobs.graph.due(id).filter(|_| has_deadline) {
-            aims.extend(self.deadline_aims(job, due).map(|t| t - run));
-        }
-        aims.sort();
-        aims.iter().filter(|t| **t < now).count() as u8
-    }
-
-    /// The deadline that a job has, of its own or for the jobs that need it, and the multiples of the
-    /// time that it allows itself which its class's objectives name.
-    pub(crate) fn deadline_aims(&self, job: &Job, due: Instant) -> impl Iterator<Item = Instant> {
-        let (submitted, class) = (job.submitted, &job.spec.class);
-        let mut times = Vec::new();
-        if job.spec.due_s.is_some() {
-            let named = self.policy.of_class("deadline", class);
-            times.extend(named.filter_map(|o| o.times));
-        }
-        if times.is_empty() {
-            times.push(1.0);
-        }
-        let allowed_s = (due - submitted).secs();
-        let aims = times.into_iter();
-        aims.map(move |t| submitted + TimeSpan::from_secs(allowed_s * t))
-    }
+/// Whether a job goes ahead of all others because it has waited for too long.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+enum AgingRank {
+    /// Guards against a job that never begins, whatever ranks it low: oldest first.
+    Aged {
+        ready: Instant,
+    },
+    NotAged,
+}
 
-    /// The priority that a job is treated with: the highest of its own and of all that need it.
-    pub(crate) fn urgency_of(&self, id: &JobId, spec: &JobSpec) -> Priority {
-        let derived = self.jobs.graph.priority(id);
-        derived.map_or(spec.priority, |u| u.max(spec.priority))
-    }
+/// What tells one round of jobs from the next. The fields are in the order of precedence, and the least key
+/// goes first.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct RoundKey {
+    aging: AgingRank,
+    /// The job's place in topological order.
+    depth: u32,
+    is_outside_guarantee: bool,
+    priority: Reverse<Priority>,
+    label: Label,
+    missed_objectives: u8,
+    is_small_task: bool,
+}
 
-    /// Whether a task takes most of a machine: large ones are placed first, small ones fill what is
-    /// left.
-    pub(crate) fn bulk(&self, spec: &JobSpec) -> bool {
-        self.part_of_machine(spec) > 0.5
-    }
+/// Where a job stands in the queue: by round, then the least work first, then the oldest.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct QueueKey<'a> {
+    round: RoundKey,
+    pending_work: TimeSpan,
+    ready: Instant,
+    job_id: &'a JobId,
+}
 
-    pub(crate) fn queue(&self, now: Instant) -> Vec<Vec<JobId>> {
-        if self.jobs.index.pending.is_empty() {
+impl<'a> PlacementView<'a> {
+    /// The pending jobs in the order in which they are placed.
+    pub(super) fn queue(&self) -> Vec<Round> {
+        if self.jobs().index.pending.is_empty() {
             return Vec::new();
         }
-        let inside = self.guaranteed();
-        let mut queue: Vec<_> = self
-            .jobs
+        let guaranteed = self.guaranteed_jobs();
+        let mut queue: Vec<QueueKey<'a>> = self
+            .jobs()
             .index
             .pending
             .iter()
-            .filter_map(|id| Some((id, self.jobs.get(id)?)))
-            .filter(|(_, j)| j.not_before <= now)
-            .map(|(id, j)| {
-                let aged = self.aged(j, now);
-                let class = (
-                    // Guards against a job that never begins, whatever ranks it low: oldest first.
-                    !aged,
-                    aged.then_some(j.ready),
-                    self.jobs.graph.depth(id),
-                    !inside.contains(id),
-                    Reverse::<Priority>(self.urgency_of(id, &j.spec)),
-                    self.jobs.graph.label(id),
-                    self.aim_of(id, j, now),
-                    !self.bulk(&j.spec),
-                );
-                let rank = (class, TimeSpan::from_secs(self.work_of(j)), j.ready);
-                (rank, id)
-            })
+            .filter_map(|id| Some((id, self.jobs().get(id)?)))
+            .filter(|(_, job)| job.not_before <= self.now())
+            .map(|(id, job)| self.queue_key(id, job, &guaranteed))
             .collect();
         queue.sort();
-        // A task group goes in one round: its members follow its first one at once. Jobs that only
-        // their work and age tell apart are a round of their own.
-        let here: BTreeSet<&JobId> = queue.iter().map(|(_, id)| *id).collect();
-        let mut seen = BTreeSet::new();
-        let mut rounds: Vec<Vec<JobId>> = Vec::new();
-        let mut last = None;
-        for ((class, ..), id) in &queue {
-            if last != Some(class) {
-                rounds.push(Vec::new());
-                last = Some(class);
-            }
-            for member in self.jobs.graph.group(id) {
-                if here.contains(&member) && seen.insert(member.clone()) {
-                    rounds.extend(rounds.is_empty().then(Vec::new));
-                    if let Some(round) = rounds.last_mut() {
-                        round.push(member);
-                    }
+        self.rounds(&queue)
+    }
+
+    fn queue_key(&self, id: &'a JobId, job: &Job, guaranteed: &BTreeSet<JobId>) -> QueueKey<'a> {
+        let aging = if self.is_aged(job) {
+            AgingRank::Aged { ready: job.ready }
+        } else {
+            AgingRank::NotAged
+        };
+        let graph = &self.jobs().graph;
+        QueueKey {
+            round: RoundKey {
+                aging,
+                depth: graph.depth(id),
+                is_outside_guarantee: !guaranteed.contains(id),
+                priority: Reverse(self.effective_priority(id, &job.spec)),
+                label: graph.label(id),
+                missed_objectives: self.missed_objectives(id, job),
+                is_small_task: !self.is_large_task(&job.spec),
+            },
+            pending_work: TimeSpan::from_secs(self.pending_work_s(job)),
+            ready: job.ready,
+            job_id: id,
+        }
+    }
+
+    /// Divides the sorted queue into rounds. A task group goes in one round: its members follow its first
+    /// one at once. Jobs that only their work and age tell apart are a round of their own, in which those
+    /// that share an image are placed together.
+    fn rounds(&self, queue: &[QueueKey<'_>]) -> Vec<Round> {
+        let queued: BTreeSet<&JobId> = queue.iter().map(|key| key.job_id).collect();
+        let mut assigned = BTreeSet::new();
+        let mut rounds = Vec::new();
+        for keys in queue.chunk_by(|left, right| left.round == right.round) {
+            let mut round = Round::new();
+            for member in keys
+                .iter()
+                .flat_map(|key| self.jobs().graph.group(key.job_id))
+            {
+                if queued.contains(&member) && assigned.insert(member.clone()) {
+                    round.push(member);
                 }
             }
+            rounds.push(round);
         }
         rounds
     }
 
-    /// The lowest priority among the jobs that may run.
-    pub(crate) fn least_urgent(&self) -> Option<Priority> {
-        let open = self.jobs.iter().filter(|(_, j)| !j.closed && j.released);
-        open.map(|(id, j)| self.urgency_of(id, &j.spec)).min()
+    /// Jobs that fit into their team's guaranteed share together with the team's earlier unfinished ones.
+    pub(super) fn guaranteed_jobs(&self) -> BTreeSet<JobId> {
+        let mut guaranteed = BTreeSet::new();
+        for (index, team_jobs) in self.jobs().index.by_team.iter().enumerate() {
+            let Some(team) = self.policy().team(Some(TeamIndex(index))) else {
+                continue;
+            };
+            if team.cpus <= 0.0 && team.gpus <= 0.0 {
+                continue;
+            }
+            let mut unfinished = Resources::default();
+            for (_, id) in team_jobs {
+                let Some(job) = self.jobs().get(id) else {
+                    continue;
+                };
+                unfinished.add(&job.left());
+                if within_limit(unfinished.cpus, team.cpus)
+                    && within_limit(unfinished.gpus, team.gpus)
+                {
+                    guaranteed.insert(id.clone());
+                }
+            }
+        }
+        guaranteed
+    }
+
+    /// How many of its service-level objectives the job can't meet any more: one that can still meet its
+    /// first goes ahead, and a job past all of them goes last. Otherwise, when there is too much to do,
+    /// jobs already late would make every other late as well.
+    fn missed_objectives(&self, id: &JobId, job: &Job) -> u8 {
+        let class = &job.spec.class;
+        let after_ready = |seconds: f64| job.ready + TimeSpan::from_secs(seconds);
+        let run_time = TimeSpan::from_secs(self.longest_run_time_s(job));
+        let mut latest_starts: Vec<Instant> = self
+            .policy()
+            .of_class("wait", class)
+            .filter_map(|objective| objective.within_s)
+            .map(after_ready)
+            .collect();
+        latest_starts.extend(
+            self.policy()
+                .of_class("finished", class)
+                .filter_map(|objective| objective.within_s)
+                .map(|seconds| after_ready(seconds) - run_time),
+        );
+        let graph = &self.jobs().graph;
+        let has_deadline = job.spec.due_s.is_some() || graph.has_consumers(id);
+        if let Some(deadline) = graph.due(id).filter(|_| has_deadline) {
+            let deadlines = self.deadline_objectives(job, deadline);
+            latest_starts.extend(deadlines.map(|deadline| deadline - run_time));
+        }
+        let missed = latest_starts.iter().filter(|start| **start < self.now());
+        missed.count() as u8
+    }
+
+    /// The deadline that a job has, of its own or for its downstream jobs, and the multiples of the time
+    /// that it allows itself which its class's objectives name.
+    fn deadline_objectives(&self, job: &Job, deadline: Instant) -> impl Iterator<Item = Instant> {
+        let submitted = job.submitted;
+        let mut multiples = Vec::new();
+        if job.spec.due_s.is_some() {
+            let objectives = self.policy().of_class("deadline", &job.spec.class);
+            multiples.extend(objectives.filter_map(|objective| objective.times));
+        }
+        if multiples.is_empty() {
+            multiples.push(1.0);
+        }
+        let allowed_s = (deadline - submitted).secs();
+        multiples
+            .into_iter()
+            .map(move |multiple| submitted + TimeSpan::from_secs(allowed_s * multiple))
     }
 }
--- /dev/null
+++ b/src/coordination/placement/request.rs
@@ -0,0 +1,48 @@
+//! What a task asks of the machine that it runs on.
+
+use crate::coordination::machines::machine::Machine;
+use crate::ids::{MachineType, Zone};
+use crate::protocol::users::JobSpec;
+use crate::resources::Resources;
+
+/// What a task asks of a machine, as far as the machine's kind and its free capacity go.
+#[derive(Clone, Debug)]
+pub(crate) struct ResourceRequest {
+    resources: Resources,
+    class: String,
+    may_use_spot: bool,
+    zone: Option<Zone>,
+    machine_types: Option<Vec<MachineType>>,
+}
+
+impl ResourceRequest {
+    /// What each task of a job asks for.
+    pub(crate) fn of(spec: &JobSpec) -> ResourceRequest {
+        ResourceRequest {
+            resources: Resources::of(spec),
+            class: spec.class.clone(),
+            may_use_spot: spec.spot,
+            zone: spec.zone.clone(),
+            machine_types: spec.machine_types.clone(),
+        }
+    }
+
+    /// Whether a task with this request is at least as hard to place as one with the other.
+    pub(crate) fn covers(&self, other: &ResourceRequest) -> bool {
+        other.resources.fits(&self.resources)
+            && self.class == other.class
+            && (other.may_use_spot || !self.may_use_spot)
+            && (other.zone.is_none() || other.zone == self.zone)
+            && (other.machine_types.is_none() || other.machine_types == self.machine_types)
+    }
+}
+
+/// Whether the job's own constraints (spot instances, zone, machine types) allow a machine of this kind.
+pub(crate) fn allows_machine(spec: &JobSpec, machine: &Machine) -> bool {
+    (spec.spot || !machine.spot)
+        && spec.zone.as_ref().is_none_or(|zone| *zone == machine.zone)
+        && spec
+            .machine_types
+            .as_ref()
+            .is_none_or(|types| types.contains(&machine.machine_type))
+}
--- a/src/coordination/placement/reservations.rs
+++ b/src/coordination/placement/reservations.rs
@@ -1,80 +1,113 @@
-//! Machines kept during one placement pass for jobs that could not be placed, so that those behind them in
-//! the queue don't take what they wait for.
+//! Machines kept for jobs that could not be placed, so that those behind them in the queue don't take what they
+//! wait for. A reservation made here holds for the rest of the pass; one on a machine ([`Machine`]'s
+//! `reservation`), made by preemption or when a gang attempt failed, holds until a time.
 
-use crate::coordination::placement::candidates::emptiness;
-use crate::coordination::placement::Pass;
-use crate::coordination::Scheduler;
-use crate::ids::{MachineId, Zone};
+use super::candidates::free_fraction;
+use super::pass::PlacementPass;
+use super::request::allows_machine;
+use super::view::PlacementView;
+use crate::coordination::jobs::job::Job;
+use crate::coordination::machines::machine::Machine;
+use crate::ids::{JobId, MachineId, Zone};
 use crate::protocol::users::JobSpec;
 use crate::resources::Resources;
-use crate::time::Instant;
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, BTreeSet};
 
-impl Scheduler {
-    /// Guards against a task of a whole machine that never finds one, because small tasks fill
-    /// every gap and no more machines are to be had: the emptiest that it may use takes nothing
-    /// more from jobs behind it.
-    fn keep_a_machine(&self, now: Instant, spec: &JobSpec, pass: &mut Pass) {
-        let request = Resources::of(spec);
-        let best = self
-            .machines
-            .index
-            .with_room
-            .iter()
-            .filter(|h| !pass.kept.contains(*h))
-            .filter_map(|h| self.machines.get(h))
-            .filter(|m| Self::allows(spec, m) && self.usable(m, now))
-            .map(|m| (m, self.machines.capacity(&m.machine_type)))
-            .filter(|(_, whole)| request.fits(whole))
-            .map(|(m, whole)| (emptiness(&m.free, &whole), &m.id))
-            .max_by(|a, b| a.0.total_cmp(&b.0).then_with(|| b.1.cmp(a.1)));
-        if let Some((_, machine_id)) = best {
-            pass.kept.insert(machine_id.clone());
-        }
+impl<'a> PlacementView<'a> {
+    /// The job for which the machine is reserved beyond this pass.
+    pub(super) fn reserved_for<'m>(&self, machine: &'m Machine) -> Option<&'m JobId> {
+        let reservation = machine.reservation.as_ref();
+        reservation
+            .filter(|(_, until)| self.now() < *until)
+            .map(|(job_id, _)| job_id)
+    }
+
+    /// Whether the machine is reserved beyond this pass for a job other than that one.
+    pub(super) fn is_reserved_for_another(&self, machine: &Machine, job_id: &JobId) -> bool {
+        self.reserved_for(machine)
+            .is_some_and(|holder| holder != job_id)
+    }
+
+    /// All jobs for which machines are reserved beyond this pass.
+    pub(super) fn jobs_with_reservations(&self) -> BTreeSet<JobId> {
+        let machines = self.machines().values();
+        machines
+            .filter_map(|machine| self.reserved_for(machine))
+            .cloned()
+            .collect()
+    }
+
+    /// Whether the warm pool leaves the machine to jobs of the class.
+    pub(super) fn warm_pool_admits(&self, machine_id: &MachineId, class: &str) -> bool {
+        self.warm_pool_class(machine_id)
+            .is_none_or(|held_for| held_for == class)
     }
 
-    /// Holds machines for a job that could not be placed.
-    pub(crate) fn hold_for(
-        &self,
-        now: Instant,
-        spec: &JobSpec,
-        gang: bool,
-        aged: bool,
-        pass: &mut Pass,
-    ) {
-        let several = gang && spec.tasks > 1;
-        if several && (aged || self.bulk(spec)) {
-            self.hold_machines(now, spec, pass);
+    /// Machines that report and are not full.
+    fn machines_with_room(&self) -> impl Iterator<Item = &'a Machine> {
+        let machines = self.machines();
+        let ids = machines.index.with_room.iter();
+        ids.filter_map(|id| machines.get(id))
+    }
+}
+
+impl PlacementPass<'_> {
+    /// Reserves machines for a job that could not be placed.
+    pub(super) fn reserve_machines_for(&mut self, job: &Job) {
+        let spec = &job.spec;
+        let is_gang_of_several = job.is_all_or_nothing();
+        let is_large = self.view.is_large_task(spec);
+        let is_aged = self.view.is_aged(job);
+        if is_gang_of_several && (is_aged || is_large) {
+            self.reserve_free_machines(spec);
         }
-        if (several && aged) || (self.bulk(spec) && (aged || !self.may_rent(now, spec))) {
-            let n = if several { spec.tasks } else { 1 };
-            for _ in 0..n {
-                self.keep_a_machine(now, spec, pass);
+        let may_wait = || !is_aged && self.view.may_scale_out_for(spec);
+        if (is_gang_of_several && is_aged) || (is_large && !may_wait()) {
+            let count = if is_gang_of_several { spec.tasks } else { 1 };
+            for _ in 0..count {
+                self.reserve_emptiest_machine(spec);
             }
         }
     }
 
+    /// Guards against a task of a whole machine that never finds one, because small tasks fill
+    /// every gap and no more machines are to be had: the emptiest that it may use takes nothing
+    /// more from jobs behind it.
+    fn reserve_emptiest_machine(&mut self, spec: &JobSpec) {
+        let request = Resources::of(spec);
+        let emptiest = self
+            .view
+            .machines_with_room()
+            .filter(|machine| !self.state.is_reserved(&machine.id))
+            .filter(|machine| allows_machine(spec, machine) && self.view.is_usable(machine))
+            .map(|machine| (machine, self.view.capacity(machine)))
+            .filter(|(_, capacity)| request.fits(capacity))
+            .map(|(machine, capacity)| (free_fraction(&machine.free, &capacity), &machine.id))
+            .max_by(|left, right| left.0.total_cmp(&right.0).then_with(|| right.1.cmp(left.1)));
+        if let Some((_, machine_id)) = emptiest {
+            self.state.reserve(machine_id);
+        }
+    }
+
     /// Guards against a gang of several machines that never finds them at once, because what comes
-    /// free is taken by whatever needs less: those that it could use are held for it.
-    fn hold_machines(&self, now: Instant, spec: &JobSpec, pass: &mut Pass) {
+    /// free is taken by whatever needs less: those that it could use are reserved for it, all in one zone
+    /// if it has affinity.
+    fn reserve_free_machines(&mut self, spec: &JobSpec) {
         let request = Resources::of(spec);
-        let mut fit: BTreeMap<Option<&Zone>, Vec<&MachineId>> = BTreeMap::new();
-        for m in self
-            .machines
-            .index
-            .with_room
-            .iter()
-            .filter_map(|h| self.machines.get(h))
-        {
-            let free = request.fits(&m.free) && Self::allows(spec, m) && self.usable(m, now);
-            if free && !pass.kept.contains(&m.id) {
-                let zone = spec.together.then_some(&m.zone);
-                fit.entry(zone).or_default().push(&m.id);
+        let mut by_zone: BTreeMap<Option<&Zone>, Vec<&MachineId>> = BTreeMap::new();
+        for machine in self.view.machines_with_room() {
+            if request.fits(&machine.free)
+                && allows_machine(spec, machine)
+                && self.view.is_usable(machine)
+                && !self.state.is_reserved(&machine.id)
+            {
+                let zone = spec.together.then_some(&machine.zone);
+                by_zone.entry(zone).or_default().push(&machine.id);
             }
         }
-        let most = fit.into_values().max_by_key(Vec::len).unwrap_or_default();
-        for machine_id in most.into_iter().take(spec.tasks as usize) {
-            pass.kept.insert(machine_id.clone());
+        let most = by_zone.into_values().max_by_key(Vec::len);
+        for machine_id in most.into_iter().flatten().take(spec.tasks as usize) {
+            self.state.reserve(machine_id);
         }
     }
 }
--- /dev/null
+++ b/src/coordination/placement/view.rs
@@ -0,0 +1,141 @@
+//! What placement and preemption read: the cluster, and what the other parts know of jobs and machines.
+
+use crate::coordination::jobs::job::Job;
+use crate::coordination::jobs::table::JobTable;
+use crate::coordination::machines::machine::Machine;
+use crate::coordination::machines::table::MachineTable;
+use crate::coordination::{Policy, Scheduler};
+use crate::ids::{JobId, MachineId};
+use crate::protocol::users::{JobSpec, Priority};
+use crate::resources::Resources;
+use crate::time::Instant;
+
+/// A task that takes more than this part of a machine takes most of it.
+const LARGE_TASK_FRACTION: f64 = 0.5;
+
+/// The cluster as placement sees it at one moment. Nothing can be changed through it.
+#[derive(Clone, Copy)]
+pub(crate) struct PlacementView<'a> {
+    scheduler: &'a Scheduler,
+    now: Instant,
+}
+
+impl Scheduler {
+    /// The cluster at that moment, for placement and preemption to read.
+    pub(crate) fn placement_view(&self, now: Instant) -> PlacementView<'_> {
+        PlacementView {
+            scheduler: self,
+            now,
+        }
+    }
+
+    /// Whether a task takes most of a machine: large ones are placed first, small ones fill what is
+    /// left.
+    pub(crate) fn is_large_task(&self, spec: &JobSpec) -> bool {
+        self.part_of_machine(spec) > LARGE_TASK_FRACTION
+    }
+}
+
+impl<'a> PlacementView<'a> {
+    /// The moment of the decision.
+    pub(super) fn now(&self) -> Instant {
+        self.now
+    }
+
+    /// The settings.
+    pub(super) fn policy(&self) -> &'a Policy {
+        &self.scheduler.policy
+    }
+
+    /// All jobs.
+    pub(super) fn jobs(&self) -> &'a JobTable {
+        &self.scheduler.jobs
+    }
+
+    /// All machines, with the task attempts on them.
+    pub(super) fn machines(&self) -> &'a MachineTable {
+        &self.scheduler.machines
+    }
+
+    /// Whether a machine may be given new work at all.
+    pub(super) fn is_usable(&self, machine: &Machine) -> bool {
+        self.scheduler.usable(machine, self.now)
+    }
+
+    /// What a machine offers when it is empty.
+    pub(super) fn capacity(&self, machine: &Machine) -> Resources {
+        self.machines().capacity(&machine.machine_type)
+    }
+
+    /// The class for which a machine is held ready, if it belongs to the warm pool.
+    pub(super) fn warm_pool_class(&self, machine_id: &MachineId) -> Option<&'a String> {
+        self.scheduler.autoscaler.warm_pool.get(machine_id)
+    }
+
+    /// Whether a machine for the job is booting, or may yet be had by scaling out.
+    pub(super) fn may_scale_out_for(&self, spec: &JobSpec) -> bool {
+        self.scheduler.may_rent(self.now, spec)
+    }
+
+    /// Whether a job goes ahead of all others, lest it or its kind starve.
+    pub(super) fn is_aged(&self, job: &Job) -> bool {
+        self.scheduler.aged(job, self.now)
+    }
+
+    /// The priority that a job is treated with: the highest of its own and of all downstream jobs.
+    pub(super) fn effective_priority(&self, job_id: &JobId, spec: &JobSpec) -> Priority {
+        let derived = self.jobs().graph.priority(job_id);
+        derived.map_or(spec.priority, |highest| highest.max(spec.priority))
+    }
+
+    /// The lowest effective priority among the jobs that may run.
+    pub(super) fn lowest_priority(&self) -> Option<Priority> {
+        let may_run = self
+            .jobs()
+            .iter()
+            .filter(|(_, job)| !job.closed && job.released);
+        may_run
+            .map(|(id, job)| self.effective_priority(id, &job.spec))
+            .min()
+    }
+
+    /// Whether a task of the job takes most of a machine.
+    pub(super) fn is_large_task(&self, spec: &JobSpec) -> bool {
+        self.scheduler.is_large_task(spec)
+    }
+
+    /// What the job's team uses: everything that may be on a machine.
+    pub(super) fn usage_of_team(&self, job: &Job) -> Resources {
+        self.scheduler.used_by(job.team)
+    }
+
+    /// How many more tasks of the job its team's limit lets start, when the teams use so much.
+    pub(super) fn quota_headroom(&self, job: &Job, team_usage: &[Resources]) -> u32 {
+        self.scheduler.headroom(&job.spec, job.team, team_usage)
+    }
+
+    /// Seconds that a task of the job should run.
+    pub(super) fn estimated_run_time_s(&self, job: &Job) -> f64 {
+        self.scheduler.estimate_of(job)
+    }
+
+    /// Seconds that the longest task of the job should run.
+    pub(super) fn longest_run_time_s(&self, job: &Job) -> f64 {
+        self.scheduler.longest_of(job)
+    }
+
+    /// What is left to be placed of a job, in machine-seconds.
+    pub(super) fn pending_work_s(&self, job: &Job) -> f64 {
+        self.scheduler.work_of(job)
+    }
+
+    /// Seconds until the job's image would be on the machine: 0 if it is cached there.
+    pub(super) fn image_wait_s(&self, machine: &Machine, spec: &JobSpec) -> f64 {
+        self.scheduler.wait_for_image(self.now, machine, spec)
+    }
+
+    /// Seconds that a pull of the job's image takes on the machine type that is quickest at it.
+    pub(super) fn shortest_image_pull_s(&self, spec: &JobSpec) -> f64 {
+        self.scheduler.shortest_fetch_s(spec)
+    }
+}
