--- a/src/coordination/attempts/reconciliation.rs
+++ b/src/coordination/attempts/reconciliation.rs
@@ -6,7 +6,7 @@
 use crate::coordination::attempts::task_attempt::{LastStatus, PushDelivery, TaskAttempt};
 use crate::coordination::machines::machine::{MachineState, MAX_UNACKNOWLEDGED_RESPONSES};
 use crate::coordination::{Effect, Scheduler};
-use crate::ids::{AttemptId, JobId, MachineId, Session, TaskId};
+use crate::ids::{AttemptKey, JobId, MachineId, Session};
 use crate::protocol::workers::{Cause, Command, TaskPhase, TaskStatus, WorkerStatus};
 use crate::time::{Instant, TimeSpan};
 
@@ -40,7 +40,7 @@
     /// A worker's check-in. The caller has made sure of the leader's authority, and sends the
     /// orders only if it still holds then.
     pub fn heartbeat(&mut self, now: Instant, status: &WorkerStatus) -> HeartbeatOutcome {
-        if status.token > self.leadership.term.token {
+        if status.token > self.leadership.token() {
             self.effects.push(Effect::StepDown {
                 why: "a worker has seen a higher token",
             });
@@ -60,7 +60,7 @@
         }
         let fresh = self.take_report(now, status, StatusSource::Heartbeat);
         self.review(now, &status.machine_id);
-        let token = self.leadership.term.token;
+        let token = self.leadership.token();
         let Some(m) = self.machines.get_mut(&status.machine_id) else {
             return HeartbeatOutcome::Refused;
         };
@@ -88,7 +88,7 @@
         seq: u64,
         status: &WorkerStatus,
     ) {
-        if status.token > self.leadership.term.token {
+        if status.token > self.leadership.token() {
             self.effects.push(Effect::StepDown {
                 why: "a worker has seen a higher token",
             });
@@ -113,7 +113,7 @@
         seq: u64,
         sent: bool,
     ) {
-        let token = self.leadership.term.token;
+        let token = self.leadership.token();
         let Some(m) = self.machines.get_mut(machine_id) else {
             return;
         };
@@ -165,7 +165,7 @@
                 false,
             );
         }
-        let first = self.leadership.term.first;
+        let first = self.leadership.initial_token();
         let Some(m) = self.machines.get_mut(machine_id) else {
             return false;
         };
@@ -238,7 +238,10 @@
         r: &WorkerStatus,
         confirmed: bool,
     ) {
-        let key = (p.task.clone(), p.attempt_id);
+        let key = AttemptKey {
+            task: p.task.clone(),
+            attempt_id: p.attempt_id,
+        };
         let Some(m) = self.machines.get_mut(machine_id) else {
             return;
         };
@@ -413,14 +416,14 @@
         let lease_expiry_bound = self.policy.lease_expiry_bound();
         let quiet = self.machines.values().filter(|m| !m.attempts.is_empty());
         let quiet = quiet.filter(|m| {
-            now - m.last_response_at.max(self.leadership.began_at) > lease_expiry_bound
+            now - m.last_response_at.max(self.leadership.began_at()) > lease_expiry_bound
         });
-        let expired: Vec<(MachineId, (TaskId, AttemptId))> = quiet
+        let expired: Vec<(MachineId, AttemptKey)> = quiet
             .flat_map(|m| {
                 let gone = |s: &&TaskAttempt| {
-                    now - m.lease_from(s).max(self.leadership.began_at) > lease_expiry_bound
+                    now - m.lease_from(s).max(self.leadership.began_at()) > lease_expiry_bound
                 };
-                let key = |s: &TaskAttempt| (m.id.clone(), (s.task.clone(), s.attempt_id));
+                let key = |s: &TaskAttempt| (m.id.clone(), s.key());
                 m.attempts.values().filter(gone).map(key)
             })
             .collect();
@@ -428,7 +431,7 @@
             // Proof 3: no entitled controller has answered it for longer than its lease, and the
             // session that the start belongs to is older than that too. Starts that were never
             // launched stay planned no longer either.
-            tracing::info!(machine = %machine_id, task = %key.0, "lease over: the task is gone");
+            tracing::info!(machine = %machine_id, task = %key.task, "lease over: the task is gone");
             self.remove_attempt(now, &machine_id, &key);
         }
         let patience = self.policy.silence();
--- a/src/coordination/placement/eviction.rs
+++ b/src/coordination/placement/eviction.rs
@@ -8,7 +8,7 @@
 use crate::coordination::attempts::task_attempt::TaskAttempt;
 use crate::coordination::jobs::job::Job;
 use crate::coordination::machines::machine::Machine;
-use crate::ids::{AttemptId, JobId, MachineId, TaskId};
+use crate::ids::{AttemptKey, JobId, MachineId};
 use crate::protocol::users::{JobSpec, Priority};
 use crate::resources::Resources;
 use crate::time::TimeSpan;
@@ -24,10 +24,8 @@
 /// A task attempt to be stopped.
 #[derive(Debug)]
 pub(super) struct Victim {
-    /// The task.
-    pub(super) task: TaskId,
-    /// Its attempt.
-    pub(super) attempt_id: AttemptId,
+    /// Which attempt of which task.
+    pub(super) attempt: AttemptKey,
     /// Seconds that it gets to write a checkpoint.
     pub(super) grace_s: f64,
 }
@@ -125,8 +123,7 @@
             free.add(&candidate.attempt.request);
             cost_s += candidate.cost_s;
             victims.push(Victim {
-                task: candidate.attempt.task.clone(),
-                attempt_id: candidate.attempt.attempt_id,
+                attempt: candidate.attempt.key(),
                 grace_s: candidate.grace_s,
             });
         }
--- a/src/coordination/placement/mod.rs
+++ b/src/coordination/placement/mod.rs
@@ -308,11 +308,10 @@
             let mut attempt = self.new_attempt(&machine, task.clone(), attempt_id, now);
             attempt.image_s = is_gang.then_some(image_wait_s);
             attempt.latency = is_latency;
+            let placed = PlacedAttempt::new(&machine, &attempt.key());
             self.insert_attempt(&machine, attempt);
             self.add_place(&machine, &task);
-            self.writer
-                .intents
-                .wait(PlacedAttempt::new(&machine, &(task, attempt_id)));
+            self.writer.intents.wait(placed);
         }
     }
 
--- a/src/coordination/placement/preemption.rs
+++ b/src/coordination/placement/preemption.rs
@@ -81,8 +81,7 @@
             };
             machine.reservation = Some((job_id.clone(), now + RESERVATION_AFTER_EVICTION));
             for victim in eviction.victims {
-                let key = (victim.task, victim.attempt_id);
-                if let Some(attempt) = machine.attempts.get_mut(&key) {
+                if let Some(attempt) = machine.attempts.get_mut(&victim.attempt) {
                     attempt.stop = Some(StopRequest {
                         grace_s: victim.grace_s,
                         pushed: false,
