--- a/src/coordination/placement/view.rs
+++ b/src/coordination/placement/view.rs
@@ -74,7 +74,8 @@
 
     /// Whether a machine for the job is booting, or may yet be had by scaling out.
     pub(super) fn may_scale_out_for(&self, spec: &JobSpec) -> bool {
-        self.scheduler.may_rent(self.now, spec)
+        let autoscaler = &self.scheduler.autoscaler;
+        autoscaler.may_scale_out_for(&self.scheduler.view(self.now), spec)
     }
 
     /// Whether a job goes ahead of all others, lest it or its kind starve.
