--- a/src/coordination/placement/mod.rs
+++ b/src/coordination/placement/mod.rs
@@ -29,7 +29,7 @@
 use crate::ids::{AttemptId, JobId, MachineId, TaskId, TeamIndex};
 use crate::protocol::users::JobSpec;
 use crate::resources::Resources;
-use crate::storage::pages::PlacedAttempt;
+use crate::storage::records::LaunchIntent;
 use crate::time::{Instant, TimeSpan};
 use crate::transport::budget::Budget;
 use image_locality::ImagePreemption;
@@ -308,7 +308,7 @@
             let mut attempt = self.new_attempt(&machine, task.clone(), attempt_id, now);
             attempt.image_s = is_gang.then_some(image_wait_s);
             attempt.latency = is_latency;
-            let placed = PlacedAttempt::new(&machine, &attempt.key());
+            let placed = LaunchIntent::new(&machine, &attempt.key());
             self.insert_attempt(&machine, attempt);
             self.add_place(&machine, &task);
             self.writer.intents.wait(placed);
