--- a/src/coordination/autoscaler/inventory.rs
+++ b/src/coordination/autoscaler/inventory.rs
@@ -53,7 +53,7 @@
         if let Some(machine) = machine.filter(|machine| !machine.verified) {
             machine.verified = true;
             machine.page = Some(self.writer.machine_pages.enter(id));
-            self.placement.due = true;
+            self.placement.request_pass();
         }
     }
 
@@ -74,7 +74,7 @@
             }
         }
         self.drain_missing_machines(now, &listed_ids);
-        self.placement.due = true;
+        self.placement.request_pass();
     }
 
     fn take_in_listed_machine(
