--- /dev/null
+++ b/src/coordination/autoscaler/forecast/simulated_cluster.rs
@@ -0,0 +1,186 @@
+//! The cluster as a forecast simulates it: machines that are up, booting or requested, and those that the
+//! forecast adds.
+
+use super::slot::{MachineInUse, MachineSlot, Release};
+use super::{ForecastInputs, ForecastResult};
+use crate::coordination::attempts::task_attempt::TaskAttempt;
+use crate::coordination::autoscaler::requests::ScaleOutRequest;
+use crate::coordination::autoscaler::MachineOffer;
+use crate::coordination::machines::machine::{Machine, MachineState};
+use crate::coordination::placement::candidates::emptiness;
+use crate::ids::Zone;
+use std::collections::BTreeMap;
+
+/// A booting machine counts as coming for this many boot times.
+const MAX_BOOT_TIMES: f64 = 2.0;
+/// A booting machine needs at least this share of its boot time yet.
+const MIN_BOOT_SHARE_LEFT: f64 = 0.1;
+/// A machine that was requested needs at least so many seconds yet.
+const MIN_REQUESTED_BOOT_SECS: f64 = 1.0;
+/// By how much the estimated remaining run time of a task may be too short: in favour of a machine whose
+/// boot time is known.
+const RUN_TIME_MARGIN: f64 = 1.25;
+
+/// The machines of a forecast.
+pub(super) struct SimulatedCluster {
+    /// First the machines that are there or coming, then those that the forecast adds.
+    slots: Vec<MachineSlot>,
+    /// How many of the slots the forecast did not add.
+    known_slots: usize,
+    /// While there are fewer slots than this, more may be added.
+    max_slots: usize,
+    /// How many machines there are in each zone.
+    machines_by_zone: BTreeMap<Zone, usize>,
+}
+
+impl SimulatedCluster {
+    /// The machines there are and that are coming; at most `max_new_machines` may be added.
+    pub(super) fn new(inputs: &ForecastInputs<'_>, max_new_machines: usize) -> SimulatedCluster {
+        let mut machines_by_zone: BTreeMap<Zone, usize> = BTreeMap::new();
+        let mut slots = Vec::new();
+        for machine in inputs.scheduler.machines.values() {
+            *machines_by_zone.entry(machine.zone.clone()).or_default() += 1;
+            slots.extend(inputs.slot_of(machine));
+        }
+        for request in inputs.scheduler.autoscaler.requests.iter() {
+            for _ in 0..request.count {
+                slots.push(inputs.slot_of_request(request));
+            }
+        }
+        SimulatedCluster {
+            known_slots: slots.len(),
+            max_slots: slots.len() + max_new_machines,
+            slots,
+            machines_by_zone,
+        }
+    }
+
+    /// All machines of the forecast.
+    pub(super) fn slots(&self) -> &[MachineSlot] {
+        &self.slots
+    }
+
+    /// One machine of the forecast, by its place in [`SimulatedCluster::slots`].
+    pub(super) fn slot_mut(&mut self, index: usize) -> &mut MachineSlot {
+        &mut self.slots[index]
+    }
+
+    /// How many machines there are in each zone, those included that the forecast added.
+    pub(super) fn machines_by_zone(&self) -> &BTreeMap<Zone, usize> {
+        &self.machines_by_zone
+    }
+
+    /// Whether no machine may be added any more.
+    pub(super) fn is_full(&self) -> bool {
+        self.slots.len() >= self.max_slots
+    }
+
+    /// No machine may be added from now on.
+    pub(super) fn forbid_new_machines(&mut self) {
+        self.max_slots = 0;
+    }
+
+    /// Counts a machine that is about to be added with [`SimulatedCluster::add`] to its zone.
+    pub(super) fn count_in_zone(&mut self, zone: &Zone) {
+        *self.machines_by_zone.entry(zone.clone()).or_default() += 1;
+    }
+
+    /// Adds a machine to be rented, and returns its place in [`SimulatedCluster::slots`].
+    pub(super) fn add(&mut self, slot: MachineSlot) -> usize {
+        self.slots.push(slot);
+        self.slots.len() - 1
+    }
+
+    /// What follows: the machines that were added are to be rented, idle ones that stayed so are spare.
+    pub(super) fn into_result(mut self) -> ForecastResult {
+        let mut scale_out: BTreeMap<MachineOffer, u32> = BTreeMap::new();
+        for added in self.slots.drain(self.known_slots..) {
+            *scale_out.entry(added.offer).or_default() += 1;
+        }
+        let spare = self.slots.into_iter().filter_map(MachineSlot::into_spare);
+        ForecastResult {
+            scale_out,
+            spare: spare.collect(),
+        }
+    }
+}
+
+impl ForecastInputs<'_> {
+    /// The machine as the forecast sees it; None if it can't be counted on.
+    fn slot_of(&self, machine: &Machine) -> Option<MachineSlot> {
+        match machine.state {
+            MachineState::Booting if !machine.draining => self.slot_of_booting(machine),
+            MachineState::Up if self.scheduler.usable(machine, self.now) => {
+                Some(self.slot_of_usable(machine))
+            }
+            _ => None,
+        }
+    }
+
+    fn slot_of_booting(&self, machine: &Machine) -> Option<MachineSlot> {
+        let age_s = (self.now - machine.since).secs();
+        let boot_s = self.boot_s(&machine.machine_type);
+        if age_s >= boot_s * MAX_BOOT_TIMES {
+            return None;
+        }
+        let left_s = (boot_s - age_s).max(boot_s * MIN_BOOT_SHARE_LEFT);
+        let capacity = self.capacity(&machine.machine_type);
+        Some(MachineSlot::coming(
+            MachineOffer::of(machine),
+            left_s,
+            capacity,
+        ))
+    }
+
+    fn slot_of_usable(&self, machine: &Machine) -> MachineSlot {
+        let capacity = self.capacity(&machine.machine_type);
+        let warm_pool = &self.scheduler.autoscaler.warm_pool;
+        let attempts = machine.live_attempts();
+        MachineSlot::in_use(MachineInUse {
+            offer: MachineOffer::of(machine),
+            idle_machine: (machine.live_count == 0).then(|| machine.id.clone()),
+            free_share: emptiness(&machine.free, &capacity),
+            free: machine.free,
+            releases: attempts
+                .filter_map(|attempt| self.release_of(machine, attempt))
+                .collect(),
+            cached_images: machine.images.iter().map(|(i, _)| i.clone()).collect(),
+            warm_pool_class: warm_pool.get(&machine.id).cloned(),
+        })
+    }
+
+    /// When a task attempt should free its capacity; None if nothing is known of its job.
+    fn release_of(&self, machine: &Machine, attempt: &TaskAttempt) -> Option<Release> {
+        let job = self.scheduler.jobs.get(&attempt.task.job)?;
+        let left_s = match attempt.running_since {
+            Some(since) => self.scheduler.rest_s(job, (self.now - since).secs()),
+            None => self.scheduler.estimate_of(job) + self.fetch_left_s(machine, attempt),
+        };
+        Some(Release {
+            at_s: left_s * RUN_TIME_MARGIN,
+            resources: attempt.request,
+        })
+    }
+
+    /// Seconds until an attempt that doesn't run yet has its image.
+    fn fetch_left_s(&self, machine: &Machine, attempt: &TaskAttempt) -> f64 {
+        let Some(job) = self.scheduler.jobs.get(&attempt.task.job) else {
+            return 0.0;
+        };
+        if machine.has_image(&job.spec.image) {
+            return 0.0;
+        }
+        let fetch_s = self.fetch_s(&machine.machine_type, &job.spec);
+        (fetch_s - (self.now - attempt.since).secs()).max(0.0)
+    }
+
+    fn slot_of_request(&self, request: &ScaleOutRequest) -> MachineSlot {
+        let machine_type = &request.offer.machine_type;
+        let left_s = self.boot_s(machine_type) - (self.now - request.requested_at).secs();
+        MachineSlot::coming(
+            request.offer.clone(),
+            left_s.max(MIN_REQUESTED_BOOT_SECS),
+            self.capacity(machine_type),
+        )
+    }
+}
--- a/src/coordination/autoscaler/mod.rs
+++ b/src/coordination/autoscaler/mod.rs
@@ -6,7 +6,7 @@
 //! attempts. A machine counts as gone only once the cloud has confirmed that it is terminated.
 
 pub mod arrivals;
-pub mod forecast;
+mod forecast;
 mod inventory;
 mod offers;
 mod report;
--- a/src/coordination/autoscaler/scale_out.rs
+++ b/src/coordination/autoscaler/scale_out.rs
@@ -32,7 +32,7 @@
         {
             return;
         }
-        let forecast = self.look_ahead(now, unplaced, self.max_machines_per_forecast());
+        let forecast = self.forecast(now, unplaced, self.max_machines_per_forecast());
         tracing::debug!(
             unplaced_jobs = unplaced.len(),
             unplaced_tasks = unplaced.iter().map(|tasks| tasks.count).sum::<u32>(),
