--- a/src/coordination/autoscaler/forecast/expected_arrivals.rs
+++ b/src/coordination/autoscaler/forecast/expected_arrivals.rs
@@ -14,7 +14,7 @@
         load: ExpectedLoad,
         cluster: &mut SimulatedCluster,
     ) {
-        for arrivals in self.scheduler.autoscaler.arrivals.values() {
+        for (_, arrivals) in self.scheduler.autoscaler.arrivals.iter() {
             self.assign_expected_of_class(arrivals, load, cluster);
         }
     }
@@ -28,8 +28,8 @@
         cluster: &mut SimulatedCluster,
     ) {
         let jobs_per_s = arrivals.jobs_per_s(self.now);
-        let parts = arrivals.last().len() as f64;
-        for (part, recent) in arrivals.last().enumerate() {
+        let parts = arrivals.recent_jobs().len() as f64;
+        for (part, recent) in arrivals.recent_jobs().enumerate() {
             let Some(lead_time_s) = self.lead_time_s(recent, cluster) else {
                 continue;
             };
--- a/src/coordination/autoscaler/forecast/simulated_cluster.rs
+++ b/src/coordination/autoscaler/forecast/simulated_cluster.rs
@@ -145,7 +145,7 @@
                 .filter_map(|attempt| self.release_of(machine, attempt))
                 .collect(),
             cached_images: machine.images.iter().map(|(i, _)| i.clone()).collect(),
-            warm_pool_class: warm_pool.get(&machine.id).cloned(),
+            warm_pool_class: warm_pool.class_of(&machine.id).cloned(),
         })
     }
 
--- a/src/coordination/autoscaler/forecast/waiting_tasks.rs
+++ b/src/coordination/autoscaler/forecast/waiting_tasks.rs
@@ -13,10 +13,10 @@
 impl ForecastInputs<'_> {
     /// Assigns the tasks for which machines are missing in the warm pool.
     pub(super) fn assign_warm_pool(&self, cluster: &mut SimulatedCluster) {
-        for (spec, count) in &self.scheduler.autoscaler.warm_pool_missing {
+        for missing in self.scheduler.autoscaler.warm_pool.missing() {
             let batch = TaskBatch {
-                spec,
-                count: *count,
+                spec: &missing.spec,
+                count: missing.tasks,
                 origin: TaskOrigin::WarmPool,
             };
             self.assign(&batch, cluster);
--- /dev/null
+++ b/src/coordination/autoscaler/hints.rs
@@ -0,0 +1,53 @@
+//! What a leader keeps on the state store of the arrivals and run times it has seen, so that the next one
+//! need not learn them again. Nothing rests on it: a record that can't be read is passed over.
+
+use crate::coordination::jobs::estimates::Observed;
+use crate::coordination::Scheduler;
+use crate::protocol::users::JobSpec;
+use crate::time::Instant;
+use serde::{Deserialize, Serialize};
+use std::collections::BTreeMap;
+
+/// The record, by job class.
+#[derive(Debug, Default, Serialize, Deserialize)]
+pub struct Hints {
+    #[serde(default)]
+    observed: BTreeMap<String, Observed>,
+    #[serde(default, rename = "demand")]
+    arrivals: BTreeMap<String, RecordedArrivals>,
+}
+
+/// Arrivals of one class, recorded as an array: jobs a second, tasks a job, and the last job.
+#[derive(Debug, Serialize, Deserialize)]
+struct RecordedArrivals(f64, f64, JobSpec);
+
+impl Scheduler {
+    /// What is to be recorded now.
+    pub(crate) fn hints(&self, now: Instant) -> Hints {
+        let arrivals = self.autoscaler.arrivals.iter();
+        let arrivals = arrivals.filter_map(|(class, rate)| {
+            let last_job = rate.last_job()?.clone();
+            let recorded = RecordedArrivals(rate.jobs_per_s(now), rate.tasks_per_job(), last_job);
+            Some((class.clone(), recorded))
+        });
+        Hints {
+            observed: self.estimates.observed.clone(),
+            arrivals: arrivals.collect(),
+        }
+    }
+
+    /// Takes over what a former leader recorded.
+    pub(crate) fn load_hints(&mut self, now: Instant, hints: Hints) {
+        self.estimates.observed = hints.observed;
+        for (class, RecordedArrivals(jobs_per_s, tasks_per_job, last_job)) in hints.arrivals {
+            let rate = self.autoscaler.arrivals.rate_of(class, &last_job);
+            rate.recover(now, jobs_per_s, tasks_per_job);
+        }
+    }
+
+    /// Notes the arrival of a job.
+    pub(crate) fn note_arrival(&mut self, spec: &JobSpec, at: Instant) {
+        self.autoscaler.arrivals.note(spec, at);
+        self.writer.hints_news = true;
+    }
+}
--- a/src/coordination/autoscaler/mod.rs
+++ b/src/coordination/autoscaler/mod.rs
@@ -7,27 +7,29 @@
 
 pub mod arrivals;
 mod forecast;
+mod hints;
 mod inventory;
 mod offers;
 mod report;
 mod requests;
 mod scale_in;
 mod scale_out;
-pub mod warm_pool;
+mod suspected_zones;
+mod warm_pool;
 
 pub use offers::MachineOffer;
 
-use crate::coordination::machines::machine::Machine;
 use crate::coordination::placement::UnplacedTasks;
 use crate::coordination::Scheduler;
-use crate::ids::{MachineId, MachineType, Zone};
-use crate::protocol::users::JobSpec;
+use crate::ids::MachineId;
 use crate::time::{Instant, TimeSpan};
 use crate::transport::budget::Budget;
-use arrivals::ArrivalRate;
+use arrivals::ArrivalRates;
 use offers::OfferBackoff;
 use requests::ScaleOutRequests;
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeSet;
+use suspected_zones::SuspectedZones;
+use warm_pool::WarmPool;
 
 /// The share of the cloud's rate that scale-out and scale-in requests use; the machine list takes the rest.
 const API_RATE_SHARE: f64 = 0.7;
@@ -47,14 +49,12 @@
     spare_machines: BTreeSet<MachineId>,
     /// A scale-in request failed: none is sent before.
     scale_in_not_before: Instant,
-    /// Zones taken to be cut off by the network, until then.
-    suspected_zones: BTreeMap<Zone, Instant>,
+    /// Zones that seem to be cut off by the network.
+    suspected_zones: SuspectedZones,
     /// Arrivals of each job class.
-    pub(crate) arrivals: BTreeMap<String, ArrivalRate>,
-    /// Machines kept ready, each for a job class.
-    pub(crate) warm_pool: BTreeMap<MachineId, String>,
-    /// Tasks of each class for which machines are missing in the warm pool.
-    warm_pool_missing: Vec<(JobSpec, u32)>,
+    arrivals: ArrivalRates,
+    /// Machines held ready, each for a job class.
+    warm_pool: WarmPool,
     last_forecast_at: Instant,
     last_scale_in_at: Instant,
     last_logged_at: Instant,
@@ -72,16 +72,20 @@
             offer_backoff: OfferBackoff::default(),
             spare_machines: BTreeSet::new(),
             scale_in_not_before: Instant::ZERO,
-            suspected_zones: BTreeMap::new(),
-            arrivals: BTreeMap::new(),
-            warm_pool: BTreeMap::new(),
-            warm_pool_missing: Vec::new(),
+            suspected_zones: SuspectedZones::default(),
+            arrivals: ArrivalRates::default(),
+            warm_pool: WarmPool::default(),
             last_forecast_at: Instant::LONG_AGO,
             last_scale_in_at: Instant::LONG_AGO,
             last_logged_at: Instant::LONG_AGO,
             api_calls: Budget::new(rate, burst),
         }
     }
+
+    /// The machines held ready.
+    pub(crate) fn warm_pool(&self) -> &WarmPool {
+        &self.warm_pool
+    }
 }
 
 impl Scheduler {
@@ -92,19 +96,7 @@
         self.scale_out(now, unplaced);
         if now - self.autoscaler.last_scale_in_at >= SCALE_IN_INTERVAL {
             self.autoscaler.last_scale_in_at = now;
-            self.return_machines(now);
+            self.scale_in(now);
         }
     }
-
-    /// Seconds that a machine of the type takes to boot.
-    fn boot_s(&self, machine_type: &MachineType) -> f64 {
-        self.machines.boot_s(machine_type)
-    }
-
-    /// What it would take to have such a machine again: to boot it and fetch an image. Keeping it
-    /// idle for as long costs at most twice what the best choice in hindsight would have.
-    fn renewal_s(&self, m: &Machine) -> f64 {
-        let gb = m.images.iter().map(|(_, gb)| *gb).fold(0.0, f64::max);
-        self.boot_s(&m.machine_type) + self.fetch_s(&m.machine_type, gb)
-    }
 }
--- a/src/coordination/autoscaler/scale_in.rs
+++ b/src/coordination/autoscaler/scale_in.rs
@@ -1,162 +1,233 @@
-//! Returning machines: those given up, and those that are idle for too long.
+//! Scale-in: which machines are given back to the cloud, and what becomes of the request.
+//!
+//! A machine that is being given back takes no work any more, and stays in the machine table until the
+//! cloud has confirmed that it is terminated: only then has everything on it certainly ended.
 
-use crate::coordination::machines::machine::MachineState;
-use crate::coordination::{Effect, Scheduler};
-use crate::ids::{MachineId, Zone};
+use super::suspected_zones::{mostly_silent_zones, zone_silence_bound};
+use super::Autoscaler;
+use crate::coordination::machines::machine::{Machine, MachineState};
+use crate::coordination::{ClusterView, Effect, Scheduler};
+use crate::ids::MachineId;
 use crate::time::{Instant, TimeSpan};
-use std::collections::{BTreeMap, BTreeSet};
-
-/// The most names in one return, by the protocol.
-const MOST_PER_RETURN: usize = 100;
-/// A booting machine is given up after this many boot times (plus a fixed time, for types that boot
-/// in a moment).
-const DEAD_BOOTS: f64 = 4.0;
-const DEAD_PLUS_S: f64 = 20.0;
-/// An idle machine is kept for so many times what it would take to have it again, if the forecast has
-/// no use for it and if it has.
-const SPARE: f64 = 0.6;
-const WANTED: f64 = 3.0;
-/// The same when nothing waits and nothing is to be expected.
-const NO_USE: f64 = 0.1;
 
+/// The most machines that one request may name, by the cloud's protocol.
+const MAX_MACHINES_PER_REQUEST: usize = 100;
+/// A booting machine is given up after this many boot times...
+const MAX_BOOT_TIMES: f64 = 4.0;
+/// ...and so many seconds, for types that boot in a moment.
+const BOOT_TIMEOUT_MARGIN_SECS: f64 = 20.0;
+/// An idle machine is kept for so many times what it would take to replace it, if the forecast has no use
+/// for it.
+const KEEP_FACTOR_SPARE: f64 = 0.6;
+/// The same if the forecast has a use for it.
+const KEEP_FACTOR_IN_FORECAST: f64 = 3.0;
+/// The same when nothing waits and nothing is to be expected.
+const KEEP_FACTOR_SUBSIDED: f64 = 0.1;
 /// A draining machine is given back after this even if something on it does not end.
 pub(super) const DRAIN_TIMEOUT: TimeSpan = TimeSpan(20_000);
+/// A request without an answer is repeated after this.
+const ANSWER_TIMEOUT: TimeSpan = TimeSpan(10_000);
+/// After a failed request none is sent for this long.
+const FAILURE_PAUSE: TimeSpan = TimeSpan(1_000);
+/// The machines of a failed request are named again after this.
+const FAILURE_RETRY_DELAY: TimeSpan = TimeSpan(2_000);
+
+/// Why a machine is given back.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum ScaleInReason {
+    /// It has been silent for too long, and its zone does not seem to be cut off.
+    Silent,
+    /// Its worker has not come up in time.
+    BootTimeout,
+    /// The cloud lists it as failed.
+    FailedInCloud,
+    /// It has been idle for too long.
+    Idle,
+    /// It was drained.
+    Drained,
+    /// It was to be given back before, which was not confirmed.
+    Unconfirmed,
+}
+
+/// What a choice of machines to be given back goes by, beside the machine itself.
+struct ScaleInRules<'a> {
+    scheduler: &'a Scheduler,
+    now: Instant,
+    /// The silence after which a machine is given up; None while a new leader can't tell yet.
+    max_silence: Option<TimeSpan>,
+    /// Nothing waits, and nothing is to be expected.
+    is_demand_subsided: bool,
+}
 
 impl Scheduler {
-    /// Silent machines that are returned rather than waited for.
-    ///
-    /// Guards against giving a whole zone away when it is the network that is silent: on a day with
-    /// a cut of 20 s between two zones every machine beyond it was returned, one by one as each
-    /// crossed the bound, though their leases would have outlasted it. So what counts is how many
-    /// of a zone have fallen quiet by now, not how many have been silent for long enough.
-    ///
-    /// When a cut ends, machines report one after the other: the zone stays suspected for as long as
-    /// the last of them may take.
-    pub(crate) fn given_up(&mut self, now: Instant) -> BTreeSet<MachineId> {
-        let silence = self.policy.silence();
-        if self.leadership.age(now) <= silence {
-            return BTreeSet::new();
+    /// Gives back machines that are lost, of no use or drained.
+    pub(super) fn scale_in(&mut self, now: Instant) {
+        let max_silence = self.policy.silence();
+        let can_tell_silence = self.leadership.age(now) > max_silence;
+        if can_tell_silence {
+            let zones = mostly_silent_zones(&self.view(now));
+            let until = now + zone_silence_bound(&self.policy);
+            self.autoscaler.suspected_zones.update(now, zones, until);
         }
-        let quiet = TimeSpan::from_secs(self.policy.facts.workers.report_s * 2.0);
-        let mut zones: BTreeMap<Zone, (f64, f64)> = BTreeMap::new();
-        for m in self.machines.values() {
-            let lost = m.state == MachineState::Returning
-                && m.last_message_at.is_none_or(|h| now - h > quiet);
-            if m.state == MachineState::Up || lost {
-                let z = zones.entry(m.zone.clone()).or_default();
-                z.0 += 1.0;
-                z.1 += f64::from(u8::from(lost || m.silent(now, quiet)));
-            }
-        }
-        let share = self.policy.operator.give_up_share;
-        for (zone, (up, lost)) in zones {
-            if lost > (up * share).max(2.0) {
-                self.autoscaler.suspected_zones.insert(zone, now + quiet);
-            }
+        let rules = ScaleInRules {
+            scheduler: self,
+            now,
+            max_silence: can_tell_silence.then_some(max_silence),
+            is_demand_subsided: !has_startable_pending_job(&self.view(now))
+                && self.autoscaler.arrivals.have_subsided(now),
+        };
+        let chosen = rules.choose();
+        if !chosen.is_empty() && self.autoscaler.may_request_scale_in(now) {
+            self.request_scale_in(now, chosen);
         }
-        self.autoscaler
-            .suspected_zones
-            .retain(|_, until| now < *until);
-        self.machines
-            .values()
-            .filter(|m| m.silent(now, silence))
-            .filter(|m| !self.autoscaler.suspected_zones.contains_key(&m.zone))
-            .map(|m| m.id.clone())
-            .collect()
     }
 
-    /// Whether any job waits that idle machines may be kept for.
-    ///
-    /// Guards against idle machines that are kept for jobs submitted with a mistake: on the recorded day
-    /// a974 some 120 of them stayed for 100 s after the last arrival, until two such jobs were cancelled.
-    pub(crate) fn work_waits(&self) -> bool {
-        let waiting = self.jobs.index.pending.iter();
-        let mut jobs = waiting.filter_map(|id| self.jobs.get(id));
-        jobs.any(|job| !job.fails_everywhere())
-    }
-
-    pub(crate) fn return_machines(&mut self, now: Instant) {
-        let mut back: BTreeSet<MachineId> = self.given_up(now);
-        let ebbed = !self.work_waits() && self.ebbed(now);
-        for m in self.machines.values() {
-            if m.state == MachineState::Returning {
-                continue;
-            }
-            let busy = m.live_count > 0;
-            let age = now - m.since;
-            let dead_boot = m.state == MachineState::Booting
-                && age.secs() > self.boot_s(&m.machine_type) * DEAD_BOOTS + DEAD_PLUS_S;
-            // Idle and spare: returned soon. Otherwise kept for as long as it may be of use.
-            let spare = self.autoscaler.spare_machines.contains(&m.id);
-            let keep_s = self.renewal_s(m)
-                * self.policy.operator.idle_boots
-                * match (spare, ebbed) {
-                    (_, true) => NO_USE,
-                    (true, _) => SPARE,
-                    (false, _) => WANTED,
-                };
-            let idle = m.state == MachineState::Up
-                && !self.autoscaler.warm_pool.contains_key(&m.id)
-                && m.idle_since.is_some_and(|t| (now - t).secs() > keep_s);
-            let stuck = m.draining_since.is_some_and(|t| now - t > DRAIN_TIMEOUT);
-            if dead_boot
-                || m.listed_as_failed
-                || (idle && !busy)
-                || (m.draining && (!busy || stuck))
-            {
-                back.insert(m.id.clone());
-            }
-        }
-        let again: Vec<MachineId> = self
-            .machines
-            .values()
-            .filter(|m| m.state == MachineState::Returning && m.push_not_before <= now)
-            .map(|m| m.id.clone())
-            .collect();
-        back.extend(again);
-        if back.is_empty()
-            || now < self.autoscaler.scale_in_not_before
-            || !self.autoscaler.api_calls.take(now, 1.0)
-        {
-            return;
-        }
-        let machine_ids: Vec<MachineId> = back.into_iter().take(MOST_PER_RETURN).collect();
-        for h in &machine_ids {
-            if let Some(m) = self.machines.get_mut(h) {
-                tracing::debug!(machine = %h, draining = m.draining, failed = m.listed_as_failed, last_message_at = ?m.last_message_at, "returning");
-                m.state = MachineState::Returning;
-                // Not asked again while the answer is awaited.
-                m.push_not_before = now + TimeSpan(10_000);
+    fn request_scale_in(&mut self, now: Instant, chosen: Vec<(MachineId, ScaleInReason)>) {
+        let mut machine_ids = Vec::new();
+        for (id, reason) in chosen.into_iter().take(MAX_MACHINES_PER_REQUEST) {
+            if let Some(machine) = self.machines.get_mut(&id) {
+                tracing::debug!(
+                    machine = %id,
+                    ?reason,
+                    last_message_at = ?machine.last_message_at,
+                    "scale-in requested"
+                );
+                machine.state = MachineState::Returning;
+                machine.push_not_before = now + ANSWER_TIMEOUT;
             }
-            self.machines.reindex(h);
+            self.machines.reindex(&id);
+            machine_ids.push(id);
         }
         self.effects.push(Effect::ScaleIn { machine_ids });
     }
 
+    /// The cloud confirmed that machines are terminated: whatever was on them has ended.
     pub(crate) fn machines_terminated(&mut self, now: Instant, machine_ids: &[MachineId]) {
-        for h in machine_ids {
+        for id in machine_ids {
             // Proof 4: the cloud's 200 to returning the machine.
-            self.empty_machine(now, h);
-            self.machines.terminated.insert(h.clone());
-            if let Some(m) = self.machines.remove(h) {
-                if m.push_in_flight.is_some() {
+            self.empty_machine(now, id);
+            self.machines.terminated.insert(id.clone());
+            if let Some(machine) = self.machines.remove(id) {
+                if machine.push_in_flight.is_some() {
                     self.outbox.pushes_in_flight = self.outbox.pushes_in_flight.saturating_sub(1);
                 }
-                if let Some(page) = m.page {
-                    self.writer.machine_pages.leave(now, page, h);
+                if let Some(page) = machine.page {
+                    self.writer.machine_pages.leave(now, page, id);
                 }
             }
-            self.machines.reindex(h);
+            self.machines.reindex(id);
         }
         self.placement.due = true;
     }
 
+    /// The cloud did not confirm a scale-in request.
     pub(crate) fn scale_in_failed(&mut self, now: Instant, machine_ids: &[MachineId]) {
-        self.autoscaler.scale_in_not_before = now + TimeSpan(1_000);
-        for h in machine_ids {
-            if let Some(m) = self.machines.get_mut(h) {
-                m.push_not_before = now + TimeSpan(2_000);
+        self.autoscaler.scale_in_not_before = now + FAILURE_PAUSE;
+        for id in machine_ids {
+            if let Some(machine) = self.machines.get_mut(id) {
+                machine.push_not_before = now + FAILURE_RETRY_DELAY;
             }
         }
     }
 }
+
+impl Autoscaler {
+    /// Whether a request may be sent now; it counts against the cloud's rate.
+    fn may_request_scale_in(&mut self, now: Instant) -> bool {
+        now >= self.scale_in_not_before && self.api_calls.take(now, 1.0)
+    }
+}
+
+/// Whether any job waits that idle machines may be kept for.
+///
+/// Guards against idle machines that are kept for jobs submitted with a mistake: on the recorded day
+/// a974 some 120 of them stayed for 100 s after the last arrival, until two such jobs were cancelled.
+fn has_startable_pending_job(cluster: &ClusterView<'_>) -> bool {
+    let pending = cluster.jobs.index.pending.iter();
+    let mut jobs = pending.filter_map(|id| cluster.jobs.get(id));
+    jobs.any(|job| !job.fails_everywhere())
+}
+
+impl ScaleInRules<'_> {
+    /// The machines to be given back, in the order of their ids.
+    fn choose(&self) -> Vec<(MachineId, ScaleInReason)> {
+        let machines = self.scheduler.machines.values();
+        machines
+            .filter_map(|machine| Some((machine.id.clone(), self.reason(machine)?)))
+            .collect()
+    }
+
+    /// Why a machine is to be given back; None if it is kept.
+    fn reason(&self, machine: &Machine) -> Option<ScaleInReason> {
+        if machine.state == MachineState::Returning {
+            let is_due = machine.push_not_before <= self.now;
+            return is_due.then_some(ScaleInReason::Unconfirmed);
+        }
+        if self.is_silent_for_too_long(machine) {
+            Some(ScaleInReason::Silent)
+        } else if self.is_boot_overdue(machine) {
+            Some(ScaleInReason::BootTimeout)
+        } else if machine.listed_as_failed {
+            Some(ScaleInReason::FailedInCloud)
+        } else if self.is_drained(machine) {
+            Some(ScaleInReason::Drained)
+        } else if self.is_idle_for_too_long(machine) {
+            Some(ScaleInReason::Idle)
+        } else {
+            None
+        }
+    }
+
+    fn is_silent_for_too_long(&self, machine: &Machine) -> bool {
+        let suspected = &self.scheduler.autoscaler.suspected_zones;
+        self.max_silence
+            .is_some_and(|max_silence| machine.silent(self.now, max_silence))
+            && !suspected.contains(&machine.zone)
+    }
+
+    fn is_boot_overdue(&self, machine: &Machine) -> bool {
+        let boot_s = self.scheduler.machines.boot_s(&machine.machine_type);
+        let timeout_s = boot_s * MAX_BOOT_TIMES + BOOT_TIMEOUT_MARGIN_SECS;
+        machine.state == MachineState::Booting && (self.now - machine.since).secs() > timeout_s
+    }
+
+    fn is_drained(&self, machine: &Machine) -> bool {
+        let is_overdue = machine
+            .draining_since
+            .is_some_and(|since| self.now - since > DRAIN_TIMEOUT);
+        machine.draining && (machine.live_count == 0 || is_overdue)
+    }
+
+    fn is_idle_for_too_long(&self, machine: &Machine) -> bool {
+        let autoscaler = &self.scheduler.autoscaler;
+        let is_idle = machine.state == MachineState::Up && machine.live_count == 0;
+        let Some(idle_since) = machine.idle_since.filter(|_| is_idle) else {
+            return false;
+        };
+        !autoscaler.warm_pool.contains(&machine.id)
+            && (self.now - idle_since).secs() > self.keep_idle_s(machine)
+    }
+
+    /// Seconds for which an idle machine is kept: in proportion to what it would take to replace it.
+    fn keep_idle_s(&self, machine: &Machine) -> f64 {
+        let spare_machines = &self.scheduler.autoscaler.spare_machines;
+        let factor = if self.is_demand_subsided {
+            KEEP_FACTOR_SUBSIDED
+        } else if spare_machines.contains(&machine.id) {
+            KEEP_FACTOR_SPARE
+        } else {
+            KEEP_FACTOR_IN_FORECAST
+        };
+        self.replacement_s(machine) * self.scheduler.policy.operator.idle_boots * factor
+    }
+
+    /// Seconds that it would take to have such a machine again: to boot it and fetch its largest image.
+    /// Keeping it idle for as long costs at most twice what the best choice in hindsight would have.
+    fn replacement_s(&self, machine: &Machine) -> f64 {
+        let image_sizes_gb = machine.images.iter().map(|(_, gb)| *gb);
+        let largest_image_gb = image_sizes_gb.fold(0.0, f64::max);
+        let machine_type = &machine.machine_type;
+        let boot_s = self.scheduler.machines.boot_s(machine_type);
+        boot_s + self.scheduler.fetch_s(machine_type, largest_image_gb)
+    }
+}
--- a/src/coordination/autoscaler/warm_pool.rs
+++ b/src/coordination/autoscaler/warm_pool.rs
@@ -1,6 +1,6 @@
-//! Machines held ready for classes whose tasks should start sooner than a machine can be rented
-//! and their image fetched. How many follows from the arrivals seen: what comes in the time that a
-//! rental would take, and a little for chance.
+//! The warm pool: machines held ready for classes whose tasks should start sooner than a machine can be
+//! rented and their image fetched. How many follows from the arrival rate: what comes in the time that
+//! a rental would take, and a little for chance.
 
 use crate::coordination::Scheduler;
 use crate::ids::MachineId;
@@ -9,72 +9,138 @@
 use crate::time::Instant;
 use std::collections::BTreeMap;
 
+/// Nothing is held ready for a class of which fewer jobs are expected in the time that a rental takes.
+const MIN_EXPECTED_JOBS: f64 = 0.2;
+/// By how many standard deviations of the expected number of jobs the pool is larger than it.
+const EXTRA_DEVIATIONS: f64 = 0.5;
+/// A machine type that does not say how quickly it fetches images is taken to do so at least.
+const MIN_FETCH_GB_PER_S: f64 = 0.01;
+
+/// The machines held ready.
+#[derive(Debug, Default)]
+pub(crate) struct WarmPool {
+    class_by_machine: BTreeMap<MachineId, String>,
+    missing: Vec<WarmPoolDemand>,
+}
+
+/// Room for tasks of a class that should be held ready.
+#[derive(Debug)]
+pub(super) struct WarmPoolDemand {
+    /// A job of the class.
+    pub(super) spec: JobSpec,
+    /// How many of its tasks there should be room for at once.
+    pub(super) tasks: u32,
+}
+
+impl WarmPool {
+    /// The job class that the machine is held ready for, if it is.
+    pub(crate) fn class_of(&self, machine: &MachineId) -> Option<&String> {
+        self.class_by_machine.get(machine)
+    }
+
+    /// Whether the machine may be given work of the class: it is held ready for it, or for none.
+    pub(crate) fn allows(&self, machine: &MachineId, class: &str) -> bool {
+        self.class_of(machine).is_none_or(|held| held == class)
+    }
+
+    /// Whether the machine is held ready.
+    pub(super) fn contains(&self, machine: &MachineId) -> bool {
+        self.class_by_machine.contains_key(machine)
+    }
+
+    /// How many machines are held ready.
+    pub(super) fn len(&self) -> usize {
+        self.class_by_machine.len()
+    }
+
+    /// Room that should be held ready, and for which there is no machine.
+    pub(super) fn missing(&self) -> &[WarmPoolDemand] {
+        &self.missing
+    }
+}
+
 impl Scheduler {
-    /// How many tasks of each class there should be room for at once, beyond what runs.
-    pub(crate) fn warm_pool_wanted(&self, now: Instant) -> Vec<(JobSpec, u32)> {
-        let mut wanted = Vec::new();
-        for (class, d) in &self.autoscaler.arrivals {
-            let Some(within) = self.policy.started_within(class) else {
-                continue;
-            };
-            let Some(spec) = d.last().last() else {
-                continue;
-            };
-            let request = Resources::of(spec);
-            let soonest = self
-                .machines
-                .types
-                .values()
-                .filter(|r| {
-                    spec.machine_types
-                        .as_ref()
-                        .is_none_or(|a| a.contains(&r.name))
-                })
-                .filter(|r| request.fits(&self.machines.capacity(&r.name)))
-                .map(|r| r.boot_s + spec.image_gb / r.fetch_gb_per_s.max(0.01))
-                .fold(f64::INFINITY, f64::min);
-            if !soonest.is_finite() || soonest <= within || !self.bulk(spec) {
-                continue;
-            }
-            let jobs = d.jobs_per_s(now) * soonest;
-            if jobs < 0.2 {
-                continue;
+    /// Chooses anew which machines are held ready.
+    pub(crate) fn update_warm_pool(&mut self, now: Instant) {
+        self.autoscaler.warm_pool = self.choose_warm_pool(now);
+    }
+
+    fn choose_warm_pool(&self, now: Instant) -> WarmPool {
+        let mut pool = WarmPool::default();
+        for demand in self.warm_pool_demand(now) {
+            let machines = self.warm_pool_candidates(now, &demand.spec, &pool);
+            let missing = demand.tasks.saturating_sub(machines.len() as u32);
+            for machine in machines.into_iter().take(demand.tasks as usize) {
+                let class = demand.spec.class.clone();
+                pool.class_by_machine.insert(machine.clone(), class);
             }
-            let n = ((jobs + 0.5 * jobs.sqrt()) * d.tasks_per_job()).ceil() as u32;
-            let n = n.min(self.headroom(spec, self.team_of(spec), &self.team_usage));
-            if n > 0 {
-                wanted.push((spec.clone(), n));
+            if missing > 0 {
+                pool.missing.push(WarmPoolDemand {
+                    tasks: missing,
+                    ..demand
+                });
             }
         }
-        wanted
+        pool
+    }
+
+    /// Machines with room for a task now that are not in the pool, those with its image first.
+    fn warm_pool_candidates(
+        &self,
+        now: Instant,
+        spec: &JobSpec,
+        pool: &WarmPool,
+    ) -> Vec<&MachineId> {
+        let request = Resources::of(spec);
+        let with_room = self.machines.index.with_room.iter();
+        let mut candidates: Vec<(bool, &MachineId)> = with_room
+            .filter_map(|id| self.machines.get(id))
+            .filter(|machine| request.fits(&machine.free) && Self::allows(spec, machine))
+            .filter(|machine| self.usable(machine, now) && !pool.contains(&machine.id))
+            .map(|machine| (!machine.has_image(&spec.image), &machine.id))
+            .collect();
+        candidates.sort();
+        candidates.into_iter().map(|(_, id)| id).collect()
     }
 
-    /// Chooses the machines that stand by, and says what is missing.
-    pub(crate) fn choose_warm_pool(&mut self, now: Instant) {
-        let mut warm_pool: BTreeMap<MachineId, String> = BTreeMap::new();
-        let mut missing = Vec::new();
-        for (spec, n) in self.warm_pool_wanted(now) {
-            let request = Resources::of(&spec);
-            let mut fit: Vec<(bool, &MachineId)> = self
-                .machines
-                .index
-                .with_room
-                .iter()
-                .filter_map(|h| self.machines.get(h))
-                .filter(|m| request.fits(&m.free) && Self::allows(&spec, m) && self.usable(m, now))
-                .filter(|m| !warm_pool.contains_key(&m.id))
-                .map(|m| (!m.has_image(&spec.image), &m.id))
-                .collect();
-            fit.sort();
-            let short = n.saturating_sub(fit.len() as u32);
-            for (_, machine_id) in fit.into_iter().take(n as usize) {
-                warm_pool.insert(machine_id.clone(), spec.class.clone());
+    /// For how many tasks of each class there should be room at once, beyond what runs.
+    fn warm_pool_demand(&self, now: Instant) -> Vec<WarmPoolDemand> {
+        let classes = self.autoscaler.arrivals.iter();
+        let demand = classes.filter_map(|(class, rate)| {
+            let max_wait_s = self.policy.started_within(class)?;
+            let spec = rate.last_job()?;
+            let rental_s = self.shortest_rental_s(spec);
+            if !rental_s.is_finite() || rental_s <= max_wait_s || !self.bulk(spec) {
+                return None;
             }
-            if short > 0 {
-                missing.push((spec, short));
+            let jobs = rate.jobs_per_s(now) * rental_s;
+            if jobs < MIN_EXPECTED_JOBS {
+                return None;
             }
-        }
-        self.autoscaler.warm_pool = warm_pool;
-        self.autoscaler.warm_pool_missing = missing;
+            let jobs = jobs + EXTRA_DEVIATIONS * jobs.sqrt();
+            let tasks = (jobs * rate.tasks_per_job()).ceil() as u32;
+            let headroom = self.headroom(spec, self.team_of(spec), &self.team_usage);
+            let tasks = tasks.min(headroom);
+            (tasks > 0).then(|| WarmPoolDemand {
+                spec: spec.clone(),
+                tasks,
+            })
+        });
+        demand.collect()
+    }
+
+    /// Seconds that it takes to have another machine with a job's image, of the type that is quickest at it;
+    /// infinite if there is none.
+    fn shortest_rental_s(&self, spec: &JobSpec) -> f64 {
+        let request = Resources::of(spec);
+        let types = self.machines.types.values();
+        types
+            .filter(|info| {
+                let allowed = spec.machine_types.as_ref();
+                allowed.is_none_or(|allowed| allowed.contains(&info.name))
+            })
+            .filter(|info| request.fits(&self.machines.capacity(&info.name)))
+            .map(|info| info.boot_s + spec.image_gb / info.fetch_gb_per_s.max(MIN_FETCH_GB_PER_S))
+            .fold(f64::INFINITY, f64::min)
     }
 }
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -178,7 +178,7 @@
             self.placement.last_pass_at = now;
             self.placement.due = false;
             self.jobs.graph.refresh();
-            self.choose_warm_pool(now);
+            self.update_warm_pool(now);
             let unplaced = self.place(now);
             self.preempt(now, &unplaced);
             self.autoscale(now, &unplaced);
--- a/src/coordination/placement/candidates.rs
+++ b/src/coordination/placement/candidates.rs
@@ -104,13 +104,7 @@
                     .as_ref()
                     .is_none_or(|(j, t)| j == id || now >= *t)
             })
-            .filter(|m| {
-                aged || self
-                    .autoscaler
-                    .warm_pool
-                    .get(&m.id)
-                    .is_none_or(|c| *c == spec.class)
-            })
+            .filter(|m| aged || self.autoscaler.warm_pool().allows(&m.id, &spec.class))
             .map(|m| {
                 Candidate {
                     cost: 0.0,
--- a/src/coordination/placement/preemption.rs
+++ b/src/coordination/placement/preemption.rs
@@ -238,11 +238,7 @@
         let free_to_use = self.usable(m, now)
             && Self::allows(spec, m)
             && request.fits(&self.machines.capacity(&m.machine_type))
-            && self
-                .autoscaler
-                .warm_pool
-                .get(&m.id)
-                .is_none_or(|c| *c == spec.class)
+            && self.autoscaler.warm_pool().allows(&m.id, &spec.class)
             && m.reservation.as_ref().is_none_or(|(_, t)| now >= *t);
         if !free_to_use {
             return None;
