--- a/src/coordination/autoscaler/forecast/assignment.rs
+++ b/src/coordination/autoscaler/forecast/assignment.rs
@@ -129,7 +129,7 @@
             } else {
                 inputs.scheduler.estimate_s(spec)
             },
-            is_bulk: inputs.scheduler.bulk(spec),
+            is_bulk: inputs.scheduler.is_large_task(spec),
         }
     }
 
--- a/src/coordination/autoscaler/forecast/simulated_cluster.rs
+++ b/src/coordination/autoscaler/forecast/simulated_cluster.rs
@@ -7,7 +7,7 @@
 use crate::coordination::autoscaler::requests::ScaleOutRequest;
 use crate::coordination::autoscaler::MachineOffer;
 use crate::coordination::machines::machine::{Machine, MachineState};
-use crate::coordination::placement::candidates::emptiness;
+use crate::coordination::placement::candidates::free_fraction;
 use crate::ids::Zone;
 use std::collections::BTreeMap;
 
@@ -139,7 +139,7 @@
         MachineSlot::in_use(MachineInUse {
             offer: MachineOffer::of(machine),
             idle_machine: (machine.live_count == 0).then(|| machine.id.clone()),
-            free_share: emptiness(&machine.free, &capacity),
+            free_share: free_fraction(&machine.free, &capacity),
             free: machine.free,
             releases: attempts
                 .filter_map(|attempt| self.release_of(machine, attempt))
--- a/src/coordination/autoscaler/scale_in.rs
+++ b/src/coordination/autoscaler/scale_in.rs
@@ -117,7 +117,7 @@
             }
             self.machines.reindex(id);
         }
-        self.placement.due = true;
+        self.placement.request_pass();
     }
 
     /// The cloud did not confirm a scale-in request.
--- a/src/coordination/autoscaler/scale_out.rs
+++ b/src/coordination/autoscaler/scale_out.rs
@@ -86,7 +86,7 @@
                 self.add_machine(now, &id, &granted.offer, granted.requested_at, true);
             }
         }
-        self.placement.due = true;
+        self.placement.request_pass();
     }
 }
 
--- a/src/coordination/autoscaler/warm_pool.rs
+++ b/src/coordination/autoscaler/warm_pool.rs
@@ -2,6 +2,7 @@
 //! rented and their image fetched. How many follows from the arrival rate: what comes in the time that
 //! a rental would take, and a little for chance.
 
+use crate::coordination::placement::request::allows_machine;
 use crate::coordination::Scheduler;
 use crate::ids::MachineId;
 use crate::protocol::users::JobSpec;
@@ -38,11 +39,6 @@
         self.class_by_machine.get(machine)
     }
 
-    /// Whether the machine may be given work of the class: it is held ready for it, or for none.
-    pub(crate) fn allows(&self, machine: &MachineId, class: &str) -> bool {
-        self.class_of(machine).is_none_or(|held| held == class)
-    }
-
     /// Whether the machine is held ready.
     pub(super) fn contains(&self, machine: &MachineId) -> bool {
         self.class_by_machine.contains_key(machine)
@@ -95,7 +91,7 @@
         let with_room = self.machines.index.with_room.iter();
         let mut candidates: Vec<(bool, &MachineId)> = with_room
             .filter_map(|id| self.machines.get(id))
-            .filter(|machine| request.fits(&machine.free) && Self::allows(spec, machine))
+            .filter(|machine| request.fits(&machine.free) && allows_machine(spec, machine))
             .filter(|machine| self.usable(machine, now) && !pool.contains(&machine.id))
             .map(|machine| (!machine.has_image(&spec.image), &machine.id))
             .collect();
@@ -110,7 +106,7 @@
             let max_wait_s = self.policy.started_within(class)?;
             let spec = rate.last_job()?;
             let rental_s = self.shortest_rental_s(spec);
-            if !rental_s.is_finite() || rental_s <= max_wait_s || !self.bulk(spec) {
+            if !rental_s.is_finite() || rental_s <= max_wait_s || !self.is_large_task(spec) {
                 return None;
             }
             let jobs = rate.jobs_per_s(now) * rental_s;
