--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -176,7 +176,7 @@
         self.stop_unwanted(now);
         if self.placement.start_pass_if_due(now) {
             self.jobs.graph.refresh();
-            self.choose_warm_pool(now);
+            self.update_warm_pool(now);
             let unplaced = self.place(now);
             self.preempt(now, &unplaced);
             self.autoscale(now, &unplaced);
--- a/src/coordination/placement/view.rs
+++ b/src/coordination/placement/view.rs
@@ -69,7 +69,7 @@
 
     /// The class for which a machine is held ready, if it belongs to the warm pool.
     pub(super) fn warm_pool_class(&self, machine_id: &MachineId) -> Option<&'a String> {
-        self.scheduler.autoscaler.warm_pool.get(machine_id)
+        self.scheduler.autoscaler.warm_pool().class_of(machine_id)
     }
 
     /// Whether a machine for the job is booting, or may yet be had by scaling out.
