--- a/src/coordination/attempts/placements.rs
+++ b/src/coordination/attempts/placements.rs
@@ -36,7 +36,7 @@
             let tries = key(AttemptId(0))..=key(AttemptId(u64::MAX));
             m.attempts.range(tries).any(|(_, s)| !s.ended())
         });
-        self.placement.due = true;
+        self.placement.request_pass();
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
