--- a/tests/demand.rs
+++ b/tests/arrival_rate.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn what_had_gathered_is_no_rate_but_a_burst_is() {
+fn backlog_is_no_arrival_rate_but_a_burst_is() {
     let mut d = ArrivalRate::new(&spec(10));
     for _ in 0..100 {
         d.note(&spec(10), Instant(500));
--- a/tests/connections.rs
+++ b/tests/connection_table.rs
@@ -4,7 +4,7 @@
 use tokio_util::sync::CancellationToken;
 
 #[test]
-fn a_full_table_gives_up_the_lowest_rank_and_what_lay_idle_longest() {
+fn full_table_evicts_lowest_rank_then_longest_idle() {
     let table = ConnectionTable::new(3);
     let tokens: Vec<_> = (0..6).map(|_| CancellationToken::new()).collect();
     let worker = table.take(tokens[0].clone());
--- a/tests/graph.rs
+++ b/tests/dependency_graph.rs
@@ -25,7 +25,7 @@
 };
 
 #[test]
-fn releases_on_the_last_producer_and_fails_consumers() {
+fn last_upstream_job_releases_and_cancelled_one_cancels_downstream() {
     let mut g = Graph::default();
     g.add(&id(3), &[id(1), id(2)], PLAIN);
     g.add(&id(1), &[], PLAIN);
@@ -52,7 +52,7 @@
 
 /// What is no longer open is neither finished nor cancelled until its mark says so.
 #[test]
-fn a_closed_producer_releases_nobody_before_its_mark_is_known() {
+fn closed_upstream_job_releases_nobody_before_its_terminal_record_is_known() {
     let mut g = Graph::default();
     g.add(&id(1), &[], PLAIN);
     g.add(&id(2), &[id(1), id(9)], PLAIN);
@@ -75,7 +75,7 @@
 /// Deadlines, less the time of what lies behind, and priorities go backwards to all ancestors, and back
 /// when the consumer is cancelled.
 #[test]
-fn deadlines_and_priorities_come_from_the_consumers() {
+fn deadlines_and_priorities_propagate_upstream() {
     let mut g = Graph::default();
     g.add(&id(1), &[], PLAIN);
     g.add(&id(2), &[id(1)], PLAIN);
@@ -97,7 +97,7 @@
 
 /// Thousands of jobs in one chain, and before one consumer, are no danger to the stack.
 #[test]
-fn long_chains_and_wide_joins() {
+fn long_chains_and_wide_joins_do_not_overflow_the_stack() {
     let mut g = Graph::default();
     for n in 0..5000 {
         let after: Vec<JobId> = (n > 0).then(|| id(n - 1)).into_iter().collect();
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn labels_walk_backwards_and_stages_group() {
+fn latency_labels_propagate_upstream_and_stages_are_grouped() {
     let mut g = Graph::default();
     let due = Some(Instant(9000));
     g.add(&id(1), &[], PLAIN);
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn a_cycle_is_never_released_and_harms_nobody() {
+fn cycle_is_never_released_and_blocks_no_other_job() {
     let mut g = Graph::default();
     g.add(&id(1), &[id(2)], PLAIN);
     g.add(&id(2), &[id(1)], PLAIN);
--- a/tests/encodings.rs
+++ b/tests/encodings.rs
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn keys() {
+fn keys_are_unchanged() {
     let job = JobId::from("wk-000412");
     assert_eq!(open_key(&job), "o/wk-000412");
     assert_eq!(terminal_key(&job), "f/wk-000412");
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn leader_and_jobs() {
+fn leader_and_job_records_are_unchanged() {
     let lead = LeaderRecord {
         host_name: "chalkbox-2".into(),
         token: FencingToken(41),
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn progress() {
+fn progress_records_are_unchanged() {
     let mut set = CompletedTasks::new(20);
     for task in [0, 3, 17] {
         set.add(task);
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn launch_intents() {
+fn launch_intent_pages_are_unchanged() {
     let mut page = IntentPage::default();
     let machine_id = MachineId::from("host-000231");
     for index in [0, 4] {
@@ -164,7 +164,7 @@
 }
 
 #[test]
-fn machines() {
+fn machine_pages_are_unchanged() {
     let mut page = MachinePage {
         kinds: vec![MachineKind::new(
             MachineType::from("g8"),
@@ -191,7 +191,7 @@
 }
 
 #[test]
-fn messages_between_controllers() {
+fn peer_messages_are_unchanged() {
     sent(&PeerRequest::Hello, &[0]);
     let forward = PeerRequest::Forward {
         method: "GET".into(),
@@ -223,7 +223,7 @@
 
 /// A list of producers too long for the open record goes to pages, each within the limit; none is lost.
 #[test]
-fn long_lists_of_producers() {
+fn dependency_pages_are_unchanged() {
     let body = serde_json::json!({"ref":"wk-1","jobclass":"c","crew":"t","shape":"array","urgency":"low","pieces":1,
         "cpus":1,"gpus":0,"ramGb":1,"bundle":"i","pullGb":1,"together":false,"scatter":false,"loaners":false,
         "guessS":1,"markEveryS":0,"markCostS":0});
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -5,8 +5,8 @@
 mod leader;
 #[path = "support/machine_type.rs"]
 mod machine_type;
-#[path = "support/recorded_core.rs"]
-mod recorded_core;
+#[path = "support/recorded_scheduler.rs"]
+mod recorded_scheduler;
 #[path = "support/wire_digest.rs"]
 mod wire_digest;
 
@@ -22,7 +22,7 @@
 use chalklug::time::{Instant, TimeSpan};
 use leader::lead;
 use machine_type::machine_type;
-use recorded_core::RecordedCore;
+use recorded_scheduler::RecordedScheduler;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
@@ -151,9 +151,9 @@
 }
 
 #[test]
-fn a_large_fleet_is_taken_over_and_reports_without_news_cost_nothing() {
+fn failover_of_a_large_cluster_restarts_nothing_and_unchanged_heartbeats_cost_nothing() {
     let mut now = Instant(1000);
-    let mut core = RecordedCore::recover(policy(), lead(9), now, recovered()).unwrap();
+    let mut core = RecordedScheduler::recover(policy(), lead(9), now, recovered()).unwrap();
     core.audit().unwrap();
     assert_eq!(core.machines_up(), MACHINES as usize);
     // Everything may be running: nothing of it is started, stopped, returned or rented for.
@@ -194,9 +194,9 @@
 }
 
 #[test]
-fn what_a_wave_of_endings_asks_for_follows_the_wave() {
+fn writes_follow_the_number_of_ended_tasks() {
     let mut now = Instant(1000);
-    let mut core = RecordedCore::recover(policy(), lead(9), now, recovered()).unwrap();
+    let mut core = RecordedScheduler::recover(policy(), lead(9), now, recovered()).unwrap();
     for n in 0..MACHINES {
         core.heartbeat(now, &report(n, 1, 9, 0));
     }
@@ -268,7 +268,7 @@
 
 /// Steps the core until the given time; says how many starts of each job were put on record.
 fn starts_recorded(
-    core: &mut RecordedCore,
+    core: &mut RecordedScheduler,
     now: &mut Instant,
     until: Instant,
 ) -> BTreeMap<JobId, usize> {
@@ -305,11 +305,11 @@
 }
 
 /// The core of a new leader to which every machine has reported that nothing is on it.
-fn idle_fleet(policy: Arc<Policy>, now: Instant) -> RecordedCore {
+fn idle_fleet(policy: Arc<Policy>, now: Instant) -> RecordedScheduler {
     let mut found = recovered();
     found.open.clear();
     found.intents.clear();
-    let mut core = RecordedCore::recover(policy, lead(9), now, found).unwrap();
+    let mut core = RecordedScheduler::recover(policy, lead(9), now, found).unwrap();
     for n in 0..MACHINES {
         let mut empty = report(n, 1, 9, 0);
         empty.tasks.clear();
@@ -321,7 +321,7 @@
 /// What comes of placed tasks takes far more of the processor than placing them: a huge job of tiny tasks
 /// is started at a pace that the process can keep up with, and what is more urgent doesn't wait for it.
 #[test]
-fn a_huge_job_is_started_at_a_pace() {
+fn attempts_of_a_huge_job_are_rate_limited() {
     let mut now = Instant(1000);
     let mut core = idle_fleet(policy(), now);
     core.on(now, job("wk-900001", "low", 24_000));
@@ -340,7 +340,7 @@
 
 /// A quota of no processor at all is a mistake of whoever wrote the settings: work goes on all the same.
 #[test]
-fn placement_goes_on_without_a_quota() {
+fn placement_continues_with_a_zero_cpu_limit() {
     let mut now = Instant(1000);
     let mut policy = (*policy()).clone();
     policy.facts.quota.cores = 0.0;
@@ -352,9 +352,9 @@
 
 /// Operators are told why work stands: the log's lines come from here.
 #[test]
-fn each_waiting_job_has_a_reason() {
+fn every_pending_job_has_a_pending_reason() {
     let now = Instant(1000);
-    let mut core = RecordedCore::recover(policy(), lead(9), now, recovered()).unwrap();
+    let mut core = RecordedScheduler::recover(policy(), lead(9), now, recovered()).unwrap();
     // Every GPU of the team's limit may be in use, and no machine has reported yet.
     core.on(now, gpu_job("wk-900001", 4, Vec::new()));
     let small = JobId::from("wk-900001");
@@ -387,7 +387,7 @@
 /// A thousand jobs wait for one that is cancelled: each of their marks is written once, in transactions
 /// within the limits, and what waits costs nothing until then.
 #[test]
-fn many_consumers_cost_two_changes_each() {
+fn cancelling_many_downstream_jobs_takes_two_changes_each() {
     const CONSUMERS: usize = 1000;
     let mut now = Instant(1000);
     let mut core = idle_fleet(policy(), now);
@@ -442,9 +442,9 @@
 /// A new leader tells from the finish marks of its producers how long a job has been ready; without a time
 /// on any, it counts from now.
 #[test]
-fn a_new_leader_learns_when_a_job_was_released() {
+fn new_leader_recovers_release_times_from_terminal_records() {
     let now = Instant(100_000);
-    let mut core = RecordedCore::recover(policy(), lead(9), now, recovered()).unwrap();
+    let mut core = RecordedScheduler::recover(policy(), lead(9), now, recovered()).unwrap();
     let producers = ["wk-800001", "wk-800002"].map(JobId::from).to_vec();
     core.on(now, gpu_job("wk-900001", 4, producers.clone()));
     core.on(now, gpu_job("wk-900002", 4, vec![JobId::from("wk-800003")]));
@@ -466,7 +466,7 @@
 
 /// Attempts are not used twice, however many passes one leadership makes.
 #[test]
-fn attempts_of_one_leadership_differ_after_a_million_passes() {
+fn attempt_ids_of_one_term_are_unique() {
     let now = Instant(1000);
     let mut core = idle_fleet(policy(), now);
     let first = core.fresh_attempt();
--- a/tests/leadership.rs
+++ b/tests/leadership.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn only_a_leader_deaf_alone_hands_over() {
+fn leader_that_alone_hears_no_workers_transfers_leadership() {
     let (quiet, loud, bound) = (TimeSpan(9000), TimeSpan(100), TimeSpan(6000));
     let over = |n, own, sib: &[Option<TimeSpan>]| should_hand_over(n, own, sib, bound);
     assert!(over(3, quiet, &[None, Some(loud)]));
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn the_more_machines_report_the_sooner_silence_tells() {
+fn silence_bound_shrinks_with_more_machines() {
     let bound = |machines| silence_bound(machines, 5.0);
     assert_eq!(bound(0), TimeSpan(13_000));
     assert_eq!(bound(10), TimeSpan(13_000));
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn authority_counts_from_sending_and_never_shrinks() {
+fn authority_counts_from_sending_the_renewal_and_never_shrinks() {
     let a = Authority::new(times(), Instant(1000));
     let end = 1000 + 4000 - 300 - 9;
     assert!(a.is_held(Instant(end - 1)) && !a.is_held(Instant(end)));
@@ -63,7 +63,7 @@
 /// Touches are served, but what is known of the jobs grows old: authority ends all the same, and an
 /// answer to a request sent long ago brings back no more than it proves.
 #[test]
-fn authority_ends_with_what_is_known() {
+fn authority_ends_when_the_view_is_too_old() {
     let a = Authority::new(times(), Instant(0));
     for t in 1..=30 {
         a.lease_renewed(Instant(t * 1000));
@@ -76,7 +76,7 @@
 /// The inequality of docs/SAFETY.md, over many settings: the staleness allowed and a worker's lease,
 /// both stretched by drift, leave two seconds of `cancel_s`; and a watch that fails and the next fit into it.
 #[test]
-fn cancelled_work_is_gone_in_time_by_the_leader_s_own_clock() {
+fn derived_times_end_cancelled_tasks_within_the_limit() {
     let operators = [2000, 4000, 60_000].map(|life| Operator {
         leader_life_ms: life,
         ..Operator::default()
@@ -106,7 +106,7 @@
 
 /// The log says why a leader ended: an operator must tell a processor that is too slow from a view that stood still.
 #[test]
-fn the_reason_for_which_authority_ended_is_told() {
+fn authority_loss_has_a_reason() {
     let a = Authority::new(times(), Instant(0));
     assert_eq!(a.loss(Instant(3000)), None);
     assert_eq!(a.loss(Instant(4000)), Some(AuthorityLoss::LeaseExpired));
--- a/tests/loopback/dependencies.rs
+++ b/tests/loopback/dependencies.rs
@@ -10,7 +10,7 @@
 
 /// What may stand in `waitsOn`, and what is answered otherwise.
 #[test]
-fn lists_of_producers_are_checked() {
+fn invalid_upstream_lists_are_rejected() {
     let cluster = Cluster::start("dependency-lists");
     cluster.worker_log.set_run_time(RUNS_FOR_EVER);
     submit_accepted(&cluster.fronts[0], &job("wk-000001", 1));
@@ -89,7 +89,7 @@
 
 /// Each step of a pipeline is launched only when all before it are done, through a change of leaders.
 #[test]
-fn a_pipeline_runs_in_order() {
+fn pipeline_runs_in_order_through_a_failover() {
     let mut cluster = Cluster::start("dependency-order");
     let fronts = cluster.fronts.clone();
     let (leader, _) = cluster.wait_for_leader(&mut Ticks::default());
@@ -139,7 +139,7 @@
 /// the leader, which the state store refuses, can't write their terminal records; what is said once stays.
 /// (The leader's lease is long, so that no other leads meanwhile.)
 #[test]
-fn descendants_are_aborted_at_once_and_everywhere() {
+fn downstream_jobs_are_cancelled_at_once_on_every_controller() {
     let options = ClusterOptions::with_long_leader_lease("dependency-cancel");
     let cluster = Cluster::start_with(&options);
     cluster.worker_log.set_run_time(RUNS_FOR_EVER);
@@ -197,7 +197,7 @@
 
 /// A cancellation that is answered with `done` leaves downstream jobs alone.
 #[test]
-fn cancelling_a_done_job_cancels_nothing() {
+fn cancelling_a_done_job_leaves_downstream_jobs_alone() {
     let cluster = Cluster::start_with(&ClusterOptions {
         controllers: 1,
         ..ClusterOptions::new("dependency-done")
--- a/tests/loopback/main.rs
+++ b/tests/loopback/main.rs
@@ -25,7 +25,7 @@
 /// refuses everybody. The leader, which still may act, learns of it from its peer and stops the tasks;
 /// nothing else could. (The leader's lease is long, so that a busy machine doesn't decide the test.)
 #[test]
-fn a_refused_leader_learns_of_cancellations_from_siblings() {
+fn refused_leader_learns_of_cancellations_from_peers() {
     let options = ClusterOptions::with_long_leader_lease("refused-leader");
     let cluster = Cluster::start_with(&options);
     cluster.worker_log.set_run_time(Duration::from_secs(600));
@@ -53,7 +53,7 @@
 /// The leader loses the state store but not its workers: it ceases to answer them before another
 /// can lead, and nothing is launched twice.
 #[test]
-fn a_leader_with_workers_only_falls_silent() {
+fn leader_without_state_store_stops_answering_workers() {
     let cluster = Cluster::start("workers-only");
     let mut ticks = Ticks::default();
     let (first, token) = cluster.wait_for_leader(&mut ticks);
@@ -76,7 +76,7 @@
 /// Responses of the state store come later than an ordinary request waits for them: the leader's lease is
 /// renewed all the same, so it still leads when its first life is long over.
 #[test]
-fn late_answers_renew_the_lease() {
+fn late_store_responses_renew_the_leader_lease() {
     let cluster = Cluster::start_with(&ClusterOptions {
         controllers: 1,
         operator: Some(r#"{"leader_life_ms": 15000}"#),
@@ -107,7 +107,7 @@
 /// More connections than places: users' idle ones make room, a worker's stays, and the controller
 /// goes on serving.
 #[test]
-fn a_full_table_spares_workers() {
+fn full_connection_table_keeps_worker_connections() {
     let cluster = Cluster::start_with(&ClusterOptions {
         controllers: 1,
         max_sockets: 300,
@@ -133,7 +133,7 @@
 /// The ordinary life of a cluster: invalid requests, a job that runs, every controller killed and
 /// restarted, requests repeated, a cancellation.
 #[test]
-fn three_processes_a_kill_and_a_restart() {
+fn jobs_survive_killing_every_controller() {
     let mut cluster = Cluster::start("restarts");
     let fronts = cluster.fronts.clone();
     wait_for("machine types", || {
--- a/tests/loopback/terminal_states.rs
+++ b/tests/loopback/terminal_states.rs
@@ -81,7 +81,7 @@
 /// Questions, cancellations and repeated submissions come through all controllers while short jobs end.
 /// Whatever of done and aborted a user was told first, no controller says anything else afterwards.
 #[test]
-fn questions_and_cancellations_meet_the_end() {
+fn terminal_states_never_change_under_concurrent_requests() {
     let cluster = Cluster::start("terminal-states");
     cluster.worker_log.set_run_time(Duration::from_millis(300));
     cluster.wait_for_leader(&mut Ticks::default());
--- a/tests/production.rs
+++ b/tests/production.rs
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn open_jobs_with_and_without_producers() {
+fn open_job_records_stay_compatible() {
     let submission = parse_submission(body().to_string().as_bytes()).expect("a submission");
     for after in [submission.waits_on, Vec::new()] {
         let record = records::OpenJobRecord {
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn finish_marks() {
+fn terminal_records_stay_compatible() {
     for (phase, name) in [(JobPhase::Done, "done"), (JobPhase::Cancelled, "aborted")] {
         for at_ms in [None, Some(1_700_000_000_000)] {
             let mark = records::TerminalRecord {
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn the_leader_key() {
+fn leader_record_stays_compatible() {
     let record = records::LeaderRecord {
         host_name: "n0".into(),
         token: FencingToken(41),
@@ -187,7 +187,7 @@
 }
 
 #[test]
-fn pages_of_starts_and_machines() {
+fn intent_and_machine_pages_stay_compatible() {
     let job = JobId::from("wk-000412");
     let host = MachineId::from("host-000231");
     let mut page = records::IntentPage::default();
@@ -243,7 +243,7 @@
 
 /// Messages between controllers describe nothing of themselves: both versions must lay them out alike.
 #[test]
-fn messages_between_controllers() {
+fn peer_messages_stay_compatible() {
     let job = JobId::from("wk-1");
     let requests = [
         PeerRequest::Hello,
@@ -285,7 +285,7 @@
 
 /// The copy of the machine types that leaders of either version keep for all controllers.
 #[test]
-fn machine_types() {
+fn machine_types_stay_compatible() {
     let stored = json!({"rigs": [{"sku": "g8", "cpus": 96.0, "gpus": 8.0, "ramGb": 768.0, "localGb": 200.0,
         "fetchGbPerS": 1.0, "hourly": 12.0, "marketPrice": 4.5, "bootS": 45.0, "sites": ["a", "b"]}]});
     let list: MachineTypeList = serde_json::from_value(stored.clone()).expect("it is read");
--- a/tests/protocol.rs
+++ b/tests/protocol.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn a_submission_reads_and_writes_back() {
+fn submission_round_trips() {
     let sent = submission();
     let spec = parse_submission(sent.to_string().as_bytes()).unwrap().spec;
     assert_eq!(
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_bad_submission_keeps_a_readable_id() {
+fn invalid_submission_keeps_a_readable_id() {
     let bad = parse_submission(br#"{"ref":"wk-000007","pieces":"many"}"#).unwrap_err();
     assert_eq!(bad.id, JobId::parse("wk-000007"));
     for id in ["job-1", "wk-", "wk-1x", "wk-1/2", ""] {
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn reports_are_read_carefully() {
+fn unknown_values_in_heartbeats_are_read_conservatively() {
     let r: WorkerStatus = serde_json::from_value(
         json!({"host":"host-000231","endpoint":"10.1.0.232:9000","rig":"g8","site":"a",
         "loaners":true,"tenure":1,"tick":88,"baton":41,"recallS":null,"pieces":[
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn orders_and_transactions_are_written_as_the_protocol_says() {
+fn commands_and_transactions_match_the_protocol() {
     let task = TaskId::parse("wk-000377/1").unwrap();
     let reply = HeartbeatResponse {
         token: FencingToken(41),
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn lists_and_news_are_read() {
+fn list_and_watch_responses_are_parsed() {
     let page: MachineListPage = serde_json::from_value(
         json!({"hosts":[{"ref":"host-000231","endpoint":"x","rig":"g8","site":"a",
         "loaners":true,"phase":"starting","heldS":61.5}],"hasNext":true}),
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn peers_understand_each_other() {
+fn peer_messages_round_trip() {
     let forward = PeerRequest::Forward {
         method: "POST".into(),
         path: "/submissions".into(),
@@ -160,7 +160,7 @@
 /// The jobs that a submission waits for: none if the field is null, absent or empty; each once; anything
 /// but a list of job ids is malformed.
 #[test]
-fn jobs_that_a_submission_waits_for() {
+fn upstream_jobs_of_a_submission_are_parsed() {
     let with = |list: serde_json::Value| {
         let mut body = submission();
         body["waitsOn"] = list;
--- a/tests/random/chains.rs
+++ b/tests/random/dependency_graphs.rs
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn random_chains_under_random_faults() {
+fn random_dependency_graphs_under_random_faults_break_no_rule() {
     let seeds = std::env::var("SEEDS").ok().and_then(|n| n.parse().ok());
     for seed in 1..=seeds.unwrap_or(RUNS) {
         let mut run = Run::new(seed);
--- a/tests/random/faults.rs
+++ b/tests/random/faults.rs
@@ -201,7 +201,7 @@
 /// Pairs of faults, random and seeded, with leaders that come and go by their leases: the rules hold
 /// and every job ends.
 #[test]
-fn random_pairs_of_troubles_break_no_rule() {
+fn random_pairs_of_faults_break_no_rule() {
     log_if_asked();
     for seed in seeds(PAIR_RUNS) {
         let mut run = Run::new(seed, true);
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -1,17 +1,17 @@
 //! Tests on the simulation: every file of `tests/scenarios/`, and runs with random faults.
 
-#[path = "random/chains.rs"]
-mod chains;
-#[path = "random/faults.rs"]
-mod faults;
 #[path = "support/logging.rs"]
 mod logging;
 #[path = "support/machine_type.rs"]
 mod machine_type;
-#[path = "support/recorded_core.rs"]
-mod recorded_core;
-#[path = "upgrade/repacking.rs"]
-mod repacking;
+#[path = "upgrade/page_splitting.rs"]
+mod page_splitting;
+#[path = "random/dependency_graphs.rs"]
+mod random_dependency_graphs;
+#[path = "random/faults.rs"]
+mod random_faults;
+#[path = "support/recorded_scheduler.rs"]
+mod recorded_scheduler;
 mod scenario_language;
 mod simulation;
 #[path = "support/wire_digest.rs"]
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn settings_are_checked() {
+fn invalid_settings_are_rejected_with_file_and_field() {
     assert_eq!(check("good", GOOD, None).0, 0);
     let next = format!("{GOOD}[facts.state.next]\nvalue_kb = 2.0\nwrite_rps = 18.0\n");
     assert_eq!(check("next-good", &next, None).0, 0);
@@ -135,7 +135,7 @@
 
 /// Limits to come are kept to from the start, each for itself; without any, nothing changes.
 #[test]
-fn the_lower_limits_of_the_state_service_hold() {
+fn lower_of_current_and_announced_store_limits_holds() {
     let limits = |text: &str| -> StateLimits {
         let limits: StateLimits = toml::from_str(text).unwrap();
         limits.lowest()
@@ -152,7 +152,7 @@
 }
 
 #[test]
-fn the_committed_schema_is_the_code_s() {
+fn committed_schema_matches_the_code() {
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/deploy/operator.schema.json");
     assert_eq!(
         std::fs::read_to_string(path).unwrap(),
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -3,7 +3,7 @@
 use chalklug::transport::sockets::Sockets;
 
 #[test]
-fn they_add_up_and_leave_room_for_every_link() {
+fn socket_shares_add_up_and_leave_room_for_every_link() {
     for (most, siblings) in [(500, 2), (2500, 2), (3273, 6), (20_000, 8)] {
         let s = Sockets::divide(most, siblings, 64);
         assert!(s.sum(siblings) <= most, "{most}: {s:?}");
--- a/tests/stale_knowledge.rs
+++ b/tests/stale_knowledge.rs
@@ -5,8 +5,8 @@
 mod leader;
 #[path = "support/machine_type.rs"]
 mod machine_type;
-#[path = "support/recorded_core.rs"]
-mod recorded_core;
+#[path = "support/recorded_scheduler.rs"]
+mod recorded_scheduler;
 #[path = "support/wire_digest.rs"]
 mod wire_digest;
 
@@ -21,7 +21,7 @@
 use chalklug::time::{Instant, TimeSpan};
 use leader::{lead, policy};
 use machine_type::machine_type;
-use recorded_core::RecordedCore;
+use recorded_scheduler::RecordedScheduler;
 
 const FORMER_TOKEN: u64 = 8;
 const CURRENT_TOKEN: u64 = 9;
@@ -64,7 +64,7 @@
 }
 
 /// A new leader that finds these jobs open, and job 1 on record as running on the machine.
-fn leader(open: &[OpenJobRecord]) -> RecordedCore {
+fn leader(open: &[OpenJobRecord]) -> RecordedScheduler {
     let mut machines = MachinePage {
         kinds: vec![MachineKind::new(
             MachineType::from("box"),
@@ -97,7 +97,7 @@
         machine_types: vec![machine_type(8.0)],
         ..RecoveredState::default()
     };
-    RecordedCore::recover(policy(64.0, 10), lead(CURRENT_TOKEN), BEGAN, found).unwrap()
+    RecordedScheduler::recover(policy(64.0, 10), lead(CURRENT_TOKEN), BEGAN, found).unwrap()
 }
 
 /// A report with job 1 in that phase; None: the machine is empty.
@@ -133,7 +133,7 @@
 }
 
 /// Steps for so long, with every write carried out; what was written.
-fn settle(core: &mut RecordedCore, from: Instant, for_ms: i64) -> Vec<Change> {
+fn settle(core: &mut RecordedScheduler, from: Instant, for_ms: i64) -> Vec<Change> {
     let mut written = Vec::new();
     for ms in (0..for_ms).step_by(100) {
         let now = from + TimeSpan(ms);
@@ -157,7 +157,7 @@
 /// Guards against a cancelled task whose lease the next leader renews before it has looked at the machine:
 /// if nothing reaches the machine after that, the task outlives `cancel_s`.
 #[test]
-fn a_new_leaders_first_answer_stops_tasks_of_jobs_that_are_over() {
+fn new_leaders_first_response_stops_tasks_of_terminated_jobs() {
     let mut core = leader(&[]);
     let first = report(1, FORMER_TOKEN, Some(TaskPhase::Running));
     assert!(stops(&core.heartbeat(BEGAN, &first)));
@@ -166,7 +166,7 @@
 /// Guards against the time between a cancellation that the leader has learnt of and its next step: with the
 /// processor short, thousands of answers leave in it.
 #[test]
-fn an_answer_between_a_cancellation_and_the_next_step_stops_the_task() {
+fn response_between_cancellation_and_next_step_stops_the_task() {
     let mut core = leader(&[record(1, &[])]);
     let first = report(1, FORMER_TOKEN, Some(TaskPhase::Running));
     assert!(!stops(&core.heartbeat(BEGAN, &first)));
@@ -188,7 +188,7 @@
 
 /// Guards against a direct command that was decided before a cancellation and leaves after it.
 #[test]
-fn a_command_leaves_without_launches_of_jobs_that_closed_meanwhile() {
+fn pushed_command_drops_launches_of_jobs_closed_meanwhile() {
     let mut core = leader(&[record(1, &[]), record(2, &[])]);
     core.heartbeat(BEGAN, &report(1, CURRENT_TOKEN, Some(TaskPhase::Running)));
     let mut commands = Vec::new();
@@ -228,7 +228,7 @@
 /// first changes after a takeover reach back before the list): a job that is done is opened again, and its end is then
 /// taken for a cancellation, which cancels all jobs that need it.
 #[test]
-fn changes_that_come_twice_cancel_nobody() {
+fn duplicate_changes_cancel_no_job() {
     let mut core = leader(&[record(1, &[]), record(2, &[1])]);
     core.heartbeat(BEGAN, &report(1, CURRENT_TOKEN, Some(TaskPhase::Running)));
     core.heartbeat(BEGAN, &report(2, CURRENT_TOKEN, Some(TaskPhase::Ended)));
--- a/tests/support/recorded_core.rs
+++ b/tests/support/recorded_scheduler.rs
@@ -11,21 +11,21 @@
 use std::sync::Arc;
 
 /// A core whose steps and answers go into a digest.
-pub struct RecordedCore {
+pub struct RecordedScheduler {
     core: Scheduler,
     digest: WireDigest,
 }
 
-impl RecordedCore {
+impl RecordedScheduler {
     /// Takes over as `Scheduler::recover` does.
     pub fn recover(
         policy: Arc<Policy>,
         lead: LeadershipTerm,
         now: Instant,
         found: RecoveredState,
-    ) -> Result<RecordedCore, UnreadableRecord> {
+    ) -> Result<RecordedScheduler, UnreadableRecord> {
         let core = Scheduler::recover(policy, lead, now, found)?;
-        Ok(RecordedCore {
+        Ok(RecordedScheduler {
             core,
             digest: WireDigest::new(),
         })
@@ -48,14 +48,14 @@
     }
 }
 
-impl Deref for RecordedCore {
+impl Deref for RecordedScheduler {
     type Target = Scheduler;
     fn deref(&self) -> &Scheduler {
         &self.core
     }
 }
 
-impl DerefMut for RecordedCore {
+impl DerefMut for RecordedScheduler {
     fn deref_mut(&mut self) -> &mut Scheduler {
         &mut self.core
     }
--- a/tests/upgrade/repacking.rs
+++ b/tests/upgrade/page_splitting.rs
@@ -2,7 +2,7 @@
 //! what it will take, and at no moment is a machine on no page.
 
 use super::machine_type::machine_type;
-use super::recorded_core::RecordedCore;
+use super::recorded_scheduler::RecordedScheduler;
 use super::simulation::state_store::StateStore;
 use chalklug::coordination::leadership::recovery::RecoveredState;
 use chalklug::coordination::leadership::LeadershipTerm;
@@ -83,7 +83,7 @@
     store
 }
 
-fn recover(store: &StateStore, now: Instant, token: u64, next: &str) -> RecordedCore {
+fn recover(store: &StateStore, now: Instant, token: u64, next: &str) -> RecordedScheduler {
     let lead = LeadershipTerm {
         token: FencingToken(token),
         initial_token: FencingToken(token),
@@ -99,7 +99,7 @@
         day_ms: 1_700_000_000_000,
         ..RecoveredState::default()
     };
-    RecordedCore::recover(policy(next), lead, now, found).expect("all pages can be read")
+    RecordedScheduler::recover(policy(next), lead, now, found).expect("all pages can be read")
 }
 
 /// Machines on any page, and how often each is listed.
@@ -126,7 +126,7 @@
 /// Lets the core write for so long; after each transaction every machine must be listed. Says how many
 /// transactions the service has refused for their size.
 fn write_for(
-    core: &mut RecordedCore,
+    core: &mut RecordedScheduler,
     store: &mut StateStore,
     now: &mut Instant,
     span: TimeSpan,
@@ -177,7 +177,7 @@
 
 /// A leader ends at every stage of it: the next one goes on from what it finds.
 #[test]
-fn takeovers_amid_the_split_lose_no_machine() {
+fn failovers_while_pages_are_split_lose_no_machine() {
     for stage_ms in (200..4_000).step_by(400) {
         let mut store = large_pages();
         let mut now = Instant(1_000);
@@ -195,7 +195,7 @@
 }
 
 /// Opens so many jobs that need `wk-900`.
-fn open_consumers(core: &mut RecordedCore, now: Instant, count: u32) {
+fn open_consumers(core: &mut RecordedScheduler, now: Instant, count: u32) {
     for n in 0..count {
         let body = serde_json::json!({"ref": format!("wk-{n}"), "jobclass": "c", "crew": "blue",
             "shape": "array", "urgency": "normal", "pieces": 40, "cpus": 1, "gpus": 0, "ramGb": 1,
@@ -222,7 +222,7 @@
 /// Nobody said that the limits would be lowered: what is refused is not sent again unchanged, and the
 /// leader finds what the service takes.
 #[test]
-fn limits_lowered_without_notice_are_found() {
+fn unannounced_lower_limits_are_discovered() {
     let mut store = large_pages();
     let mut now = Instant(1_000);
     let mut core = recover(&store, now, 5, "");
@@ -243,7 +243,7 @@
 /// The service has had too many changes: the leader writes nothing for as long as it is told, and then first
 /// what users wait for; pages that may wait do.
 #[test]
-fn a_limited_rate_delays_what_may_wait() {
+fn rate_limiting_delays_only_deferrable_writes() {
     let store = large_pages();
     let mut now = Instant(1_000);
     let mut core = recover(&store, now, 5, ANNOUNCED);
