--- a/src/coordination/autoscaler/forecast/assignment.rs
+++ b/src/coordination/autoscaler/forecast/assignment.rs
@@ -2,7 +2,7 @@
 
 use super::simulated_cluster::SimulatedCluster;
 use super::slot::MachineSlot;
-use super::ForecastInputs;
+use crate::coordination::autoscaler::view::AutoscalerView;
 use crate::coordination::autoscaler::MachineOffer;
 use crate::protocol::users::{JobSpec, Shape};
 use crate::resources::Resources;
@@ -35,12 +35,12 @@
 
 /// A batch that is being assigned, with what is the same for each of its tasks.
 struct Assignment<'a> {
-    inputs: &'a ForecastInputs<'a>,
+    view: &'a AutoscalerView<'a>,
     batch: &'a TaskBatch<'a>,
     request: Resources,
     run_s: f64,
     /// Whether a task takes most of a machine.
-    is_bulk: bool,
+    is_large: bool,
 }
 
 /// A machine on which the next task could start; the one that is least comes first.
@@ -83,53 +83,55 @@
     NewMachine { start_s: f64 },
 }
 
-impl ForecastInputs<'_> {
-    /// Assigns a batch, one task after the other, each to the machine on which it starts first. A new
-    /// machine joins the cluster where it would be sooner. Returns how many tasks were assigned.
-    pub(super) fn assign(&self, batch: &TaskBatch<'_>, cluster: &mut SimulatedCluster) -> u32 {
-        let assignment = Assignment::new(self, batch);
-        let mut candidates = assignment.candidates(cluster);
-        let mut offer = assignment.cheapest_offer(batch.count, cluster);
-        for assigned in 0..batch.count {
-            if cluster.is_full() {
-                offer = None;
-            }
-            let (start_s, slot) = match assignment.choose(&mut candidates, offer.as_ref()) {
-                Some(Choice::Slot(candidate)) => (candidate.start_s, candidate.slot),
-                Some(Choice::NewMachine { start_s }) => {
-                    let Some(chosen) = offer.take() else {
-                        return assigned;
-                    };
-                    cluster.count_in_zone(&chosen.zone);
-                    offer = assignment.cheapest_offer(batch.count - assigned, cluster);
-                    (start_s, cluster.add(assignment.new_machine(chosen)))
-                }
-                None => return assigned,
-            };
-            let machine = cluster.slot_mut(slot);
-            machine.add_image(&batch.spec.image);
-            machine.allocate(start_s, &assignment.request, assignment.run_s);
-            candidates.extend(assignment.candidate(slot, machine).map(Reverse));
+/// Assigns a batch, one task after the other, each to the machine on which it starts first. A new
+/// machine joins the cluster where it would be sooner. Returns how many tasks were assigned.
+pub(super) fn assign(
+    view: &AutoscalerView<'_>,
+    batch: &TaskBatch<'_>,
+    cluster: &mut SimulatedCluster,
+) -> u32 {
+    let assignment = Assignment::new(view, batch);
+    let mut candidates = assignment.candidates(cluster);
+    let mut offer = assignment.cheapest_offer(batch.count, cluster);
+    for assigned in 0..batch.count {
+        if cluster.is_full() {
+            offer = None;
         }
-        batch.count
+        let (start_s, slot) = match assignment.choose(&mut candidates, offer.as_ref()) {
+            Some(Choice::Slot(candidate)) => (candidate.start_s, candidate.slot),
+            Some(Choice::NewMachine { start_s }) => {
+                let Some(chosen) = offer.take() else {
+                    return assigned;
+                };
+                cluster.count_in_zone(&chosen.zone);
+                offer = assignment.cheapest_offer(batch.count - assigned, cluster);
+                (start_s, cluster.add(assignment.new_machine(chosen)))
+            }
+            None => return assigned,
+        };
+        let machine = cluster.slot_mut(slot);
+        machine.add_image(&batch.spec.image);
+        machine.allocate(start_s, &assignment.request, assignment.run_s);
+        candidates.extend(assignment.candidate(slot, machine).map(Reverse));
     }
+    batch.count
 }
 
 impl<'a> Assignment<'a> {
-    fn new(inputs: &'a ForecastInputs<'a>, batch: &'a TaskBatch<'a>) -> Assignment<'a> {
+    fn new(view: &'a AutoscalerView<'a>, batch: &'a TaskBatch<'a>) -> Assignment<'a> {
         let spec = batch.spec;
         // Tasks of a gang run at once: none can follow another in the same place.
         let is_gang = spec.shape == Shape::Gang && batch.count > 1;
         Assignment {
-            inputs,
+            view,
             batch,
             request: Resources::of(spec),
             run_s: if is_gang {
                 f64::INFINITY
             } else {
-                inputs.scheduler.estimate_s(spec)
+                view.run_time_s(spec)
             },
-            is_bulk: inputs.scheduler.is_large_task(spec),
+            is_large: view.is_large_task(spec),
         }
     }
 
@@ -156,7 +158,7 @@
         // all of them ending.
         machine.is_allowed_by(self.batch.spec)
             && (!must_be_free || machine.has_free(&self.request))
-            && !(self.is_bulk && machine.is_shared())
+            && !(self.is_large && machine.is_shared())
     }
 
     /// When the next task would start there, its image fetched.
@@ -175,7 +177,8 @@
     }
 
     fn fetch_s(&self, offer: &MachineOffer) -> f64 {
-        self.inputs.fetch_s(&offer.machine_type, self.batch.spec)
+        self.view
+            .fetch_s(&offer.machine_type, self.batch.spec.image_gb)
     }
 
     /// When a task would have to be able to start on a machine rented now for that to be worth it.
@@ -184,7 +187,7 @@
             TaskOrigin::Expected { in_s } => in_s + MAX_EXPECTED_WAIT_SECS,
             TaskOrigin::WarmPool | TaskOrigin::Waiting => 0.0,
         };
-        let boot_s = self.inputs.boot_s(&offer.machine_type);
+        let boot_s = self.view.boot_s(&offer.machine_type);
         boot_s.max(not_before_s) + self.fetch_s(offer)
     }
 
@@ -209,13 +212,13 @@
     fn cheapest_offer(&self, tasks: u32, cluster: &SimulatedCluster) -> Option<MachineOffer> {
         let machines_by_zone = cluster.machines_by_zone();
         let spec = self.batch.spec;
-        self.inputs.cheapest_offer(spec, tasks, machines_by_zone)
+        self.view.cheapest_offer(spec, tasks, machines_by_zone)
     }
 
     /// A machine rented now. It will have the image of the task that it is rented for.
     fn new_machine(&self, offer: MachineOffer) -> MachineSlot {
-        let boot_s = self.inputs.boot_s(&offer.machine_type);
-        let capacity = self.inputs.capacity(&offer.machine_type);
+        let boot_s = self.view.boot_s(&offer.machine_type);
+        let capacity = self.view.capacity(&offer.machine_type);
         MachineSlot::coming(offer, boot_s, capacity)
     }
 }
--- a/src/coordination/autoscaler/forecast/simulated_cluster.rs
+++ b/src/coordination/autoscaler/forecast/simulated_cluster.rs
@@ -2,9 +2,10 @@
 //! forecast adds.
 
 use super::slot::{MachineInUse, MachineSlot, Release};
-use super::{ForecastInputs, ForecastResult};
+use super::ForecastResult;
 use crate::coordination::attempts::task_attempt::TaskAttempt;
 use crate::coordination::autoscaler::requests::ScaleOutRequest;
+use crate::coordination::autoscaler::view::AutoscalerView;
 use crate::coordination::autoscaler::MachineOffer;
 use crate::coordination::machines::machine::{Machine, MachineState};
 use crate::coordination::placement::candidates::free_fraction;
@@ -35,16 +36,16 @@
 
 impl SimulatedCluster {
     /// The machines there are and that are coming; at most `max_new_machines` may be added.
-    pub(super) fn new(inputs: &ForecastInputs<'_>, max_new_machines: usize) -> SimulatedCluster {
+    pub(super) fn new(view: &AutoscalerView<'_>, max_new_machines: usize) -> SimulatedCluster {
         let mut machines_by_zone: BTreeMap<Zone, usize> = BTreeMap::new();
         let mut slots = Vec::new();
-        for machine in inputs.scheduler.machines.values() {
+        for machine in view.machines().values() {
             *machines_by_zone.entry(machine.zone.clone()).or_default() += 1;
-            slots.extend(inputs.slot_of(machine));
+            slots.extend(slot_of(view, machine));
         }
-        for request in inputs.scheduler.autoscaler.requests.iter() {
+        for request in view.autoscaler().requests.iter() {
             for _ in 0..request.count {
-                slots.push(inputs.slot_of_request(request));
+                slots.push(slot_of_request(view, request));
             }
         }
         SimulatedCluster {
@@ -105,82 +106,82 @@
     }
 }
 
-impl ForecastInputs<'_> {
-    /// The machine as the forecast sees it; None if it can't be counted on.
-    fn slot_of(&self, machine: &Machine) -> Option<MachineSlot> {
-        match machine.state {
-            MachineState::Booting if !machine.draining => self.slot_of_booting(machine),
-            MachineState::Up if self.scheduler.usable(machine, self.now) => {
-                Some(self.slot_of_usable(machine))
-            }
-            _ => None,
-        }
+/// The machine as the forecast sees it; None if it can't be counted on.
+fn slot_of(view: &AutoscalerView<'_>, machine: &Machine) -> Option<MachineSlot> {
+    match machine.state {
+        MachineState::Booting if !machine.draining => slot_of_booting(view, machine),
+        MachineState::Up if view.is_usable(machine) => Some(slot_of_usable(view, machine)),
+        _ => None,
     }
+}
 
-    fn slot_of_booting(&self, machine: &Machine) -> Option<MachineSlot> {
-        let age_s = (self.now - machine.since).secs();
-        let boot_s = self.boot_s(&machine.machine_type);
-        if age_s >= boot_s * MAX_BOOT_TIMES {
-            return None;
-        }
-        let left_s = (boot_s - age_s).max(boot_s * MIN_BOOT_SHARE_LEFT);
-        let capacity = self.capacity(&machine.machine_type);
-        Some(MachineSlot::coming(
-            MachineOffer::of(machine),
-            left_s,
-            capacity,
-        ))
+fn slot_of_booting(view: &AutoscalerView<'_>, machine: &Machine) -> Option<MachineSlot> {
+    let age_s = (view.now() - machine.since).secs();
+    let boot_s = view.boot_s(&machine.machine_type);
+    if age_s >= boot_s * MAX_BOOT_TIMES {
+        return None;
     }
+    let left_s = (boot_s - age_s).max(boot_s * MIN_BOOT_SHARE_LEFT);
+    let capacity = view.capacity(&machine.machine_type);
+    Some(MachineSlot::coming(
+        MachineOffer::of(machine),
+        left_s,
+        capacity,
+    ))
+}
 
-    fn slot_of_usable(&self, machine: &Machine) -> MachineSlot {
-        let capacity = self.capacity(&machine.machine_type);
-        let warm_pool = &self.scheduler.autoscaler.warm_pool;
-        let attempts = machine.live_attempts();
-        MachineSlot::in_use(MachineInUse {
-            offer: MachineOffer::of(machine),
-            idle_machine: (machine.live_count == 0).then(|| machine.id.clone()),
-            free_share: free_fraction(&machine.free, &capacity),
-            free: machine.free,
-            releases: attempts
-                .filter_map(|attempt| self.release_of(machine, attempt))
-                .collect(),
-            cached_images: machine.images.iter().map(|(i, _)| i.clone()).collect(),
-            warm_pool_class: warm_pool.class_of(&machine.id).cloned(),
-        })
-    }
+fn slot_of_usable(view: &AutoscalerView<'_>, machine: &Machine) -> MachineSlot {
+    let capacity = view.capacity(&machine.machine_type);
+    let warm_pool = &view.autoscaler().warm_pool;
+    let attempts = machine.live_attempts();
+    MachineSlot::in_use(MachineInUse {
+        offer: MachineOffer::of(machine),
+        idle_machine: (machine.live_count == 0).then(|| machine.id.clone()),
+        free_share: free_fraction(&machine.free, &capacity),
+        free: machine.free,
+        releases: attempts
+            .filter_map(|attempt| release_of(view, machine, attempt))
+            .collect(),
+        cached_images: machine.images.iter().map(|(i, _)| i.clone()).collect(),
+        warm_pool_class: warm_pool.class_of(&machine.id).cloned(),
+    })
+}
 
-    /// When a task attempt should free its capacity; None if nothing is known of its job.
-    fn release_of(&self, machine: &Machine, attempt: &TaskAttempt) -> Option<Release> {
-        let job = self.scheduler.jobs.get(&attempt.task.job)?;
-        let left_s = match attempt.running_since {
-            Some(since) => self.scheduler.rest_s(job, (self.now - since).secs()),
-            None => self.scheduler.estimate_of(job) + self.fetch_left_s(machine, attempt),
-        };
-        Some(Release {
-            at_s: left_s * RUN_TIME_MARGIN,
-            resources: attempt.request,
-        })
-    }
+/// When a task attempt should free its capacity; None if nothing is known of its job.
+fn release_of(
+    view: &AutoscalerView<'_>,
+    machine: &Machine,
+    attempt: &TaskAttempt,
+) -> Option<Release> {
+    let job = view.jobs().get(&attempt.task.job)?;
+    let left_s = match attempt.running_since {
+        Some(since) => view.remaining_run_time_s(job, (view.now() - since).secs()),
+        None => view.run_time_of_job_s(job) + fetch_left_s(view, machine, attempt),
+    };
+    Some(Release {
+        at_s: left_s * RUN_TIME_MARGIN,
+        resources: attempt.request,
+    })
+}
 
-    /// Seconds until an attempt that doesn't run yet has its image.
-    fn fetch_left_s(&self, machine: &Machine, attempt: &TaskAttempt) -> f64 {
-        let Some(job) = self.scheduler.jobs.get(&attempt.task.job) else {
-            return 0.0;
-        };
-        if machine.has_image(&job.spec.image) {
-            return 0.0;
-        }
-        let fetch_s = self.fetch_s(&machine.machine_type, &job.spec);
-        (fetch_s - (self.now - attempt.since).secs()).max(0.0)
+/// Seconds until an attempt that doesn't run yet has its image.
+fn fetch_left_s(view: &AutoscalerView<'_>, machine: &Machine, attempt: &TaskAttempt) -> f64 {
+    let Some(job) = view.jobs().get(&attempt.task.job) else {
+        return 0.0;
+    };
+    if machine.has_image(&job.spec.image) {
+        return 0.0;
     }
+    let fetch_s = view.fetch_s(&machine.machine_type, job.spec.image_gb);
+    (fetch_s - (view.now() - attempt.since).secs()).max(0.0)
+}
 
-    fn slot_of_request(&self, request: &ScaleOutRequest) -> MachineSlot {
-        let machine_type = &request.offer.machine_type;
-        let left_s = self.boot_s(machine_type) - (self.now - request.requested_at).secs();
-        MachineSlot::coming(
-            request.offer.clone(),
-            left_s.max(MIN_REQUESTED_BOOT_SECS),
-            self.capacity(machine_type),
-        )
-    }
+fn slot_of_request(view: &AutoscalerView<'_>, request: &ScaleOutRequest) -> MachineSlot {
+    let machine_type = &request.offer.machine_type;
+    let left_s = view.boot_s(machine_type) - (view.now() - request.requested_at).secs();
+    MachineSlot::coming(
+        request.offer.clone(),
+        left_s.max(MIN_REQUESTED_BOOT_SECS),
+        view.capacity(machine_type),
+    )
 }
--- a/src/coordination/autoscaler/forecast/waiting_tasks.rs
+++ b/src/coordination/autoscaler/forecast/waiting_tasks.rs
@@ -1,8 +1,8 @@
 //! Assigns what waits now: room that the warm pool lacks, then unplaced tasks in queue order.
 
-use super::assignment::{TaskBatch, TaskOrigin};
+use super::assignment::{assign, TaskBatch, TaskOrigin};
 use super::simulated_cluster::SimulatedCluster;
-use super::ForecastInputs;
+use crate::coordination::autoscaler::view::AutoscalerView;
 use crate::coordination::placement::UnplacedTasks;
 use crate::ids::Zone;
 use crate::protocol::users::JobSpec;
@@ -10,81 +10,88 @@
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
 
-impl ForecastInputs<'_> {
-    /// Assigns the tasks for which machines are missing in the warm pool.
-    pub(super) fn assign_warm_pool(&self, cluster: &mut SimulatedCluster) {
-        for missing in self.scheduler.autoscaler.warm_pool.missing() {
-            let batch = TaskBatch {
-                spec: &missing.spec,
-                count: missing.tasks,
-                origin: TaskOrigin::WarmPool,
-            };
-            self.assign(&batch, cluster);
-        }
+/// Assigns the tasks for which machines are missing in the warm pool.
+pub(super) fn assign_warm_pool(view: &AutoscalerView<'_>, cluster: &mut SimulatedCluster) {
+    for missing in view.autoscaler().warm_pool.missing() {
+        let batch = TaskBatch {
+            spec: &missing.spec,
+            count: missing.tasks,
+            origin: TaskOrigin::WarmPool,
+        };
+        assign(view, &batch, cluster);
     }
+}
 
-    /// Assigns the unplaced tasks, as far as the limits of their teams let them start.
-    pub(super) fn assign_waiting_tasks(
-        &self,
-        unplaced: &[UnplacedTasks],
-        cluster: &mut SimulatedCluster,
-    ) {
-        let mut team_usage = self.scheduler.team_usage.clone();
-        for tasks in unplaced {
-            let Some(job) = self.scheduler.jobs.get(&tasks.job) else {
-                continue;
-            };
-            let headroom = self.scheduler.headroom(&job.spec, job.team, &team_usage);
-            let count = tasks.count.min(headroom);
-            if count == 0 || cluster.is_full() {
-                continue;
-            }
-            let mut spec = job.spec.clone();
-            if spec.together && job.is_all_or_nothing() && spec.zone.is_none() {
-                spec.zone = self.zone_for_gang(cluster, &spec);
-            }
-            let batch = TaskBatch {
-                spec: &spec,
-                count,
-                origin: TaskOrigin::Waiting,
-            };
-            let assigned = self.assign(&batch, cluster);
-            if let Some(usage) = job.team.and_then(|team| team_usage.get_mut(team.0)) {
-                usage.add(&Resources::of(&job.spec).times(f64::from(assigned)));
-            }
+/// Assigns the unplaced tasks, as far as the limits of their teams let them start.
+pub(super) fn assign_unplaced_tasks(
+    view: &AutoscalerView<'_>,
+    unplaced: &[UnplacedTasks],
+    cluster: &mut SimulatedCluster,
+) {
+    let mut team_usage = view.team_usage().to_vec();
+    for tasks in unplaced {
+        let Some(job) = view.jobs().get(&tasks.job) else {
+            continue;
+        };
+        let headroom = view.headroom(&job.spec, job.team, &team_usage);
+        let count = tasks.count.min(headroom);
+        if count == 0 || cluster.is_full() {
+            continue;
         }
-    }
-
-    /// The zone for a gang that must stay together: where most of it could start soon, if the rest
-    /// can be rented there; among equals the one with the fewest machines.
-    fn zone_for_gang(&self, cluster: &SimulatedCluster, spec: &JobSpec) -> Option<Zone> {
-        let types = self.scheduler.machines.types.values();
-        let zones: BTreeSet<&Zone> = types.flat_map(|info| &info.zones).collect();
-        let rank = |zone: &Zone| {
-            let startable = self.startable_in(zone, cluster, spec);
-            let can_start_all = startable >= spec.tasks || self.can_rent_in(zone, cluster, spec);
-            let machines = cluster.machines_by_zone().get(zone).copied().unwrap_or(0);
-            (can_start_all, startable, Reverse(machines))
+        let mut spec = job.spec.clone();
+        if spec.together && job.is_all_or_nothing() && spec.zone.is_none() {
+            spec.zone = zone_for_gang(view, cluster, &spec);
+        }
+        let batch = TaskBatch {
+            spec: &spec,
+            count,
+            origin: TaskOrigin::Waiting,
         };
-        zones.into_iter().max_by_key(|zone| rank(zone)).cloned()
+        let assigned = assign(view, &batch, cluster);
+        if let Some(usage) = job.team.and_then(|team| team_usage.get_mut(team.0)) {
+            usage.add(&Resources::of(&job.spec).times(f64::from(assigned)));
+        }
     }
+}
 
-    /// How many tasks of a job could start in a zone on what is free there.
-    fn startable_in(&self, zone: &Zone, cluster: &SimulatedCluster, spec: &JobSpec) -> u32 {
-        let request = Resources::of(spec);
-        cluster
-            .slots()
-            .iter()
-            .filter(|slot| slot.offer.zone == *zone && slot.is_allowed_by(spec))
-            .map(|slot| slot.free_for(&request, spec.tasks))
-            .sum::<u32>()
-            .min(spec.tasks)
-    }
+/// The zone for a gang that must stay together: where most of it could start soon, if the rest
+/// can be rented there; among equals the one with the fewest machines.
+fn zone_for_gang(
+    view: &AutoscalerView<'_>,
+    cluster: &SimulatedCluster,
+    spec: &JobSpec,
+) -> Option<Zone> {
+    let types = view.machines().types.values();
+    let zones: BTreeSet<&Zone> = types.flat_map(|info| &info.zones).collect();
+    let rank = |zone: &Zone| {
+        let startable = startable_in(zone, cluster, spec);
+        let can_start_all = startable >= spec.tasks || can_rent_in(view, zone, cluster, spec);
+        let machines = cluster.machines_by_zone().get(zone).copied().unwrap_or(0);
+        (can_start_all, startable, Reverse(machines))
+    };
+    zones.into_iter().max_by_key(|zone| rank(zone)).cloned()
+}
 
-    fn can_rent_in(&self, zone: &Zone, cluster: &SimulatedCluster, spec: &JobSpec) -> bool {
-        let mut in_zone = spec.clone();
-        in_zone.zone = Some(zone.clone());
-        let offer = self.cheapest_offer(&in_zone, 1, cluster.machines_by_zone());
-        offer.is_some()
-    }
+/// How many tasks of a job could start in a zone on what is free there.
+fn startable_in(zone: &Zone, cluster: &SimulatedCluster, spec: &JobSpec) -> u32 {
+    let request = Resources::of(spec);
+    cluster
+        .slots()
+        .iter()
+        .filter(|slot| slot.offer.zone == *zone && slot.is_allowed_by(spec))
+        .map(|slot| slot.free_for(&request, spec.tasks))
+        .sum::<u32>()
+        .min(spec.tasks)
+}
+
+fn can_rent_in(
+    view: &AutoscalerView<'_>,
+    zone: &Zone,
+    cluster: &SimulatedCluster,
+    spec: &JobSpec,
+) -> bool {
+    let mut in_zone = spec.clone();
+    in_zone.zone = Some(zone.clone());
+    let offer = view.cheapest_offer(&in_zone, 1, cluster.machines_by_zone());
+    offer.is_some()
 }
--- a/src/coordination/autoscaler/mod.rs
+++ b/src/coordination/autoscaler/mod.rs
@@ -15,6 +15,7 @@
 mod scale_in;
 mod scale_out;
 mod suspected_zones;
+mod view;
 mod warm_pool;
 
 pub use offers::MachineOffer;
--- a/src/coordination/autoscaler/scale_in.rs
+++ b/src/coordination/autoscaler/scale_in.rs
@@ -4,6 +4,7 @@
 //! cloud has confirmed that it is terminated: only then has everything on it certainly ended.
 
 use super::suspected_zones::{mostly_silent_zones, zone_silence_bound};
+use super::view::AutoscalerView;
 use super::Autoscaler;
 use crate::coordination::machines::machine::{Machine, MachineState};
 use crate::coordination::{ClusterView, Effect, Scheduler};
@@ -51,8 +52,7 @@
 
 /// What a choice of machines to be given back goes by, beside the machine itself.
 struct ScaleInRules<'a> {
-    scheduler: &'a Scheduler,
-    now: Instant,
+    view: AutoscalerView<'a>,
     /// The silence after which a machine is given up; None while a new leader can't tell yet.
     max_silence: Option<TimeSpan>,
     /// Nothing waits, and nothing is to be expected.
@@ -70,8 +70,7 @@
             self.autoscaler.suspected_zones.update(now, zones, until);
         }
         let rules = ScaleInRules {
-            scheduler: self,
-            now,
+            view: self.autoscaler_view(now),
             max_silence: can_tell_silence.then_some(max_silence),
             is_demand_subsided: !has_startable_pending_job(&self.view(now))
                 && self.autoscaler.arrivals.have_subsided(now),
@@ -151,7 +150,7 @@
 impl ScaleInRules<'_> {
     /// The machines to be given back, in the order of their ids.
     fn choose(&self) -> Vec<(MachineId, ScaleInReason)> {
-        let machines = self.scheduler.machines.values();
+        let machines = self.view.machines().values();
         machines
             .filter_map(|machine| Some((machine.id.clone(), self.reason(machine)?)))
             .collect()
@@ -160,7 +159,7 @@
     /// Why a machine is to be given back; None if it is kept.
     fn reason(&self, machine: &Machine) -> Option<ScaleInReason> {
         if machine.state == MachineState::Returning {
-            let is_due = machine.push_not_before <= self.now;
+            let is_due = machine.push_not_before <= self.view.now();
             return is_due.then_some(ScaleInReason::Unconfirmed);
         }
         if self.is_silent_for_too_long(machine) {
@@ -179,38 +178,39 @@
     }
 
     fn is_silent_for_too_long(&self, machine: &Machine) -> bool {
-        let suspected = &self.scheduler.autoscaler.suspected_zones;
+        let suspected = &self.view.autoscaler().suspected_zones;
         self.max_silence
-            .is_some_and(|max_silence| machine.silent(self.now, max_silence))
+            .is_some_and(|max_silence| machine.silent(self.view.now(), max_silence))
             && !suspected.contains(&machine.zone)
     }
 
     fn is_boot_overdue(&self, machine: &Machine) -> bool {
-        let boot_s = self.scheduler.machines.boot_s(&machine.machine_type);
+        let boot_s = self.view.boot_s(&machine.machine_type);
         let timeout_s = boot_s * MAX_BOOT_TIMES + BOOT_TIMEOUT_MARGIN_SECS;
-        machine.state == MachineState::Booting && (self.now - machine.since).secs() > timeout_s
+        machine.state == MachineState::Booting
+            && (self.view.now() - machine.since).secs() > timeout_s
     }
 
     fn is_drained(&self, machine: &Machine) -> bool {
         let is_overdue = machine
             .draining_since
-            .is_some_and(|since| self.now - since > DRAIN_TIMEOUT);
+            .is_some_and(|since| self.view.now() - since > DRAIN_TIMEOUT);
         machine.draining && (machine.live_count == 0 || is_overdue)
     }
 
     fn is_idle_for_too_long(&self, machine: &Machine) -> bool {
-        let autoscaler = &self.scheduler.autoscaler;
+        let autoscaler = &self.view.autoscaler();
         let is_idle = machine.state == MachineState::Up && machine.live_count == 0;
         let Some(idle_since) = machine.idle_since.filter(|_| is_idle) else {
             return false;
         };
         !autoscaler.warm_pool.contains(&machine.id)
-            && (self.now - idle_since).secs() > self.keep_idle_s(machine)
+            && (self.view.now() - idle_since).secs() > self.keep_idle_s(machine)
     }
 
     /// Seconds for which an idle machine is kept: in proportion to what it would take to replace it.
     fn keep_idle_s(&self, machine: &Machine) -> f64 {
-        let spare_machines = &self.scheduler.autoscaler.spare_machines;
+        let spare_machines = &self.view.autoscaler().spare_machines;
         let factor = if self.is_demand_subsided {
             KEEP_FACTOR_SUBSIDED
         } else if spare_machines.contains(&machine.id) {
@@ -218,7 +218,7 @@
         } else {
             KEEP_FACTOR_IN_FORECAST
         };
-        self.replacement_s(machine) * self.scheduler.policy.operator.idle_boots * factor
+        self.replacement_s(machine) * self.view.policy().operator.idle_boots * factor
     }
 
     /// Seconds that it would take to have such a machine again: to boot it and fetch its largest image.
@@ -227,7 +227,7 @@
         let image_sizes_gb = machine.images.iter().map(|(_, gb)| *gb);
         let largest_image_gb = image_sizes_gb.fold(0.0, f64::max);
         let machine_type = &machine.machine_type;
-        let boot_s = self.scheduler.machines.boot_s(machine_type);
-        boot_s + self.scheduler.fetch_s(machine_type, largest_image_gb)
+        let boot_s = self.view.boot_s(machine_type);
+        boot_s + self.view.fetch_s(machine_type, largest_image_gb)
     }
 }
--- a/src/coordination/autoscaler/scale_out.rs
+++ b/src/coordination/autoscaler/scale_out.rs
@@ -1,10 +1,11 @@
 //! Scale-out: which machines are rented, how many, and what becomes of each request.
 
-use super::forecast::ForecastResult;
+use super::forecast::{forecast, ForecastResult};
 use super::{Autoscaler, MachineOffer, API_RATE_SHARE};
 use crate::coordination::machines::machine::MachineState;
+use crate::coordination::machines::table::MachineTable;
 use crate::coordination::placement::UnplacedTasks;
-use crate::coordination::{ClusterView, Effect, ScaleOutAnswer, Scheduler};
+use crate::coordination::{ClusterView, Effect, Policy, ScaleOutAnswer, Scheduler};
 use crate::ids::{FencingToken, IdempotencyKey, MachineId, Zone};
 use crate::protocol::cloud::MachineTypeInfo;
 use crate::protocol::users::JobSpec;
@@ -27,12 +28,17 @@
 impl Scheduler {
     /// Rents what makes waiting tasks start sooner, as the forecast says.
     pub(super) fn scale_out(&mut self, now: Instant, unplaced: &[UnplacedTasks]) {
+        let is_new_leader = self.leadership.age(now) <= self.policy.first_reports();
         if !self.autoscaler.is_forecast_due(now, self.machines.len())
-            || self.awaits_first_heartbeats(now)
+            || (is_new_leader && awaits_first_heartbeats(&self.machines))
         {
             return;
         }
-        let forecast = self.forecast(now, unplaced, self.max_machines_per_forecast());
+        let forecast = forecast(
+            &self.autoscaler_view(now),
+            unplaced,
+            max_machines_per_forecast(&self.policy),
+        );
         tracing::debug!(
             unplaced_jobs = unplaced.len(),
             unplaced_tasks = unplaced.iter().map(|tasks| tasks.count).sum::<u32>(),
@@ -45,32 +51,6 @@
         self.effects.extend(requests);
     }
 
-    fn max_machines_per_forecast(&self) -> usize {
-        let rate = self.policy.facts.cloud.rps * API_RATE_SHARE;
-        let requests = (rate * REQUEST_SECS_PER_FORECAST).max(1.0);
-        requests as usize * MAX_MACHINES_PER_REQUEST as usize
-    }
-
-    /// Whether a new leader still waits for the first heartbeats of most of its machines.
-    ///
-    /// Guards against rentals for which there is no use a moment later: each change of leaders rented up to
-    /// 180 machines on the recorded day a974. Until a machine has sent a heartbeat it can't be given work, and
-    /// what ended on it while nobody led still seems to be there.
-    fn awaits_first_heartbeats(&self, now: Instant) -> bool {
-        if self.leadership.age(now) > self.policy.first_reports() {
-            return false;
-        }
-        let up = self
-            .machines
-            .values()
-            .filter(|machine| machine.state == MachineState::Up);
-        let (silent, all) = up.fold((0, 0), |(silent, all), machine| {
-            let is_silent = machine.last_heartbeat_at.is_none();
-            (silent + usize::from(is_silent), all + 1)
-        });
-        silent as f64 > all as f64 * MAX_SHARE_WITHOUT_HEARTBEAT
-    }
-
     /// The cloud answered a scale-out request: the machines granted are known from now on.
     pub(crate) fn scale_out_answered(
         &mut self,
@@ -90,6 +70,29 @@
     }
 }
 
+/// How many machines can be requested between two forecasts, at the cloud's rate.
+fn max_machines_per_forecast(policy: &Policy) -> usize {
+    let rate = policy.facts.cloud.rps * API_RATE_SHARE;
+    let requests = (rate * REQUEST_SECS_PER_FORECAST).max(1.0);
+    requests as usize * MAX_MACHINES_PER_REQUEST as usize
+}
+
+/// Whether a new leader still waits for the first heartbeats of some of its machines.
+///
+/// Guards against rentals for which there is no use a moment later: each change of leaders rented up to
+/// 180 machines on the recorded day a974. Until a machine has sent a heartbeat it can't be given work, and
+/// what ended on it while nobody led still seems to be there.
+fn awaits_first_heartbeats(machines: &MachineTable) -> bool {
+    let up = machines
+        .values()
+        .filter(|machine| machine.state == MachineState::Up);
+    let (silent, all) = up.fold((0, 0), |(silent, all), machine| {
+        let is_silent = machine.last_heartbeat_at.is_none();
+        (silent + usize::from(is_silent), all + 1)
+    });
+    silent as f64 > all as f64 * MAX_SHARE_WITHOUT_HEARTBEAT
+}
+
 /// The machines that a request brought.
 struct GrantedMachines {
     machine_ids: Vec<MachineId>,
--- a/src/coordination/autoscaler/warm_pool.rs
+++ b/src/coordination/autoscaler/warm_pool.rs
@@ -2,6 +2,7 @@
 //! rented and their image fetched. How many follows from the arrival rate: what comes in the time that
 //! a rental would take, and a little for chance.
 
+use super::view::AutoscalerView;
 use crate::coordination::placement::request::allows_machine;
 use crate::coordination::Scheduler;
 use crate::ids::MachineId;
@@ -58,85 +59,89 @@
 impl Scheduler {
     /// Chooses anew which machines are held ready.
     pub(crate) fn update_warm_pool(&mut self, now: Instant) {
-        self.autoscaler.warm_pool = self.choose_warm_pool(now);
+        self.autoscaler.warm_pool = choose(&self.autoscaler_view(now));
     }
+}
 
-    fn choose_warm_pool(&self, now: Instant) -> WarmPool {
-        let mut pool = WarmPool::default();
-        for demand in self.warm_pool_demand(now) {
-            let machines = self.warm_pool_candidates(now, &demand.spec, &pool);
-            let missing = demand.tasks.saturating_sub(machines.len() as u32);
-            for machine in machines.into_iter().take(demand.tasks as usize) {
-                let class = demand.spec.class.clone();
-                pool.class_by_machine.insert(machine.clone(), class);
-            }
-            if missing > 0 {
-                pool.missing.push(WarmPoolDemand {
-                    tasks: missing,
-                    ..demand
-                });
-            }
+/// Chooses the machines to be held ready.
+fn choose(view: &AutoscalerView<'_>) -> WarmPool {
+    let mut pool = WarmPool::default();
+    for demand in demand(view) {
+        let machines = candidates(view, &demand.spec, &pool);
+        let missing = demand.tasks.saturating_sub(machines.len() as u32);
+        for machine in machines.into_iter().take(demand.tasks as usize) {
+            let class = demand.spec.class.clone();
+            pool.class_by_machine.insert(machine.clone(), class);
+        }
+        if missing > 0 {
+            pool.missing.push(WarmPoolDemand {
+                tasks: missing,
+                ..demand
+            });
         }
-        pool
     }
+    pool
+}
 
-    /// Machines with room for a task now that are not in the pool, those with its image first.
-    fn warm_pool_candidates(
-        &self,
-        now: Instant,
-        spec: &JobSpec,
-        pool: &WarmPool,
-    ) -> Vec<&MachineId> {
-        let request = Resources::of(spec);
-        let with_room = self.machines.index.with_room.iter();
-        let mut candidates: Vec<(bool, &MachineId)> = with_room
-            .filter_map(|id| self.machines.get(id))
-            .filter(|machine| request.fits(&machine.free) && allows_machine(spec, machine))
-            .filter(|machine| self.usable(machine, now) && !pool.contains(&machine.id))
-            .map(|machine| (!machine.has_image(&spec.image), &machine.id))
-            .collect();
-        candidates.sort();
-        candidates.into_iter().map(|(_, id)| id).collect()
-    }
+/// Machines with room for a task now that are not in the pool, those with its image first.
+fn candidates<'a>(
+    view: &AutoscalerView<'a>,
+    spec: &JobSpec,
+    pool: &WarmPool,
+) -> Vec<&'a MachineId> {
+    let request = Resources::of(spec);
+    let with_room = view.machines().index.with_room.iter();
+    let mut candidates: Vec<(bool, &MachineId)> = with_room
+        .filter_map(|id| view.machines().get(id))
+        .filter(|machine| request.fits(&machine.free) && allows_machine(spec, machine))
+        .filter(|machine| view.is_usable(machine) && !pool.contains(&machine.id))
+        .map(|machine| (!machine.has_image(&spec.image), &machine.id))
+        .collect();
+    candidates.sort();
+    candidates.into_iter().map(|(_, id)| id).collect()
+}
 
-    /// For how many tasks of each class there should be room at once, beyond what runs.
-    fn warm_pool_demand(&self, now: Instant) -> Vec<WarmPoolDemand> {
-        let classes = self.autoscaler.arrivals.iter();
-        let demand = classes.filter_map(|(class, rate)| {
-            let max_wait_s = self.policy.started_within(class)?;
-            let spec = rate.last_job()?;
-            let rental_s = self.shortest_rental_s(spec);
-            if !rental_s.is_finite() || rental_s <= max_wait_s || !self.is_large_task(spec) {
-                return None;
-            }
-            let jobs = rate.jobs_per_s(now) * rental_s;
-            if jobs < MIN_EXPECTED_JOBS {
-                return None;
-            }
-            let jobs = jobs + EXTRA_DEVIATIONS * jobs.sqrt();
-            let tasks = (jobs * rate.tasks_per_job()).ceil() as u32;
-            let headroom = self.headroom(spec, self.team_of(spec), &self.team_usage);
-            let tasks = tasks.min(headroom);
-            (tasks > 0).then(|| WarmPoolDemand {
-                spec: spec.clone(),
-                tasks,
-            })
-        });
-        demand.collect()
-    }
+/// For how many tasks of each class there should be room at once, beyond what runs.
+fn demand(view: &AutoscalerView<'_>) -> Vec<WarmPoolDemand> {
+    let classes = view.autoscaler().arrivals.iter();
+    let demand = classes.filter_map(|(class, rate)| {
+        let max_wait_s = view.policy().started_within(class)?;
+        let spec = rate.last_job()?;
+        let rental_s = shortest_rental_s(view, spec);
+        if !rental_s.is_finite() || rental_s <= max_wait_s || !view.is_large_task(spec) {
+            return None;
+        }
+        let jobs = rate.jobs_per_s(view.now()) * rental_s;
+        if jobs < MIN_EXPECTED_JOBS {
+            return None;
+        }
+        let jobs = jobs + EXTRA_DEVIATIONS * jobs.sqrt();
+        let tasks = (jobs * rate.tasks_per_job()).ceil() as u32;
+        let headroom = view.headroom(
+            spec,
+            view.policy().team_index(&spec.team),
+            view.team_usage(),
+        );
+        let tasks = tasks.min(headroom);
+        (tasks > 0).then(|| WarmPoolDemand {
+            spec: spec.clone(),
+            tasks,
+        })
+    });
+    demand.collect()
+}
 
-    /// Seconds that it takes to have another machine with a job's image, of the type that is quickest at it;
-    /// infinite if there is none.
-    fn shortest_rental_s(&self, spec: &JobSpec) -> f64 {
-        let request = Resources::of(spec);
-        let types = self.machines.types.values();
-        types
-            .filter(|info| {
-                let allowed = spec.machine_types.as_ref();
-                allowed.is_none_or(|allowed| allowed.contains(&info.name))
-            })
-            .filter(|info| request.fits(&self.machines.capacity(&info.name)))
-            .map(|info| info.boot_s + spec.image_gb / info.fetch_gb_per_s.max(MIN_FETCH_GB_PER_S))
-            .fold(f64::INFINITY, f64::min)
-    }
+/// Seconds that it takes to have another machine with a job's image, of the type that is quickest at it;
+/// infinite if there is none.
+fn shortest_rental_s(view: &AutoscalerView<'_>, spec: &JobSpec) -> f64 {
+    let request = Resources::of(spec);
+    let types = view.machines().types.values();
+    types
+        .filter(|info| {
+            let allowed = spec.machine_types.as_ref();
+            allowed.is_none_or(|allowed| allowed.contains(&info.name))
+        })
+        .filter(|info| request.fits(&view.machines().capacity(&info.name)))
+        .map(|info| info.boot_s + spec.image_gb / info.fetch_gb_per_s.max(MIN_FETCH_GB_PER_S))
+        .fold(f64::INFINITY, f64::min)
 }
