--- a/src/coordination/attempts/stops.rs
+++ b/src/coordination/attempts/stops.rs
@@ -140,7 +140,7 @@
                     continue;
                 };
                 if again {
-                    m.reservation = Some((id.clone(), now + lease));
+                    m.reserve_for(id.clone(), now + lease);
                 }
                 for s in m.attempts.values_mut() {
                     if s.task.job == id && !s.ended() && s.stop.is_none() {
--- a/src/coordination/attempts/task_ends.rs
+++ b/src/coordination/attempts/task_ends.rs
@@ -59,7 +59,7 @@
             Cause::Incomplete => {
                 // Its image is there: the machine is kept for when the others have theirs.
                 if let Some(m) = self.machines.get_mut(machine_id) {
-                    m.reservation = Some((task.job.clone(), now + lease));
+                    m.reserve_for(task.job.clone(), now + lease);
                 }
                 if let Some(job) = self.jobs.get_mut(&task.job) {
                     job.incomplete = true;
--- a/src/coordination/autoscaler/forecast.rs
+++ b/src/coordination/autoscaler/forecast.rs
@@ -253,7 +253,7 @@
                         bins.push(bin(rest, self.machines.capacity(&m.machine_type)));
                     }
                 }
-                MachineState::Up if self.usable(m, now) => {
+                MachineState::Up if self.view(now).is_schedulable(m) => {
                     let mut b = bin(0.0, m.free);
                     b.idle = (m.live_count == 0).then(|| m.id.clone());
                     b.empty = free_fraction(&m.free, &self.machines.capacity(&m.machine_type));
--- a/src/coordination/autoscaler/warm_pool.rs
+++ b/src/coordination/autoscaler/warm_pool.rs
@@ -63,7 +63,9 @@
                 .iter()
                 .filter_map(|h| self.machines.get(h))
                 .filter(|m| {
-                    request.fits(&m.free) && allows_machine(&spec, m) && self.usable(m, now)
+                    request.fits(&m.free)
+                        && allows_machine(&spec, m)
+                        && self.view(now).is_schedulable(m)
                 })
                 .filter(|m| !warm_pool.contains_key(&m.id))
                 .map(|m| (!m.has_image(&spec.image), &m.id))
--- a/src/coordination/machines/machine.rs
+++ b/src/coordination/machines/machine.rs
@@ -1,5 +1,6 @@
 //! A machine as the leader holds it.
 
+use super::reservation::Reservation;
 use crate::coordination::attempts::task_attempt::TaskAttempt;
 use crate::ids::{
     AttemptKey, FencingToken, Image, JobId, MachineId, MachineType, PageNumber, Session, Tick, Zone,
@@ -72,8 +73,8 @@
     /// No new work (sick, silent too often, or to be returned).
     pub draining: bool,
     pub draining_since: Option<Instant>,
-    /// Emptied for this job, which alone may use it until then.
-    pub reservation: Option<(JobId, Instant)>,
+    /// The job that it is kept for.
+    pub(super) reservation: Option<Reservation>,
     /// Images that should be in its cache, least recently used first.
     pub images: Vec<(Image, f64)>,
     /// Idle since.
@@ -169,6 +170,18 @@
         self.unreachable_since = None;
     }
 
+    /// Whether it may be given new work: it reports, our commands reach it, and nothing is known that speaks
+    /// against it. After `silence` without a heartbeat it is suspected, and gets none.
+    pub fn is_schedulable(&self, now: Instant, silence: TimeSpan) -> bool {
+        self.state == MachineState::Up
+            && self.verified
+            && !self.is_unreachable()
+            && !self.draining
+            && self.reclaim_at.is_none()
+            && self.unschedulable_until <= now
+            && !self.silent(now, silence)
+    }
+
     /// Takes it out of use.
     pub fn start_draining(&mut self, now: Instant) {
         self.draining = true;
--- a/src/coordination/machines/mod.rs
+++ b/src/coordination/machines/mod.rs
@@ -2,4 +2,5 @@
 
 pub mod images;
 pub mod machine;
+mod reservation;
 pub mod table;
--- a/src/coordination/placement/eviction.rs
+++ b/src/coordination/placement/eviction.rs
@@ -140,7 +140,7 @@
             && allows_machine(spec, machine)
             && Resources::of(spec).fits(&self.capacity(machine))
             && self.warm_pool_admits(&machine.id, &spec.class)
-            && self.reserved_for(machine).is_none()
+            && machine.reserved_for(self.now()).is_none()
     }
 
     /// What it costs to stop an attempt for the job; `None` if that may not be, or is being done already.
--- a/src/coordination/placement/preemption.rs
+++ b/src/coordination/placement/preemption.rs
@@ -23,8 +23,6 @@
 /// first is seen before the next.
 const MIN_MACHINES_PER_ROUND: usize = 2;
 const MACHINES_PER_EXTRA_EVICTION: usize = 100;
-/// Rounds are at least this far apart.
-const ROUND_INTERVAL: TimeSpan = TimeSpan(200);
 /// Jobs for which ways to make room are looked for in one round.
 pub(super) const MAX_JOBS_PER_ROUND: usize = 24;
 /// A machine emptied for a job is reserved for it this long.
@@ -37,10 +35,9 @@
 impl Scheduler {
     /// Makes room for pending jobs that would otherwise start too late.
     pub(crate) fn preempt(&mut self, now: Instant, unplaced: &[UnplacedTasks]) {
-        if unplaced.is_empty() || now - self.placement.last_preemption_at < ROUND_INTERVAL {
+        if unplaced.is_empty() || !self.placement.start_preemption_if_due(now) {
             return;
         }
-        self.placement.last_preemption_at = now;
         let view = self.placement_view(now);
         let guaranteed_jobs = view.guaranteed_jobs();
         let lowest_priority = view.lowest_priority();
@@ -79,7 +76,7 @@
             let Some(machine) = self.machines.get_mut(&eviction.machine_id) else {
                 continue;
             };
-            machine.reservation = Some((job_id.clone(), now + RESERVATION_AFTER_EVICTION));
+            machine.reserve_for(job_id.clone(), now + RESERVATION_AFTER_EVICTION);
             for victim in eviction.victims {
                 if let Some(attempt) = machine.attempts.get_mut(&victim.attempt) {
                     attempt.stop = Some(StopRequest {
@@ -121,7 +118,7 @@
 
     /// How many machines have room for a task of the job, or are being emptied for it.
     fn machines_available_to(&self, job_id: &JobId, job: &Job) -> u32 {
-        let is_available = |machine: &&Machine| match self.reserved_for(machine) {
+        let is_available = |machine: &&Machine| match machine.reserved_for(self.now()) {
             Some(holder) => holder == job_id,
             None => self.has_room_for(machine, &job.spec) && self.is_usable(machine),
         };
@@ -138,7 +135,7 @@
             return false;
         };
         self.machines().values().any(|machine| {
-            self.reserved_for(machine) == Some(job_id)
+            machine.reserved_for(self.now()) == Some(job_id)
                 && machine.has_image(&job.spec.image)
                 && self.is_usable(machine)
                 && machine
--- a/src/coordination/placement/reservations.rs
+++ b/src/coordination/placement/reservations.rs
@@ -1,6 +1,6 @@
 //! Machines kept for jobs that could not be placed, so that those behind them in the queue don't take what they
-//! wait for. A reservation made here holds for the rest of the pass; one on a machine ([`Machine`]'s
-//! `reservation`), made by preemption or when a gang attempt failed, holds until a time.
+//! wait for. A reservation made here holds for the rest of the pass; one on a machine
+//! ([`Machine::reserve_for`]), made by preemption or when a gang attempt failed, holds until a time.
 
 use super::candidates::free_fraction;
 use super::pass::PlacementPass;
@@ -14,17 +14,10 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 impl<'a> PlacementView<'a> {
-    /// The job for which the machine is reserved beyond this pass.
-    pub(super) fn reserved_for<'m>(&self, machine: &'m Machine) -> Option<&'m JobId> {
-        let reservation = machine.reservation.as_ref();
-        reservation
-            .filter(|(_, until)| self.now() < *until)
-            .map(|(job_id, _)| job_id)
-    }
-
     /// Whether the machine is reserved beyond this pass for a job other than that one.
     pub(super) fn is_reserved_for_another(&self, machine: &Machine, job_id: &JobId) -> bool {
-        self.reserved_for(machine)
+        machine
+            .reserved_for(self.now())
             .is_some_and(|holder| holder != job_id)
     }
 
@@ -32,7 +25,7 @@
     pub(super) fn jobs_with_reservations(&self) -> BTreeSet<JobId> {
         let machines = self.machines().values();
         machines
-            .filter_map(|machine| self.reserved_for(machine))
+            .filter_map(|machine| machine.reserved_for(self.now()))
             .cloned()
             .collect()
     }
--- a/src/coordination/view.rs
+++ b/src/coordination/view.rs
@@ -2,6 +2,7 @@
 
 use super::jobs::estimates::Estimates;
 use super::jobs::table::JobTable;
+use super::machines::machine::Machine;
 use super::machines::table::MachineTable;
 use super::{Policy, Scheduler};
 use crate::resources::Resources;
@@ -24,6 +25,13 @@
     pub estimates: &'a Estimates,
 }
 
+impl ClusterView<'_> {
+    /// Whether a machine may be given new work.
+    pub(crate) fn is_schedulable(&self, machine: &Machine) -> bool {
+        machine.is_schedulable(self.now, self.policy.silence())
+    }
+}
+
 impl Scheduler {
     /// The cluster at that moment, for a decision to read.
     pub(crate) fn view(&self, now: Instant) -> ClusterView<'_> {
