--- a/src/coordination/autoscaler/forecast/simulated_cluster.rs
+++ b/src/coordination/autoscaler/forecast/simulated_cluster.rs
@@ -110,7 +110,7 @@
 fn slot_of(view: &AutoscalerView<'_>, machine: &Machine) -> Option<MachineSlot> {
     match machine.state {
         MachineState::Booting if !machine.draining => slot_of_booting(view, machine),
-        MachineState::Up if view.is_usable(machine) => Some(slot_of_usable(view, machine)),
+        MachineState::Up if view.is_schedulable(machine) => Some(slot_of_usable(view, machine)),
         _ => None,
     }
 }
--- a/src/coordination/autoscaler/view.rs
+++ b/src/coordination/autoscaler/view.rs
@@ -76,8 +76,8 @@
     }
 
     /// Whether a machine may be given new work at all.
-    pub(super) fn is_usable(&self, machine: &Machine) -> bool {
-        self.scheduler.usable(machine, self.now)
+    pub(super) fn is_schedulable(&self, machine: &Machine) -> bool {
+        self.cluster().is_schedulable(machine)
     }
 
     /// Whether a task takes most of a machine.
--- a/src/coordination/autoscaler/warm_pool.rs
+++ b/src/coordination/autoscaler/warm_pool.rs
@@ -94,7 +94,7 @@
     let mut candidates: Vec<(bool, &MachineId)> = with_room
         .filter_map(|id| view.machines().get(id))
         .filter(|machine| request.fits(&machine.free) && allows_machine(spec, machine))
-        .filter(|machine| view.is_usable(machine) && !pool.contains(&machine.id))
+        .filter(|machine| view.is_schedulable(machine) && !pool.contains(&machine.id))
         .map(|machine| (!machine.has_image(&spec.image), &machine.id))
         .collect();
     candidates.sort();
