--- a/src/coordination/persistence/reread.rs
+++ b/src/coordination/persistence/reread.rs
@@ -25,7 +25,7 @@
         for (key, item) in items {
             self.key_reread(now, &key, item);
         }
-        self.placement.due = true;
+        self.placement.request_pass();
     }
 
     fn key_reread(&mut self, now: Instant, key: &str, item: Option<KeyValue>) {
