--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! The core alone at 4,500 machines and some tens of thousands of tasks: what an event costs is
-//! counted, not timed. The work asked of the outside must follow what changed, not the fleet.
+//! The scheduler alone at 4,500 machines and some tens of thousands of tasks: what an event costs is
+//! counted, not timed. Effects must be proportional to what changed, not to the size of the cluster.
 
 #[path = "support/leader.rs"]
 mod leader;
@@ -20,16 +20,18 @@
 use chalklug::protocol::workers::{Command, TaskPhase, TaskStatus, WorkerStatus};
 use chalklug::storage::records::*;
 use chalklug::time::{Instant, TimeSpan};
-use leader::lead;
+use leader::term;
 use machine_type::machine_type;
 use recorded_scheduler::RecordedScheduler;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
 const MACHINES: u64 = 4500;
-const GPUS: u64 = 8;
-/// As many as a leader puts on a page of 4 KiB: fuller ones would be split, which is not looked at here.
-const MACHINES_A_PAGE: u64 = 38;
+const GPUS_PER_MACHINE: u64 = 8;
+const MACHINES_PER_JOB: u64 = 10;
+const TASKS_PER_JOB: u64 = MACHINES_PER_JOB * GPUS_PER_MACHINE;
+/// As many as a leader puts on a page of 4 KiB: fuller ones would be split, which is not tested here.
+const MACHINES_PER_PAGE: u64 = 38;
 
 fn policy() -> Arc<Policy> {
     leader::policy(18000.0, 100)
@@ -39,85 +41,95 @@
     MachineId::from(format!("host-{n:06}").as_str())
 }
 
-/// Machines and a page of intents each, as a former leader left them: every GPU of them runs a task.
-fn recovered() -> RecoveredState {
-    let mut pages = Vec::new();
-    let mut machine_ids: BTreeMap<u64, MachinePage> = BTreeMap::new();
-    for n in 0..MACHINES {
-        let page = machine_ids.entry(n / MACHINES_A_PAGE).or_default();
-        page.kinds = vec![MachineKind::new(
-            MachineType::from("box"),
-            Zone::from("a"),
-            false,
-        )];
-        page.machines.insert(
-            machine_id(n),
-            MachineEntry {
-                kind: 0,
-                rented_s: 0,
-                has_reported: true,
-                images: vec![],
-            },
-        );
-    }
-    let mut open = Vec::new();
-    for j in 0..MACHINES / 10 {
-        let id = format!("wk-{j:06}");
-        let body = serde_json::json!({"ref": id, "jobclass": "c", "crew": "blue", "shape": "array",
-            "urgency": "normal", "pieces": 10 * GPUS, "cpus": 1, "gpus": 1, "ramGb": 1, "bundle": "i",
-            "pullGb": 1, "together": false, "scatter": false, "loaners": false, "guessS": 50,
-            "markEveryS": 0, "markCostS": 0});
-        let spec = parse_submission(body.to_string().as_bytes()).unwrap().spec;
-        let mut page = IntentPage::default();
-        for t in 0..10 * GPUS {
-            let task = TaskId::parse(&format!("{id}/{t}")).unwrap();
-            page.add(&machine_id(j * 10 + t / GPUS), &task, AttemptId(7));
-        }
-        page.jobs.insert(spec.id.clone(), JobResources::of(&spec));
-        pages.push(page);
-        let record = OpenJobRecord {
-            spec,
-            at_ms: 0,
-            after: Vec::new(),
-            dependency_pages: 0,
-        };
-        open.push((record, KeyRevision(1), Instant(0)));
-    }
-    let item = |key: String, data| KeyValue {
+/// An item of the state store as it was before the failover.
+fn item<T: serde::Serialize>(key: String, record: &T) -> KeyValue {
+    KeyValue {
         key,
-        data,
+        data: serde_json::to_value(record).unwrap(),
         revision: KeyRevision(1),
         lease: None,
-    };
+    }
+}
+
+fn machine_pages() -> Vec<KeyValue> {
+    let mut pages: BTreeMap<u64, MachinePage> = BTreeMap::new();
+    for n in 0..MACHINES {
+        let page = pages.entry(n / MACHINES_PER_PAGE).or_default();
+        let kind = MachineKind::new(MachineType::from("box"), Zone::from("a"), false);
+        page.kinds = vec![kind];
+        let entry = MachineEntry {
+            kind: 0,
+            rented_s: 0,
+            has_reported: true,
+            images: vec![],
+        };
+        page.machines.insert(machine_id(n), entry);
+    }
+    let pages = pages.iter();
+    pages
+        .map(|(n, page)| item(machine_page_key(PageNumber(*n as u32)), page))
+        .collect()
+}
+
+/// The n-th of the jobs that fill all GPUs.
+fn running_job(n: u64) -> OpenJobRecord {
+    let body = serde_json::json!({"ref": format!("wk-{n:06}"), "jobclass": "c", "crew": "blue", "shape": "array",
+        "urgency": "normal", "pieces": TASKS_PER_JOB, "cpus": 1, "gpus": 1, "ramGb": 1, "bundle": "i",
+        "pullGb": 1, "together": false, "scatter": false, "loaners": false, "guessS": 50,
+        "markEveryS": 0, "markCostS": 0});
+    open_record(&body)
+}
+
+fn open_record(body: &serde_json::Value) -> OpenJobRecord {
+    OpenJobRecord {
+        spec: parse_submission(body.to_string().as_bytes()).unwrap().spec,
+        at_ms: 0,
+        after: Vec::new(),
+        dependency_pages: 0,
+    }
+}
+
+/// The launch intents of the n-th job's tasks.
+fn intent_page(n: u64, record: &OpenJobRecord) -> KeyValue {
+    let job = &record.spec.id;
+    let mut page = IntentPage::default();
+    for index in 0..TASKS_PER_JOB {
+        let task = TaskId::parse(&format!("{job}/{index}")).unwrap();
+        let machine = n * MACHINES_PER_JOB + index / GPUS_PER_MACHINE;
+        page.add(&machine_id(machine), &task, AttemptId(7));
+    }
+    page.jobs
+        .insert(job.clone(), JobResources::of(&record.spec));
+    item(intent_page_key(PageNumber(n as u32)), &page)
+}
+
+/// The state that a former leader left: every GPU of all machines runs a task.
+fn recovered() -> RecoveredState {
+    let records: Vec<OpenJobRecord> = (0..MACHINES / MACHINES_PER_JOB).map(running_job).collect();
+    let intents = (0..).zip(&records);
     RecoveredState {
-        open,
-        intents: pages
-            .iter()
-            .enumerate()
-            .map(|(n, p)| {
-                let key = intent_page_key(PageNumber(n as u32));
-                item(key, serde_json::to_value(p).unwrap())
-            })
+        intents: intents.map(|(n, record)| intent_page(n, record)).collect(),
+        open: records
+            .into_iter()
+            .map(|record| (record, KeyRevision(1), Instant(0)))
             .collect(),
-        machine_pages: machine_ids
-            .iter()
-            .map(|(n, p)| {
-                item(
-                    machine_page_key(PageNumber(*n as u32)),
-                    serde_json::to_value(p).unwrap(),
-                )
-            })
-            .collect(),
-        machine_types: vec![machine_type(GPUS as f64)],
+        machine_pages: machine_pages(),
+        machine_types: vec![machine_type(GPUS_PER_MACHINE as f64)],
         ..RecoveredState::default()
     }
 }
 
-fn report(n: u64, tick: u64, token: u64, ended: usize) -> WorkerStatus {
-    let tasks = (0..GPUS).map(|t| {
+/// The status of the n-th machine, on which so many of its tasks have ended.
+fn status(n: u64, tick: u64, token: u64, ended: usize) -> WorkerStatus {
+    let tasks = (0..GPUS_PER_MACHINE).map(|t| {
         let ends = (t as usize) < ended;
         TaskStatus {
-            task: TaskId::parse(&format!("wk-{:06}/{}", n / 10, (n % 10) * GPUS + t)).unwrap(),
+            task: TaskId::parse(&format!(
+                "wk-{:06}/{}",
+                n / MACHINES_PER_JOB,
+                (n % MACHINES_PER_JOB) * GPUS_PER_MACHINE + t
+            ))
+            .unwrap(),
             attempt_id: AttemptId(7),
             phase: if ends {
                 TaskPhase::Ended
@@ -142,123 +154,109 @@
     }
 }
 
-fn writes(effects: &[Effect]) -> usize {
-    let of = |e: &Effect| match e {
+/// So many keys are changed by these effects.
+fn count_changes(effects: &[Effect]) -> usize {
+    let count = |effect: &Effect| match effect {
         Effect::Write { transaction, .. } => transaction.changes.len(),
         _ => 0,
     };
-    effects.iter().map(of).sum()
+    effects.iter().map(count).sum()
 }
 
 #[test]
 fn failover_of_a_large_cluster_restarts_nothing_and_unchanged_heartbeats_cost_nothing() {
     let mut now = Instant(1000);
-    let mut core = RecordedScheduler::recover(policy(), lead(9), now, recovered()).unwrap();
-    core.audit().unwrap();
-    assert_eq!(core.machines_up(), MACHINES as usize);
-    // Everything may be running: nothing of it is started, stopped, returned or rented for.
-    let effects = core.step(now);
+    let mut scheduler = RecordedScheduler::recover(policy(), term(9), now, recovered()).unwrap();
+    scheduler.audit().unwrap();
+    assert_eq!(scheduler.machines_up(), MACHINES as usize);
+    // Everything may be running: nothing is started, stopped, returned or rented.
+    let effects = scheduler.step(now);
     assert!(
         effects.iter().all(|e| matches!(e, Effect::Write { .. })),
         "{effects:?}"
     );
-    // Twice everybody reports, the second time with our token: every start is confirmed, none is
-    // touched, and no report asks for a write or a command.
+    // All machines send two heartbeats, the second with this leader's token: every attempt is confirmed,
+    // none is touched, and no heartbeat causes a write or a command.
     let mut asked = 0;
     for round in 1..=2u64 {
         for n in 0..MACHINES {
             now += TimeSpan(2);
-            let r = report(n, round, if round == 1 { 8 } else { 9 }, 0);
-            let answer = core.heartbeat(now, &r);
-            assert_eq!(answer, HeartbeatOutcome::Commands(Vec::new()), "{n}");
+            let token = if round == 1 { 8 } else { 9 };
+            let outcome = scheduler.heartbeat(now, &status(n, round, token, 0));
+            assert_eq!(outcome, HeartbeatOutcome::Commands(Vec::new()), "{n}");
             if n % 50 == 0 {
-                let effects = core.step(now);
+                let effects = scheduler.step(now);
                 asked += effects.len();
-                for e in effects {
-                    if let Effect::Write { seq, .. } = e {
-                        let store_revision = StoreRevision(100 + seq);
-                        core.on(
-                            now,
-                            Event::Written {
-                                seq,
-                                store_revision,
-                            },
-                        );
+                for effect in effects {
+                    if let Effect::Write { seq, .. } = effect {
+                        scheduler.write_applied(now, seq, StoreRevision(100 + seq));
                     }
                 }
             }
         }
     }
-    core.audit().unwrap();
-    assert!(asked <= 60, "{asked} effects for reports without news");
+    scheduler.audit().unwrap();
+    assert!(asked <= 60, "{asked} effects for unchanged heartbeats");
 }
 
 #[test]
 fn writes_follow_the_number_of_ended_tasks() {
     let mut now = Instant(1000);
-    let mut core = RecordedScheduler::recover(policy(), lead(9), now, recovered()).unwrap();
+    let mut scheduler = RecordedScheduler::recover(policy(), term(9), now, recovered()).unwrap();
     for n in 0..MACHINES {
-        core.heartbeat(now, &report(n, 1, 9, 0));
+        scheduler.heartbeat(now, &status(n, 1, 9, 0));
     }
-    core.step(now);
-    // A tenth of all machines end what they run at once: 3,600 tasks of 45 jobs.
+    scheduler.step(now);
+    // All tasks of a tenth of the machines end at once: 3,600 tasks of 45 jobs.
     let ending_jobs = MACHINES as usize / 100;
     let mut changes = 0;
     let mut finished = 0;
     for n in 0..MACHINES / 10 {
         now += TimeSpan(1);
-        core.heartbeat(now, &report(n, 2, 9, GPUS as usize));
+        scheduler.heartbeat(now, &status(n, 2, 9, GPUS_PER_MACHINE as usize));
     }
-    // What is durable may be cleared: it takes a write for each job done, none for each task.
+    // What is durable may be cleared: that takes a write for each done job, none for each task.
     for _ in 0..200 {
         now += TimeSpan(100);
-        let effects = core.step(now);
-        changes += writes(&effects);
-        for e in effects {
-            if let Effect::Write { seq, transaction } = e {
+        let effects = scheduler.step(now);
+        changes += count_changes(&effects);
+        for effect in effects {
+            if let Effect::Write { seq, transaction } = effect {
                 let finish = |c: &&Change| matches!(c, Change::Put { put, .. } if put.starts_with(TERMINAL_PREFIX));
                 finished += transaction.changes.iter().filter(finish).count();
-                let store_revision = StoreRevision(1000 + seq);
-                core.on(
-                    now,
-                    Event::Written {
-                        seq,
-                        store_revision,
-                    },
-                );
+                scheduler.write_applied(now, seq, StoreRevision(1000 + seq));
             }
         }
     }
-    core.audit().unwrap();
+    scheduler.audit().unwrap();
     assert_eq!(
         finished, ending_jobs,
-        "each job that is done is finished once"
+        "each done job gets one terminal record"
     );
     // Each page of machines may be written once; the rest, as it was for 2,000 machines, is room for 47.
-    let pages = MACHINES.div_ceil(MACHINES_A_PAGE) as usize;
+    let pages = MACHINES.div_ceil(MACHINES_PER_PAGE) as usize;
     let most = ending_jobs * 2 + pages + 47;
     assert!(changes <= most, "{changes} changes");
-    let cleared = match core.heartbeat(now, &report(3, 3, 9, GPUS as usize)) {
+    let cleared = match scheduler.heartbeat(now, &status(3, 3, 9, GPUS_PER_MACHINE as usize)) {
         HeartbeatOutcome::Commands(o) => o
             .iter()
             .filter(|o| matches!(o, Command::Clear { .. }))
             .count(),
         HeartbeatOutcome::Refused => 0,
     };
-    assert_eq!(cleared, GPUS as usize, "and its tombstones are cleared");
+    assert_eq!(
+        cleared, GPUS_PER_MACHINE as usize,
+        "ended attempts are cleared"
+    );
 }
 
-fn job(id: &str, priority: &str, tasks: u32) -> Event {
+/// A job of tiny tasks is opened.
+fn job_opened(id: &str, priority: &str, tasks: u32) -> Event {
     let body = serde_json::json!({"ref": id, "jobclass": id, "crew": "blue", "shape": "array",
         "urgency": priority, "pieces": tasks, "cpus": 0.25, "gpus": 0, "ramGb": 0.9, "bundle": "i",
         "pullGb": 1, "together": false, "scatter": false, "loaners": false, "guessS": 4,
         "markEveryS": 0, "markCostS": 0});
-    let record = OpenJobRecord {
-        spec: parse_submission(body.to_string().as_bytes()).unwrap().spec,
-        at_ms: 0,
-        after: Vec::new(),
-        dependency_pages: 0,
-    };
+    let record = open_record(&body);
     Event::JobOpened {
         record: Box::new(record),
         revision: KeyRevision(5),
@@ -266,17 +264,17 @@
     }
 }
 
-/// Steps the core until the given time; says how many starts of each job were put on record.
-fn starts_recorded(
-    core: &mut RecordedScheduler,
+/// Steps the scheduler until the given time; says for how many tasks of each job intents were written.
+fn intents_written(
+    scheduler: &mut RecordedScheduler,
     now: &mut Instant,
     until: Instant,
 ) -> BTreeMap<JobId, usize> {
     let mut tasks: BTreeMap<JobId, BTreeSet<u32>> = BTreeMap::new();
     while *now < until {
         *now += TimeSpan(50);
-        for e in core.step(*now) {
-            let Effect::Write { seq, transaction } = e else {
+        for effect in scheduler.step(*now) {
+            let Effect::Write { seq, transaction } = effect else {
                 continue;
             };
             for change in transaction.changes {
@@ -291,88 +289,83 @@
                     }
                 }
             }
-            let store_revision = StoreRevision(1000 + seq);
-            core.on(
-                *now,
-                Event::Written {
-                    seq,
-                    store_revision,
-                },
-            );
+            scheduler.write_applied(*now, seq, StoreRevision(1000 + seq));
         }
     }
-    tasks.into_iter().map(|(job, t)| (job, t.len())).collect()
+    let tasks = tasks.into_iter();
+    tasks.map(|(job, indexes)| (job, indexes.len())).collect()
 }
 
-/// The core of a new leader to which every machine has reported that nothing is on it.
-fn idle_fleet(policy: Arc<Policy>, now: Instant) -> RecordedScheduler {
-    let mut found = recovered();
-    found.open.clear();
-    found.intents.clear();
-    let mut core = RecordedScheduler::recover(policy, lead(9), now, found).unwrap();
+/// A new leader to which every machine has sent a heartbeat with no task.
+fn idle_cluster(policy: Arc<Policy>, now: Instant) -> RecordedScheduler {
+    let mut state = recovered();
+    state.open.clear();
+    state.intents.clear();
+    let mut scheduler = RecordedScheduler::recover(policy, term(9), now, state).unwrap();
     for n in 0..MACHINES {
-        let mut empty = report(n, 1, 9, 0);
+        let mut empty = status(n, 1, 9, 0);
         empty.tasks.clear();
-        core.heartbeat(now, &empty);
+        scheduler.heartbeat(now, &empty);
     }
-    core
+    scheduler
 }
 
-/// What comes of placed tasks takes far more of the processor than placing them: a huge job of tiny tasks
-/// is started at a pace that the process can keep up with, and what is more urgent doesn't wait for it.
+/// Guards against overload: what follows from placed tasks takes far more CPU time than placing them, so a
+/// huge job of tiny tasks starts at a rate that the process can sustain, and urgent work doesn't wait for it.
 #[test]
 fn attempts_of_a_huge_job_are_rate_limited() {
     let mut now = Instant(1000);
-    let mut core = idle_fleet(policy(), now);
-    core.on(now, job("wk-900001", "low", 24_000));
+    let mut scheduler = idle_cluster(policy(), now);
+    scheduler.on(now, job_opened("wk-900001", "low", 24_000));
     let huge = JobId::from("wk-900001");
-    let recorded = starts_recorded(&mut core, &mut now, Instant(5000))[&huge];
-    // A tenth of a core: 3,750 at once, and 750 a second.
+    let recorded = intents_written(&mut scheduler, &mut now, Instant(5000))[&huge];
+    // A tenth of a CPU core: 3,750 at once, and 750 a second.
     assert!(
         (3000..=3750 + 4 * 750).contains(&recorded),
         "{recorded} starts in 4 s"
     );
-    core.on(now, job("wk-900002", "urgent", 16));
-    let recorded = starts_recorded(&mut core, &mut now, Instant(6000));
+    scheduler.on(now, job_opened("wk-900002", "urgent", 16));
+    let recorded = intents_written(&mut scheduler, &mut now, Instant(6000));
     assert_eq!(recorded.get(&JobId::from("wk-900002")), Some(&16));
-    core.audit().unwrap();
+    scheduler.audit().unwrap();
 }
 
-/// A quota of no processor at all is a mistake of whoever wrote the settings: work goes on all the same.
+/// Guards against a standstill through a mistake in the settings: a limit of no CPU at all.
 #[test]
 fn placement_continues_with_a_zero_cpu_limit() {
     let mut now = Instant(1000);
     let mut policy = (*policy()).clone();
     policy.facts.quota.cores = 0.0;
-    let mut core = idle_fleet(Arc::new(policy), now);
-    core.on(now, job("wk-900001", "low", 24_000));
-    let recorded = starts_recorded(&mut core, &mut now, Instant(11_000));
+    let mut scheduler = idle_cluster(Arc::new(policy), now);
+    scheduler.on(now, job_opened("wk-900001", "low", 24_000));
+    let recorded = intents_written(&mut scheduler, &mut now, Instant(11_000));
     assert!(recorded[&JobId::from("wk-900001")] > 1_000);
 }
 
-/// Operators are told why work stands: the log's lines come from here.
+/// Guards against pending work without an explanation: operators read the reasons in the log.
 #[test]
 fn every_pending_job_has_a_pending_reason() {
     let now = Instant(1000);
-    let mut core = RecordedScheduler::recover(policy(), lead(9), now, recovered()).unwrap();
-    // Every GPU of the team's limit may be in use, and no machine has reported yet.
-    core.on(now, gpu_job("wk-900001", 4, Vec::new()));
+    let mut scheduler = RecordedScheduler::recover(policy(), term(9), now, recovered()).unwrap();
+    // Every GPU of the team's limit may be in use, and no machine has sent a heartbeat yet.
+    scheduler.on(now, gpu_job_opened("wk-900001", 4, Vec::new()));
     let small = JobId::from("wk-900001");
-    core.on(now, gpu_job("wk-900002", 4, vec![small.clone()]));
-    core.on(now, job("wk-900003", "low", 100));
-    core.step(now + TimeSpan(100));
-    let waiting = core.pending_jobs(now);
+    scheduler.on(now, gpu_job_opened("wk-900002", 4, vec![small.clone()]));
+    scheduler.on(now, job_opened("wk-900003", "low", 100));
+    scheduler.step(now + TimeSpan(100));
+    let waiting = scheduler.pending_jobs(now);
     let oldest = |reason| waiting.get(&reason).map(|w| (w.jobs, w.oldest.clone()));
     assert_eq!(oldest(PendingReason::TeamLimit), Some((1, small)));
-    let consumer = JobId::from("wk-900002");
-    assert_eq!(oldest(PendingReason::Producers), Some((1, consumer)));
+    let blocked = JobId::from("wk-900002");
+    assert_eq!(oldest(PendingReason::Producers), Some((1, blocked)));
     let cpu_only = JobId::from("wk-900003");
     assert_eq!(oldest(PendingReason::Room), Some((1, cpu_only)));
     assert_eq!(waiting.len(), 3);
 }
 
-fn gpu_job(id: &str, tasks: u32, after: Vec<JobId>) -> Event {
-    let Event::JobOpened { mut record, .. } = job(id, "normal", tasks) else {
+/// A job whose tasks need a GPU each is opened.
+fn gpu_job_opened(id: &str, tasks: u32, after: Vec<JobId>) -> Event {
+    let Event::JobOpened { mut record, .. } = job_opened(id, "normal", tasks) else {
         unreachable!("a job that is opened");
     };
     record.spec.gpus = 1.0;
@@ -384,19 +377,19 @@
     }
 }
 
-/// A thousand jobs wait for one that is cancelled: each of their marks is written once, in transactions
-/// within the limits, and what waits costs nothing until then.
+/// A thousand jobs depend on one that is cancelled. Guards against repeated writes: each terminal record is
+/// written once, in transactions within the limits, and blocked jobs cost nothing until then.
 #[test]
 fn cancelling_many_downstream_jobs_takes_two_changes_each() {
-    const CONSUMERS: usize = 1000;
+    const DOWNSTREAM_JOBS: usize = 1000;
     let mut now = Instant(1000);
-    let mut core = idle_fleet(policy(), now);
-    // What the first seconds ask for is written.
-    starts_recorded(&mut core, &mut now, Instant(3000));
-    let producer = JobId::from("wk-900000");
-    for n in 1..=CONSUMERS {
+    let mut scheduler = idle_cluster(policy(), now);
+    // The writes of the first seconds are done.
+    intents_written(&mut scheduler, &mut now, Instant(3000));
+    let upstream = JobId::from("wk-900000");
+    for n in 1..=DOWNSTREAM_JOBS {
         let id = format!("wk-{}", 900_000 + n);
-        core.on(now, gpu_job(&id, 100, vec![producer.clone()]));
+        scheduler.on(now, gpu_job_opened(&id, 100, vec![upstream.clone()]));
     }
     let terminal_record = TerminalRecord::cancelled(1);
     let mut terminal_records = 0;
@@ -404,13 +397,13 @@
     let mut reads = 0;
     for _ in 0..2000 {
         now += TimeSpan(100);
-        for effect in core.step(now) {
+        for effect in scheduler.step(now) {
             match effect {
                 Effect::ReadTerminalRecords { ids } => {
-                    assert_eq!(ids, std::slice::from_ref(&producer));
+                    assert_eq!(ids, std::slice::from_ref(&upstream));
                     reads += 1;
-                    let terminal_records = vec![(producer.clone(), Some(terminal_record.clone()))];
-                    core.on(now, Event::TerminalRecordsRead { terminal_records });
+                    let terminal_records = vec![(upstream.clone(), Some(terminal_record.clone()))];
+                    scheduler.on(now, Event::TerminalRecordsRead { terminal_records });
                 }
                 Effect::Write { seq, transaction } => {
                     assert!(transaction.changes.len() <= 8);
@@ -418,59 +411,55 @@
                     let open = |c: &&Change| matches!(c, Change::Delete { delete } if delete.starts_with(OPEN_JOB_PREFIX));
                     terminal_records += transaction.changes.iter().filter(terminal_record).count();
                     deletes += transaction.changes.iter().filter(open).count();
-                    let store_revision = StoreRevision(1000 + seq);
-                    core.on(
-                        now,
-                        Event::Written {
-                            seq,
-                            store_revision,
-                        },
-                    );
+                    scheduler.write_applied(now, seq, StoreRevision(1000 + seq));
                 }
-                Effect::ScaleOut { .. } => panic!("rented for jobs that wait for another"),
+                Effect::ScaleOut { .. } => panic!("scaled out for blocked jobs"),
                 _ => {}
             }
         }
     }
-    core.audit().unwrap();
+    scheduler.audit().unwrap();
     assert_eq!(
         (reads, terminal_records, deletes),
-        (1, CONSUMERS, CONSUMERS)
+        (1, DOWNSTREAM_JOBS, DOWNSTREAM_JOBS)
     );
 }
 
-/// A new leader tells from the finish marks of its producers how long a job has been ready; without a time
-/// on any, it counts from now.
+/// A new leader tells from the terminal records of upstream jobs since when a job has been released; without
+/// a time in any, it counts from now.
 #[test]
 fn new_leader_recovers_release_times_from_terminal_records() {
     let now = Instant(100_000);
-    let mut core = RecordedScheduler::recover(policy(), lead(9), now, recovered()).unwrap();
-    let producers = ["wk-800001", "wk-800002"].map(JobId::from).to_vec();
-    core.on(now, gpu_job("wk-900001", 4, producers.clone()));
-    core.on(now, gpu_job("wk-900002", 4, vec![JobId::from("wk-800003")]));
+    let mut scheduler = RecordedScheduler::recover(policy(), term(9), now, recovered()).unwrap();
+    let upstream = ["wk-800001", "wk-800002"].map(JobId::from).to_vec();
+    scheduler.on(now, gpu_job_opened("wk-900001", 4, upstream.clone()));
+    scheduler.on(
+        now,
+        gpu_job_opened("wk-900002", 4, vec![JobId::from("wk-800003")]),
+    );
     let done = |at_ms| TerminalRecord {
         phase: JobPhase::Done,
         tasks: 1,
         at_ms,
     };
     let [first, second] = [Some(60_000), Some(80_000)].map(done);
-    let terminal_records = producers.into_iter().zip([Some(first), Some(second)]);
+    let terminal_records = upstream.into_iter().zip([Some(first), Some(second)]);
     let mut terminal_records: Vec<_> = terminal_records.collect();
     terminal_records.push((JobId::from("wk-800003"), Some(done(None))));
-    core.on(now, Event::TerminalRecordsRead { terminal_records });
-    let waiting = core.pending_jobs(now);
+    scheduler.on(now, Event::TerminalRecordsRead { terminal_records });
+    let waiting = scheduler.pending_jobs(now);
     let limited = &waiting[&PendingReason::TeamLimit];
     assert_eq!((limited.jobs, limited.since), (2, Instant(80_000)));
     assert_eq!(limited.oldest, JobId::from("wk-900001"));
 }
 
-/// Attempts are not used twice, however many passes one leadership makes.
+/// Guards against an attempt id that is used twice in one leadership term.
 #[test]
 fn attempt_ids_of_one_term_are_unique() {
     let now = Instant(1000);
-    let mut core = idle_fleet(policy(), now);
-    let first = core.fresh_attempt();
+    let mut scheduler = idle_cluster(policy(), now);
+    let first = scheduler.fresh_attempt();
     for _ in 0..1 << 21 {
-        assert_ne!(core.fresh_attempt(), first);
+        assert_ne!(scheduler.fresh_attempt(), first);
     }
 }
--- a/tests/stale_knowledge.rs
+++ b/tests/stale_knowledge.rs
@@ -1,5 +1,5 @@
-//! The core alone: what it does rests on the newest that it knows, at the moment at which an answer leaves,
-//! and nothing that it has learnt is undone by an older record.
+//! The scheduler alone: its decisions rest on the newest that it knows at the moment at which a response
+//! leaves, and nothing that it has learnt is undone by an older record.
 
 #[path = "support/leader.rs"]
 mod leader;
@@ -19,14 +19,14 @@
 use chalklug::protocol::workers::{Cause, Command, TaskPhase, TaskStatus, WorkerStatus};
 use chalklug::storage::records::*;
 use chalklug::time::{Instant, TimeSpan};
-use leader::{lead, policy};
+use leader::{policy, term};
 use machine_type::machine_type;
 use recorded_scheduler::RecordedScheduler;
 
 const FORMER_TOKEN: u64 = 8;
 const CURRENT_TOKEN: u64 = 9;
 const ATTEMPT: AttemptId = AttemptId(7);
-const BEGAN: Instant = Instant(1000);
+const START: Instant = Instant(1000);
 
 fn job(n: u32) -> JobId {
     JobId::from(format!("wk-{n}").as_str())
@@ -63,7 +63,7 @@
     }
 }
 
-/// A new leader that finds these jobs open, and job 1 on record as running on the machine.
+/// A new leader that recovers these open jobs, and an intent of job 1 on the machine.
 fn leader(open: &[OpenJobRecord]) -> RecordedScheduler {
     let mut machines = MachinePage {
         kinds: vec![MachineKind::new(
@@ -87,7 +87,7 @@
     attempts
         .jobs
         .insert(job(1), JobResources::of(&record(1, &[]).spec));
-    let found = RecoveredState {
+    let recovered = RecoveredState {
         open: open
             .iter()
             .map(|r| (r.clone(), KeyRevision(1), Instant(0)))
@@ -97,11 +97,11 @@
         machine_types: vec![machine_type(8.0)],
         ..RecoveredState::default()
     };
-    RecordedScheduler::recover(policy(64.0, 10), lead(CURRENT_TOKEN), BEGAN, found).unwrap()
+    RecordedScheduler::recover(policy(64.0, 10), term(CURRENT_TOKEN), START, recovered).unwrap()
 }
 
-/// A report with job 1 in that phase; None: the machine is empty.
-fn report(tick: u64, token: u64, phase: Option<TaskPhase>) -> WorkerStatus {
+/// A status with job 1 in that phase; none: nothing is on the machine.
+fn status(tick: u64, token: u64, phase: Option<TaskPhase>) -> WorkerStatus {
     let listed = phase.map(|phase| TaskStatus {
         task: task(1),
         attempt_id: ATTEMPT,
@@ -123,88 +123,74 @@
     }
 }
 
-/// Whether the answer, which renews the machine's lease, says that job 1 is to stop.
-fn stops(answer: &HeartbeatOutcome) -> bool {
-    let HeartbeatOutcome::Commands(commands) = answer else {
-        panic!("the report is answered: {answer:?}");
+/// Whether the response, which renews the worker's lease, stops job 1.
+fn stops(outcome: &HeartbeatOutcome) -> bool {
+    let HeartbeatOutcome::Commands(commands) = outcome else {
+        panic!("the heartbeat is answered: {outcome:?}");
     };
-    let stop = |o: &Command| matches!(o, Command::Stop { task: t, grace_s, .. } if *t == task(1) && *grace_s == 0.0);
-    commands.iter().any(stop)
+    let is_stop = |command: &Command| matches!(command, Command::Stop { task: stopped, grace_s, .. } if *stopped == task(1) && *grace_s == 0.0);
+    commands.iter().any(is_stop)
 }
 
-/// Steps for so long, with every write carried out; what was written.
-fn settle(core: &mut RecordedScheduler, from: Instant, for_ms: i64) -> Vec<Change> {
+/// Steps for that long, with every transaction applied; returns what was written.
+fn settle(scheduler: &mut RecordedScheduler, from: Instant, for_ms: i64) -> Vec<Change> {
     let mut written = Vec::new();
     for ms in (0..for_ms).step_by(100) {
         let now = from + TimeSpan(ms);
-        for effect in core.step(now) {
+        for effect in scheduler.step(now) {
             if let Effect::Write { seq, transaction } = effect {
                 written.extend(transaction.changes);
-                let store_revision = StoreRevision(100 + seq);
-                core.on(
-                    now,
-                    Event::Written {
-                        seq,
-                        store_revision,
-                    },
-                );
+                scheduler.write_applied(now, seq, StoreRevision(100 + seq));
             }
         }
     }
     written
 }
 
-/// Guards against a cancelled task whose lease the next leader renews before it has looked at the machine:
-/// if nothing reaches the machine after that, the task outlives `cancel_s`.
+/// Guards against a cancelled task whose worker's lease the next leader renews before it has reconciled the
+/// machine: if nothing reaches the machine after that, the task outlives `cancel_s`.
 #[test]
 fn new_leaders_first_response_stops_tasks_of_terminated_jobs() {
-    let mut core = leader(&[]);
-    let first = report(1, FORMER_TOKEN, Some(TaskPhase::Running));
-    assert!(stops(&core.heartbeat(BEGAN, &first)));
+    let mut scheduler = leader(&[]);
+    let first = status(1, FORMER_TOKEN, Some(TaskPhase::Running));
+    assert!(stops(&scheduler.heartbeat(START, &first)));
 }
 
-/// Guards against the time between a cancellation that the leader has learnt of and its next step: with the
-/// processor short, thousands of answers leave in it.
+/// Guards against the time between a cancellation that the leader has learnt of and its next step: when CPU
+/// time is short, thousands of responses leave in it.
 #[test]
 fn response_between_cancellation_and_next_step_stops_the_task() {
-    let mut core = leader(&[record(1, &[])]);
-    let first = report(1, FORMER_TOKEN, Some(TaskPhase::Running));
-    assert!(!stops(&core.heartbeat(BEGAN, &first)));
-    settle(&mut core, BEGAN, 300);
-    let now = BEGAN + TimeSpan(300);
-    core.on(now, Event::JobClosed { id: job(1) });
-    let second = report(2, CURRENT_TOKEN, Some(TaskPhase::Running));
-    assert!(stops(&core.heartbeat(now, &second)));
-    // One that a direct answer has overtaken renews the lease all the same.
-    let direct_answer = Event::PushAnswered {
+    let mut scheduler = leader(&[record(1, &[])]);
+    let first = status(1, FORMER_TOKEN, Some(TaskPhase::Running));
+    assert!(!stops(&scheduler.heartbeat(START, &first)));
+    settle(&mut scheduler, START, 300);
+    let now = START + TimeSpan(300);
+    scheduler.on(now, Event::JobClosed { id: job(1) });
+    let second = status(2, CURRENT_TOKEN, Some(TaskPhase::Running));
+    assert!(stops(&scheduler.heartbeat(now, &second)));
+    // A heartbeat that the response to a push has overtaken renews the lease all the same.
+    let push_response = Event::PushAnswered {
         machine_id: machine_id(),
         seq: 0,
-        status: Box::new(report(4, CURRENT_TOKEN, Some(TaskPhase::Running))),
+        status: Box::new(status(4, CURRENT_TOKEN, Some(TaskPhase::Running))),
     };
-    core.on(now, direct_answer);
-    let overtaken = report(3, CURRENT_TOKEN, Some(TaskPhase::Running));
-    assert!(stops(&core.heartbeat(now, &overtaken)));
+    scheduler.on(now, push_response);
+    let overtaken = status(3, CURRENT_TOKEN, Some(TaskPhase::Running));
+    assert!(stops(&scheduler.heartbeat(now, &overtaken)));
 }
 
-/// Guards against a direct command that was decided before a cancellation and leaves after it.
+/// Guards against a pushed command that was decided before a cancellation and leaves after it.
 #[test]
 fn pushed_command_drops_launches_of_jobs_closed_meanwhile() {
-    let mut core = leader(&[record(1, &[]), record(2, &[])]);
-    core.heartbeat(BEGAN, &report(1, CURRENT_TOKEN, Some(TaskPhase::Running)));
+    let mut scheduler = leader(&[record(1, &[]), record(2, &[])]);
+    scheduler.heartbeat(START, &status(1, CURRENT_TOKEN, Some(TaskPhase::Running)));
     let mut commands = Vec::new();
     for ms in (0..3_000).step_by(100) {
-        let now = BEGAN + TimeSpan(ms);
-        for effect in core.step(now) {
+        let now = START + TimeSpan(ms);
+        for effect in scheduler.step(now) {
             match effect {
                 Effect::Write { seq, .. } => {
-                    let store_revision = StoreRevision(100 + seq);
-                    core.on(
-                        now,
-                        Event::Written {
-                            seq,
-                            store_revision,
-                        },
-                    );
+                    scheduler.write_applied(now, seq, StoreRevision(100 + seq));
                 }
                 Effect::Push {
                     commands: pushed, ..
@@ -218,36 +204,39 @@
         attempt_id: AttemptId((CURRENT_TOKEN << 32) | 1),
     };
     assert_eq!(commands, [vec![launch.clone()]]);
-    assert_eq!(core.still_wanted(commands[0].clone()), [launch]);
-    core.on(BEGAN + TimeSpan(3_000), Event::JobCancelled { id: job(2) });
-    assert_eq!(core.still_wanted(commands[0].clone()), []);
-    core.audit().unwrap();
+    assert_eq!(scheduler.still_wanted(commands[0].clone()), [launch]);
+    scheduler.on(START + TimeSpan(3_000), Event::JobCancelled { id: job(2) });
+    assert_eq!(scheduler.still_wanted(commands[0].clone()), []);
+    scheduler.audit().unwrap();
 }
 
-/// Guards against changes that come twice (a page of them whose taking in failed halfway is asked for again, and the
-/// first changes after a takeover reach back before the list): a job that is done is opened again, and its end is then
-/// taken for a cancellation, which cancels all jobs that need it.
+/// Guards against duplicate changes (a page of them that was taken in only halfway is read again, and the first changes
+/// after a failover reach back before the list): a done job is opened again, and its end is then taken for a
+/// cancellation, which cancels all jobs downstream of it.
 #[test]
 fn duplicate_changes_cancel_no_job() {
-    let mut core = leader(&[record(1, &[]), record(2, &[1])]);
-    core.heartbeat(BEGAN, &report(1, CURRENT_TOKEN, Some(TaskPhase::Running)));
-    core.heartbeat(BEGAN, &report(2, CURRENT_TOKEN, Some(TaskPhase::Ended)));
-    let written = settle(&mut core, BEGAN, 3_000);
-    let finishes = |c: &Change| c.key() == terminal_key(&job(1));
-    assert!(written.iter().any(finishes), "job 1 is done: {written:?}");
+    let mut scheduler = leader(&[record(1, &[]), record(2, &[1])]);
+    scheduler.heartbeat(START, &status(1, CURRENT_TOKEN, Some(TaskPhase::Running)));
+    scheduler.heartbeat(START, &status(2, CURRENT_TOKEN, Some(TaskPhase::Ended)));
+    let written = settle(&mut scheduler, START, 3_000);
+    let is_terminal_record = |c: &Change| c.key() == terminal_key(&job(1));
+    assert!(
+        written.iter().any(is_terminal_record),
+        "job 1 is done: {written:?}"
+    );
     // Cleared from its machine, job 1 is forgotten.
-    let now = BEGAN + TimeSpan(3_000);
-    core.heartbeat(now, &report(3, CURRENT_TOKEN, None));
-    settle(&mut core, now, 3_000);
+    let now = START + TimeSpan(3_000);
+    scheduler.heartbeat(now, &status(3, CURRENT_TOKEN, None));
+    settle(&mut scheduler, now, 3_000);
     let now = now + TimeSpan(3_000);
     let again = Event::JobOpened {
         record: Box::new(record(1, &[])),
         revision: KeyRevision(1),
         submitted: Instant(0),
     };
-    core.on(now, again);
-    core.on(now, Event::JobClosed { id: job(1) });
-    let written = settle(&mut core, now, 5_000);
-    let of_consumer = |c: &Change| c.key() == terminal_key(&job(2));
-    assert!(!written.iter().any(of_consumer), "{written:?}");
+    scheduler.on(now, again);
+    scheduler.on(now, Event::JobClosed { id: job(1) });
+    let written = settle(&mut scheduler, now, 5_000);
+    let is_downstream_record = |c: &Change| c.key() == terminal_key(&job(2));
+    assert!(!written.iter().any(is_downstream_record), "{written:?}");
 }
--- a/tests/support/leader.rs
+++ b/tests/support/leader.rs
@@ -1,4 +1,4 @@
-//! A leader's settings and leadership, for tests of the core alone.
+//! A leader's policy and leadership term, for tests of the scheduler alone.
 
 use chalklug::coordination::leadership::LeadershipTerm;
 use chalklug::coordination::Policy;
@@ -6,7 +6,7 @@
 use chalklug::settings::Operator;
 use std::sync::Arc;
 
-/// One team with so many GPUs guaranteed, and at most twice as many; so many direct commands at once.
+/// One team with that guaranteed share of GPUs and twice as much as its limit; that many pushes at once.
 pub fn policy(gpus: f64, max_pushes: usize) -> Arc<Policy> {
     let text = format!(
         r#"
@@ -25,8 +25,8 @@
     })
 }
 
-/// A leadership with that token.
-pub fn lead(token: u64) -> LeadershipTerm {
+/// A leadership term with that fencing token.
+pub fn term(token: u64) -> LeadershipTerm {
     LeadershipTerm {
         token: FencingToken(token),
         initial_token: FencingToken(token),
--- a/tests/support/machine_type.rs
+++ b/tests/support/machine_type.rs
@@ -1,9 +1,9 @@
-//! The machine type of tests of the core alone.
+//! The machine type of tests of the scheduler alone.
 
 use chalklug::ids::{MachineType, Zone};
 use chalklug::protocol::cloud::MachineTypeInfo;
 
-/// A machine type with so many GPUs.
+/// A machine type with that many GPUs.
 pub fn machine_type(gpus: f64) -> MachineTypeInfo {
     MachineTypeInfo {
         name: MachineType::from("box"),
--- a/tests/support/recorded_scheduler.rs
+++ b/tests/support/recorded_scheduler.rs
@@ -1,62 +1,74 @@
-//! The decision core with a digest of all that it sends, for tests of the core alone.
+//! A scheduler with a digest of all that it sends, for tests of the scheduler alone.
 
 use super::wire_digest::WireDigest;
 use chalklug::coordination::attempts::reconciliation::HeartbeatOutcome;
 use chalklug::coordination::leadership::recovery::{RecoveredState, UnreadableRecord};
 use chalklug::coordination::leadership::LeadershipTerm;
-use chalklug::coordination::{Effect, Policy, Scheduler};
+use chalklug::coordination::{Effect, Event, Policy, Scheduler};
+use chalklug::ids::StoreRevision;
 use chalklug::protocol::workers::WorkerStatus;
 use chalklug::time::Instant;
 use std::ops::{Deref, DerefMut};
 use std::sync::Arc;
 
-/// A core whose steps and answers go into a digest.
+/// A scheduler whose effects and responses go into a digest.
 pub struct RecordedScheduler {
-    core: Scheduler,
+    scheduler: Scheduler,
     digest: WireDigest,
 }
 
 impl RecordedScheduler {
-    /// Takes over as `Scheduler::recover` does.
+    /// A new leader's scheduler, as `Scheduler::recover` makes it.
     pub fn recover(
         policy: Arc<Policy>,
-        lead: LeadershipTerm,
+        term: LeadershipTerm,
         now: Instant,
-        found: RecoveredState,
+        recovered: RecoveredState,
     ) -> Result<RecordedScheduler, UnreadableRecord> {
-        let core = Scheduler::recover(policy, lead, now, found)?;
+        let scheduler = Scheduler::recover(policy, term, now, recovered)?;
         Ok(RecordedScheduler {
-            core,
+            scheduler,
             digest: WireDigest::new(),
         })
     }
 
     /// One step.
     pub fn step(&mut self, now: Instant) -> Vec<Effect> {
-        let effects = self.core.step(now);
+        let effects = self.scheduler.step(now);
         self.digest.effects(now, &effects);
         effects
     }
 
-    /// A worker's check-in.
+    /// A worker's heartbeat.
     #[allow(dead_code, reason = "not every test binary has workers")]
-    pub fn heartbeat(&mut self, now: Instant, report: &WorkerStatus) -> HeartbeatOutcome {
-        let answer = self.core.heartbeat(now, report);
-        let token = self.core.token();
-        self.digest.heartbeat_response(now, token, &answer);
-        answer
+    pub fn heartbeat(&mut self, now: Instant, status: &WorkerStatus) -> HeartbeatOutcome {
+        let outcome = self.scheduler.heartbeat(now, status);
+        let token = self.scheduler.token();
+        self.digest.heartbeat_response(now, token, &outcome);
+        outcome
+    }
+}
+
+impl RecordedScheduler {
+    /// The state store has applied the transaction of that number.
+    pub fn write_applied(&mut self, now: Instant, seq: u64, store_revision: StoreRevision) {
+        let event = Event::Written {
+            seq,
+            store_revision,
+        };
+        self.scheduler.on(now, event);
     }
 }
 
 impl Deref for RecordedScheduler {
     type Target = Scheduler;
     fn deref(&self) -> &Scheduler {
-        &self.core
+        &self.scheduler
     }
 }
 
 impl DerefMut for RecordedScheduler {
     fn deref_mut(&mut self) -> &mut Scheduler {
-        &mut self.core
+        &mut self.scheduler
     }
 }
--- a/tests/upgrade/page_splitting.rs
+++ b/tests/upgrade/page_splitting.rs
@@ -1,5 +1,5 @@
-//! Pages that were written while the state service took larger values: a new leader brings them down to
-//! what it will take, and at no moment is a machine on no page.
+//! Pages that were written while the state store took larger values: a new leader splits them to what the
+//! store will take, and at no moment is a machine on no page.
 
 use super::machine_type::machine_type;
 use super::recorded_scheduler::RecordedScheduler;
@@ -18,15 +18,17 @@
 
 const MACHINES: u32 = 400;
 /// As many as a page of 8 KiB takes.
-const MACHINES_A_PAGE: u32 = 89;
-/// The limits to come.
-const VALUE_BYTES: usize = 2 * 1024;
-const TXN_OPS: usize = 4;
+const MACHINES_PER_PAGE: u32 = 89;
+/// So many writes are refused for their rate.
+const LIMITED_WRITES: usize = 3;
+/// The announced limits.
+const MAX_VALUE_BYTES: usize = 2 * 1024;
+const MAX_TRANSACTION_CHANGES: usize = 4;
 
-/// The settings name the limits to come.
+/// What settings say that announce the limits.
 const ANNOUNCED: &str = "next = { write_rps = 18.0, value_kb = 2.0, txn_ops = 4 }";
 
-fn policy(next: &str) -> Arc<Policy> {
+fn policy(announced: &str) -> Arc<Policy> {
     let text = r#"
         teams = [{ name = "blue", gpus = 800.0, gpus_max = 1600.0 }]
         workers = { report_s = 5.0, lease_s = 26.0, gang_wait_s = 40.0, gang_peer_s = 4.0, cancel_s = 51.0 }
@@ -34,7 +36,7 @@
         cloud = { rps = 6.0, list_lag_s = 6.0 }
         quota = { cores = 0.1, memory_mb = 150.0, max_sockets = 3000 }
     "#;
-    let text = text.replace("NEXT", next);
+    let text = text.replace("NEXT", announced);
     let mut facts: chalklug::settings::Facts = toml::from_str(&text).expect("facts");
     facts.state = facts.state.lowest();
     Arc::new(Policy {
@@ -51,7 +53,7 @@
 /// Pages as a leader with room for 8 KiB leaves them, without images.
 fn large_pages() -> StateStore {
     let mut store = StateStore::default();
-    for first in (0..MACHINES).step_by(MACHINES_A_PAGE as usize) {
+    for first in (0..MACHINES).step_by(MACHINES_PER_PAGE as usize) {
         let mut page = MachinePage {
             kinds: vec![MachineKind::new(
                 MachineType::from("box"),
@@ -60,16 +62,16 @@
             )],
             ..MachinePage::default()
         };
-        for n in first..(first + MACHINES_A_PAGE).min(MACHINES) {
-            let note = MachineEntry {
+        for n in first..(first + MACHINES_PER_PAGE).min(MACHINES) {
+            let entry = MachineEntry {
                 kind: 0,
                 rented_s: 1_700_000_000,
                 has_reported: true,
                 images: vec![],
             };
-            page.machines.insert(machine_id(n), note);
+            page.machines.insert(machine_id(n), entry);
         }
-        let key = machine_page_key(PageNumber(first / MACHINES_A_PAGE));
+        let key = machine_page_key(PageNumber(first / MACHINES_PER_PAGE));
         let data = serde_json::to_value(&page).expect("a page");
         let changes = vec![Change::put(key, data)];
         let preconditions = Vec::new();
@@ -78,13 +80,13 @@
                 preconditions,
                 changes,
             })
-            .expect("no guard");
+            .expect("no precondition");
     }
     store
 }
 
-fn recover(store: &StateStore, now: Instant, token: u64, next: &str) -> RecordedScheduler {
-    let lead = LeadershipTerm {
+fn recover(store: &StateStore, now: Instant, token: u64, announced: &str) -> RecordedScheduler {
+    let term = LeadershipTerm {
         token: FencingToken(token),
         initial_token: FencingToken(token),
         leader_key_revision: KeyRevision(0),
@@ -92,14 +94,15 @@
         lease: LeaseId(1),
         host_name: "controller-1".into(),
     };
-    let found = RecoveredState {
+    let recovered = RecoveredState {
         machine_pages: store.list(MACHINE_PAGE_PREFIX),
         intents: store.list(INTENT_PAGE_PREFIX),
         machine_types: vec![machine_type(8.0)],
         day_ms: 1_700_000_000_000,
         ..RecoveredState::default()
     };
-    RecordedScheduler::recover(policy(next), lead, now, found).expect("all pages can be read")
+    RecordedScheduler::recover(policy(announced), term, now, recovered)
+        .expect("all pages can be read")
 }
 
 /// Machines on any page, and how often each is listed.
@@ -114,19 +117,20 @@
     pages.iter().map(|i| i.data.to_string().len()).collect()
 }
 
-/// Whether the state service takes a transaction under its new limits.
-fn taken(transaction: &Transaction) -> bool {
-    let large = |change: &Change| match change {
-        Change::Put { data, .. } => data.to_string().len() > VALUE_BYTES,
+/// Whether the state store accepts the transaction under its new limits.
+fn is_accepted(transaction: &Transaction) -> bool {
+    let is_too_large = |change: &Change| match change {
+        Change::Put { data, .. } => data.to_string().len() > MAX_VALUE_BYTES,
         Change::Delete { .. } => false,
     };
-    transaction.changes.len() <= TXN_OPS && !transaction.changes.iter().any(large)
+    transaction.changes.len() <= MAX_TRANSACTION_CHANGES
+        && !transaction.changes.iter().any(is_too_large)
 }
 
-/// Lets the core write for so long; after each transaction every machine must be listed. Says how many
-/// transactions the service has refused for their size.
+/// Lets the scheduler write for that long; after each transaction every machine must be listed. Returns how
+/// many transactions the store has rejected for their size.
 fn write_for(
-    core: &mut RecordedScheduler,
+    scheduler: &mut RecordedScheduler,
     store: &mut StateStore,
     now: &mut Instant,
     span: TimeSpan,
@@ -136,23 +140,17 @@
     let mut rejected = 0;
     while *now < end {
         *now += TimeSpan(100);
-        for effect in core.step(*now) {
+        for effect in scheduler.step(*now) {
             let Effect::Write { seq, transaction } = effect else {
                 continue;
             };
-            if !taken(&transaction) {
+            if !is_accepted(&transaction) {
                 rejected += 1;
-                core.on(*now, Event::WriteRejected { seq });
+                scheduler.on(*now, Event::WriteRejected { seq });
                 continue;
             }
             let store_revision = store.apply(&transaction).expect("nobody else writes");
-            core.on(
-                *now,
-                Event::Written {
-                    seq,
-                    store_revision,
-                },
-            );
+            scheduler.write_applied(*now, seq, store_revision);
             let on_some_page: BTreeSet<MachineId> = listed(store).into_iter().collect();
             assert_eq!(on_some_page, all, "a machine is on no page");
         }
@@ -163,39 +161,36 @@
 #[test]
 fn large_pages_are_split_without_losing_a_machine() {
     let mut store = large_pages();
-    assert!(sizes(&store).iter().any(|bytes| *bytes > VALUE_BYTES));
+    assert!(sizes(&store).iter().any(|bytes| *bytes > MAX_VALUE_BYTES));
     let mut now = Instant(1_000);
-    let mut core = recover(&store, now, 5, ANNOUNCED);
-    let rejected = write_for(&mut core, &mut store, &mut now, TimeSpan(60_000));
-    assert_eq!(
-        rejected, 0,
-        "what is announced is kept to from the first write"
-    );
-    assert!(sizes(&store).iter().all(|bytes| *bytes <= VALUE_BYTES));
+    let mut scheduler = recover(&store, now, 5, ANNOUNCED);
+    let rejected = write_for(&mut scheduler, &mut store, &mut now, TimeSpan(60_000));
+    assert_eq!(rejected, 0, "announced limits hold from the first write");
+    assert!(sizes(&store).iter().all(|bytes| *bytes <= MAX_VALUE_BYTES));
     assert_eq!(listed(&store).len(), MACHINES as usize, "each once");
 }
 
-/// A leader ends at every stage of it: the next one goes on from what it finds.
+/// Leaders crash at every stage of the split: the next one goes on from what it recovers.
 #[test]
 fn failovers_while_pages_are_split_lose_no_machine() {
     for stage_ms in (200..4_000).step_by(400) {
         let mut store = large_pages();
         let mut now = Instant(1_000);
         for token in 5..9 {
-            let mut core = recover(&store, now, token, ANNOUNCED);
-            assert_eq!(core.machines_up(), MACHINES as usize);
-            let rejected = write_for(&mut core, &mut store, &mut now, TimeSpan(stage_ms));
+            let mut scheduler = recover(&store, now, token, ANNOUNCED);
+            assert_eq!(scheduler.machines_up(), MACHINES as usize);
+            let rejected = write_for(&mut scheduler, &mut store, &mut now, TimeSpan(stage_ms));
             assert_eq!(rejected, 0);
         }
-        let mut core = recover(&store, now, 9, ANNOUNCED);
-        write_for(&mut core, &mut store, &mut now, TimeSpan(90_000));
-        assert!(sizes(&store).iter().all(|bytes| *bytes <= VALUE_BYTES));
+        let mut scheduler = recover(&store, now, 9, ANNOUNCED);
+        write_for(&mut scheduler, &mut store, &mut now, TimeSpan(90_000));
+        assert!(sizes(&store).iter().all(|bytes| *bytes <= MAX_VALUE_BYTES));
         assert_eq!(listed(&store).len(), MACHINES as usize, "stage {stage_ms}");
     }
 }
 
-/// Opens so many jobs that need `wk-900`.
-fn open_consumers(core: &mut RecordedScheduler, now: Instant, count: u32) {
+/// Opens that many jobs that depend on `wk-900`.
+fn open_downstream_jobs(scheduler: &mut RecordedScheduler, now: Instant, count: u32) {
     for n in 0..count {
         let body = serde_json::json!({"ref": format!("wk-{n}"), "jobclass": "c", "crew": "blue",
             "shape": "array", "urgency": "normal", "pieces": 40, "cpus": 1, "gpus": 0, "ramGb": 1,
@@ -215,78 +210,73 @@
             revision: KeyRevision(0),
             submitted: now,
         };
-        core.on(now, opened);
+        scheduler.on(now, opened);
     }
 }
 
-/// Nobody said that the limits would be lowered: what is refused is not sent again unchanged, and the
-/// leader finds what the service takes.
+/// The limits were lowered without notice: a rejected transaction is not sent again unchanged, and the leader
+/// discovers what the store accepts.
 #[test]
 fn unannounced_lower_limits_are_discovered() {
     let mut store = large_pages();
     let mut now = Instant(1_000);
-    let mut core = recover(&store, now, 5, "");
+    let mut scheduler = recover(&store, now, 5, "");
     // Jobs enough for transactions of many operations.
-    open_consumers(&mut core, now, 40);
-    // All of them are to be cancelled with the one that they need.
+    open_downstream_jobs(&mut scheduler, now, 40);
+    // All of them are to be cancelled with their upstream job.
     let terminal_records = vec![(JobId::from("wk-900"), Some(TerminalRecord::cancelled(1)))];
-    core.on(now, Event::TerminalRecordsRead { terminal_records });
-    let rejected = write_for(&mut core, &mut store, &mut now, TimeSpan(120_000));
-    assert!((1..=12).contains(&rejected), "{rejected} refused");
+    scheduler.on(now, Event::TerminalRecordsRead { terminal_records });
+    let rejected = write_for(&mut scheduler, &mut store, &mut now, TimeSpan(120_000));
+    assert!((1..=12).contains(&rejected), "{rejected} rejected");
     assert_eq!(
         store.list(TERMINAL_PREFIX).len(),
         40,
-        "all marks are written"
+        "all terminal records are written"
     );
 }
 
-/// The service has had too many changes: the leader writes nothing for as long as it is told, and then first
-/// what users wait for; pages that may wait do.
+/// The store limits the rate of changes: the leader writes nothing for as long as it is told, and then first
+/// what users wait for; pages are deferred.
 #[test]
 fn rate_limiting_delays_only_deferrable_writes() {
     let store = large_pages();
     let mut now = Instant(1_000);
-    let mut core = recover(&store, now, 5, ANNOUNCED);
-    open_consumers(&mut core, now, 1);
+    let mut scheduler = recover(&store, now, 5, ANNOUNCED);
+    open_downstream_jobs(&mut scheduler, now, 1);
     let terminal_records = vec![(JobId::from("wk-900"), Some(TerminalRecord::cancelled(1)))];
-    core.on(now, Event::TerminalRecordsRead { terminal_records });
+    scheduler.on(now, Event::TerminalRecordsRead { terminal_records });
     let pause = TimeSpan(250);
-    let mut refused_at = Vec::new();
-    let first = loop {
+    let mut limited_at: Vec<Instant> = Vec::new();
+    let first_applied = loop {
         now += TimeSpan(50);
         assert!(now < Instant(20_000), "it never writes again");
-        let writes = core
-            .step(now)
-            .into_iter()
-            .filter_map(|effect| match effect {
-                Effect::Write { seq, transaction } => Some((seq, transaction)),
-                _ => None,
-            });
-        let Some((seq, transaction)) = writes.last() else {
+        let Some((seq, transaction)) = last_write(&mut scheduler, now) else {
             continue;
         };
-        if refused_at.last().is_some_and(|t| now - *t < pause) {
-            panic!(
-                "it writes again after {:?}",
-                now - refused_at[refused_at.len() - 1]
-            );
+        if let Some(last) = limited_at.last() {
+            let waited = now - *last;
+            assert!(waited >= pause, "it writes again after {waited:?}");
         }
-        if refused_at.len() == 3 {
+        if limited_at.len() == LIMITED_WRITES {
             break transaction;
         }
-        refused_at.push(now);
-        core.on(now, Event::WriteLimited { seq, pause });
+        limited_at.push(now);
+        scheduler.on(now, Event::WriteLimited { seq, pause });
     };
-    let of = |prefix: &str| {
-        first
-            .changes
-            .iter()
-            .filter(|c| c.key().starts_with(prefix))
-            .count()
+    let changes_of = |prefix: &str| {
+        let changes = first_applied.changes.iter();
+        changes.filter(|c| c.key().starts_with(prefix)).count()
     };
-    assert_eq!(
-        (of(TERMINAL_PREFIX), of(MACHINE_PAGE_PREFIX)),
-        (1, 0),
-        "{first:?}"
-    );
+    let (terminal, pages) = (changes_of(TERMINAL_PREFIX), changes_of(MACHINE_PAGE_PREFIX));
+    assert_eq!((terminal, pages), (1, 0), "{first_applied:?}");
+}
+
+/// The last transaction that a step asks for.
+fn last_write(scheduler: &mut RecordedScheduler, now: Instant) -> Option<(u64, Transaction)> {
+    let effects = scheduler.step(now).into_iter();
+    let writes = effects.filter_map(|effect| match effect {
+        Effect::Write { seq, transaction } => Some((seq, transaction)),
+        _ => None,
+    });
+    writes.last()
 }
