--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,15 +1,31 @@
 //! The command line.
 
-use crate::settings;
+use crate::config;
 use clap::{Parser, Subcommand};
 use std::path::PathBuf;
 use std::process::ExitCode;
-use tracing_subscriber::filter::Targets;
+use tracing_subscriber::filter::{LevelFilter, Targets};
 use tracing_subscriber::prelude::*;
 
-/// A small cluster scheduler for sites that rent their machines.
+/// The exit code for settings that can't be used.
+const EXIT_INVALID_CONFIG: u8 = 2;
+/// The environment variable that sets the log level.
+const LOG_LEVEL_VARIABLE: &str = "LOG_LEVEL";
+
+/// Cluster scheduler for rented machines.
+///
+/// Run one controller on each of a few hosts. One of them is elected leader and schedules; every one accepts jobs,
+/// answers polls and cancels jobs.
 #[derive(Parser)]
-#[command(name = "chalklug", version, about)]
+#[command(name = "chalklug", version, about, subcommand_required = true)]
+#[command(after_help = "\
+Environment:
+  LOG_LEVEL  How much to log to standard error: error, warn, info, debug or trace [default: info]
+
+Exit codes:
+  0  Success
+  1  The controller could not start
+  2  The command line or the settings are invalid")]
 struct Cli {
     #[command(subcommand)]
     command: Command,
@@ -17,66 +33,87 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Run one controller until it is killed
-    Serve(Files),
-    /// Check the settings and say what is wrong with them
-    Check(Files),
+    /// Run a controller until it is killed
+    ///
+    /// Listens on the addresses in the platform's settings, connects to the state store and the cloud, and takes
+    /// part in the election of the leader.
+    Serve(ConfigFiles),
+    /// Check the settings files and exit
+    ///
+    /// Reports the first invalid value with its file, field and what would be right. Connects to nothing.
+    Check(ConfigFiles),
     /// Print the JSON schema of the operators' settings
+    ///
+    /// The schema lists every field of the file given as --operator, with its meaning and default.
     Schema,
 }
 
 #[derive(clap::Args)]
-struct Files {
-    /// The platform's settings file (TOML)
-    #[arg(long, value_name = "FILE")]
-    config: PathBuf,
-    /// The operators' own settings (JSON); built-in defaults without it
+struct ConfigFiles {
+    /// The platform's settings (TOML)
+    #[arg(long = "config", value_name = "FILE")]
+    platform: PathBuf,
+    /// The operators' settings (JSON) [default: built-in values]
     #[arg(long, value_name = "FILE")]
     operator: Option<PathBuf>,
 }
 
+impl ConfigFiles {
+    fn load(&self) -> Result<config::Config, config::ConfigError> {
+        config::load(&self.platform, self.operator.as_deref())
+    }
+}
+
 /// Parses the arguments and runs the command.
 pub fn main() -> ExitCode {
-    let (files, serve) = match Cli::parse().command {
+    match Cli::parse().command {
+        Command::Serve(files) => serve(&files),
+        Command::Check(files) => check(&files),
         Command::Schema => {
-            print!("{}", settings::operator_schema());
-            return ExitCode::SUCCESS;
-        }
-        Command::Check(files) => (files, false),
-        Command::Serve(files) => (files, true),
-    };
-    let loaded = match settings::load(&files.config, files.operator.as_deref()) {
-        Ok(s) => s,
-        Err(e) => {
-            eprintln!("chalklug: {e}");
-            return ExitCode::from(2);
+            print!("{}", config::operator_schema());
+            ExitCode::SUCCESS
         }
-    };
-    if !serve {
-        println!("settings are in order");
-        return ExitCode::SUCCESS;
     }
-    start_log();
-    match crate::runtime::run(loaded) {
+}
+
+fn serve(files: &ConfigFiles) -> ExitCode {
+    let config = match files.load() {
+        Ok(config) => config,
+        Err(error) => return fail(&error, ExitCode::from(EXIT_INVALID_CONFIG)),
+    };
+    init_logging();
+    match crate::runtime::run(config) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(e) => {
-            eprintln!("chalklug: {e}");
-            ExitCode::FAILURE
+        Err(error) => fail(&error, ExitCode::FAILURE),
+    }
+}
+
+fn check(files: &ConfigFiles) -> ExitCode {
+    match files.load() {
+        Ok(_) => {
+            println!("settings are in order");
+            ExitCode::SUCCESS
         }
+        Err(error) => fail(&error, ExitCode::from(EXIT_INVALID_CONFIG)),
     }
 }
 
-/// Logs to standard error, in the amount that `LOG_LEVEL` sets; anything unknown means `info`.
-fn start_log() {
-    let level = std::env::var("LOG_LEVEL")
+fn fail(error: &dyn std::error::Error, code: ExitCode) -> ExitCode {
+    eprintln!("chalklug: {error}");
+    code
+}
+
+/// Logs to standard error at the level that `LOG_LEVEL` sets; anything unknown means `info`.
+fn init_logging() {
+    let level = std::env::var(LOG_LEVEL_VARIABLE)
         .ok()
-        .and_then(|l| l.parse::<tracing::Level>().ok())
+        .and_then(|name| name.parse::<tracing::Level>().ok())
         .unwrap_or(tracing::Level::INFO);
     // Our own events at the level asked for; libraries only when something is wrong.
     let filter = Targets::new()
         .with_default(level.min(tracing::Level::WARN))
         .with_target("chalklug", level)
-        .with_target("warp::server", tracing::level_filters::LevelFilter::OFF);
+        .with_target("warp::server", LevelFilter::OFF);
     let lines = tracing_subscriber::fmt::layer()
         .with_writer(std::io::stderr)
         .with_ansi(false)
--- a/src/coordination/leadership/authority.rs
+++ b/src/coordination/leadership/authority.rs
@@ -3,7 +3,7 @@
 //! Promises that a leader's authority ends before another controller can take over. It is shared by the
 //! tasks of a leader without a lock, and knows nothing of the scheduler.
 
-use crate::settings::LeaderTimes;
+use crate::config::LeaderTimes;
 use crate::time::{Instant, TimeSpan};
 use std::sync::atomic::{AtomicBool, AtomicI64, Ordering};
 
@@ -57,9 +57,9 @@
 
     /// A lease renewal sent at that moment succeeded. Later answers to earlier renewals change nothing.
     pub fn lease_renewed(&self, sent_at: Instant) {
-        let lease_duration = self.times.life;
+        let lease_duration = self.times.lease_duration;
         let drift = TimeSpan(lease_duration.0 / CLOCK_DRIFT_DIVISOR + 1);
-        let until = sent_at + lease_duration - self.times.margin - drift;
+        let until = sent_at + lease_duration - self.times.authority_margin - drift;
         self.lease_valid_until_ms
             .fetch_max(until.0, Ordering::Relaxed);
     }
--- a/src/coordination/leadership/recovery.rs
+++ b/src/coordination/leadership/recovery.rs
@@ -70,7 +70,7 @@
             machines: MachineTable::default(),
             team_usage: vec![Resources::default(); teams],
             outbox: Outbox::default(),
-            placement: PlacementState::new(policy.facts.quota.cores),
+            placement: PlacementState::new(policy.facts.process_limits.cores),
             autoscaler: Autoscaler::new(policy.facts.cloud.rps),
             estimates: Estimates::default(),
             aging: Aging::default(),
--- a/src/coordination/persistence/limits.rs
+++ b/src/coordination/persistence/limits.rs
@@ -3,9 +3,9 @@
 
 use super::draft::FINISH_OPS;
 use super::{Flight, REFUSED};
+use crate::config::StateStoreLimits;
 use crate::coordination::Scheduler;
 use crate::protocol::state::{Change, Transaction};
-use crate::settings::StateLimits;
 use crate::time::Instant;
 
 /// The part of the service's limit on values that is used: a little room.
@@ -23,7 +23,7 @@
 }
 
 impl WriteLimits {
-    pub fn new(state: &StateLimits) -> WriteLimits {
+    pub fn new(state: &StateStoreLimits) -> WriteLimits {
         WriteLimits {
             ops: state.txn_ops,
             value_bytes: (state.value_kb * 1024.0 * VALUE_PART) as usize,
--- a/src/coordination/persistence/mod.rs
+++ b/src/coordination/persistence/mod.rs
@@ -13,13 +13,13 @@
 mod outcomes;
 mod pages;
 
+use crate::config::StateStoreLimits;
 use crate::coordination::attempts::task_attempt::{PushDelivery, TaskAttempt};
 use crate::coordination::jobs::job::Job;
 use crate::coordination::machines::machine::Machine;
 use crate::coordination::{Effect, Scheduler};
 use crate::ids::{FencingToken, JobId, KeyRevision, MachineId, PageNumber};
 use crate::protocol::state::{Change, Precondition, Transaction};
-use crate::settings::StateLimits;
 use crate::storage::records::{
     dependency_list_key, dependency_page_key, open_key, LaunchIntent, LeaderRecord, ProgressKey,
     FENCING_TOKEN_KEY, HINTS_KEY, LEADER_KEY, TASKS_PER_PROGRESS_RECORD,
@@ -127,7 +127,7 @@
 
 impl Writer {
     /// A writer that keeps within its part of the write rate.
-    pub fn new(state: &StateLimits, now: Instant) -> Writer {
+    pub fn new(state: &StateStoreLimits, now: Instant) -> Writer {
         // The rest is left to submissions, cancellations and the lease.
         let mine = state.write_rps * 0.7;
         let limits = WriteLimits::new(state);
--- a/src/coordination/policy.rs
+++ b/src/coordination/policy.rs
@@ -1,7 +1,7 @@
 //! The settings that the scheduler goes by.
 
+use crate::config::{Config, Facts, OperatorConfig, Slo, Team};
 use crate::ids::TeamIndex;
-use crate::settings::{Facts, Objective, Operator, Settings, Team};
 use crate::time::TimeSpan;
 use crate::transport::sockets::Sockets;
 
@@ -9,20 +9,20 @@
 #[derive(Debug, Clone)]
 pub struct Policy {
     pub facts: Facts,
-    pub operator: Operator,
+    pub operator: OperatorConfig,
     /// Direct commands that may be awaited at once.
     pub max_pushes: usize,
 }
 
 impl Policy {
     /// Takes what the core needs.
-    pub fn new(s: &Settings) -> Policy {
-        let most = s.platform.facts.quota.max_sockets;
+    pub fn new(s: &Config) -> Policy {
+        let most = s.platform.facts.process_limits.max_sockets;
         let users = s.operator.max_user_requests;
         Policy {
             facts: s.platform.facts.clone(),
             operator: s.operator.clone(),
-            max_pushes: Sockets::divide(most, s.platform.siblings.len(), users).pushes,
+            max_pushes: Sockets::divide(most, s.platform.peers.len(), users).pushes,
         }
     }
     /// A team's number.
@@ -57,11 +57,7 @@
             .min_by(f64::total_cmp)
     }
     /// The objectives of one kind for a class.
-    pub fn of_class<'a>(
-        &'a self,
-        kind: &'a str,
-        class: &'a str,
-    ) -> impl Iterator<Item = &'a Objective> {
+    pub fn of_class<'a>(&'a self, kind: &'a str, class: &'a str) -> impl Iterator<Item = &'a Slo> {
         let all = self.facts.objectives.iter();
         all.filter(move |o| o.kind == kind && o.class.as_deref() == Some(class))
     }
--- a/src/runtime/api/submissions.rs
+++ b/src/runtime/api/submissions.rs
@@ -6,6 +6,7 @@
 use super::error::{ApiError, NeverRuns};
 use super::response::ApiResponse;
 use super::status;
+use crate::config::Team;
 use crate::ids::JobId;
 use crate::protocol::cloud::MachineTypeInfo;
 use crate::protocol::state::{Change, Precondition, Transaction};
@@ -16,7 +17,6 @@
 use crate::runtime::clients::state_store::{StateStoreError, TransactionOutcome};
 use crate::runtime::clients::upstream_jobs::{find_upstream, UpstreamState};
 use crate::runtime::{time_of_day_ms, Node};
-use crate::settings::Team;
 use crate::storage::records::{open_key, terminal_key, OpenJobRecord, TerminalRecord};
 
 /// The share of a value's size limit that an open record may take.
--- a/src/runtime/leader/election.rs
+++ b/src/runtime/leader/election.rs
@@ -27,7 +27,7 @@
     let leader = leader_key.as_ref().and_then(leader_name);
     // A leader key with our own name is that of our predecessor on this host, whose process has ended:
     // there is no need to wait for its lease.
-    let is_predecessor = leader.as_deref() == Some(&node.settings.platform.host_name);
+    let is_predecessor = leader.as_deref() == Some(&node.config.platform.host_name);
     let other = leader.filter(|_| !is_predecessor);
     node.leadership
         .set_other_leader(other.map(|name| (name, asked_at)));
@@ -49,7 +49,7 @@
 /// Tries to take the leader key at this revision, raising the durable fencing token in the same transaction.
 async fn try_to_win(node: &Node, leader_key_revision: KeyRevision) -> Option<ElectionWon> {
     let lease_sent_at = node.now();
-    let lease_ttl = node.settings.leader.life;
+    let lease_ttl = node.config.leader.lease_duration;
     let lease = node.state_store.grant_lease(lease_ttl).await.ok()?;
     let term = take_leader_key(node, leader_key_revision, lease).await;
     let Some(term) = term else {
@@ -57,7 +57,7 @@
         node.state_store.revoke_lease(lease).await;
         return None;
     };
-    let authority = Authority::new(node.settings.leader, lease_sent_at);
+    let authority = Authority::new(node.config.leader, lease_sent_at);
     Some(ElectionWon {
         term,
         authority: Arc::new(authority),
@@ -71,7 +71,7 @@
 ) -> Option<LeadershipTerm> {
     let (last_token, token_revision) = read_fencing_token(node).await?;
     let record = LeaderRecord {
-        host_name: node.settings.platform.host_name.clone(),
+        host_name: node.config.platform.host_name.clone(),
         token: FencingToken(last_token.0 + 1),
     };
     let transaction = Transaction {
--- a/src/runtime/leader/job_watch.rs
+++ b/src/runtime/leader/job_watch.rs
@@ -78,8 +78,8 @@
 /// staleness allowed.
 pub async fn run(term: Term, mut since: StoreRevision) {
     let node = &term.node;
-    let hold = node.settings.leader.watch_hold;
-    let patience = node.settings.leader.watch_patience;
+    let hold = node.config.leader.watch_hold;
+    let patience = node.config.leader.watch_patience;
     while !term.end.is_cancelled() {
         let asked_at = node.now();
         let response = tokio::select! {
--- a/src/runtime/leader/lease_renewal.rs
+++ b/src/runtime/leader/lease_renewal.rs
@@ -15,7 +15,7 @@
 /// responses waited in the sockets for longer than an ordinary call may take, and every renewal was given up
 /// though it had been answered. Each is good from when it was sent, however late its response is read.
 pub async fn renew(term: Term, lease: LeaseId) {
-    let lease_ttl_ms = term.node.settings.leader.life.0 as u64;
+    let lease_ttl_ms = term.node.config.leader.lease_duration.0 as u64;
     let interval = Duration::from_millis(lease_ttl_ms / RENEWALS_PER_LEASE);
     let deadline = Duration::from_millis(lease_ttl_ms);
     let mut renewals = JoinSet::new();
--- a/src/runtime/mod.rs
+++ b/src/runtime/mod.rs
@@ -12,7 +12,7 @@
 mod leader;
 mod node;
 
-use crate::settings::Settings;
+use crate::config::Config;
 use node::{lock, time_of_day_ms, Node, STATE_STORE_FRESH};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -39,19 +39,19 @@
 }
 
 /// Runs a controller until its process is killed.
-pub fn run(settings: Settings) -> Result<(), StartError> {
+pub fn run(config: Config) -> Result<(), StartError> {
     tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .map_err(StartError::Runtime)?
-        .block_on(serve(settings, CancellationToken::new()))
+        .block_on(serve(config, CancellationToken::new()))
 }
 
 /// Runs a controller until the token is cancelled.
-pub async fn serve(settings: Settings, stop: CancellationToken) -> Result<(), StartError> {
-    let listeners = Listeners::bind(&settings).await?;
-    log_start(&settings);
-    let node = Arc::new(Node::new(settings, stop));
+pub async fn serve(config: Config, stop: CancellationToken) -> Result<(), StartError> {
+    let listeners = Listeners::bind(&config).await?;
+    log_start(&config);
+    let node = Arc::new(Node::new(config, stop));
     for task in spawn_tasks(&node, listeners) {
         if let Err(error) = task.await {
             tracing::error!(%error, "controller task failed");
@@ -69,11 +69,11 @@
 }
 
 impl Listeners {
-    async fn bind(settings: &Settings) -> Result<Listeners, StartError> {
-        let platform = &settings.platform;
+    async fn bind(config: &Config) -> Result<Listeners, StartError> {
+        let platform = &config.platform;
         Ok(Listeners {
-            http: listen("front", platform.front).await?,
-            peers: listen("peer_bind", platform.peer_bind).await?,
+            http: listen("front", platform.http_address).await?,
+            peers: listen("peer_bind", platform.peer_address).await?,
         })
     }
 }
@@ -87,12 +87,12 @@
     })
 }
 
-fn log_start(settings: &Settings) {
-    let platform = &settings.platform;
+fn log_start(config: &Config) {
+    let platform = &config.platform;
     tracing::info!(
         name = %platform.host_name,
-        zone = %platform.location,
-        front = %platform.front,
+        zone = %platform.zone,
+        front = %platform.http_address,
         "controller started"
     );
 }
--- a/src/runtime/node.rs
+++ b/src/runtime/node.rs
@@ -15,6 +15,7 @@
 //! counters of the activity log are locked below another lock, that of the active leader. No lock is held over
 //! an `await`: each is taken and released inside of one method that isn't `async`, or one expression.
 
+use crate::config::Config;
 use crate::coordination::Policy;
 use crate::ids::JobId;
 use crate::runtime::clients::catalog::Catalog;
@@ -24,7 +25,6 @@
 use crate::runtime::clients::peers::Peers;
 use crate::runtime::clients::state_store::StateStoreClient;
 use crate::runtime::leader::{LeadershipState, TaskCounts};
-use crate::settings::Settings;
 use crate::time::{Instant, TimeSpan};
 use crate::transport::client::Client;
 use crate::transport::peer::PeerClient;
@@ -47,7 +47,7 @@
 /// What the tasks of one controller share.
 pub struct Node {
     /// The checked settings.
-    pub settings: Settings,
+    pub config: Config,
     /// What the scheduler derives from them.
     pub policy: Arc<Policy>,
     /// The client of the state store.
@@ -81,21 +81,21 @@
 
 impl Node {
     /// A controller with these settings that has not contacted anybody yet.
-    pub fn new(settings: Settings, stop: CancellationToken) -> Node {
-        let platform = &settings.platform;
-        let max_user_requests = settings.operator.max_user_requests;
-        let max_sockets = platform.facts.quota.max_sockets;
-        let sockets = Sockets::divide(max_sockets, platform.siblings.len(), max_user_requests);
+    pub fn new(config: Config, stop: CancellationToken) -> Node {
+        let platform = &config.platform;
+        let max_user_requests = config.operator.max_user_requests;
+        let max_sockets = platform.facts.process_limits.max_sockets;
+        let sockets = Sockets::divide(max_sockets, platform.peers.len(), max_user_requests);
         tracing::debug!(?sockets, "sockets divided");
         let peer_clients = platform
-            .siblings
+            .peers
             .iter()
-            .map(|peer| PeerClient::new(peer.addr, sockets.to_sibling))
+            .map(|peer| PeerClient::new(peer.address, sockets.to_sibling))
             .collect();
         let endpoints = &platform.endpoints;
         Node {
-            policy: Arc::new(Policy::new(&settings)),
-            state_store: StateStoreClient::new(endpoints.state.to_string(), sockets.to_state),
+            policy: Arc::new(Policy::new(&config)),
+            state_store: StateStoreClient::new(endpoints.state_store.to_string(), sockets.to_state),
             cloud: CloudClient::new(endpoints.cloud.to_string(), sockets.to_cloud),
             // None is kept open: with thousands of machines, one to each would leave none for others,
             // and the next command to the same machine seldom comes soon.
@@ -111,7 +111,7 @@
             stop,
             last_heartbeat_ms: AtomicI64::new(NO_HEARTBEAT),
             started: std::time::Instant::now(),
-            settings,
+            config,
         }
     }
 
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -343,7 +343,7 @@
 fn placement_goes_on_without_a_quota() {
     let mut now = Instant(1000);
     let mut policy = (*policy()).clone();
-    policy.facts.quota.cores = 0.0;
+    policy.facts.process_limits.cores = 0.0;
     let mut core = idle_fleet(Arc::new(policy), now);
     core.on(now, job("wk-900001", "low", 24_000));
     let recorded = starts_recorded(&mut core, &mut now, Instant(11_000));
--- a/tests/leadership.rs
+++ b/tests/leadership.rs
@@ -1,22 +1,22 @@
 //! A leader's right to act, and when it hands over.
 
+use chalklug::config::{LeaderTimes, OperatorConfig, WorkerTimes};
 use chalklug::coordination::leadership::authority::{Authority, AuthorityLoss};
 use chalklug::coordination::leadership::transfer::{should_hand_over, silence_bound};
-use chalklug::settings::{LeaderTimes, Operator, Workers};
 use chalklug::time::{Instant, TimeSpan};
 
 fn times() -> LeaderTimes {
     LeaderTimes {
-        life: TimeSpan(4000),
-        margin: TimeSpan(300),
+        lease_duration: TimeSpan(4000),
+        authority_margin: TimeSpan(300),
         max_staleness: TimeSpan(20_000),
         watch_hold: TimeSpan(2500),
         watch_patience: TimeSpan(5000),
     }
 }
 
-fn workers(lease_s: f64, cancel_s: f64) -> Workers {
-    Workers {
+fn workers(lease_s: f64, cancel_s: f64) -> WorkerTimes {
+    WorkerTimes {
         report_s: 3.0,
         lease_s,
         gang_wait_s: 40.0,
@@ -77,9 +77,9 @@
 /// both stretched by drift, leave two seconds of `cancel_s`; and a watch that fails and the next fit into it.
 #[test]
 fn cancelled_work_is_gone_in_time_by_the_leader_s_own_clock() {
-    let operators = [2000, 4000, 60_000].map(|life| Operator {
+    let operators = [2000, 4000, 60_000].map(|life| OperatorConfig {
         leader_life_ms: life,
-        ..Operator::default()
+        ..OperatorConfig::default()
     });
     let mut derived = 0;
     for lease in [5.0, 20.0, 26.0, 31.0, 120.0, 600.0] {
@@ -93,7 +93,10 @@
                 derived += 1;
                 let gone = t.max_staleness.secs() * 1.0005 + lease * 1.0005 + 2.0;
                 assert!(gone <= w.cancel_s, "lease {lease}, {more} more: {gone}");
-                assert!(t.life <= t.max_staleness && t.margin.0 * 2 < t.life.0);
+                assert!(
+                    t.lease_duration <= t.max_staleness
+                        && t.authority_margin.0 * 2 < t.lease_duration.0
+                );
                 let (once, pause) = (t.watch_hold + t.watch_patience, 300);
                 let next = t.watch_hold.0 * 2 + pause;
                 assert!(once.0 * 2 <= t.max_staleness.0, "{t:?}");
--- a/tests/scenario_language/setup.rs
+++ b/tests/scenario_language/setup.rs
@@ -2,10 +2,10 @@
 
 use super::{parse, Words};
 use crate::simulation::Simulation;
+use chalklug::config::*;
 use chalklug::coordination::Policy;
 use chalklug::ids::{MachineType, Zone};
 use chalklug::protocol::cloud::MachineTypeInfo;
-use chalklug::settings::*;
 
 /// So many pushes may await their responses at once.
 const MAX_PUSHES: usize = 96;
@@ -29,14 +29,14 @@
                 clock_error_ms: 0.0,
                 teams: Vec::new(),
                 objectives: Vec::new(),
-                workers: Workers {
+                workers: WorkerTimes {
                     report_s: 3.0,
                     lease_s: 20.0,
                     gang_wait_s: 30.0,
                     gang_peer_s: 4.0,
                     cancel_s: 40.0,
                 },
-                state: StateLimits {
+                state: StateStoreLimits {
                     rps: 100.0,
                     write_rps: 25.0,
                     value_kb: 4.0,
@@ -47,7 +47,7 @@
                     rps: 5.0,
                     list_lag_s: 6.0,
                 },
-                quota: Quota {
+                process_limits: ProcessLimits {
                     cores: 0.1,
                     memory_mb: 100.0,
                     max_sockets: 1000,
@@ -91,7 +91,7 @@
     pub fn simulation(self) -> Simulation {
         let policy = Policy {
             facts: self.facts,
-            operator: Operator::default(),
+            operator: OperatorConfig::default(),
             max_pushes: MAX_PUSHES,
         };
         let mut simulation = Simulation::new(policy, self.machine_types, self.machines, self.seed);
@@ -130,8 +130,8 @@
     }
 }
 
-fn objective(rest: &[&str]) -> Objective {
-    Objective {
+fn objective(rest: &[&str]) -> Slo {
+    Slo {
         kind: rest[0].into(),
         class: Some(rest[1].into()),
         within_s: Some(Words(rest).number("within", 60.0)),
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,6 +1,6 @@
 //! Settings: what is ignored, what is refused, and that an error names file, field and reason.
 
-use chalklug::settings::StateLimits;
+use chalklug::config::StateStoreLimits;
 use std::process::Command;
 
 const GOOD: &str = r#"
@@ -136,8 +136,8 @@
 /// Limits to come are kept to from the start, each for itself; without any, nothing changes.
 #[test]
 fn the_lower_limits_of_the_state_service_hold() {
-    let limits = |text: &str| -> StateLimits {
-        let limits: StateLimits = toml::from_str(text).unwrap();
+    let limits = |text: &str| -> StateStoreLimits {
+        let limits: StateStoreLimits = toml::from_str(text).unwrap();
         limits.lowest()
     };
     let now = "rps = 100.0\nwrite_rps = 25.0\nvalue_kb = 4.0\ntxn_ops = 8\n";
@@ -156,6 +156,24 @@
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/deploy/operator.schema.json");
     assert_eq!(
         std::fs::read_to_string(path).unwrap(),
-        chalklug::settings::operator_schema()
+        chalklug::config::operator_schema()
+    );
+}
+
+/// An operator who reads the error needs nothing else to mend the file.
+#[test]
+fn an_error_names_file_field_value_and_what_would_be_right() {
+    let negative = GOOD.replace("lease_s = 20.0", "lease_s = -1.5");
+    let (_, text) = check("names-platform", &negative, None);
+    let right = "field `facts.workers.lease_s` is -1.5: must be a number above 0";
+    assert!(
+        text.contains("platform.toml") && text.contains(right),
+        "{text}"
+    );
+    let (_, text) = check("names-own", GOOD, Some(r#"{"give_up_share": 1.25}"#));
+    let right = "field `give_up_share` is 1.25: must be 0 to 1";
+    assert!(
+        text.contains("operator.json") && text.contains(right),
+        "{text}"
     );
 }
--- a/tests/simulation/attempt.rs
+++ b/tests/simulation/attempt.rs
@@ -1,10 +1,10 @@
 //! One attempt of a task on a machine: from fetching its image to its end.
 
 use super::workload::{SavedProgress, TaskBehavior, Workload};
+use chalklug::config::WorkerTimes;
 use chalklug::ids::TaskId;
 use chalklug::protocol::users::{JobSpec, Shape};
 use chalklug::protocol::workers::{Cause, TaskPhase};
-use chalklug::settings::Workers as WorkerTimes;
 use chalklug::time::{Instant, TimeSpan};
 
 /// On a faulty machine a task fails after so long.
--- a/tests/simulation/checker/mod.rs
+++ b/tests/simulation/checker/mod.rs
@@ -7,10 +7,10 @@
 
 use super::state_store::StateStore;
 use super::worker::Worker;
+use chalklug::config::{Facts, Team};
 use chalklug::ids::*;
 use chalklug::protocol::cloud::MachineTypeInfo;
 use chalklug::protocol::users::{JobPhase, JobSpec, Shape};
-use chalklug::settings::{Facts, Team};
 use chalklug::time::{Instant, TimeSpan};
 use placement::Placement;
 use std::collections::{BTreeMap, BTreeSet};
--- a/tests/simulation/gang.rs
+++ b/tests/simulation/gang.rs
@@ -3,10 +3,10 @@
 use super::attempt::Attempt;
 use super::worker::Worker;
 use super::workload::Workload;
+use chalklug::config::WorkerTimes;
 use chalklug::ids::{AttemptId, JobId, MachineId};
 use chalklug::protocol::users::Shape;
 use chalklug::protocol::workers::{Cause, TaskPhase};
-use chalklug::settings::Workers as WorkerTimes;
 use chalklug::time::{Instant, TimeSpan};
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/tests/simulation/leadership.rs
+++ b/tests/simulation/leadership.rs
@@ -2,6 +2,7 @@
 //! of the jobs.
 
 use super::Simulation;
+use chalklug::config::LeaderTimes;
 use chalklug::coordination::leadership::authority::Authority;
 use chalklug::coordination::leadership::recovery::RecoveredState;
 use chalklug::coordination::leadership::LeadershipTerm;
@@ -9,7 +10,6 @@
 use chalklug::ids::*;
 use chalklug::protocol::state::{Change, Transaction};
 use chalklug::protocol::workers::Command;
-use chalklug::settings::LeaderTimes;
 use chalklug::storage::records::*;
 use chalklug::time::{Instant, TimeSpan};
 
@@ -63,13 +63,13 @@
     }
 
     fn renewal_is_due(&self, now: Instant) -> bool {
-        let interval = TimeSpan(self.times.life.0 / RENEWALS_PER_LEASE);
+        let interval = TimeSpan(self.times.lease_duration.0 / RENEWALS_PER_LEASE);
         now - self.lease_renewed_at >= interval && self.lease_expires_at > now
     }
 
     fn renew(&mut self, now: Instant) {
         self.lease_renewed_at = now;
-        self.lease_expires_at = now + self.times.life;
+        self.lease_expires_at = now + self.times.lease_duration;
         if let Some(authority) = &self.authority {
             authority.lease_renewed(now);
         }
@@ -100,7 +100,7 @@
         let outage_end = self.faults.store_unavailable_until;
         let outage = now < outage_end;
         if outage && self.leadership.lease_expires_at > now {
-            self.leadership.lease_expires_at = outage_end + self.leadership.times.life;
+            self.leadership.lease_expires_at = outage_end + self.leadership.times.lease_duration;
         }
         if self.leadership.scheduler.is_some() {
             self.renew_lease_or_step_down();
@@ -138,7 +138,7 @@
         let times = self.leadership.times;
         let elections = self.leadership.elections_enabled;
         self.leadership.authority = elections.then(|| Authority::new(times, now));
-        self.leadership.lease_expires_at = now + times.life;
+        self.leadership.lease_expires_at = now + times.lease_duration;
         self.leadership.lease_renewed_at = now;
         // The next leader is another controller, which the state store serves.
         self.faults.store_refuses_leader_until = Instant(0);
@@ -213,7 +213,7 @@
         }
         match served {
             true => self.leadership.times.max_staleness,
-            false => self.leadership.times.life,
+            false => self.leadership.times.lease_duration,
         }
     }
 
--- a/tests/simulation/worker.rs
+++ b/tests/simulation/worker.rs
@@ -3,11 +3,11 @@
 use super::attempt::Attempt;
 use super::network::PartitionMode;
 use super::workload::Workload;
+use chalklug::config::WorkerTimes;
 use chalklug::ids::*;
 use chalklug::protocol::cloud::MachineTypeInfo;
 use chalklug::protocol::users::JobSpec;
 use chalklug::protocol::workers::{Cause, Command, TaskPhase, TaskStatus, WorkerStatus};
-use chalklug::settings::Workers as WorkerTimes;
 use chalklug::time::{Instant, TimeSpan};
 use rand::rngs::StdRng;
 use rand::Rng;
--- a/tests/support/leader.rs
+++ b/tests/support/leader.rs
@@ -1,9 +1,9 @@
 //! A leader's settings and leadership, for tests of the core alone.
 
+use chalklug::config::OperatorConfig;
 use chalklug::coordination::leadership::LeadershipTerm;
 use chalklug::coordination::Policy;
 use chalklug::ids::{FencingToken, KeyRevision, LeaseId};
-use chalklug::settings::Operator;
 use std::sync::Arc;
 
 /// One team with so many GPUs guaranteed, and at most twice as many; so many direct commands at once.
@@ -20,7 +20,7 @@
     );
     Arc::new(Policy {
         facts: toml::from_str(&text).unwrap(),
-        operator: Operator::default(),
+        operator: OperatorConfig::default(),
         max_pushes,
     })
 }
--- a/tests/upgrade/repacking.rs
+++ b/tests/upgrade/repacking.rs
@@ -4,13 +4,13 @@
 use super::machine_type::machine_type;
 use super::recorded_core::RecordedCore;
 use super::simulation::state_store::StateStore;
+use chalklug::config::OperatorConfig;
 use chalklug::coordination::leadership::recovery::RecoveredState;
 use chalklug::coordination::leadership::LeadershipTerm;
 use chalklug::coordination::{Effect, Event, Policy};
 use chalklug::ids::*;
 use chalklug::protocol::state::{Change, Transaction};
 use chalklug::protocol::users::parse_submission;
-use chalklug::settings::Operator;
 use chalklug::storage::records::*;
 use chalklug::time::{Instant, TimeSpan};
 use std::collections::BTreeSet;
@@ -35,11 +35,11 @@
         quota = { cores = 0.1, memory_mb = 150.0, max_sockets = 3000 }
     "#;
     let text = text.replace("NEXT", next);
-    let mut facts: chalklug::settings::Facts = toml::from_str(&text).expect("facts");
+    let mut facts: chalklug::config::Facts = toml::from_str(&text).expect("facts");
     facts.state = facts.state.lowest();
     Arc::new(Policy {
         facts,
-        operator: Operator::default(),
+        operator: OperatorConfig::default(),
         max_pushes: 100,
     })
 }
