--- a/src/coordination/autoscaler/mod.rs
+++ b/src/coordination/autoscaler/mod.rs
@@ -24,7 +24,7 @@
 use crate::coordination::Scheduler;
 use crate::ids::MachineId;
 use crate::time::{Instant, TimeSpan};
-use crate::transport::budget::Budget;
+use crate::transport::token_bucket::TokenBucket;
 use arrivals::ArrivalRates;
 use offers::OfferBackoff;
 use requests::ScaleOutRequests;
@@ -60,7 +60,7 @@
     last_scale_in_at: Instant,
     last_logged_at: Instant,
     /// The cloud's rate, as far as it may be used.
-    api_calls: Budget,
+    api_calls: TokenBucket,
 }
 
 impl Autoscaler {
@@ -79,7 +79,7 @@
             last_forecast_at: Instant::LONG_AGO,
             last_scale_in_at: Instant::LONG_AGO,
             last_logged_at: Instant::LONG_AGO,
-            api_calls: Budget::new(rate, burst),
+            api_calls: TokenBucket::new(rate, burst),
         }
     }
 
--- a/src/coordination/autoscaler/scale_in.rs
+++ b/src/coordination/autoscaler/scale_in.rs
@@ -133,7 +133,7 @@
 impl Autoscaler {
     /// Whether a request may be sent now; it counts against the cloud's rate.
     fn may_request_scale_in(&mut self, now: Instant) -> bool {
-        now >= self.scale_in_not_before && self.api_calls.take(now, 1.0)
+        now >= self.scale_in_not_before && self.api_calls.try_take(now, 1.0)
     }
 }
 
--- a/src/coordination/autoscaler/scale_out.rs
+++ b/src/coordination/autoscaler/scale_out.rs
@@ -118,7 +118,7 @@
         self.spare_machines = forecast.spare;
         let mut effects = Vec::new();
         for (offer, mut count) in forecast.scale_out {
-            while count > 0 && self.api_calls.take(now, 1.0) {
+            while count > 0 && self.api_calls.try_take(now, 1.0) {
                 let part = count.min(MAX_MACHINES_PER_REQUEST);
                 let offer = offer.clone();
                 effects.push(self.requests.open(now, initial_token, offer, part));
@@ -134,7 +134,7 @@
         self.requests.abandon_expired(now);
         let mut effects = Vec::new();
         for key in self.requests.due(now) {
-            if !self.api_calls.take(now, 1.0) {
+            if !self.api_calls.try_take(now, 1.0) {
                 break;
             }
             effects.extend(self.requests.repeat(&key));
--- a/src/coordination/persistence/mod.rs
+++ b/src/coordination/persistence/mod.rs
@@ -25,7 +25,7 @@
     FENCING_TOKEN_KEY, HINTS_KEY, LEADER_KEY, TASKS_PER_PROGRESS_RECORD,
 };
 use crate::time::{Instant, TimeSpan};
-use crate::transport::budget::Budget;
+use crate::transport::token_bucket::TokenBucket;
 use draft::{Draft, FINISH_OPS};
 use limits::WriteLimits;
 use pages::{IntentPages, MachinePages};
@@ -87,7 +87,7 @@
 pub struct Writer {
     flight: Flight,
     limits: WriteLimits,
-    budget: Budget,
+    budget: TokenBucket,
     not_before: Instant,
     /// When the last transaction was begun.
     last: Instant,
@@ -134,7 +134,7 @@
         Writer {
             flight: Flight::None,
             limits,
-            budget: Budget::new(mine, mine),
+            budget: TokenBucket::new(mine, mine),
             not_before: Instant(0),
             last: Instant::LONG_AGO,
             intents: IntentPages::default(),
@@ -212,13 +212,14 @@
         self.draft_cancellations(&mut draft);
         self.draft_launches(&mut draft, 0);
         // What may wait takes only what is left of the rate.
-        if self.writer.budget.left(now) > 0.4 {
+        if self.writer.budget.fill_ratio(now) > 0.4 {
             self.draft_progress(now, &mut draft);
             self.draft_sweeping(now, &mut draft);
             self.draft_machine_pages(now, true, &mut draft);
             self.draft_hints(now, &mut draft);
         }
-        if draft.changes.is_empty() || !self.writer.budget.take(now, draft.changes.len() as f64) {
+        if draft.changes.is_empty() || !self.writer.budget.try_take(now, draft.changes.len() as f64)
+        {
             return;
         }
         let transaction = Transaction {
--- a/src/coordination/persistence/outcomes.rs
+++ b/src/coordination/persistence/outcomes.rs
@@ -136,7 +136,7 @@
         if matches!(&self.writer.flight, Flight::Writing { seq: s, .. } if *s == seq) {
             self.writer.flight = Flight::None;
             self.writer.not_before = now + pause;
-            self.writer.budget.empty(now);
+            self.writer.budget.drain(now);
         }
     }
 
--- a/src/coordination/placement/pacing.rs
+++ b/src/coordination/placement/pacing.rs
@@ -3,7 +3,7 @@
 
 use super::pass::PassState;
 use crate::time::{Instant, TimeSpan};
-use crate::transport::budget::Budget;
+use crate::transport::token_bucket::TokenBucket;
 
 /// Tasks placed each second for each core of this process's quota, and seconds' worth of them at once.
 ///
@@ -30,7 +30,7 @@
     /// Something changed that placement should look at.
     is_due: bool,
     /// Tasks that may be placed: the processor must keep up with what comes of them.
-    budget: Budget,
+    budget: TokenBucket,
     /// When the last pass began.
     last_pass_at: Instant,
     /// When ways to make room were last looked for.
@@ -83,13 +83,14 @@
         self.is_due |= pass.is_exhausted();
         // A gang is placed as a whole, even if that is a little more than the rate allows.
         let spent = self.budget.available(now).min(pass.placed_count() as f64);
-        self.budget.take(now, spent);
+        // No more is asked for than is available; if rounding refuses it all the same, nothing is charged.
+        let _ = self.budget.try_take(now, spent);
     }
 }
 
 /// The rate at which a process with so many cores can place tasks and keep up with what comes of them.
-fn placement_budget(cores: f64) -> Budget {
+fn placement_budget(cores: f64) -> TokenBucket {
     let per_second = (cores * PLACED_TASKS_PER_CORE_SECOND).max(MIN_PLACED_TASKS_PER_SECOND);
     let burst = (per_second * PLACEMENT_BURST_S).max(MAX_TASKS_PER_PASS as f64);
-    Budget::new(per_second, burst)
+    TokenBucket::new(per_second, burst)
 }
--- a/src/coordination/policy.rs
+++ b/src/coordination/policy.rs
@@ -3,7 +3,7 @@
 use crate::config::{Config, Facts, OperatorConfig, Slo, Team};
 use crate::ids::TeamIndex;
 use crate::time::TimeSpan;
-use crate::transport::sockets::Sockets;
+use crate::transport::sockets::SocketAllocation;
 
 /// The settings the core goes by.
 #[derive(Debug, Clone)]
@@ -22,7 +22,7 @@
         Policy {
             facts: s.platform.facts.clone(),
             operator: s.operator.clone(),
-            max_pushes: Sockets::divide(most, s.platform.peers.len(), users).pushes,
+            max_pushes: SocketAllocation::new(most, s.platform.peers.len(), users).pushes,
         }
     }
     /// A team's number.
--- a/src/runtime/api/peers.rs
+++ b/src/runtime/api/peers.rs
@@ -13,7 +13,7 @@
 
 /// Answers peers until the controller stops.
 pub async fn serve(node: Arc<Node>, listener: TcpListener) {
-    let max_connections = node.sockets.siblings_in;
+    let max_connections = node.sockets.peer_connections;
     let stop = node.stop.clone();
     peer::serve(listener, stop, max_connections, move |request| {
         let node = node.clone();
--- a/src/runtime/api/routes.rs
+++ b/src/runtime/api/routes.rs
@@ -5,7 +5,8 @@
 use super::response::ApiResponse;
 use super::{health, users, workers};
 use crate::runtime::Node;
-use crate::transport::server::{self, ConnectionHandle, ConnectionTable, Rank};
+use crate::transport::connection_table::{ConnectionHandle, ConnectionTable, Rank};
+use crate::transport::server;
 use bytes::{Buf, BytesMut};
 use futures_util::{Stream, TryStreamExt};
 use std::sync::Arc;
@@ -32,7 +33,7 @@
 /// Serves until the controller stops.
 pub async fn serve(node: Arc<Node>, listener: tokio::net::TcpListener) {
     let stop = node.stop.clone();
-    let connections = Arc::new(ConnectionTable::new(node.sockets.front));
+    let connections = Arc::new(ConnectionTable::new(node.sockets.http_connections));
     let idle = idle_timeout(node.policy.facts.workers.report_s);
     let routes = warp::method()
         .and(warp::path::full())
@@ -64,7 +65,7 @@
 {
     // Heartbeats come first: when connections run out, those of users make room.
     if let Some(connection) = connection.filter(|_| path.as_str() == HEARTBEAT_PATH) {
-        connection.rank(WORKER_RANK);
+        connection.set_rank(WORKER_RANK);
     }
     let response = route(&node, method.as_str(), path.as_str(), body).await;
     ApiResponse::from(response).into_http()
--- a/src/runtime/clients/cloud.rs
+++ b/src/runtime/clients/cloud.rs
@@ -5,7 +5,7 @@
     ListedMachine, MachineListPage, MachineTypeInfo, MachineTypeList, RentReply, RentRequest,
     ReturnRequest,
 };
-use crate::transport::client::{Answer, Client};
+use crate::transport::client::{HttpClient, HttpResponse};
 use hyper::Method;
 use std::time::Duration;
 
@@ -31,7 +31,7 @@
 
 /// The client.
 pub struct CloudClient {
-    http: Client,
+    http: HttpClient,
     address: String,
 }
 
@@ -39,7 +39,7 @@
     /// A client for the cloud at the address, with at most so many idle connections.
     pub fn new(address: String, max_idle_connections: usize) -> Self {
         CloudClient {
-            http: Client::new(CONNECT_TIMEOUT, max_idle_connections),
+            http: HttpClient::new(CONNECT_TIMEOUT, max_idle_connections),
             address,
         }
     }
@@ -85,13 +85,13 @@
             .send(Method::POST, "/rentals", Some(body), CALL_TIMEOUT)
             .await;
         match response {
-            Some(Answer { status: 200, body }) => {
+            Some(HttpResponse { status: 200, body }) => {
                 match serde_json::from_slice::<RentReply>(&body) {
                     Ok(reply) => RentOutcome::Rented(reply.machine_ids),
                     Err(_) => RentOutcome::Unknown,
                 }
             }
-            Some(Answer { status: 503, body })
+            Some(HttpResponse { status: 503, body })
                 if String::from_utf8_lossy(&body).contains("no capacity") =>
             {
                 RentOutcome::NoCapacity
@@ -118,7 +118,7 @@
         path: &str,
         body: Option<Vec<u8>>,
         deadline: Duration,
-    ) -> Option<Answer> {
+    ) -> Option<HttpResponse> {
         self.http
             .send(method, &self.address, path, body, deadline)
             .await
--- a/src/runtime/clients/state_store.rs
+++ b/src/runtime/clients/state_store.rs
@@ -7,7 +7,7 @@
     AtRevision, Conflict, Granted, KeyValue, KeyValuePage, Transaction, WatchResponse,
 };
 use crate::time::TimeSpan;
-use crate::transport::client::{Answer, Client, NoAnswer};
+use crate::transport::client::{HttpClient, HttpResponse, RequestError};
 use hyper::Method;
 use serde::de::DeserializeOwned;
 use std::sync::atomic::{AtomicI64, Ordering};
@@ -63,7 +63,7 @@
 
 /// The client. It notes when the store last served a request, whatever the response said.
 pub struct StateStoreClient {
-    http: Client,
+    http: HttpClient,
     address: String,
     started: std::time::Instant,
     /// Milliseconds from `started` to the last response that was no refusal.
@@ -74,7 +74,7 @@
     /// A client for the store at the address, with at most `max_sockets` idle connections.
     pub fn new(address: String, max_sockets: usize) -> Self {
         StateStoreClient {
-            http: Client::new(CONNECT_TIMEOUT, max_sockets.min(MAX_IDLE_CONNECTIONS)),
+            http: HttpClient::new(CONNECT_TIMEOUT, max_sockets.min(MAX_IDLE_CONNECTIONS)),
             address,
             started: std::time::Instant::now(),
             last_success_ms: AtomicI64::new(NEVER_MS),
@@ -221,7 +221,7 @@
         path: &str,
         body: Option<Vec<u8>>,
         deadline: Duration,
-    ) -> Result<Answer, StateStoreError> {
+    ) -> Result<HttpResponse, StateStoreError> {
         let read_only = method == Method::GET;
         let response = self
             .http
@@ -238,9 +238,9 @@
                     .store(self.elapsed_ms(), Ordering::Relaxed);
                 Ok(response)
             }
-            Err(NoAnswer::NotSent) => Err(StateStoreError::NotExecuted),
-            Err(NoAnswer::Unclear) if read_only => Err(StateStoreError::NotExecuted),
-            Err(NoAnswer::Unclear) => Err(StateStoreError::OutcomeUnknown),
+            Err(RequestError::NotSent) => Err(StateStoreError::NotExecuted),
+            Err(RequestError::OutcomeUnknown) if read_only => Err(StateStoreError::NotExecuted),
+            Err(RequestError::OutcomeUnknown) => Err(StateStoreError::OutcomeUnknown),
         }
     }
 
@@ -250,7 +250,7 @@
 }
 
 /// Parses a response's body. One that can't be parsed leaves open what was executed.
-fn parse_body<T: DeserializeOwned>(response: &Answer) -> Result<T, StateStoreError> {
+fn parse_body<T: DeserializeOwned>(response: &HttpResponse) -> Result<T, StateStoreError> {
     serde_json::from_slice(&response.body).map_err(|error| {
         tracing::error!(status = response.status, %error, "unreadable state store response");
         StateStoreError::OutcomeUnknown
@@ -258,7 +258,7 @@
 }
 
 /// Why the store refused a transaction as malformed.
-fn invalid_transaction(response: &Answer) -> StateStoreError {
+fn invalid_transaction(response: &HttpResponse) -> StateStoreError {
     let text = String::from_utf8_lossy(&response.body);
     if text.contains("no such lease") {
         return StateStoreError::LeaseExpired;
--- a/src/runtime/leader/effects.rs
+++ b/src/runtime/leader/effects.rs
@@ -14,7 +14,7 @@
 use crate::runtime::Node;
 use crate::storage::records::terminal_key;
 use crate::time::TimeSpan;
-use crate::transport::client::NoAnswer;
+use crate::transport::client::RequestError;
 use hyper::Method;
 use rand::Rng;
 use std::time::Duration;
@@ -172,7 +172,7 @@
         None => Event::PushFailed {
             machine_id,
             seq,
-            sent: !matches!(response, Err(NoAnswer::NotSent)),
+            sent: !matches!(response, Err(RequestError::NotSent)),
         },
     }
 }
--- a/src/runtime/node.rs
+++ b/src/runtime/node.rs
@@ -26,9 +26,9 @@
 use crate::runtime::clients::state_store::StateStoreClient;
 use crate::runtime::leader::{LeadershipState, TaskCounts};
 use crate::time::{Instant, TimeSpan};
-use crate::transport::client::Client;
+use crate::transport::client::HttpClient;
 use crate::transport::peer::PeerClient;
-use crate::transport::sockets::Sockets;
+use crate::transport::sockets::SocketAllocation;
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicI64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -55,7 +55,7 @@
     /// The client of the cloud.
     pub cloud: CloudClient,
     /// The HTTP client for commands that are pushed to workers.
-    pub workers: Client,
+    pub workers: HttpClient,
     /// The other controllers.
     pub peers: Peers,
     /// Whether this controller is the leader, and its scheduler if it is.
@@ -71,7 +71,7 @@
     /// One permit for each user request that may be handled at the same time.
     pub user_request_slots: Semaphore,
     /// How the process's sockets are divided.
-    pub sockets: Sockets,
+    pub sockets: SocketAllocation,
     /// Cancelled when the controller is to stop.
     pub stop: CancellationToken,
     /// When a worker last sent a heartbeat here, whatever the response was.
@@ -85,21 +85,24 @@
         let platform = &config.platform;
         let max_user_requests = config.operator.max_user_requests;
         let max_sockets = platform.facts.process_limits.max_sockets;
-        let sockets = Sockets::divide(max_sockets, platform.peers.len(), max_user_requests);
-        tracing::debug!(?sockets, "sockets divided");
+        let sockets = SocketAllocation::new(max_sockets, platform.peers.len(), max_user_requests);
+        tracing::debug!(?sockets, "sockets allocated");
         let peer_clients = platform
             .peers
             .iter()
-            .map(|peer| PeerClient::new(peer.address, sockets.to_sibling))
+            .map(|peer| PeerClient::new(peer.address, sockets.idle_per_peer))
             .collect();
         let endpoints = &platform.endpoints;
         Node {
             policy: Arc::new(Policy::new(&config)),
-            state_store: StateStoreClient::new(endpoints.state_store.to_string(), sockets.to_state),
-            cloud: CloudClient::new(endpoints.cloud.to_string(), sockets.to_cloud),
+            state_store: StateStoreClient::new(
+                endpoints.state_store.to_string(),
+                sockets.state_store,
+            ),
+            cloud: CloudClient::new(endpoints.cloud.to_string(), sockets.cloud),
             // None is kept open: with thousands of machines, one to each would leave none for others,
             // and the next command to the same machine seldom comes soon.
-            workers: Client::new(WORKER_CONNECT_TIMEOUT, 0),
+            workers: HttpClient::new(WORKER_CONNECT_TIMEOUT, 0),
             peers: Peers::new(peer_clients),
             leadership: LeadershipState::default(),
             catalog: Catalog::default(),
--- a/src/transport/client.rs
+++ b/src/transport/client.rs
@@ -1,5 +1,5 @@
-//! The pooled HTTP client: every request has a deadline, and a failure says whether the request
-//! can have reached the other side.
+//! The pooled HTTP client: every request has a deadline, and a failure says whether the request can have reached
+//! the other side.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
@@ -9,47 +9,54 @@
 use hyper_util::rt::{TokioExecutor, TokioTimer};
 use std::time::Duration;
 
-/// The largest answer read; a watch has no size limit of its own, so ours is generous.
-const MAX_ANSWER: usize = 8 * 1024 * 1024;
+/// The largest response read, in bytes; a watch has no size limit of its own, so ours is generous.
+const MAX_RESPONSE_BYTES: usize = 8 * 1024 * 1024;
+/// An idle connection is closed after this.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// An answer.
+/// A response.
 #[derive(Debug)]
-pub struct Answer {
+pub struct HttpResponse {
+    /// The HTTP status.
     pub status: u16,
+    /// The whole body.
     pub body: Bytes,
 }
 
-/// Why there is none.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum NoAnswer {
+/// Why there is no response.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
+pub enum RequestError {
     /// No connection came about: the request was certainly not carried out, nor will be.
+    #[error("the request was not sent")]
     NotSent,
-    /// It may have been carried out, or may yet be.
-    Unclear,
+    /// The request may have been carried out, or may yet be.
+    #[error("the request got no response")]
+    OutcomeUnknown,
 }
 
 /// The client.
 #[derive(Clone)]
-pub struct Client {
+pub struct HttpClient {
     pool: Pool<HttpConnector, Full<Bytes>>,
 }
 
-impl Client {
-    /// A client whose connections are given `connect` to come about.
-    pub fn new(connect: Duration, idle_per_host: usize) -> Self {
+impl HttpClient {
+    /// A client that allows `connect_timeout` to establish a connection, and keeps so many idle ones open to each
+    /// host.
+    pub fn new(connect_timeout: Duration, max_idle_per_host: usize) -> Self {
         let mut connector = HttpConnector::new();
-        connector.set_connect_timeout(Some(connect));
+        connector.set_connect_timeout(Some(connect_timeout));
         connector.set_nodelay(true);
         let pool = Pool::builder(TokioExecutor::new())
             .pool_timer(TokioTimer::new())
-            .pool_idle_timeout(Duration::from_secs(20))
-            .pool_max_idle_per_host(idle_per_host)
+            .pool_idle_timeout(IDLE_TIMEOUT)
+            .pool_max_idle_per_host(max_idle_per_host)
             .retry_canceled_requests(true)
             .build(connector);
-        Client { pool }
+        HttpClient { pool }
     }
 
-    /// Sends one request to `host` (address and port) and reads the whole answer by the deadline.
+    /// Sends one request to `host` (address and port) and reads the whole response by the deadline.
     pub async fn send(
         &self,
         method: Method,
@@ -57,34 +64,44 @@
         path: &str,
         body: Option<Vec<u8>>,
         deadline: Duration,
-    ) -> Result<Answer, NoAnswer> {
-        let mut request = Request::builder()
-            .method(method)
-            .uri(format!("http://{host}{path}"));
-        if body.is_some() {
-            request = request.header("content-type", "application/json");
-        }
-        let request = request
-            .body(Full::new(Bytes::from(body.unwrap_or_default())))
-            .map_err(|_| NoAnswer::NotSent)?;
-        let exchange = async {
-            let answer = self.pool.request(request).await.map_err(|e| {
-                if e.is_connect() {
-                    NoAnswer::NotSent
-                } else {
-                    NoAnswer::Unclear
-                }
-            })?;
-            let status = answer.status().as_u16();
-            let body = Limited::new(answer.into_body(), MAX_ANSWER)
-                .collect()
-                .await
-                .map_err(|_| NoAnswer::Unclear)?
-                .to_bytes();
-            Ok(Answer { status, body })
-        };
-        tokio::time::timeout(deadline, exchange)
+    ) -> Result<HttpResponse, RequestError> {
+        let request = build_request(method, host, path, body)?;
+        tokio::time::timeout(deadline, self.exchange(request))
             .await
-            .unwrap_or(Err(NoAnswer::Unclear))
+            .unwrap_or(Err(RequestError::OutcomeUnknown))
     }
+
+    async fn exchange(&self, request: Request<Full<Bytes>>) -> Result<HttpResponse, RequestError> {
+        let response = self.pool.request(request).await.map_err(|error| {
+            if error.is_connect() {
+                RequestError::NotSent
+            } else {
+                RequestError::OutcomeUnknown
+            }
+        })?;
+        let status = response.status().as_u16();
+        let body = Limited::new(response.into_body(), MAX_RESPONSE_BYTES)
+            .collect()
+            .await
+            .map_err(|_| RequestError::OutcomeUnknown)?
+            .to_bytes();
+        Ok(HttpResponse { status, body })
+    }
+}
+
+fn build_request(
+    method: Method,
+    host: &str,
+    path: &str,
+    body: Option<Vec<u8>>,
+) -> Result<Request<Full<Bytes>>, RequestError> {
+    let mut request = Request::builder()
+        .method(method)
+        .uri(format!("http://{host}{path}"));
+    if body.is_some() {
+        request = request.header("content-type", "application/json");
+    }
+    request
+        .body(Full::new(Bytes::from(body.unwrap_or_default())))
+        .map_err(|_| RequestError::NotSent)
 }
--- a/src/transport/sockets.rs
+++ b/src/transport/sockets.rs
@@ -1,50 +1,70 @@
-//! How the sockets of a process are divided, so that none of its links can starve another.
+//! How the sockets of a process are allocated, so that none of its links can starve another.
 
 /// Sockets by use. They add up to no more than the process may have.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Sockets {
-    /// Connections of users and workers.
-    pub front: usize,
-    /// Direct commands to workers at once; each takes a connection for as long as it lasts.
+pub struct SocketAllocation {
+    /// Connections from users and workers.
+    pub http_connections: usize,
+    /// Pushes to workers at the same time; each takes a connection for as long as it lasts.
     pub pushes: usize,
-    /// Connections from siblings.
-    pub siblings_in: usize,
-    /// Kept open to each sibling, to the state service and to the cloud.
-    pub to_sibling: usize,
-    pub to_state: usize,
-    pub to_cloud: usize,
+    /// Connections from peers.
+    pub peer_connections: usize,
+    /// Idle connections kept open to each peer.
+    pub idle_per_peer: usize,
+    /// Connections to the state store.
+    pub state_store: usize,
+    /// Connections to the cloud.
+    pub cloud: usize,
 }
 
-/// Listeners, the log and what the runtime needs.
-const OWN: usize = 16;
+/// Listeners, the log and what the asynchronous runtime needs.
+const RESERVED: usize = 16;
+/// One socket in so many is for pushes, and at least so many.
+const SOCKETS_PER_PUSH: usize = 30;
+const MIN_PUSHES: usize = 4;
+/// One socket in so many is for connections from peers, within bounds.
+const SOCKETS_PER_PEER_CONNECTION: usize = 20;
+const MIN_PEER_CONNECTIONS: usize = 8;
+const MAX_PEER_CONNECTIONS: usize = 16;
+const MAX_CONNECTIONS_PER_PEER: usize = 8;
+/// Idle connections kept open to each peer.
+const IDLE_PER_PEER: usize = 4;
+/// What the leader's tasks need of the state store beside users' requests.
+const LEADER_STATE_STORE_CONNECTIONS: usize = 16;
+/// Connections to the cloud.
+const CLOUD_CONNECTIONS: usize = 4;
 
-impl Sockets {
-    /// Divides them: links without which nothing can be decided come first, the HTTP server has the rest.
-    pub fn divide(most: usize, siblings: usize, user_requests: usize) -> Sockets {
-        let pushes = (most / 30).max(4);
-        let siblings_in = (most / 20).clamp(8, 16 + 8 * siblings.max(1));
-        let to_sibling = 4;
-        // Each user's request may have one of its own; the leader's tasks a few.
-        let to_state = user_requests + 16;
-        let to_cloud = 4;
-        let others = OWN + pushes + siblings_in + to_sibling * siblings + to_state + to_cloud;
-        Sockets {
-            front: most.saturating_sub(others).max(most / 4),
+impl SocketAllocation {
+    /// Allocates `max_sockets` for a controller with so many peers and concurrent user requests: links without
+    /// which nothing can be decided come first, the HTTP server has the rest.
+    pub fn new(max_sockets: usize, peers: usize, user_requests: usize) -> SocketAllocation {
+        let pushes = (max_sockets / SOCKETS_PER_PUSH).max(MIN_PUSHES);
+        let max_peer_connections = MAX_PEER_CONNECTIONS + MAX_CONNECTIONS_PER_PEER * peers.max(1);
+        let peer_connections = (max_sockets / SOCKETS_PER_PEER_CONNECTION)
+            .clamp(MIN_PEER_CONNECTIONS, max_peer_connections);
+        // Each user's request may have a connection of its own.
+        let state_store = user_requests + LEADER_STATE_STORE_CONNECTIONS;
+        let mut allocation = SocketAllocation {
+            http_connections: 0,
             pushes,
-            siblings_in,
-            to_sibling,
-            to_state,
-            to_cloud,
-        }
+            peer_connections,
+            idle_per_peer: IDLE_PER_PEER,
+            state_store,
+            cloud: CLOUD_CONNECTIONS,
+        };
+        let rest = max_sockets.saturating_sub(allocation.total(peers));
+        allocation.http_connections = rest.max(max_sockets / 4);
+        allocation
     }
 
-    /// All of them.
-    pub fn sum(&self, siblings: usize) -> usize {
-        OWN + self.front
+    /// All sockets of a controller with so many peers.
+    pub fn total(&self, peers: usize) -> usize {
+        RESERVED
+            + self.http_connections
             + self.pushes
-            + self.siblings_in
-            + self.to_sibling * siblings
-            + self.to_state
-            + self.to_cloud
+            + self.peer_connections
+            + self.idle_per_peer * peers
+            + self.state_store
+            + self.cloud
     }
 }
