--- a/src/coordination/autoscaler/arrivals.rs
+++ b/src/coordination/autoscaler/arrivals.rs
@@ -161,7 +161,7 @@
     }
 
     /// Whether it has been observed for long enough to tell that arrivals have subsided.
-    fn can_tell_quiet(&self) -> bool {
+    fn can_detect_quiet_period(&self) -> bool {
         self.intervals.len() > MAX_QUIET_INTERVALS
     }
 }
@@ -244,7 +244,9 @@
 
     /// Whether arrivals have subsided, of every class; never while too little has been seen to tell.
     pub(super) fn have_subsided(&self, now: Instant) -> bool {
-        self.by_class.values().any(ArrivalRate::can_tell_quiet)
+        self.by_class
+            .values()
+            .any(ArrivalRate::can_detect_quiet_period)
             && self
                 .by_class
                 .values()
--- a/src/coordination/autoscaler/forecast/assignment.rs
+++ b/src/coordination/autoscaler/forecast/assignment.rs
@@ -30,7 +30,7 @@
     /// They wait now.
     Waiting,
     /// They are expected to arrive, so many seconds from now.
-    Expected { in_s: f64 },
+    Expected { arrives_in_s: f64 },
 }
 
 /// A batch that is being assigned, with what is the same for each of its tasks.
@@ -43,12 +43,14 @@
     is_large: bool,
 }
 
-/// A machine on which the next task could start; the one that is least comes first.
+/// A machine on which the next task could start. The order is that of preference, the best one first.
 #[derive(Clone, Copy)]
 struct Candidate {
+    /// When the task would start.
     start_s: f64,
     /// Among equal times the fullest machine comes first.
     free_share: f64,
+    /// Its place in [`SimulatedCluster::slots`].
     slot: usize,
 }
 
@@ -80,7 +82,7 @@
     /// On a machine of the forecast.
     Slot(Candidate),
     /// On a machine to be rented, at that time.
-    NewMachine { start_s: f64 },
+    NewMachine { start_s: f64, offer: MachineOffer },
 }
 
 /// Assigns a batch, one task after the other, each to the machine on which it starts first. A new
@@ -97,15 +99,15 @@
         if cluster.is_full() {
             offer = None;
         }
-        let (start_s, slot) = match assignment.choose(&mut candidates, offer.as_ref()) {
+        let (start_s, slot) = match assignment.choose(&mut candidates, &mut offer) {
             Some(Choice::Slot(candidate)) => (candidate.start_s, candidate.slot),
-            Some(Choice::NewMachine { start_s }) => {
-                let Some(chosen) = offer.take() else {
-                    return assigned;
-                };
-                cluster.count_in_zone(&chosen.zone);
+            Some(Choice::NewMachine {
+                start_s,
+                offer: chosen,
+            }) => {
+                let slot = cluster.add(assignment.new_machine(chosen));
                 offer = assignment.cheapest_offer(batch.count - assigned, cluster);
-                (start_s, cluster.add(assignment.new_machine(chosen)))
+                (start_s, slot)
             }
             None => return assigned,
         };
@@ -164,7 +166,7 @@
     /// When the next task would start there, its image fetched.
     fn start_s(&self, machine: &MachineSlot) -> f64 {
         let earliest_s = match self.batch.origin {
-            TaskOrigin::Expected { in_s } => in_s,
+            TaskOrigin::Expected { arrives_in_s } => arrives_in_s,
             TaskOrigin::WarmPool | TaskOrigin::Waiting => 0.0,
         };
         let fit_s = machine.earliest_fit_s(&self.request).max(earliest_s);
@@ -181,21 +183,29 @@
             .fetch_s(&offer.machine_type, self.batch.spec.image_gb)
     }
 
-    /// When a task would have to be able to start on a machine rented now for that to be worth it.
+    /// When the next task would start on a machine rented now. For an expected task that is taken to be so
+    /// much later that none is rented to spare it a short wait.
     fn start_on_new_machine_s(&self, offer: &MachineOffer) -> f64 {
         let not_before_s = match self.batch.origin {
-            TaskOrigin::Expected { in_s } => in_s + MAX_EXPECTED_WAIT_SECS,
+            TaskOrigin::Expected { arrives_in_s } => arrives_in_s + MAX_EXPECTED_WAIT_SECS,
             TaskOrigin::WarmPool | TaskOrigin::Waiting => 0.0,
         };
         let boot_s = self.view.boot_s(&offer.machine_type);
         boot_s.max(not_before_s) + self.fetch_s(offer)
     }
 
-    /// Where the next task starts first: the candidate is taken out. None if it can't start anywhere.
-    fn choose(&self, candidates: &mut Candidates, offer: Option<&MachineOffer>) -> Option<Choice> {
-        let soonest = candidates.peek().map(|Reverse(candidate)| *candidate);
-        let new_machine_s = offer.map(|offer| self.start_on_new_machine_s(offer));
-        match (soonest, new_machine_s) {
+    /// Where the next task starts first: that candidate, or the offer, is taken. None if it can't start
+    /// anywhere.
+    fn choose(
+        &self,
+        candidates: &mut Candidates,
+        offer: &mut Option<MachineOffer>,
+    ) -> Option<Choice> {
+        let first = candidates.peek().map(|Reverse(candidate)| *candidate);
+        let new_machine_s = offer
+            .as_ref()
+            .map(|offer| self.start_on_new_machine_s(offer));
+        match (first, new_machine_s) {
             (Some(candidate), Some(new_s)) if candidate.start_s <= new_s => {
                 candidates.pop();
                 Some(Choice::Slot(candidate))
@@ -204,7 +214,10 @@
                 candidates.pop();
                 Some(Choice::Slot(candidate))
             }
-            (_, Some(start_s)) => Some(Choice::NewMachine { start_s }),
+            (_, Some(start_s)) => {
+                let offer = offer.take()?;
+                Some(Choice::NewMachine { start_s, offer })
+            }
             (_, None) => None,
         }
     }
--- a/src/coordination/autoscaler/forecast/expected_arrivals.rs
+++ b/src/coordination/autoscaler/forecast/expected_arrivals.rs
@@ -53,7 +53,7 @@
             spec: &spec,
             count: tasks,
             origin: TaskOrigin::Expected {
-                in_s: lead_time_s * (part as f64 + 0.5) / parts,
+                arrives_in_s: lead_time_s * (part as f64 + 0.5) / parts,
             },
         };
         assign(view, &batch, cluster);
--- a/src/coordination/autoscaler/forecast/simulated_cluster.rs
+++ b/src/coordination/autoscaler/forecast/simulated_cluster.rs
@@ -81,13 +81,10 @@
         self.max_slots = 0;
     }
 
-    /// Counts a machine that is about to be added with [`SimulatedCluster::add`] to its zone.
-    pub(super) fn count_in_zone(&mut self, zone: &Zone) {
-        *self.machines_by_zone.entry(zone.clone()).or_default() += 1;
-    }
-
     /// Adds a machine to be rented, and returns its place in [`SimulatedCluster::slots`].
     pub(super) fn add(&mut self, slot: MachineSlot) -> usize {
+        let zone = slot.offer.zone.clone();
+        *self.machines_by_zone.entry(zone).or_default() += 1;
         self.slots.push(slot);
         self.slots.len() - 1
     }
@@ -110,7 +107,9 @@
 fn slot_of(view: &AutoscalerView<'_>, machine: &Machine) -> Option<MachineSlot> {
     match machine.state {
         MachineState::Booting if !machine.draining => slot_of_booting(view, machine),
-        MachineState::Up if view.is_schedulable(machine) => Some(slot_of_usable(view, machine)),
+        MachineState::Up if view.is_schedulable(machine) => {
+            Some(slot_of_schedulable(view, machine))
+        }
         _ => None,
     }
 }
@@ -130,7 +129,7 @@
     ))
 }
 
-fn slot_of_usable(view: &AutoscalerView<'_>, machine: &Machine) -> MachineSlot {
+fn slot_of_schedulable(view: &AutoscalerView<'_>, machine: &Machine) -> MachineSlot {
     let capacity = view.capacity(&machine.machine_type);
     let warm_pool = &view.autoscaler().warm_pool;
     let attempts = machine.live_attempts();
--- a/src/coordination/autoscaler/mod.rs
+++ b/src/coordination/autoscaler/mod.rs
@@ -7,7 +7,7 @@
 
 pub mod arrivals;
 mod forecast;
-mod hints;
+pub mod hints;
 mod inventory;
 mod offers;
 mod report;
--- a/src/coordination/autoscaler/scale_in.rs
+++ b/src/coordination/autoscaler/scale_in.rs
@@ -50,6 +50,12 @@
     Unconfirmed,
 }
 
+/// A machine that is to be given back.
+struct Termination {
+    machine_id: MachineId,
+    reason: ScaleInReason,
+}
+
 /// What a choice of machines to be given back goes by, beside the machine itself.
 struct ScaleInRules<'a> {
     view: AutoscalerView<'a>,
@@ -63,15 +69,15 @@
     /// Gives back machines that are lost, of no use or drained.
     pub(super) fn scale_in(&mut self, now: Instant) {
         let max_silence = self.policy.silence();
-        let can_tell_silence = self.leadership.age(now) > max_silence;
-        if can_tell_silence {
+        let is_silence_conclusive = self.leadership.age(now) > max_silence;
+        if is_silence_conclusive {
             let zones = mostly_silent_zones(&self.view(now));
             let until = now + zone_silence_bound(&self.policy);
             self.autoscaler.suspected_zones.update(now, zones, until);
         }
         let rules = ScaleInRules {
             view: self.autoscaler_view(now),
-            max_silence: can_tell_silence.then_some(max_silence),
+            max_silence: is_silence_conclusive.then_some(max_silence),
             is_demand_subsided: !has_startable_pending_job(&self.view(now))
                 && self.autoscaler.arrivals.have_subsided(now),
         };
@@ -81,12 +87,13 @@
         }
     }
 
-    fn request_scale_in(&mut self, now: Instant, chosen: Vec<(MachineId, ScaleInReason)>) {
+    fn request_scale_in(&mut self, now: Instant, chosen: Vec<Termination>) {
         let mut machine_ids = Vec::new();
-        for (id, reason) in chosen.into_iter().take(MAX_MACHINES_PER_REQUEST) {
-            if let Some(machine) = self.machines.get_mut(&id) {
+        for Termination { machine_id, reason } in chosen.into_iter().take(MAX_MACHINES_PER_REQUEST)
+        {
+            if let Some(machine) = self.machines.get_mut(&machine_id) {
                 tracing::debug!(
-                    machine = %id,
+                    machine = %machine_id,
                     ?reason,
                     last_message_at = ?machine.last_message_at,
                     "scale-in requested"
@@ -94,8 +101,8 @@
                 machine.state = MachineState::Returning;
                 machine.push_not_before = now + ANSWER_TIMEOUT;
             }
-            self.machines.reindex(&id);
-            machine_ids.push(id);
+            self.machines.reindex(&machine_id);
+            machine_ids.push(machine_id);
         }
         self.effects.push(Effect::ScaleIn { machine_ids });
     }
@@ -149,10 +156,15 @@
 
 impl ScaleInRules<'_> {
     /// The machines to be given back, in the order of their ids.
-    fn choose(&self) -> Vec<(MachineId, ScaleInReason)> {
+    fn choose(&self) -> Vec<Termination> {
         let machines = self.view.machines().values();
         machines
-            .filter_map(|machine| Some((machine.id.clone(), self.reason(machine)?)))
+            .filter_map(|machine| {
+                Some(Termination {
+                    reason: self.reason(machine)?,
+                    machine_id: machine.id.clone(),
+                })
+            })
             .collect()
     }
 
--- a/src/coordination/autoscaler/scale_out.rs
+++ b/src/coordination/autoscaler/scale_out.rs
@@ -188,7 +188,7 @@
         machines_by_zone: &BTreeMap<Zone, usize>,
     ) -> Option<MachineOffer> {
         let request = Resources::of(spec);
-        let mut best: Option<((f64, usize), MachineOffer)> = None;
+        let mut best: Option<(OfferRank, MachineOffer)> = None;
         for machine_type in cluster.machines.types.values() {
             let capacity = cluster.machines.capacity(&machine_type.name);
             let tasks_per_machine = request.count_in(&capacity, tasks);
@@ -202,8 +202,10 @@
                     continue;
                 }
                 let price = price_of(machine_type, &offer);
-                let machines_in_zone = machines_by_zone.get(&offer.zone).copied().unwrap_or(0);
-                let rank = (price / f64::from(tasks_per_machine), machines_in_zone);
+                let rank = OfferRank {
+                    price_per_task: price / f64::from(tasks_per_machine),
+                    machines_in_zone: machines_by_zone.get(&offer.zone).copied().unwrap_or(0),
+                };
                 if best.as_ref().is_none_or(|(lowest, _)| rank < *lowest) {
                     best = Some((rank, offer));
                 }
@@ -228,6 +230,14 @@
     }
 }
 
+/// How good an offer is; the least one is taken.
+#[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
+struct OfferRank {
+    price_per_task: f64,
+    /// Among equally cheap offers machines are spread over the zones.
+    machines_in_zone: usize,
+}
+
 /// What the cloud offers of a machine type: in each zone as a spot instance, then as an ordinary one.
 fn offers_of(machine_type: &MachineTypeInfo) -> impl Iterator<Item = MachineOffer> + '_ {
     machine_type.zones.iter().flat_map(|zone| {
--- a/src/coordination/autoscaler/warm_pool.rs
+++ b/src/coordination/autoscaler/warm_pool.rs
@@ -3,6 +3,7 @@
 //! a rental would take, and a little for chance.
 
 use super::view::AutoscalerView;
+use crate::coordination::machines::machine::Machine;
 use crate::coordination::placement::request::allows_machine;
 use crate::coordination::Scheduler;
 use crate::ids::MachineId;
@@ -91,14 +92,13 @@
 ) -> Vec<&'a MachineId> {
     let request = Resources::of(spec);
     let with_room = view.machines().index.with_room.iter();
-    let mut candidates: Vec<(bool, &MachineId)> = with_room
+    let (mut candidates, others): (Vec<&Machine>, Vec<&Machine>) = with_room
         .filter_map(|id| view.machines().get(id))
         .filter(|machine| request.fits(&machine.free) && allows_machine(spec, machine))
         .filter(|machine| view.is_schedulable(machine) && !pool.contains(&machine.id))
-        .map(|machine| (!machine.has_image(&spec.image), &machine.id))
-        .collect();
-    candidates.sort();
-    candidates.into_iter().map(|(_, id)| id).collect()
+        .partition(|machine| machine.has_image(&spec.image));
+    candidates.extend(others);
+    candidates.into_iter().map(|machine| &machine.id).collect()
 }
 
 /// For how many tasks of each class there should be room at once, beyond what runs.
--- a/tests/encodings.rs
+++ b/tests/encodings.rs
@@ -1,6 +1,7 @@
 //! Stored records and messages between controllers, by example bytes. A landing may take over from the one
 //! before it while both run: a rename in the code, or a new field, must not change what the other reads.
 
+use chalklug::coordination::autoscaler::hints::Hints;
 use chalklug::ids::*;
 use chalklug::protocol::peers::{PeerReply, PeerRequest};
 use chalklug::protocol::users::{parse_submission, JobPhase};
@@ -116,6 +117,27 @@
     stored(&cancelled, r#"{"phase":"aborted","pieces":16}"#);
 }
 
+/// The record of arrivals and run times has no constructor of its own: it is read and written back.
+#[test]
+fn hints() {
+    let job = concat!(
+        r#"{"ref":"wk-000412","jobclass":"train","crew":"vision","shape":"array","urgency":"normal","#,
+        r#""pieces":2,"cpus":8.0,"gpus":1.0,"ramGb":64.0,"bundle":"img-07","pullGb":6.2,"rigs":["g8"],"#,
+        r#""together":true,"scatter":false,"loaners":true,"guessS":240.0,"markEveryS":30.0,"markCostS":4.0}"#
+    );
+    let example = format!(
+        r#"{{"observed":{{"train":{{"ran_s":61.5,"guessed_s":60.0,"count":3,"longer":0.25}}}},"demand":{{"train":[0.75,12.5,{job}]}}}}"#
+    );
+    let record: Hints = serde_json::from_str(&example).expect("the example can be read");
+    stored(&record, &example);
+    stored(&Hints::default(), r#"{"observed":{},"demand":{}}"#);
+    let empty: Hints = serde_json::from_str("{}").expect("every part may be missing");
+    assert_eq!(
+        serde_json::to_string(&empty).unwrap(),
+        r#"{"observed":{},"demand":{}}"#
+    );
+}
+
 #[test]
 fn progress() {
     let mut set = CompletedTasks::new(20);
