--- a/src/coordination/attempts/audit.rs
+++ b/src/coordination/attempts/audit.rs
@@ -1,7 +1,7 @@
 //! Counts everything again that the ledger keeps in step, and compares. For tests: no decision calls it.
 
+use crate::coordination::jobs::index::JobIndexMismatch;
 use crate::coordination::jobs::job::Job;
-use crate::coordination::jobs::table::JobIndex;
 use crate::coordination::machines::machine::Machine;
 use crate::coordination::machines::table::{MachineIndex, Room};
 use crate::coordination::Scheduler;
@@ -51,13 +51,8 @@
         running: u32,
     },
     /// The sets of jobs by state.
-    #[error("jobs by state {kept:?}, counted {counted:?}")]
-    JobIndex {
-        /// As kept.
-        kept: Box<JobIndex>,
-        /// As counted.
-        counted: Box<JobIndex>,
-    },
+    #[error("jobs by state {0:?}")]
+    JobIndex(Box<JobIndexMismatch>),
 }
 
 fn nearly_equal(a: &Resources, b: &Resources) -> bool {
@@ -78,7 +73,7 @@
         for (id, job) in &self.jobs {
             self.audit_job(id, job)?;
         }
-        self.audit_job_index()
+        self.jobs.audit_index().map_err(AuditError::JobIndex)
     }
 
     fn audit_machine(&self, machine: &Machine) -> Result<(), AuditError> {
@@ -138,51 +133,13 @@
             counted += 1;
             running += u32::from(attempt.runs());
         }
-        if (job.attempt_count, job.running) == (counted, running) {
+        if (job.attempt_count(), job.running_count()) == (counted, running) {
             return Ok(());
         }
         Err(AuditError::Job {
             job: id.clone(),
-            attempts: job.attempt_count,
-            running: job.running,
-        })
-    }
-
-    /// The rules of membership stand here once more, apart from those that keep the sets in step.
-    fn audit_job_index(&self) -> Result<(), AuditError> {
-        let mut counted = JobIndex::new(self.jobs.index.by_team.len());
-        for (id, job) in &self.jobs {
-            let open = !job.closed;
-            let released = open && job.released;
-            for (set, member) in [
-                (&mut counted.pending, released && !job.pending.is_empty()),
-                (&mut counted.blocked, open && !job.released),
-                (
-                    &mut counted.ancestor_cancelled,
-                    open && job.ancestor_cancelled,
-                ),
-                (&mut counted.complete, open && job.is_complete()),
-                (
-                    &mut counted.unpersisted,
-                    open && !job.unpersisted.is_empty(),
-                ),
-                (&mut counted.forgettable, !open && job.attempt_count == 0),
-            ] {
-                if member {
-                    set.insert(id.clone());
-                }
-            }
-            let team = job.team.filter(|_| released);
-            if let Some(set) = team.and_then(|team| counted.by_team.get_mut(team.0)) {
-                set.insert((job.ready, id.clone()));
-            }
-        }
-        if counted == self.jobs.index {
-            return Ok(());
-        }
-        Err(AuditError::JobIndex {
-            kept: Box::new(self.jobs.index.clone()),
-            counted: Box::new(counted),
+            attempts: job.attempt_count(),
+            running: job.running_count(),
         })
     }
 }
--- a/src/coordination/attempts/commands.rs
+++ b/src/coordination/attempts/commands.rs
@@ -31,8 +31,8 @@
         }
         let done = s.last_status.is_some_and(|x| x.cause == Some(Cause::Done));
         match self.jobs.get(&s.task.job) {
-            Some(j) if done && !j.closed => {
-                j.done.has(s.task.index) && !j.unpersisted.contains(&s.task.index)
+            Some(j) if done && !j.is_closed() => {
+                j.completed().has(s.task.index) && !j.unpersisted().contains(&s.task.index)
             }
             _ => true,
         }
@@ -73,7 +73,7 @@
                 && m.image_s.is_some_and(|later| later > soon + patience)
                 && m.last_status.is_none_or(|x| x.phase == TaskPhase::Fetching)
         };
-        job.placements
+        job.placements()
             .values()
             .flatten()
             .filter_map(|h| self.machines.get(h))
--- a/src/coordination/attempts/ledger.rs
+++ b/src/coordination/attempts/ledger.rs
@@ -3,6 +3,7 @@
 //! tests.
 
 use crate::coordination::attempts::task_attempt::{LastStatus, TaskAttempt};
+use crate::coordination::jobs::job::Job;
 use crate::coordination::machines::machine::Machine;
 use crate::coordination::Scheduler;
 use crate::ids::{AttemptId, MachineId, TaskId, TeamIndex};
@@ -55,11 +56,7 @@
         if on {
             self.charge(team, &request, true);
         }
-        if let Some(j) = self.jobs.get_mut(&job) {
-            j.attempt_count += 1;
-            j.running += u32::from(runs);
-        }
-        self.jobs.reindex(&job);
+        self.jobs.update(&job, |job| job.attempt_added(runs));
         self.machines.reindex(machine_id);
     }
 
@@ -95,14 +92,15 @@
             self.charge(team, &request, on);
             self.machines.reindex(machine_id);
         }
-        if ran != runs {
-            if let Some(j) = self.jobs.get_mut(&key.0.job) {
-                j.running = (j.running + u32::from(runs)).saturating_sub(u32::from(ran));
-                if runs && !j.has_run {
-                    j.has_run = true;
-                    self.note_begun(now, &key.0.job);
+        let job_id = &key.0.job;
+        match (ran, runs) {
+            (false, true) => {
+                if self.jobs.update(job_id, Job::attempt_began) == Some(true) {
+                    self.note_begun(now, job_id);
                 }
             }
+            (true, false) => drop(self.jobs.update(job_id, Job::attempt_stopped_running)),
+            (true, true) | (false, false) => {}
         }
     }
 
@@ -120,15 +118,12 @@
             Self::charge_machine(m, &request, false);
             self.charge(team, &request, false);
         }
-        if let Some(j) = self.jobs.get_mut(&key.0.job) {
-            j.attempt_count = j.attempt_count.saturating_sub(1);
-            j.running = j.running.saturating_sub(u32::from(s.runs()));
-        }
+        self.jobs
+            .update(&key.0.job, |job| job.attempt_removed(s.runs()));
         if let Some(page) = s.page {
             let gone = PlacedAttempt::new(machine_id, key);
             self.writer.intents.gone(now, page, &gone);
         }
-        self.jobs.reindex(&key.0.job);
         self.machines.reindex(machine_id);
         Some(s)
     }
--- a/src/coordination/attempts/placements.rs
+++ b/src/coordination/attempts/placements.rs
@@ -15,14 +15,8 @@
     }
 
     pub(crate) fn add_place(&mut self, machine_id: &MachineId, task: &TaskId) {
-        if let Some(job) = self.jobs.get_mut(&task.job) {
-            let placements = job.placements.entry(task.index).or_default();
-            if !placements.contains(machine_id) {
-                placements.push(machine_id.clone());
-            }
-            job.pending.remove(&task.index);
-            self.jobs.reindex(&task.job);
-        }
+        self.jobs
+            .update(&task.job, |job| job.task_placed(task.index, machine_id));
     }
 
     /// The task is no longer on that machine (ended there, or proven gone).
@@ -33,25 +27,16 @@
             m.attempts.range(tries).any(|(_, s)| !s.ended())
         });
         self.placement.due = true;
-        let Some(job) = self.jobs.get_mut(&task.job) else {
-            return;
-        };
         if still {
             return;
         }
-        if let Some(placements) = job.placements.get_mut(&task.index) {
-            placements.retain(|h| h != machine_id);
-            if placements.is_empty() {
-                job.placements.remove(&task.index);
-            }
-        }
-        if job.needs_run(task.index) && !job.placements.contains_key(&task.index) {
-            job.pending.insert(task.index);
-        }
-        if job.is_all_or_nothing() {
+        let gang = self.jobs.update(&task.job, |job| {
+            job.task_left_machine(task.index, machine_id);
+            job.needs_gang_scheduling()
+        });
+        if gang == Some(true) {
             self.outbox.gangs_to_check.insert(task.job.clone());
         }
-        self.jobs.reindex(&task.job);
     }
 
     /// A start is proven gone. Callers name the proof.
--- a/src/coordination/attempts/reconciliation.rs
+++ b/src/coordination/attempts/reconciliation.rs
@@ -301,7 +301,7 @@
             if let Some(job) = self.jobs.get(&p.task.job) {
                 self.outbox
                     .pushes_due
-                    .extend(job.placements.values().flatten().cloned());
+                    .extend(job.placements().values().flatten().cloned());
             }
         }
         if p.phase == TaskPhase::Running && was != Some(TaskPhase::Running) {
@@ -321,8 +321,8 @@
         let Some(machine) = self.machines.get_mut(machine_id) else {
             return;
         };
-        let new = !machine.has_image(&job.spec.image);
-        machine.use_image(&job.spec.image, job.spec.image_gb, cache_gb);
+        let new = !machine.has_image(&job.spec().image);
+        machine.use_image(&job.spec().image, job.spec().image_gb, cache_gb);
         if let Some(page) = machine.page.filter(|_| new) {
             self.writer.machine_pages.changed(now, page);
         }
--- a/src/coordination/attempts/stops.rs
+++ b/src/coordination/attempts/stops.rs
@@ -61,10 +61,10 @@
                 continue;
             }
             let grace_s = match job {
-                Some(j) if wanted && j.spec.checkpoint_s > 0.0 => {
+                Some(j) if wanted && j.spec().checkpoint_s > 0.0 => {
                     let left = recall.map_or(f64::INFINITY, |t| (t - now).secs());
-                    if left > j.spec.save_s {
-                        j.spec.save_s + 2.0
+                    if left > j.spec().save_s {
+                        j.spec().save_s + 2.0
                     } else {
                         0.0
                     }
@@ -76,7 +76,7 @@
                 pushed: false,
             });
             stopped = true;
-            if job.is_some_and(|j| j.is_all_or_nothing()) {
+            if job.is_some_and(|j| j.needs_gang_scheduling()) {
                 self.outbox.gangs_to_check.insert(key.0.job.clone());
             }
         }
@@ -98,11 +98,11 @@
             let Some(job) = self.jobs.get(&id) else {
                 continue;
             };
-            if job.closed || !job.is_all_or_nothing() || job.placements.is_empty() {
+            if job.is_closed() || !job.needs_gang_scheduling() || job.placements().is_empty() {
                 continue;
             }
             let machine_ids: BTreeSet<MachineId> =
-                job.placements.values().flatten().cloned().collect();
+                job.placements().values().flatten().cloned().collect();
             let stops = |m: &Machine| {
                 m.live_attempts()
                     .any(|s| s.task.job == id && s.stop.is_some())
@@ -110,7 +110,7 @@
             let stopping = machine_ids
                 .iter()
                 .any(|h| self.machines.get(h).is_some_and(stops));
-            if !stopping && job.pending.is_empty() {
+            if !stopping && job.pending().is_empty() {
                 continue;
             }
             // Guards against a fetch given up when it was nearly done: a member that had its image
@@ -125,13 +125,13 @@
             let fetching = machine_ids
                 .iter()
                 .any(|h| self.machines.get(h).is_some_and(fetches));
-            if job.incomplete && !stopping && fetching {
+            if job.gang_attempt_failed() && !stopping && fetching {
                 waiting.insert(id);
                 continue;
             }
-            let again = job.incomplete;
-            let grace_s = if job.pending.is_empty() {
-                job.spec.save_s + 2.0
+            let again = job.gang_attempt_failed();
+            let grace_s = if job.pending().is_empty() {
+                job.spec().save_s + 2.0
             } else {
                 0.0
             };
--- a/src/coordination/attempts/task_attempt.rs
+++ b/src/coordination/attempts/task_attempt.rs
@@ -84,9 +84,9 @@
         TaskAttempt {
             task,
             attempt_id,
-            request: job.map_or(request, |j| Resources::of(&j.spec)),
-            team: job.and_then(|j| j.team),
-            image: job.map(|j| j.spec.image.clone()),
+            request: job.map_or(request, |j| Resources::of(j.spec())),
+            team: job.and_then(|j| j.team()),
+            image: job.map(|j| j.spec().image.clone()),
             image_s: None,
             latency: false,
             page: None,
--- a/src/coordination/autoscaler/forecast.rs
+++ b/src/coordination/autoscaler/forecast.rs
@@ -158,12 +158,12 @@
             let Some(job) = self.jobs.get(&u.job) else {
                 continue;
             };
-            let left = u.count.min(self.headroom(&job.spec, job.team, &used));
+            let left = u.count.min(self.headroom(job.spec(), job.team(), &used));
             if left == 0 || fleet.bins.len() >= fleet.most {
                 continue;
             }
-            let mut spec = job.spec.clone();
-            if spec.together && job.is_all_or_nothing() && spec.zone.is_none() {
+            let mut spec = job.spec().clone();
+            if spec.together && job.needs_gang_scheduling() && spec.zone.is_none() {
                 spec.zone = self.zone_for(now, fleet, &spec);
             }
             let ask = Ask {
@@ -173,8 +173,8 @@
                 from_s: None,
             };
             let given = self.give(now, fleet, &ask);
-            if let Some(u) = job.team.and_then(|t| used.get_mut(t.0)) {
-                u.add(&Resources::of(&job.spec).times(f64::from(given)));
+            if let Some(u) = job.team().and_then(|t| used.get_mut(t.0)) {
+                u.add(&Resources::of(job.spec()).times(f64::from(given)));
             }
         }
     }
@@ -208,7 +208,7 @@
 
     /// Seconds until a start that doesn't run yet has its image.
     fn rest_of_fetch(&self, now: Instant, m: &Machine, s: &TaskAttempt) -> f64 {
-        let Some(spec) = self.jobs.get(&s.task.job).map(|j| &j.spec) else {
+        let Some(spec) = self.jobs.get(&s.task.job).map(|j| j.spec()) else {
             return 0.0;
         };
         if m.has_image(&spec.image) {
--- a/src/coordination/autoscaler/mod.rs
+++ b/src/coordination/autoscaler/mod.rs
@@ -189,11 +189,8 @@
         }
         let waiting: usize = self
             .jobs
-            .index
-            .pending
-            .iter()
-            .filter_map(|id| self.jobs.get(id))
-            .map(|j| j.pending.len())
+            .pending()
+            .map(|(_, job)| job.pending().len())
             .sum();
         tracing::info!(
             up,
--- a/src/coordination/autoscaler/scale_in.rs
+++ b/src/coordination/autoscaler/scale_in.rs
@@ -66,9 +66,8 @@
     /// Guards against idle machines that are kept for jobs submitted with a mistake: on the recorded day
     /// a974 some 120 of them stayed for 100 s after the last arrival, until two such jobs were cancelled.
     pub(crate) fn work_waits(&self) -> bool {
-        let waiting = self.jobs.index.pending.iter();
-        let mut jobs = waiting.filter_map(|id| self.jobs.get(id));
-        jobs.any(|job| !job.fails_everywhere())
+        let mut pending = self.jobs.pending();
+        pending.any(|(_, job)| !job.fails_everywhere())
     }
 
     pub(crate) fn return_machines(&mut self, now: Instant) {
--- a/src/coordination/jobs/aging.rs
+++ b/src/coordination/jobs/aging.rs
@@ -64,13 +64,13 @@
     }
 
     fn groups_of(&self, job: &Job) -> Vec<Group> {
-        let class = &job.spec.class;
+        let class = &job.spec().class;
         let mut groups = vec![Group::Class(class.clone())];
-        groups.extend(job.team.map(Group::Team));
+        groups.extend(job.team().map(Group::Team));
         let larger = self.aging.sizes.get(class).is_some_and(|s| {
             let mut s: Vec<u32> = s.iter().copied().collect();
             s.sort_unstable();
-            s.get(s.len() / 2).is_some_and(|m| job.spec.tasks > *m)
+            s.get(s.len() / 2).is_some_and(|m| job.spec().tasks > *m)
         });
         if larger {
             groups.push(Group::Largest(class.clone()));
@@ -92,7 +92,7 @@
         let Some(job) = self.jobs.get(id) else {
             return;
         };
-        let late = now - job.ready > self.late_after();
+        let late = now - job.ready_at() > self.late_after();
         for group in self.groups_of(job) {
             let none = Begun {
                 in_time: 0.0,
@@ -113,14 +113,8 @@
     pub(crate) fn recheck_aging(&mut self, now: Instant) {
         let bound = self.late_after();
         let mut sums: BTreeMap<Group, (f64, f64)> = BTreeMap::new();
-        for job in self
-            .jobs
-            .index
-            .pending
-            .iter()
-            .filter_map(|id| self.jobs.get(id))
-        {
-            if !job.has_run && now - job.ready > bound {
+        for (_, job) in self.jobs.pending() {
+            if !job.has_run() && now - job.ready_at() > bound {
                 for group in self.groups_of(job) {
                     sums.entry(group).or_default().1 += 1.0;
                 }
@@ -139,8 +133,8 @@
     /// Whether a job goes ahead of all others.
     pub(crate) fn aged(&self, job: &Job, now: Instant) -> bool {
         !self.aging.endangered.is_empty()
-            && !job.has_run
-            && now - job.ready > self.late_after()
+            && !job.has_run()
+            && now - job.ready_at() > self.late_after()
             && self
                 .groups_of(job)
                 .iter()
--- a/src/coordination/jobs/estimates.rs
+++ b/src/coordination/jobs/estimates.rs
@@ -49,31 +49,30 @@
         let Some(since) = known.and_then(|s| s.running_since) else {
             return;
         };
-        let Some(job) = self.jobs.get_mut(&key.0.job) else {
+        let ran_s = (now - since).secs();
+        self.jobs
+            .update(&key.0.job, |job| job.run_time_measured(ran_s));
+        let Some(job) = self.jobs.get(&key.0.job) else {
             return;
         };
-        let ran_s = (now - since).secs();
-        job.ran_s += ran_s;
-        job.ran_most_s = job.ran_most_s.max(ran_s);
-        job.ran += 1;
         // All are done but this one, which is about to be.
-        let whole = job.ran >= ALIKE && job.done.count() + 1 >= job.spec.tasks;
-        let longer = (whole && job.ran_s > 0.0)
-            .then(|| job.ran_most_s * f64::from(job.ran) / job.ran_s - 1.0);
-        if job.spec.guess_s <= 0.0 {
+        let whole =
+            job.run_times().count() >= ALIKE && job.completed().count() + 1 >= job.spec().tasks;
+        let longer = job.run_times().longest_over_mean().filter(|_| whole);
+        if job.spec().guess_s <= 0.0 {
             return;
         }
         let o = self
             .estimates
             .observed
-            .entry(job.spec.class.clone())
+            .entry(job.spec().class.clone())
             .or_default();
         if let Some(l) = longer {
             let before = o.longer.unwrap_or(l);
             o.longer = Some(before + (l - before) * 0.1);
         }
         o.ran_s += ran_s;
-        o.guessed_s += job.spec.guess_s;
+        o.guessed_s += job.spec().guess_s;
         o.count += 1;
         self.writer.hints_news = true;
     }
@@ -93,13 +92,14 @@
     /// How long a task of the job should run: tasks of a job are alike, so what was seen of those that
     /// are done soon counts more than the guess.
     pub(crate) fn estimate_of(&self, job: &Job) -> f64 {
-        (self.estimate_s(&job.spec) + job.ran_s) / f64::from(1 + job.ran)
+        job.run_times()
+            .mean_with_estimate_s(self.estimate_s(job.spec()))
     }
 
     /// How long a task that has run for so long should still run.
     pub(crate) fn rest_s(&self, job: &Job, ran_s: f64) -> f64 {
         let run = self.estimate_of(job);
-        let past = if job.ran >= ALIKE {
+        let past = if job.run_times().count() >= ALIKE {
             // Its like took about as long, so it can't be far from its end.
             (run * SPREAD - ran_s) / 2.0
         } else {
@@ -115,10 +115,14 @@
         let longer = self
             .estimates
             .observed
-            .get(&job.spec.class)
+            .get(&job.spec().class)
             .and_then(|o| o.longer)
             .unwrap_or(0.0);
-        let part = if job.spec.tasks < ALIKE { 0.0 } else { longer };
+        let part = if job.spec().tasks < ALIKE {
+            0.0
+        } else {
+            longer
+        };
         self.estimate_of(job) * (1.0 + part)
     }
 
@@ -129,8 +133,8 @@
     /// job just late: on the grown site's rough day half of all deadlines were missed for hours of
     /// machine time that went to a fifth of the jobs.
     pub(crate) fn work_of(&self, job: &Job) -> f64 {
-        let tasks = job.pending.len() as f64;
-        self.part_of_machine(&job.spec) * tasks * self.estimate_of(job)
+        let tasks = job.pending().len() as f64;
+        self.part_of_machine(job.spec()) * tasks * self.estimate_of(job)
     }
 
     /// The largest part that a task takes of the machine type which it takes least of.
--- a/src/coordination/jobs/lifecycle.rs
+++ b/src/coordination/jobs/lifecycle.rs
@@ -62,29 +62,28 @@
         submitted: Instant,
     ) {
         let id = record.spec.id.clone();
-        match self.jobs.get_mut(&id) {
-            // A job that is over here never opens again: the finish mark stands for ever.
-            Some(job) if job.closed => {}
-            Some(job) => job.revision = revision,
-            None => {
-                let team = self.team_of(&record.spec);
-                let mut job = Job::new(record.spec, team, revision, submitted);
-                job.dependency_pages = record.dependency_pages;
-                let traits = self.traits_of(&job, &record.after);
-                self.jobs.insert(id.clone(), job);
-                self.jobs.reindex(&id);
-                self.jobs.graph.add(&id, &record.after, traits);
-                self.apply_graph_changes(now);
-                self.placement.due = true;
+        if let Some(job) = self.jobs.get(&id) {
+            // A job that is closed here never opens again: the terminal record stands for ever.
+            if !job.is_closed() {
+                self.jobs.update(&id, |job| job.open_record_seen(revision));
             }
+            return;
         }
+        let team = self.team_of(&record.spec);
+        let pages = record.dependency_pages;
+        let job = Job::new(record.spec, team, revision, submitted, pages);
+        let traits = self.traits_of(&job, &record.after);
+        self.jobs.insert(id.clone(), job);
+        self.jobs.graph.add(&id, &record.after, traits);
+        self.apply_graph_changes(now);
+        self.placement.due = true;
     }
 
     /// What the job brings into the graph. Its deadline is its own, or else the class's `finished`
     /// objective (an exception of ours, see docs/DESIGN.md: most deployed jobs state no deadline); that
     /// one counts from the release, so it says nothing for a job that waits for others.
     fn traits_of(&self, job: &Job, after: &[JobId]) -> JobTraits {
-        let spec = &job.spec;
+        let spec = job.spec();
         let objective = || self.policy.finished_within(&spec.class);
         let fallback = || objective().filter(|_| after.is_empty());
         let due_s = spec.due_s.or_else(fallback);
@@ -92,7 +91,7 @@
         let fetch_s = Some(self.shortest_fetch_s(spec)).filter(|s| s.is_finite());
         let run_s = self.longest_of(job) + fetch_s.unwrap_or(0.0);
         JobTraits {
-            due: due_s.map(|s| job.submitted + TimeSpan::from_secs(s)),
+            due: due_s.map(|s| job.submitted_at() + TimeSpan::from_secs(s)),
             run: TimeSpan::from_secs(run_s),
             priority: spec.priority,
         }
@@ -104,7 +103,7 @@
     /// that a job which was done and forgotten opens once more without its tasks, and closes; the jobs that
     /// need it were cancelled. Where the closure is unknown, only the finish mark says what it was.
     pub(crate) fn job_closed(&mut self, now: Instant, id: &JobId, closure: Closure) {
-        if !self.jobs.contains_key(id) {
+        if !self.jobs.contains(id) {
             return;
         }
         match closure {
@@ -118,22 +117,21 @@
 
     /// Nothing of the job may start any more, and what runs is stopped.
     fn end_job(&mut self, now: Instant, id: &JobId) {
-        let Some(job) = self.jobs.get_mut(id).filter(|j| !j.closed) else {
+        let Some(job) = self.jobs.get(id).filter(|job| !job.is_closed()) else {
             return;
         };
         if !job.is_complete() {
             tracing::debug!(job = %id, "cancelled");
         }
-        job.closed = true;
-        job.pending.clear();
-        self.writer.orphan_edges(id, job.dependency_pages);
+        self.writer.orphan_edges(id, job.dependency_pages());
+        let placements = job.placements().values().flatten();
+        let machine_ids: BTreeSet<MachineId> = placements.cloned().collect();
+        self.jobs.update(id, Job::close);
         self.placement.due = true;
-        let machine_ids: BTreeSet<MachineId> = job.placements.values().flatten().cloned().collect();
-        for h in machine_ids {
-            self.drop_untouched(now, &h, id);
-            self.outbox.machines_to_review.insert(h);
+        for machine_id in machine_ids {
+            self.drop_untouched(now, &machine_id, id);
+            self.outbox.machines_to_review.insert(machine_id);
         }
-        self.jobs.reindex(id);
     }
 
     /// Carries over to the jobs what the graph says.
@@ -146,29 +144,23 @@
             self.release(now, release);
         }
         for id in cancelled {
-            if let Some(job) = self.jobs.get_mut(&id) {
-                job.ancestor_cancelled = true;
-                self.jobs.reindex(&id);
-            }
+            self.jobs.update(&id, Job::cancel_with_ancestor);
         }
     }
 
     /// A job may run: from now on it counts for its team, for the forecast and for its aims.
     fn release(&mut self, now: Instant, release: Release) {
-        let Some(job) = self.jobs.get_mut(&release.id) else {
+        self.jobs
+            .update(&release.id, |job| job.release(now, release.at));
+        let Some(job) = self.jobs.get(&release.id) else {
             return;
         };
-        job.released = true;
-        if let Some(at) = release.at {
-            job.ready = at.min(now).max(job.submitted);
-        }
         if let Some(last_mark) = release.at {
             tracing::debug!(job = %release.id, last_mark_ms = last_mark.0, "released by the marks of its producers");
         }
-        let (spec, ready) = (job.spec.clone(), job.ready);
+        let (spec, ready) = (job.spec().clone(), job.ready_at());
         self.note_arrival(&spec, ready);
         self.note_size(&spec.class, spec.tasks);
-        self.jobs.reindex(&release.id);
         self.placement.due = true;
     }
 
--- a/src/coordination/jobs/pending.rs
+++ b/src/coordination/jobs/pending.rs
@@ -38,39 +38,37 @@
     /// The jobs that wait, by what they wait for.
     pub fn pending_jobs(&self, now: Instant) -> BTreeMap<PendingReason, PendingJobs> {
         let mut by_reason: BTreeMap<PendingReason, PendingJobs> = BTreeMap::new();
-        let waiting = self.jobs.index.pending.iter();
-        let waiting = waiting.chain(&self.jobs.index.blocked);
-        for (id, job) in waiting.filter_map(|id| Some((id, self.jobs.get(id)?))) {
+        for (id, job) in self.jobs.pending().chain(self.jobs.blocked()) {
             let reason = self.pending_reason(now, job);
             let entry = by_reason.entry(reason).or_insert_with(|| PendingJobs {
                 jobs: 0,
                 tasks: 0,
                 oldest: id.clone(),
-                since: job.ready,
+                since: job.ready_at(),
             });
             entry.jobs += 1;
-            entry.tasks += job.pending.len();
-            if job.ready < entry.since {
+            entry.tasks += job.pending().len();
+            if job.ready_at() < entry.since {
                 entry.oldest = id.clone();
-                entry.since = job.ready;
+                entry.since = job.ready_at();
             }
         }
         by_reason
     }
 
     fn pending_reason(&self, now: Instant, job: &Job) -> PendingReason {
-        if !job.released {
+        if job.is_blocked() {
             return PendingReason::Producers;
         }
-        if now < job.not_before || job.fails_everywhere() {
+        if !job.retry().allows_start(now) || job.fails_everywhere() {
             return PendingReason::Failures;
         }
-        let gang = job.spec.shape == Shape::Gang;
-        if gang && !job.placements.is_empty() {
+        let gang = job.spec().shape == Shape::Gang;
+        if gang && !job.placements().is_empty() {
             return PendingReason::LastAttempt;
         }
-        let needed = if gang { job.pending.len() as u32 } else { 1 };
-        if self.headroom(&job.spec, job.team, &self.team_usage) < needed {
+        let needed = if gang { job.pending().len() as u32 } else { 1 };
+        if self.headroom(job.spec(), job.team(), &self.team_usage) < needed {
             return PendingReason::TeamLimit;
         }
         PendingReason::Room
--- a/src/coordination/jobs/table.rs
+++ b/src/coordination/jobs/table.rs
@@ -1,93 +1,26 @@
-//! The job table: every job that the leader holds, and the sets of jobs that decisions look up often.
+//! The job table: every job that the leader holds, the graph of their dependencies, and the sets of jobs by
+//! state that decisions look up often.
+//!
+//! Jobs change only through the table, so the sets are always in step with them.
 
 use super::graph::Graph;
+use super::index::{JobIndex, Memberships};
 use super::job::Job;
 use super::lifecycle::TerminalRecordReads;
-use crate::ids::JobId;
-use crate::time::Instant;
+use crate::ids::{JobId, TeamIndex};
 use std::collections::{btree_map, BTreeMap, BTreeSet};
 
-/// All jobs of a leadership, with the graph of what depends on what.
-///
-/// Whoever changes a job through [`JobTable::get_mut`] calls [`JobTable::reindex`] afterwards.
+/// All jobs of a leadership.
 #[derive(Debug)]
 pub struct JobTable {
     jobs: BTreeMap<JobId, Job>,
-    /// Sets of jobs by state, kept in step by [`JobTable::reindex`].
-    pub(crate) index: JobIndex,
+    pub(super) index: JobIndex,
     /// Which jobs depend on which.
     pub(crate) graph: Graph,
     /// Reads of the terminal records of upstream jobs that are not held here.
     pub(crate) terminal_record_reads: TerminalRecordReads,
 }
 
-/// Sets of jobs by state.
-#[derive(Clone, Debug, Default, PartialEq)]
-pub struct JobIndex {
-    /// Released jobs with tasks that are placed nowhere.
-    pub pending: BTreeSet<JobId>,
-    /// Open jobs that wait for upstream jobs to be done.
-    pub blocked: BTreeSet<JobId>,
-    /// Open jobs that are to be cancelled because a job upstream of them is.
-    pub ancestor_cancelled: BTreeSet<JobId>,
-    /// Released jobs by team, in the order in which they became ready: for guaranteed shares.
-    pub by_team: Vec<BTreeSet<(Instant, JobId)>>,
-    /// Open jobs of which every task is done.
-    pub complete: BTreeSet<JobId>,
-    /// Open jobs with completed tasks that are not persisted yet.
-    pub unpersisted: BTreeSet<JobId>,
-    /// Jobs that are closed and have no task attempt left anywhere.
-    pub forgettable: BTreeSet<JobId>,
-}
-
-impl JobIndex {
-    /// Empty sets for so many teams.
-    pub fn new(teams: usize) -> JobIndex {
-        JobIndex {
-            by_team: vec![BTreeSet::new(); teams],
-            ..JobIndex::default()
-        }
-    }
-
-    /// Brings the sets in step with a job; `None`: it is no longer held.
-    fn update(&mut self, id: &JobId, job: Option<&Job>) {
-        let open = job.is_some_and(|job| !job.closed);
-        let released = open && job.is_some_and(|job| job.released);
-        let has = |test: &dyn Fn(&Job) -> bool| job.is_some_and(test);
-        let pending = released && has(&|job| !job.pending.is_empty());
-        let ancestor_cancelled = open && has(&|job| job.ancestor_cancelled);
-        let complete = open && has(&Job::is_complete);
-        let unpersisted = open && has(&|job| !job.unpersisted.is_empty());
-        let forgettable = has(&|job| job.closed && job.attempt_count == 0);
-        set_membership(&mut self.pending, id, pending);
-        set_membership(&mut self.blocked, id, open && !released);
-        set_membership(&mut self.ancestor_cancelled, id, ancestor_cancelled);
-        set_membership(&mut self.complete, id, complete);
-        set_membership(&mut self.unpersisted, id, unpersisted);
-        set_membership(&mut self.forgettable, id, forgettable);
-        let Some(job) = job else {
-            return;
-        };
-        if let Some(set) = job.team.and_then(|team| self.by_team.get_mut(team.0)) {
-            let entry = (job.ready, id.clone());
-            if released {
-                set.insert(entry);
-            } else {
-                set.remove(&entry);
-            }
-        }
-    }
-}
-
-/// Puts an id into a set or takes it out.
-pub(crate) fn set_membership<T: Ord + Clone>(set: &mut BTreeSet<T>, id: &T, member: bool) {
-    if !member {
-        set.remove(id);
-    } else if !set.contains(id) {
-        set.insert(id.clone());
-    }
-}
-
 impl JobTable {
     /// An empty table for so many teams.
     pub fn new(teams: usize) -> JobTable {
@@ -104,13 +37,8 @@
         self.jobs.get(id)
     }
 
-    /// The job with that id, to be changed and then reindexed.
-    pub fn get_mut(&mut self, id: &JobId) -> Option<&mut Job> {
-        self.jobs.get_mut(id)
-    }
-
     /// Whether a job is held.
-    pub fn contains_key(&self, id: &JobId) -> bool {
+    pub fn contains(&self, id: &JobId) -> bool {
         self.jobs.contains_key(id)
     }
 
@@ -131,20 +59,85 @@
 
     /// Takes a job in.
     pub fn insert(&mut self, id: JobId, job: Job) {
-        self.jobs.insert(id.clone(), job);
-        self.reindex(&id);
+        let after = Memberships::of(&job);
+        let team = job.team();
+        let replaced = self.jobs.insert(id.clone(), job);
+        let before = replaced.as_ref().map(Memberships::of).unwrap_or_default();
+        self.index.update(&id, team, &before, &after);
+    }
+
+    /// Changes a job; the sets by state follow. `None`: it is not held, and nothing was done.
+    pub fn update<R>(&mut self, id: &JobId, change: impl FnOnce(&mut Job) -> R) -> Option<R> {
+        let job = self.jobs.get_mut(id)?;
+        let before = Memberships::of(job);
+        let result = change(job);
+        let after = Memberships::of(job);
+        self.index.update(id, job.team(), &before, &after);
+        Some(result)
     }
 
     /// Forgets a job and its place in the graph.
     pub fn forget(&mut self, id: &JobId) {
-        self.jobs.remove(id);
-        self.reindex(id);
+        if let Some(job) = self.jobs.remove(id) {
+            let before = Memberships::of(&job);
+            let after = Memberships::default();
+            self.index.update(id, job.team(), &before, &after);
+        }
         self.graph.forget(id);
     }
 
-    /// Brings the index in step with a job that has changed.
-    pub fn reindex(&mut self, id: &JobId) {
-        self.index.update(id, self.jobs.get(id));
+    /// Released jobs with tasks that are placed nowhere.
+    pub fn pending(&self) -> impl Iterator<Item = (&JobId, &Job)> {
+        self.in_set(&self.index.pending)
+    }
+
+    /// Whether any job is pending.
+    pub fn has_pending(&self) -> bool {
+        !self.index.pending.is_empty()
+    }
+
+    /// Open jobs that wait for upstream jobs to be done.
+    pub fn blocked(&self) -> impl Iterator<Item = (&JobId, &Job)> {
+        self.in_set(&self.index.blocked)
+    }
+
+    /// Open jobs that are to be cancelled because a job upstream of them is.
+    pub fn ancestor_cancelled(&self) -> impl Iterator<Item = (&JobId, &Job)> {
+        self.in_set(&self.index.ancestor_cancelled)
+    }
+
+    /// Open jobs of which every task is completed.
+    pub fn complete(&self) -> impl Iterator<Item = (&JobId, &Job)> {
+        self.in_set(&self.index.complete)
+    }
+
+    /// Open jobs with completed tasks that are not persisted yet.
+    pub fn unpersisted(&self) -> impl Iterator<Item = (&JobId, &Job)> {
+        self.in_set(&self.index.unpersisted)
+    }
+
+    /// Jobs that are closed and have no task attempt left anywhere.
+    pub fn forgettable(&self) -> impl Iterator<Item = &JobId> {
+        self.index.forgettable.iter()
+    }
+
+    /// The number of teams.
+    pub fn team_count(&self) -> usize {
+        self.index.released_by_team.len()
+    }
+
+    /// Released jobs of a team, in the order in which they became ready.
+    pub fn released_of_team(&self, team: TeamIndex) -> impl Iterator<Item = (&JobId, &Job)> {
+        let released = self.index.released_by_team.get(team.0);
+        let ids = released.into_iter().flatten().map(|(_, id)| id);
+        ids.filter_map(|id| Some((id, self.get(id)?)))
+    }
+
+    fn in_set<'a>(
+        &'a self,
+        ids: &'a BTreeSet<JobId>,
+    ) -> impl Iterator<Item = (&'a JobId, &'a Job)> {
+        ids.iter().filter_map(|id| Some((id, self.get(id)?)))
     }
 }
 
--- a/src/coordination/leadership/recovery.rs
+++ b/src/coordination/leadership/recovery.rs
@@ -6,6 +6,7 @@
 use crate::coordination::autoscaler::Autoscaler;
 use crate::coordination::jobs::aging::Aging;
 use crate::coordination::jobs::estimates::Estimates;
+use crate::coordination::jobs::job::Job;
 use crate::coordination::jobs::table::JobTable;
 use crate::coordination::leadership::authority::LeadershipTerm;
 use crate::coordination::leadership::Leadership;
@@ -112,19 +113,14 @@
         let Some((id, chunk)) = parse_progress_key(&item.key) else {
             return;
         };
-        let open = self.jobs.get_mut(&id).filter(|j| !j.closed);
-        let Some(job) = open else {
+        if self.jobs.get(&id).is_none_or(Job::is_closed) {
             self.writer
                 .orphaned_progress
                 .insert(item.key, item.revision);
             return;
-        };
+        }
         if let Some(text) = item.data.as_str() {
-            job.done.load(chunk, text);
-            let done = &job.done;
-            job.pending.retain(|i| !done.has(*i));
-            job.has_run |= done.count() > 0;
-            self.jobs.reindex(&id);
+            self.jobs.update(&id, |job| job.load_progress(chunk, text));
         }
         self.writer.progress.insert((id, chunk), item.revision);
     }
--- a/src/coordination/machines/images.rs
+++ b/src/coordination/machines/images.rs
@@ -26,8 +26,8 @@
         let Some(job) = self.jobs.get(id) else {
             return false;
         };
-        let spec = &job.spec;
-        if spec.shape != Shape::Array || job.pending.is_empty() || self.aged(job, now) {
+        let spec = job.spec();
+        if spec.shape != Shape::Array || job.pending().is_empty() || self.aged(job, now) {
             return false;
         }
         let request = ResourceRequest::of(spec);
@@ -42,21 +42,19 @@
             .copied()
             .unwrap_or(0.0)
             / spec.gpus.max(0.1);
-        let soon_s = job.pending.len() as f64 * self.estimate_of(job) / slots.max(1e-9);
+        let soon_s = job.pending().len() as f64 * self.estimate_of(job) / slots.max(1e-9);
         let limit = TimeSpan::from_secs(fetch_s * WAIT_PART);
-        let over = job.waits_since.is_some_and(|t| now - t > limit);
+        let over = job.image_wait_since().is_some_and(|t| now - t > limit);
         if over || soon_s > fetch_s * MOST_WAIT {
             return false;
         }
-        let first: Vec<u32> = job.pending.iter().take(1).copied().collect();
-        if self.headroom(spec, job.team, &pass.used) == 0
+        let first: Vec<u32> = job.pending().iter().take(1).copied().collect();
+        if self.headroom(spec, job.team(), &pass.used) == 0
             || self.plan(now, id, spec, &first, None, pass).is_empty()
         {
             return false;
         }
-        if let Some(job) = self.jobs.get_mut(id) {
-            job.waits_since.get_or_insert(now);
-        }
+        self.jobs.update(id, |job| job.image_wait_began(now));
         true
     }
 
@@ -109,7 +107,7 @@
     /// Seconds that the machine takes to fetch the image of a job that is known.
     pub(crate) fn longest_fetch_s(&self, machine_id: &MachineId, job: &JobId) -> f64 {
         match (self.machines.get(machine_id), self.jobs.get(job)) {
-            (Some(machine), Some(job)) => self.fetch_s(&machine.machine_type, job.spec.image_gb),
+            (Some(machine), Some(job)) => self.fetch_s(&machine.machine_type, job.spec().image_gb),
             _ => 0.0,
         }
     }
--- a/src/coordination/machines/table.rs
+++ b/src/coordination/machines/table.rs
@@ -2,7 +2,7 @@
 //! machines with room that placement looks up often.
 
 use super::machine::{Machine, MachineState};
-use crate::coordination::jobs::table::set_membership;
+use crate::coordination::jobs::index::set_membership;
 use crate::ids::{Image, MachineId, MachineType};
 use crate::protocol::cloud::MachineTypeInfo;
 use crate::protocol::users::JobSpec;
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -90,7 +90,10 @@
     pub fn attempt_counts(&self) -> AttemptCounts {
         let mut listed = AttemptCounts::default();
         for attempt in self.machines.values().flat_map(|m| m.attempts.values()) {
-            let open = self.jobs.get(&attempt.task.job).is_some_and(|j| !j.closed);
+            let open = self
+                .jobs
+                .get(&attempt.task.job)
+                .is_some_and(|j| !j.is_closed());
             listed.all += 1;
             listed.of_closed_jobs += usize::from(!open);
         }
@@ -188,8 +191,8 @@
     pub fn counts(&self) -> Vec<JobCounts> {
         self.jobs
             .iter()
-            .filter(|(_, j)| !j.closed)
-            .map(|(id, j)| (id.clone(), j.done.count(), j.running))
+            .filter(|(_, j)| !j.is_closed())
+            .map(|(id, j)| (id.clone(), j.completed().count(), j.running_count()))
             .filter(|(_, done, running)| *done + *running > 0)
             .collect()
     }
@@ -197,7 +200,7 @@
     /// Counts of one job, for display only.
     pub fn counts_of(&self, id: &JobId) -> (u32, u32) {
         let job = self.jobs.get(id);
-        job.map_or((0, 0), |j| (j.done.count(), j.running))
+        job.map_or((0, 0), |j| (j.completed().count(), j.running_count()))
     }
 
     fn open_jobs(&mut self, now: Instant, jobs: Vec<(OpenJobRecord, KeyRevision, Instant)>) {
@@ -205,7 +208,7 @@
         let closed: Vec<JobId> = self
             .jobs
             .iter()
-            .filter(|(id, j)| !j.closed && !listed.contains(*id))
+            .filter(|(id, j)| !j.is_closed() && !listed.contains(*id))
             .map(|(id, _)| id.clone())
             .collect();
         for id in closed {
@@ -220,9 +223,7 @@
     fn forget_closed_jobs(&mut self) {
         let idle: Vec<JobId> = self
             .jobs
-            .index
-            .forgettable
-            .iter()
+            .forgettable()
             .filter(|id| !self.writer.mentions(id))
             .cloned()
             .collect();
--- a/src/coordination/persistence/ends.rs
+++ b/src/coordination/persistence/ends.rs
@@ -11,7 +11,7 @@
 
 impl Scheduler {
     pub(crate) fn draft_finishes(&self, now: Instant, draft: &mut Draft) {
-        for (id, job) in self.jobs_in(&self.jobs.index.complete) {
+        for (id, job) in self.jobs.complete() {
             if !self.jobs.graph.has_consumers(id) && !self.draft_finish(now, id, job, draft) {
                 return;
             }
@@ -22,7 +22,7 @@
     /// hold up launches.
     pub(crate) fn draft_finishes_of_producers(&self, now: Instant, draft: &mut Draft) {
         let most = (draft.most_ops / 2).max(FINISH_OPS);
-        for (id, job) in self.jobs_in(&self.jobs.index.complete) {
+        for (id, job) in self.jobs.complete() {
             if draft.changes.len() + FINISH_OPS > most {
                 return;
             }
@@ -41,7 +41,7 @@
     ) -> bool {
         let terminal_record = TerminalRecord {
             phase: JobPhase::Done,
-            tasks: job.spec.tasks,
+            tasks: job.spec().tasks,
             at_ms: self.jobs.graph.has_consumers(id).then(|| {
                 self.leadership
                     .wall_clock_at_zero_ms
@@ -50,7 +50,7 @@
         };
         draft.close(
             id,
-            job.revision,
+            job.open_record_revision(),
             &terminal_record,
             Work::Finish { job: id.clone() },
         )
@@ -58,11 +58,11 @@
 
     /// Jobs that need a cancelled one, directly or through others.
     pub(crate) fn draft_cancellations(&self, draft: &mut Draft) {
-        for (id, job) in self.jobs_in(&self.jobs.index.ancestor_cancelled) {
-            let terminal_record = TerminalRecord::cancelled(job.spec.tasks);
+        for (id, job) in self.jobs.ancestor_cancelled() {
+            let terminal_record = TerminalRecord::cancelled(job.spec().tasks);
             if !draft.close(
                 id,
-                job.revision,
+                job.open_record_revision(),
                 &terminal_record,
                 Work::Cancel { job: id.clone() },
             ) {
--- a/src/coordination/persistence/launches.rs
+++ b/src/coordination/persistence/launches.rs
@@ -57,7 +57,7 @@
                     .machines
                     .get(&k.machine_id)
                     .is_some_and(|m| m.is_recorded);
-                let Some(job) = self.jobs.get(id).filter(|j| !j.closed && is_recorded) else {
+                let Some(job) = self.jobs.get(id).filter(|j| !j.is_closed() && is_recorded) else {
                     // Its machine's page comes first; its job is over: it is dropped elsewhere.
                     waiting.next();
                     continue;
@@ -68,10 +68,10 @@
                     }
                     // The open record's version is the guard: a job that its user cancelled
                     // meanwhile can't be launched.
-                    preconditions.push((open_key(id), job.revision));
+                    preconditions.push((open_key(id), job.open_record_revision()));
                     jobs.insert(id.clone());
                 }
-                size.add(k, &job.spec.team);
+                size.add(k, &job.spec().team);
                 if size.bytes() > most_bytes {
                     break;
                 }
@@ -92,7 +92,7 @@
     pub(crate) fn measure(&self, keys: &[PlacedAttempt]) -> Measure {
         let mut size = Measure::default();
         for k in keys {
-            let team = self.jobs.get(&k.task.job).map(|j| j.spec.team.as_str());
+            let team = self.jobs.get(&k.task.job).map(|j| j.spec().team.as_str());
             size.add(k, team.unwrap_or_default());
         }
         size
@@ -127,7 +127,7 @@
     /// What a start's job takes: from the job, or, if that is over and forgotten, from the start.
     pub(crate) fn takes(&self, k: &PlacedAttempt) -> JobResources {
         if let Some(j) = self.jobs.get(&k.task.job) {
-            return JobResources::of(&j.spec);
+            return JobResources::of(j.spec());
         }
         let m = self.machines.get(&k.machine_id);
         let s = m.and_then(|m| m.attempts.get(&(k.task.clone(), k.attempt_id)));
--- a/src/coordination/persistence/mod.rs
+++ b/src/coordination/persistence/mod.rs
@@ -288,26 +288,19 @@
         draft.add(preconditions, changes, Work::Raise { token });
     }
 
-    fn jobs_in<'a>(
-        &'a self,
-        ids: &'a BTreeSet<JobId>,
-    ) -> impl Iterator<Item = (&'a JobId, &'a Job)> {
-        ids.iter().filter_map(|id| Some((id, self.jobs.get(id)?)))
-    }
-
     fn draft_progress(&self, now: Instant, draft: &mut Draft) {
         if now - self.writer.progress_at < PROGRESS_EVERY {
             return;
         }
         // Most unsaved first: it is they whose tombstones fill reports.
-        let mut jobs: Vec<(&JobId, &Job)> = self.jobs_in(&self.jobs.index.unpersisted).collect();
-        jobs.sort_by_key(|(id, j)| (Reverse(j.unpersisted.len()), *id));
+        let mut jobs: Vec<(&JobId, &Job)> = self.jobs.unpersisted().collect();
+        jobs.sort_by_key(|(id, j)| (Reverse(j.unpersisted().len()), *id));
         for (id, job) in jobs {
             if job.is_complete() {
                 continue;
             }
             let chunks: BTreeSet<u32> = job
-                .unpersisted
+                .unpersisted()
                 .iter()
                 .map(|i| i / TASKS_PER_PROGRESS_RECORD)
                 .collect();
@@ -319,10 +312,13 @@
                     .get(&(id.clone(), chunk))
                     .copied()
                     .unwrap_or_default();
-                let preconditions = vec![(open_key(id), job.revision), (key.clone(), revision)];
-                let changes = vec![Change::put(key, job.done.chunk(chunk).into())];
+                let preconditions = vec![
+                    (open_key(id), job.open_record_revision()),
+                    (key.clone(), revision),
+                ];
+                let changes = vec![Change::put(key, job.completed().chunk(chunk).into())];
                 let tasks = job
-                    .unpersisted
+                    .unpersisted()
                     .range(
                         chunk * TASKS_PER_PROGRESS_RECORD..(chunk + 1) * TASKS_PER_PROGRESS_RECORD,
                     )
--- a/src/coordination/persistence/outcomes.rs
+++ b/src/coordination/persistence/outcomes.rs
@@ -49,12 +49,12 @@
                 Work::Progress { job, chunk, tasks } => {
                     self.writer.progress.insert((job.clone(), chunk), revision);
                     self.writer.progress_at = now;
-                    if let Some(j) = self.jobs.get_mut(&job) {
-                        j.unpersisted.retain(|i| !tasks.contains(i));
-                        if j.closed {
-                            self.collect_orphaned_progress(&job);
-                        }
-                        self.jobs.reindex(&job);
+                    let closed = self.jobs.update(&job, |job| {
+                        job.progress_persisted(&tasks);
+                        job.is_closed()
+                    });
+                    if closed == Some(true) {
+                        self.collect_orphaned_progress(&job);
                     }
                 }
                 Work::Finish { job } => {
@@ -233,8 +233,8 @@
         if revision == KeyRevision(0) {
             self.job_closed(now, &id, Closure::Unknown);
             self.collect_orphaned_progress(&id);
-        } else if let Some(job) = self.jobs.get_mut(&id) {
-            job.revision = revision;
+        } else {
+            self.jobs.update(&id, |job| job.open_record_seen(revision));
         }
     }
 
--- a/src/coordination/placement/candidates.rs
+++ b/src/coordination/placement/candidates.rs
@@ -82,7 +82,7 @@
         };
         let request = Resources::of(spec);
         let latency = self.jobs.graph.label(id) == Label::Latency;
-        let avoid = job.failed_on.len() <= AVOID;
+        let avoid = job.retry().failed_on().len() <= AVOID;
         let aged = self.aged(job, now);
         let mut zones = if spec.scatter {
             self.zones_of(job)
@@ -98,7 +98,7 @@
             .filter(|m| Self::allows(spec, m) && zone.is_none_or(|z| *z == m.zone))
             .filter(|m| self.usable(m, now) && !pass.kept.contains(&m.id))
             .filter(|m| !pass.cached || m.has_image(&spec.image))
-            .filter(|m| !(avoid && job.failed_on.contains(&m.id)))
+            .filter(|m| !(avoid && job.retry().failed_on().contains(&m.id)))
             .filter(|m| {
                 m.reservation
                     .as_ref()
--- a/src/coordination/placement/mod.rs
+++ b/src/coordination/placement/mod.rs
@@ -240,13 +240,13 @@
         };
         let above_others = pass
             .least_urgent
-            .is_some_and(|least| least < self.urgency_of(id, &job.spec));
+            .is_some_and(|least| least < self.urgency_of(id, job.spec()));
         // Guards against a job for which machine after machine is emptied in vain: it goes anywhere then.
-        let young = now - job.ready < LONGEST_IMAGE_WAIT;
+        let young = now - job.ready_at() < LONGEST_IMAGE_WAIT;
         let candidate =
-            young && above_others && job.spec.shape == Shape::Gang && job.placements.is_empty();
-        let head = || self.headroom(&job.spec, job.team, &pass.used) as usize;
-        candidate && head() >= job.pending.len()
+            young && above_others && job.spec().shape == Shape::Gang && job.placements().is_empty();
+        let head = || self.headroom(job.spec(), job.team(), &pass.used) as usize;
+        candidate && head() >= job.pending().len()
     }
 
     /// How many more tasks the team's limit lets start.
@@ -271,7 +271,7 @@
 
     /// Whether a task of the job has run for long enough to say that the job can run.
     fn has_run_long_enough(&self, now: Instant, id: &JobId, job: &Job) -> bool {
-        let machine_ids = job.placements.values().flatten();
+        let machine_ids = job.placements().values().flatten();
         let attempts = machine_ids
             .filter_map(|h| self.machines.get(h))
             .flat_map(Machine::live_attempts);
@@ -286,24 +286,24 @@
         let Some(job) = self.jobs.get(id) else {
             return 0;
         };
-        let spec = job.spec.clone();
-        let team = job.team;
+        let spec = job.spec().clone();
+        let team = job.team();
         let head = self.headroom(&spec, team, &pass.used);
         // Once one task of a gang is done all are, and the rest only have to say so one by one.
-        let gang = spec.shape == Shape::Gang && job.done.count() == 0;
-        if pass.cached && (gang || job.pending.is_empty()) {
+        let gang = spec.shape == Shape::Gang && job.completed().count() == 0;
+        if pass.cached && (gang || job.pending().is_empty()) {
             return 0;
         }
-        if gang && !job.placements.is_empty() {
+        if gang && !job.placements().is_empty() {
             // Nothing while a task of the last attempt lingers anywhere.
             return 0;
         }
-        let mut could = head.min(job.pending.len() as u32);
+        let mut could = head.min(job.pending().len() as u32);
         if !gang && job.fails_everywhere() && !self.has_run_long_enough(now, id, job) {
             // Guards against a job submitted with a mistake whose tasks all start and fail again and
             // again, with a write for each and machines rented for all: one task tries, the rest wait
             // for how it fares.
-            could = could.min(u32::from(job.placements.is_empty()));
+            could = could.min(u32::from(job.placements().is_empty()));
             if could == 0 {
                 return 0;
             }
@@ -337,7 +337,7 @@
         } else {
             could.min((pass.most_placed - pass.placed) as u32)
         };
-        let pending: Vec<u32> = job.pending.iter().take(most as usize).copied().collect();
+        let pending: Vec<u32> = job.pending().iter().take(most as usize).copied().collect();
         let zones = self.zone_choices(now, &spec, job, pass);
         let mut plan: Vec<(u32, MachineId)> = Vec::new();
         for zone in zones {
@@ -354,20 +354,20 @@
         if plan.is_empty() {
             // Whether there is room depends on the job itself only if it avoids machines, or must
             // spread or stay together.
-            if job.failed_on.is_empty() && !spec.scatter && (!gang || spec.tasks == 1) {
+            if job.retry().failed_on().is_empty() && !spec.scatter && (!gang || spec.tasks == 1) {
                 pass.full.push(request);
             }
             self.hold_for(now, &spec, gang, aged, pass);
             return left;
         }
         pass.placed += plan.len();
-        if let Some(job) = self.jobs.get_mut(id) {
-            job.incomplete = false;
-        }
-        if let Some(job) = self.jobs.get_mut(id).filter(|_| pass.cached) {
-            // What it waits for does come.
-            job.waits_since = None;
-        }
+        self.jobs.update(id, |job| {
+            job.gang_attempt_started();
+            if pass.cached {
+                // What it waits for does come.
+                job.image_wait_ended();
+            }
+        });
         let latency = self.jobs.graph.label(id) == Label::Latency;
         for (index, machine_id) in plan {
             let task = TaskId {
@@ -429,7 +429,7 @@
     /// How many tasks of the job may be in each zone, lingering ones included.
     pub(crate) fn zones_of(&self, job: &Job) -> BTreeMap<Zone, u32> {
         let mut zones = BTreeMap::new();
-        for machine_id in job.placements.values().flatten() {
+        for machine_id in job.placements().values().flatten() {
             if let Some(m) = self.machines.get(machine_id) {
                 *zones.entry(m.zone.clone()).or_default() += 1;
             }
--- a/src/coordination/placement/preemption.rs
+++ b/src/coordination/placement/preemption.rs
@@ -73,7 +73,7 @@
         inside: &BTreeSet<JobId>,
     ) -> Option<Vec<Eviction>> {
         let job = self.jobs.get(id)?;
-        let request = Resources::of(&job.spec);
+        let request = Resources::of(job.spec());
         let kept = |m: &Machine| {
             let kept = m.reservation.as_ref().filter(|(_, t)| now < *t);
             kept.map(|(j, _)| j == id)
@@ -84,10 +84,10 @@
             .values()
             .filter(|m| match kept(m) {
                 Some(mine) => mine,
-                None => request.fits(&m.free) && Self::allows(&job.spec, m) && self.usable(m, now),
+                None => request.fits(&m.free) && Self::allows(job.spec(), m) && self.usable(m, now),
             })
             .count() as u32;
-        let wanted = if job.is_all_or_nothing() {
+        let wanted = if job.needs_gang_scheduling() {
             count.saturating_sub(there)
         } else {
             1u32.saturating_sub(there)
@@ -150,7 +150,7 @@
             reservation.is_some_and(|(j, until)| j == id && now < *until)
         });
         kept.any(|m| {
-            m.has_image(&job.spec.image)
+            m.has_image(&job.spec().image)
                 && self.usable(m, now)
                 && m.live_attempts().any(|s| s.stop.is_some())
         })
@@ -159,10 +159,10 @@
     /// The machines with the job's image to be emptied for it, if that gains time: all that it needs, or none.
     fn evictions_for_image(&self, now: Instant, id: &JobId) -> Option<Vec<Eviction>> {
         let job = self.jobs.get(id)?;
-        let spec = &job.spec;
+        let spec = job.spec();
         let fetch_s = self.shortest_fetch_s(spec);
         // A job that has failed may be mistaken: nothing is stopped for it.
-        if !self.bulk(spec) || fetch_s < WORTH_EMPTYING_S || !job.failed_on.is_empty() {
+        if !self.bulk(spec) || fetch_s < WORTH_EMPTYING_S || !job.retry().failed_on().is_empty() {
             return None;
         }
         let request = Resources::of(spec);
@@ -172,7 +172,7 @@
         if here().any(|m| ready(&m)) {
             return None;
         }
-        let wanted = job.pending.len();
+        let wanted = job.pending().len();
         // Only less urgent work goes: nothing is inside a guarantee for this.
         let nobody = BTreeSet::new();
         let mut evictions: Vec<Eviction> = here()
@@ -198,7 +198,7 @@
 
     /// Whether anything may be stopped for the job at all.
     fn may_preempt(&self, id: &JobId, inside: &BTreeSet<JobId>) -> bool {
-        let priority = self.jobs.get(id).map(|j| self.urgency_of(id, &j.spec));
+        let priority = self.jobs.get(id).map(|j| self.urgency_of(id, j.spec()));
         let above = priority > self.least_urgent();
         above || inside.contains(id)
     }
@@ -208,12 +208,12 @@
         let Some(job) = self.jobs.get(id) else {
             return false;
         };
-        let spec = &job.spec;
+        let spec = job.spec();
         let by_class = self.policy.started_within(&spec.class);
         let Some(within) = by_class else {
             return !self.may_rent(now, spec);
         };
-        let waited = (now - job.ready).secs();
+        let waited = (now - job.ready_at()).secs();
         let request = Resources::of(spec);
         let rental = self
             .machines
@@ -233,7 +233,7 @@
         inside: &BTreeSet<JobId>,
     ) -> Option<Eviction> {
         let job = self.jobs.get(id)?;
-        let spec = &job.spec;
+        let spec = job.spec();
         let request = Resources::of(spec);
         let free_to_use = self.usable(m, now)
             && Self::allows(spec, m)
@@ -255,12 +255,12 @@
                 let other = self.jobs.get(&s.task.job)?;
                 let may = s.stop.is_none() && self.may_stop(job, id, other, &s.task.job, inside);
                 // All of a gang goes down with its member.
-                let members = if other.is_all_or_nothing() {
-                    f64::from(other.spec.tasks)
+                let members = if other.needs_gang_scheduling() {
+                    f64::from(other.spec().tasks)
                 } else {
                     1.0
                 };
-                let other = &other.spec;
+                let other = other.spec();
                 let save = other.checkpoint_s > 0.0;
                 let ran = s.running_since.map_or(0.0, |t| (now - t).secs());
                 let young = if now - s.since < RECENT_START {
@@ -300,14 +300,14 @@
         other_id: &JobId,
         inside: &BTreeSet<JobId>,
     ) -> bool {
-        let priority = self.urgency_of(id, &job.spec);
-        let other_urgency = self.urgency_of(other_id, &other.spec);
+        let priority = self.urgency_of(id, job.spec());
+        let other_urgency = self.urgency_of(other_id, other.spec());
         if other_urgency < priority {
             return true;
         }
         let borrowed = || {
-            let u = self.used_by(other.team);
-            self.policy.team(other.team).is_some_and(|t| {
+            let u = self.used_by(other.team());
+            self.policy.team(other.team()).is_some_and(|t| {
                 (t.gpus > 0.0 && u.gpus > t.gpus) || (t.cpus > 0.0 && u.cpus > t.cpus)
             })
         };
@@ -318,8 +318,8 @@
         // itself every second had room for thousands.
         inside.contains(id)
             && other_urgency <= priority
-            && other.spec.class != job.spec.class
-            && other.team != job.team
+            && other.spec().class != job.spec().class
+            && other.team() != job.team()
             && !inside.contains(other_id)
             && borrowed()
     }
--- a/src/coordination/placement/queue.rs
+++ b/src/coordination/placement/queue.rs
@@ -13,15 +13,14 @@
     /// Jobs that fit into their team's guarantee together with the team's earlier unfinished ones.
     pub(crate) fn guaranteed(&self) -> BTreeSet<JobId> {
         let mut inside = BTreeSet::new();
-        for (n, jobs) in self.jobs.index.by_team.iter().enumerate() {
-            let Some(team) = self.policy.team(Some(TeamIndex(n))) else {
+        for index in (0..self.jobs.team_count()).map(TeamIndex) {
+            let Some(team) = self.policy.team(Some(index)) else {
                 continue;
             };
             let any = team.cpus > 0.0 || team.gpus > 0.0;
             let mut sum = Resources::default();
-            for (_, id) in jobs {
-                let Some(j) = self.jobs.get(id) else { continue };
-                sum.add(&j.left());
+            for (id, job) in self.jobs.released_of_team(index) {
+                sum.add(&job.remaining_request());
                 if any && within_limit(sum.cpus, team.cpus) && within_limit(sum.gpus, team.gpus) {
                     inside.insert(id.clone());
                 }
@@ -34,14 +33,14 @@
     /// met any more gives way to the next. A job past all of them goes last; otherwise, when there is
     /// too much to do, jobs already late would make every other late as well.
     pub(crate) fn aim_of(&self, id: &JobId, job: &Job, now: Instant) -> u8 {
-        let class = &job.spec.class;
-        let after = |s: f64| job.ready + TimeSpan::from_secs(s);
+        let class = &job.spec().class;
+        let after = |s: f64| job.ready_at() + TimeSpan::from_secs(s);
         let run = TimeSpan::from_secs(self.longest_of(job));
         let attempts = self.policy.of_class("wait", class);
         let mut aims: Vec<Instant> = attempts.filter_map(|o| o.within_s).map(after).collect();
         let finishes = self.policy.of_class("finished", class);
         aims.extend(finishes.filter_map(|o| o.within_s).map(|s| after(s) - run));
-        let has_deadline = job.spec.due_s.is_some() || self.jobs.graph.has_consumers(id);
+        let has_deadline = job.spec().due_s.is_some() || self.jobs.graph.has_consumers(id);
         if let Some(due) = self.jobs.graph.due(id).filter(|_| has_deadline) {
             aims.extend(self.deadline_aims(job, due).map(|t| t - run));
         }
@@ -52,9 +51,9 @@
     /// The deadline that a job has, of its own or for the jobs that need it, and the multiples of the
     /// time that it allows itself which its class's objectives name.
     pub(crate) fn deadline_aims(&self, job: &Job, due: Instant) -> impl Iterator<Item = Instant> {
-        let (submitted, class) = (job.submitted, &job.spec.class);
+        let (submitted, class) = (job.submitted_at(), &job.spec().class);
         let mut times = Vec::new();
-        if job.spec.due_s.is_some() {
+        if job.spec().due_s.is_some() {
             let named = self.policy.of_class("deadline", class);
             times.extend(named.filter_map(|o| o.times));
         }
@@ -79,31 +78,28 @@
     }
 
     pub(crate) fn queue(&self, now: Instant) -> Vec<Vec<JobId>> {
-        if self.jobs.index.pending.is_empty() {
+        if !self.jobs.has_pending() {
             return Vec::new();
         }
         let inside = self.guaranteed();
         let mut queue: Vec<_> = self
             .jobs
-            .index
-            .pending
-            .iter()
-            .filter_map(|id| Some((id, self.jobs.get(id)?)))
-            .filter(|(_, j)| j.not_before <= now)
+            .pending()
+            .filter(|(_, job)| job.retry().allows_start(now))
             .map(|(id, j)| {
                 let aged = self.aged(j, now);
                 let class = (
                     // Guards against a job that never begins, whatever ranks it low: oldest first.
                     !aged,
-                    aged.then_some(j.ready),
+                    aged.then_some(j.ready_at()),
                     self.jobs.graph.depth(id),
                     !inside.contains(id),
-                    Reverse::<Priority>(self.urgency_of(id, &j.spec)),
+                    Reverse::<Priority>(self.urgency_of(id, j.spec())),
                     self.jobs.graph.label(id),
                     self.aim_of(id, j, now),
-                    !self.bulk(&j.spec),
+                    !self.bulk(j.spec()),
                 );
-                let rank = (class, TimeSpan::from_secs(self.work_of(j)), j.ready);
+                let rank = (class, TimeSpan::from_secs(self.work_of(j)), j.ready_at());
                 (rank, id)
             })
             .collect();
@@ -133,7 +129,7 @@
 
     /// The lowest priority among the jobs that may run.
     pub(crate) fn least_urgent(&self) -> Option<Priority> {
-        let open = self.jobs.iter().filter(|(_, j)| !j.closed && j.released);
-        open.map(|(id, j)| self.urgency_of(id, &j.spec)).min()
+        let open = self.jobs.iter().filter(|(_, j)| j.is_released());
+        open.map(|(id, j)| self.urgency_of(id, j.spec())).min()
     }
 }
