--- a/src/coordination/attempts/ledger.rs
+++ b/src/coordination/attempts/ledger.rs
@@ -6,7 +6,7 @@
 use crate::coordination::jobs::job::Job;
 use crate::coordination::machines::machine::Machine;
 use crate::coordination::Scheduler;
-use crate::ids::{AttemptId, MachineId, TaskId, TeamIndex};
+use crate::ids::{AttemptId, AttemptKey, MachineId, TaskId, TeamIndex};
 use crate::protocol::users::JobSpec;
 use crate::resources::Resources;
 use crate::storage::pages::PlacedAttempt;
@@ -47,7 +47,7 @@
         };
         let (request, team, on) = (attempt.request, attempt.team, !attempt.ended());
         let (job, runs) = (attempt.task.job.clone(), attempt.runs());
-        let key = (attempt.task.clone(), attempt.attempt_id);
+        let key = attempt.key();
         if on {
             Self::charge_machine(m, &request, true);
         }
@@ -65,10 +65,10 @@
         &mut self,
         now: Instant,
         machine_id: &MachineId,
-        key: &(TaskId, AttemptId),
+        key: &AttemptKey,
         last_status: LastStatus,
     ) {
-        let fetch_s = self.longest_fetch_s(machine_id, &key.0.job);
+        let fetch_s = self.longest_fetch_s(machine_id, &key.task.job);
         let Some(m) = self.machines.get_mut(machine_id) else {
             return;
         };
@@ -92,7 +92,7 @@
             self.charge(team, &request, on);
             self.machines.reindex(machine_id);
         }
-        let job_id = &key.0.job;
+        let job_id = &key.task.job;
         match (ran, runs) {
             (false, true) => {
                 if self.jobs.update(job_id, Job::attempt_began) == Some(true) {
@@ -109,7 +109,7 @@
         &mut self,
         now: Instant,
         machine_id: &MachineId,
-        key: &(TaskId, AttemptId),
+        key: &AttemptKey,
     ) -> Option<TaskAttempt> {
         let m = self.machines.get_mut(machine_id)?;
         let s = m.attempts.remove(key)?;
@@ -119,7 +119,7 @@
             self.charge(team, &request, false);
         }
         self.jobs
-            .update(&key.0.job, |job| job.attempt_removed(s.runs()));
+            .update(&key.task.job, |job| job.attempt_removed(s.runs()));
         if let Some(page) = s.page {
             let gone = PlacedAttempt::new(machine_id, key);
             self.writer.intents.gone(now, page, &gone);
--- a/src/coordination/jobs/estimates.rs
+++ b/src/coordination/jobs/estimates.rs
@@ -2,7 +2,7 @@
 
 use crate::coordination::jobs::job::Job;
 use crate::coordination::Scheduler;
-use crate::ids::{AttemptId, MachineId, TaskId};
+use crate::ids::{AttemptKey, MachineId};
 use crate::protocol::users::JobSpec;
 use crate::time::Instant;
 use serde::{Deserialize, Serialize};
@@ -33,12 +33,7 @@
 const TAIL: f64 = 0.35;
 
 impl Scheduler {
-    pub(crate) fn note_run_time(
-        &mut self,
-        now: Instant,
-        machine_id: &MachineId,
-        key: &(TaskId, AttemptId),
-    ) {
+    pub(crate) fn note_run_time(&mut self, now: Instant, machine_id: &MachineId, key: &AttemptKey) {
         let attempt = self
             .machines
             .get(machine_id)
@@ -51,8 +46,8 @@
         };
         let ran_s = (now - since).secs();
         self.jobs
-            .update(&key.0.job, |job| job.run_time_measured(ran_s));
-        let Some(job) = self.jobs.get(&key.0.job) else {
+            .update(&key.task.job, |job| job.run_time_measured(ran_s));
+        let Some(job) = self.jobs.get(&key.task.job) else {
             return;
         };
         // All are done but this one, which is about to be.
