--- a/src/coordination/attempts/ledger.rs
+++ b/src/coordination/attempts/ledger.rs
@@ -9,7 +9,7 @@
 use crate::ids::{AttemptId, AttemptKey, MachineId, TaskId, TeamIndex};
 use crate::protocol::users::JobSpec;
 use crate::resources::Resources;
-use crate::storage::pages::PlacedAttempt;
+use crate::storage::records::LaunchIntent;
 use crate::time::{Instant, TimeSpan};
 
 impl Scheduler {
@@ -121,7 +121,7 @@
         self.jobs
             .update(&key.task.job, |job| job.attempt_removed(s.runs()));
         if let Some(page) = s.page {
-            let gone = PlacedAttempt::new(machine_id, key);
+            let gone = LaunchIntent::new(machine_id, key);
             self.writer.intents.gone(now, page, &gone);
         }
         self.machines.reindex(machine_id);
--- a/src/coordination/leadership/recovery.rs
+++ b/src/coordination/leadership/recovery.rs
@@ -15,14 +15,12 @@
 use crate::coordination::persistence::Writer;
 use crate::coordination::placement::PlacementState;
 use crate::coordination::{Policy, Scheduler};
-use crate::ids::{AttemptKey, KeyRevision, MachineId};
+use crate::ids::{KeyRevision, MachineId};
 use crate::protocol::cloud::MachineTypeInfo;
 use crate::protocol::state::KeyValue;
 use crate::resources::Resources;
-use crate::storage::pages::PlacedAttempt;
 use crate::storage::records::{
-    parse_page, parse_progress_key, IntentPage, MachinePage, OpenJobRecord, INTENT_PAGE_PREFIX,
-    MACHINE_PAGE_PREFIX,
+    IntentPage, LaunchIntent, MachineKind, MachinePage, OpenJobRecord, ProgressKey, RecordKey,
 };
 use crate::time::{Instant, TimeSpan};
 use std::collections::BTreeSet;
@@ -110,19 +108,20 @@
     }
 
     fn load_progress(&mut self, item: KeyValue) {
-        let Some((id, chunk)) = parse_progress_key(&item.key) else {
+        let Some(key) = ProgressKey::parse(&item.key) else {
             return;
         };
-        if self.jobs.get(&id).is_none_or(Job::is_closed) {
+        if self.jobs.get(&key.job).is_none_or(Job::is_closed) {
             self.writer
                 .orphaned_progress
                 .insert(item.key, item.revision);
             return;
         }
         if let Some(text) = item.data.as_str() {
-            self.jobs.update(&id, |job| job.load_progress(chunk, text));
+            self.jobs
+                .update(&key.job, |job| job.load_progress(key.chunk, text));
         }
-        self.writer.progress.insert((id, chunk), item.revision);
+        self.writer.progress.insert(key, item.revision);
     }
 
     /// A time of day on record, in seconds since 1970, on this process's steady clock.
@@ -152,7 +151,7 @@
     }
 
     fn load_machine_page(&mut self, now: Instant, item: &KeyValue) -> Result<(), UnreadableRecord> {
-        let Some(page) = parse_page(&item.key, MACHINE_PAGE_PREFIX) else {
+        let Some(RecordKey::MachinePage(page)) = RecordKey::parse(&item.key) else {
             return Ok(());
         };
         let record: MachinePage = read(item)?;
@@ -171,15 +170,20 @@
             if !machine_ids.contains(&id) {
                 continue;
             }
-            let Some((machine_type, zone, spot)) = record.kinds.get(note.0).cloned() else {
+            let Some(MachineKind {
+                machine_type,
+                zone,
+                spot,
+            }) = record.kinds.get(note.kind).cloned()
+            else {
                 return Err(UnreadableRecord {
                     key: item.key.clone(),
                     why: format!("{id} is of no kind that the page names"),
                 });
             };
             let mut since = now;
-            if note.1 > 0 {
-                since = self.on_steady_clock(note.1).min(now);
+            if note.rented_s > 0 {
+                since = self.on_steady_clock(note.rented_s).min(now);
             }
             let mut m = Machine::new(
                 id.clone(),
@@ -194,11 +198,11 @@
             m.unschedulable_until = now;
             m.page = Some(page);
             m.is_recorded = true;
-            if note.2 {
+            if note.has_reported {
                 m.state = MachineState::Up;
             }
             m.images = note
-                .3
+                .images
                 .iter()
                 .filter_map(|i| record.images.get(*i).cloned())
                 .collect();
@@ -208,13 +212,17 @@
     }
 
     fn load_intents(&mut self, now: Instant, item: &KeyValue) -> Result<(), UnreadableRecord> {
-        let Some(page) = parse_page(&item.key, INTENT_PAGE_PREFIX) else {
+        let Some(RecordKey::IntentPage(page)) = RecordKey::parse(&item.key) else {
             return Ok(());
         };
         let record: IntentPage = read(item)?;
         self.writer.intents.found(page, item.revision);
-        for (machine_id, task, attempt_id) in record.attempts() {
-            let Some(m) = self.machines.get_mut(&machine_id) else {
+        for intent in record.intents() {
+            let LaunchIntent {
+                machine_id,
+                attempt: key,
+            } = &intent;
+            let Some(m) = self.machines.get_mut(machine_id) else {
                 // Proof 4, on record: a start is written only once its machine's page is, and a
                 // machine leaves its page only once the cloud has confirmed that it is gone.
                 self.writer.intents.outdated(now, page);
@@ -222,28 +230,22 @@
             };
             // It had been given work: its worker has reported.
             m.state = MachineState::Up;
-            let key = AttemptKey {
-                task: task.clone(),
-                attempt_id,
-            };
-            let known = self.machines.get(&machine_id);
-            if known.is_some_and(|m| m.attempts.contains_key(&key)) {
+            let known = self.machines.get(machine_id);
+            if known.is_some_and(|m| m.attempts.contains_key(key)) {
                 continue;
             }
-            let placed = record.placed_s.get(&attempt_id);
+            let placed = record.placed_s.get(&key.attempt_id);
             let since = placed.map_or(now, |s| self.on_steady_clock(*s).min(now));
-            let mut s = self.new_attempt(&machine_id, task.clone(), attempt_id, since);
-            if let Some(takes) = record.jobs.get(&task.job) {
-                s.request = takes.amount();
-                s.team = self.policy.team_index(&takes.0);
+            let mut s = self.new_attempt(machine_id, key.task.clone(), key.attempt_id, since);
+            if let Some(takes) = record.jobs.get(&key.task.job) {
+                s.request = takes.request;
+                s.team = self.policy.team_index(&takes.team);
             }
             s.page = Some(page);
             s.recovered = true;
-            self.insert_attempt(&machine_id, s);
-            self.add_place(&machine_id, &task);
-            self.writer
-                .intents
-                .holds(page, PlacedAttempt::new(&machine_id, &key));
+            self.insert_attempt(machine_id, s);
+            self.add_place(machine_id, &key.task);
+            self.writer.intents.holds(page, intent);
         }
         Ok(())
     }
--- a/src/coordination/persistence/launches.rs
+++ b/src/coordination/persistence/launches.rs
@@ -1,20 +1,20 @@
 //! Launch intents, packed into pages.
 
 use super::draft::Draft;
+use super::pages::{IntentPages, Measure};
 use super::Work;
 use crate::coordination::Scheduler;
 use crate::ids::{JobId, KeyRevision, PageNumber};
 use crate::protocol::state::Change;
-use crate::storage::pages::{IntentPages, Measure, PlacedAttempt};
-use crate::storage::records::{intent_page_key, open_key, IntentPage, JobResources};
+use crate::storage::records::{intent_page_key, open_key, IntentPage, JobResources, LaunchIntent};
 use crate::time::Instant;
 use std::collections::BTreeSet;
 
 impl Scheduler {
     /// Whether a start is planned and not yet written.
-    pub(crate) fn unwritten(&self, key: &PlacedAttempt) -> bool {
+    pub(crate) fn unwritten(&self, key: &LaunchIntent) -> bool {
         let m = self.machines.get(&key.machine_id);
-        let attempt = m.and_then(|m| m.attempts.get(&key.key()));
+        let attempt = m.and_then(|m| m.attempts.get(&key.attempt));
         attempt.is_some_and(|s| s.page.is_none() && s.untouched())
     }
 
@@ -29,7 +29,7 @@
 
     pub(crate) fn pack_launches(&self, intents: &IntentPages, draft: &mut Draft, spare: usize) {
         let most_bytes = self.writer.limits.value_bytes;
-        let drafted: BTreeSet<PlacedAttempt> = draft.launches().cloned().collect();
+        let drafted: BTreeSet<LaunchIntent> = draft.launches().cloned().collect();
         let mut waiting = intents
             .waiting()
             .filter(|k| !drafted.contains(*k) && self.unwritten(k))
@@ -52,7 +52,7 @@
             let mut jobs: BTreeSet<JobId> = BTreeSet::new();
             let before = keys.len();
             while let Some(k) = waiting.peek() {
-                let id = &k.task.job;
+                let id = &k.attempt.task.job;
                 let is_recorded = self
                     .machines
                     .get(&k.machine_id)
@@ -89,51 +89,52 @@
         }
     }
 
-    pub(crate) fn measure(&self, keys: &[PlacedAttempt]) -> Measure {
+    pub(crate) fn measure(&self, keys: &[LaunchIntent]) -> Measure {
         let mut size = Measure::default();
         for k in keys {
-            let team = self.jobs.get(&k.task.job).map(|j| j.spec().team.as_str());
+            let job = self.jobs.get(&k.attempt.task.job);
+            let team = job.map(|job| job.spec().team.as_str());
             size.add(k, team.unwrap_or_default());
         }
         size
     }
 
-    pub(crate) fn intents_page(&self, keys: &[PlacedAttempt]) -> serde_json::Value {
+    pub(crate) fn intents_page(&self, keys: &[LaunchIntent]) -> serde_json::Value {
         let mut page = IntentPage::default();
         for k in keys {
-            page.add(&k.machine_id, &k.task, k.attempt_id);
+            page.add(&k.machine_id, &k.attempt.task, k.attempt.attempt_id);
             if let Some(since) = self.placed_at(k) {
                 let placed_s = self.leadership.time_of_day_ms(since) / 1000;
-                page.placed_s.entry(k.attempt_id).or_insert(placed_s);
+                page.placed_s
+                    .entry(k.attempt.attempt_id)
+                    .or_insert(placed_s);
             }
-            if !page.jobs.contains_key(&k.task.job) {
-                page.jobs.insert(k.task.job.clone(), self.takes(k));
+            if !page.jobs.contains_key(&k.attempt.task.job) {
+                page.jobs.insert(k.attempt.task.job.clone(), self.takes(k));
             }
         }
         serde_json::to_value(&page).unwrap_or_default()
     }
 
     /// When a start that is on a page was placed.
-    pub(crate) fn placed_at(&self, key: &PlacedAttempt) -> Option<Instant> {
+    pub(crate) fn placed_at(&self, key: &LaunchIntent) -> Option<Instant> {
         let machine = self.machines.get(&key.machine_id)?;
-        let attempt = machine.attempts.get(&key.key())?;
+        let attempt = machine.attempts.get(&key.attempt)?;
         Some(attempt.since)
     }
 
     /// What a start's job takes: from the job, or, if that is over and forgotten, from the start.
-    pub(crate) fn takes(&self, k: &PlacedAttempt) -> JobResources {
-        if let Some(j) = self.jobs.get(&k.task.job) {
+    pub(crate) fn takes(&self, k: &LaunchIntent) -> JobResources {
+        if let Some(j) = self.jobs.get(&k.attempt.task.job) {
             return JobResources::of(j.spec());
         }
         let m = self.machines.get(&k.machine_id);
-        let s = m.and_then(|m| m.attempts.get(&k.key()));
+        let s = m.and_then(|m| m.attempts.get(&k.attempt));
         let team = self.policy.team(s.and_then(|s| s.team));
         let request = s.map(|s| s.request).unwrap_or_default();
-        JobResources(
-            team.map(|t| t.name.clone()).unwrap_or_default(),
-            request.cpus,
-            request.gpus,
-            request.ram_gb,
-        )
+        JobResources {
+            team: team.map(|t| t.name.clone()).unwrap_or_default(),
+            request,
+        }
     }
 }
