--- a/src/coordination/attempts/placements.rs
+++ b/src/coordination/attempts/placements.rs
@@ -30,7 +30,7 @@
             let tries = key(AttemptId(0))..=key(AttemptId(u64::MAX));
             m.attempts.range(tries).any(|(_, s)| !s.ended())
         });
-        self.placement.due = true;
+        self.placement.request_pass();
         if still {
             return;
         }
--- a/src/coordination/jobs/lifecycle.rs
+++ b/src/coordination/jobs/lifecycle.rs
@@ -76,7 +76,7 @@
         self.jobs.insert(id.clone(), job);
         self.jobs.graph.add(&id, &record.after, traits);
         self.apply_graph_changes(now);
-        self.placement.due = true;
+        self.placement.request_pass();
     }
 
     /// What the job brings into the graph. Its deadline is its own, or else the class's `finished`
@@ -127,7 +127,7 @@
         let placements = job.placements().values().flatten();
         let machine_ids: BTreeSet<MachineId> = placements.cloned().collect();
         self.jobs.update(id, Job::close);
-        self.placement.due = true;
+        self.placement.request_pass();
         for machine_id in machine_ids {
             self.drop_untouched(now, &machine_id, id);
             self.outbox.machines_to_review.insert(machine_id);
@@ -161,7 +161,7 @@
         let (spec, ready) = (job.spec().clone(), job.ready_at());
         self.note_arrival(&spec, ready);
         self.note_size(&spec.class, spec.tasks);
-        self.placement.due = true;
+        self.placement.request_pass();
     }
 
     /// Asks for the finish marks of producers of which nothing is known here.
