--- a/src/coordination/attempts/task_ends.rs
+++ b/src/coordination/attempts/task_ends.rs
@@ -50,7 +50,7 @@
             Cause::Incomplete => {
                 // Its image is there: the machine is kept for when the others have theirs.
                 if let Some(m) = self.machines.get_mut(machine_id) {
-                    m.reservation = Some((task.job.clone(), now + lease));
+                    m.reserve_for(task.job.clone(), now + lease);
                 }
                 self.jobs.update(&task.job, Job::gang_member_gave_up);
             }
