--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -343,7 +343,7 @@
 fn placement_continues_with_a_zero_cpu_limit() {
     let mut now = Instant(1000);
     let mut policy = (*policy()).clone();
-    policy.facts.quota.cores = 0.0;
+    policy.facts.process_limits.cores = 0.0;
     let mut core = idle_fleet(Arc::new(policy), now);
     core.on(now, job("wk-900001", "low", 24_000));
     let recorded = starts_recorded(&mut core, &mut now, Instant(11_000));
