--- a/src/coordination/autoscaler/scale_in.rs
+++ b/src/coordination/autoscaler/scale_in.rs
@@ -149,9 +149,8 @@
 /// Guards against idle machines that are kept for jobs submitted with a mistake: on the recorded day
 /// a974 some 120 of them stayed for 100 s after the last arrival, until two such jobs were cancelled.
 fn has_startable_pending_job(cluster: &ClusterView<'_>) -> bool {
-    let pending = cluster.jobs.index.pending.iter();
-    let mut jobs = pending.filter_map(|id| cluster.jobs.get(id));
-    jobs.any(|job| !job.fails_everywhere())
+    let mut pending = cluster.jobs.pending();
+    pending.any(|(_, job)| !job.fails_everywhere())
 }
 
 impl ScaleInRules<'_> {
--- a/src/coordination/placement/eviction.rs
+++ b/src/coordination/placement/eviction.rs
@@ -62,7 +62,7 @@
         Some(Preemptor {
             id,
             job,
-            priority: view.effective_priority(id, &job.spec),
+            priority: view.effective_priority(id, job.spec()),
             guaranteed_jobs,
         })
     }
@@ -103,7 +103,7 @@
         machine: &Machine,
         preemptor: &Preemptor<'_>,
     ) -> Option<Eviction> {
-        let spec = &preemptor.job.spec;
+        let spec = preemptor.job.spec();
         if !self.may_evict_from(machine, spec) {
             return None;
         }
@@ -156,23 +156,23 @@
         Some(Stoppable {
             attempt,
             cost_s: self.stop_cost_s(attempt, job),
-            grace_s: stop_grace_s(&job.spec),
+            grace_s: stop_grace_s(job.spec()),
         })
     }
 
     /// Seconds of work lost if an attempt is stopped: all that it has run since its start, or what it takes
     /// to write a checkpoint, for each task that stops with it.
     fn stop_cost_s(&self, attempt: &TaskAttempt, job: &Job) -> f64 {
-        let tasks_stopped = if job.is_all_or_nothing() {
-            f64::from(job.spec.tasks)
+        let tasks_stopped = if job.needs_gang_scheduling() {
+            f64::from(job.spec().tasks)
         } else {
             1.0
         };
         let run_time_s = attempt
             .running_since
             .map_or(0.0, |since| (self.now() - since).secs());
-        let work_lost_s = if writes_checkpoints(&job.spec) {
-            job.spec.save_s
+        let work_lost_s = if writes_checkpoints(job.spec()) {
+            job.spec().save_s
         } else {
             run_time_s
         };
@@ -187,7 +187,7 @@
     /// Whether tasks of a job may be stopped for the preemptor: those of lower priority, and to give a team
     /// its guaranteed share those of a team that runs beyond its own.
     fn may_stop(&self, job_id: &JobId, job: &Job, preemptor: &Preemptor<'_>) -> bool {
-        let priority = self.effective_priority(job_id, &job.spec);
+        let priority = self.effective_priority(job_id, job.spec());
         if priority < preemptor.priority {
             return true;
         }
@@ -198,8 +198,8 @@
         // itself every second had room for thousands.
         preemptor.guaranteed_jobs.contains(preemptor.id)
             && priority <= preemptor.priority
-            && job.spec.class != preemptor.job.spec.class
-            && job.team != preemptor.job.team
+            && job.spec().class != preemptor.job.spec().class
+            && job.team() != preemptor.job.team()
             && !preemptor.guaranteed_jobs.contains(job_id)
             && self.uses_more_than_guaranteed(job)
     }
@@ -209,7 +209,7 @@
         let usage = self.usage_of_team(job);
         let exceeds = |used: f64, guaranteed: f64| guaranteed > 0.0 && used > guaranteed;
         self.policy()
-            .team(job.team)
+            .team(job.team())
             .is_some_and(|team| exceeds(usage.gpus, team.gpus) || exceeds(usage.cpus, team.cpus))
     }
 }
--- a/src/coordination/placement/view.rs
+++ b/src/coordination/placement/view.rs
@@ -91,12 +91,9 @@
 
     /// The lowest effective priority among the jobs that may run.
     pub(super) fn lowest_priority(&self) -> Option<Priority> {
-        let may_run = self
-            .jobs()
-            .iter()
-            .filter(|(_, job)| !job.closed && job.released);
+        let may_run = self.jobs().iter().filter(|(_, job)| job.is_released());
         may_run
-            .map(|(id, job)| self.effective_priority(id, &job.spec))
+            .map(|(id, job)| self.effective_priority(id, job.spec()))
             .min()
     }
 
@@ -107,12 +104,12 @@
 
     /// What the job's team uses: everything that may be on a machine.
     pub(super) fn usage_of_team(&self, job: &Job) -> Resources {
-        self.scheduler.used_by(job.team)
+        self.scheduler.used_by(job.team())
     }
 
     /// How many more tasks of the job its team's limit lets start, when the teams use so much.
     pub(super) fn quota_headroom(&self, job: &Job, team_usage: &[Resources]) -> u32 {
-        self.scheduler.headroom(&job.spec, job.team, team_usage)
+        self.scheduler.headroom(job.spec(), job.team(), team_usage)
     }
 
     /// Seconds that a task of the job should run.
