--- a/src/coordination/attempts/ledger.rs
+++ b/src/coordination/attempts/ledger.rs
@@ -71,7 +71,13 @@
         key: &AttemptKey,
         last_status: LastStatus,
     ) {
-        let fetch_s = self.longest_fetch_s(machine_id, &key.task.job);
+        let machine_type = self.machines.get(machine_id).map(|m| &m.machine_type);
+        let fetch_s = match (machine_type, self.jobs.get(&key.task.job)) {
+            (Some(machine_type), Some(job)) => {
+                self.machines.image_pull_s(machine_type, job.spec.image_gb)
+            }
+            _ => 0.0,
+        };
         let Some(m) = self.machines.get_mut(machine_id) else {
             return;
         };
--- a/src/coordination/autoscaler/forecast/mod.rs
+++ b/src/coordination/autoscaler/forecast/mod.rs
@@ -84,7 +84,9 @@
 
     /// Seconds that a machine of the type takes to fetch a job's image.
     fn fetch_s(&self, machine_type: &MachineType, spec: &JobSpec) -> f64 {
-        self.scheduler.fetch_s(machine_type, spec.image_gb)
+        self.scheduler
+            .machines
+            .image_pull_s(machine_type, spec.image_gb)
     }
 
     /// What one machine of the type offers.
--- a/src/coordination/autoscaler/scale_in.rs
+++ b/src/coordination/autoscaler/scale_in.rs
@@ -228,6 +228,10 @@
         let largest_image_gb = image_sizes_gb.fold(0.0, f64::max);
         let machine_type = &machine.machine_type;
         let boot_s = self.scheduler.machines.boot_s(machine_type);
-        boot_s + self.scheduler.fetch_s(machine_type, largest_image_gb)
+        boot_s
+            + self
+                .scheduler
+                .machines
+                .image_pull_s(machine_type, largest_image_gb)
     }
 }
--- a/src/coordination/jobs/lifecycle.rs
+++ b/src/coordination/jobs/lifecycle.rs
@@ -89,7 +89,7 @@
         let fallback = || objective().filter(|_| after.is_empty());
         let due_s = spec.due_s.or_else(fallback);
         // Without machine types nothing is known of the fetch.
-        let fetch_s = Some(self.shortest_fetch_s(spec)).filter(|s| s.is_finite());
+        let fetch_s = Some(self.machines.shortest_image_pull_s(spec)).filter(|s| s.is_finite());
         let run_s = self.longest_of(job) + fetch_s.unwrap_or(0.0);
         JobTraits {
             due: due_s.map(|s| job.submitted + TimeSpan::from_secs(s)),
--- a/src/coordination/machines/images.rs
+++ b/src/coordination/machines/images.rs
@@ -1,78 +1,81 @@
-//! Where container images are cached, and how long they take to get to a machine.
+//! Where container images are cached, and how long it takes to have one on a machine.
+//!
+//! Workers report no caches: what is in them is inferred from what ran where.
 
-use crate::coordination::machines::machine::{Machine, MachineState};
-use crate::coordination::Scheduler;
-use crate::ids::{Image, JobId, MachineId, MachineType};
+use super::machine::{Machine, MachineState};
+use super::table::MachineTable;
+use crate::ids::{Image, MachineType};
 use crate::protocol::users::JobSpec;
 use crate::time::Instant;
 use std::collections::BTreeMap;
 
-impl Scheduler {
-    /// Seconds that the image takes to fetch on the type of machine that is quickest at it.
-    pub(crate) fn shortest_fetch_s(&self, spec: &JobSpec) -> f64 {
-        self.machines
+impl MachineTable {
+    /// Seconds that a pull of so many gigabytes takes on a machine of the type; 0 if its rate is not known.
+    pub(crate) fn image_pull_s(&self, machine_type: &MachineType, image_gb: f64) -> f64 {
+        let gb_per_s = self
             .types
-            .keys()
-            .filter(|r| spec.machine_types.as_ref().is_none_or(|a| a.contains(r)))
-            .map(|r| self.fetch_s(r, spec.image_gb))
-            .fold(f64::INFINITY, f64::min)
+            .get(machine_type)
+            .map_or(0.0, |info| info.fetch_gb_per_s);
+        if gb_per_s > 0.0 {
+            image_gb / gb_per_s
+        } else {
+            0.0
+        }
     }
 
-    /// Once a second: how much room there is, free or not, where each image is cached.
-    pub(crate) fn recheck_images(&mut self) {
-        let mut room: BTreeMap<Image, f64> = BTreeMap::new();
-        for m in self.machines.values() {
-            if m.state != MachineState::Up || m.draining || m.reclaim_at.is_some() {
-                continue;
-            }
-            let gpus = self.machines.capacity(&m.machine_type).gpus;
-            for (image, _) in &m.images {
-                match room.get_mut(image) {
-                    Some(r) => *r += gpus,
-                    None => drop(room.insert(image.clone(), gpus)),
-                }
-            }
-        }
-        self.machines.gpus_by_cached_image = room;
+    /// Seconds that a pull of the job's image takes on the machine type that is quickest at it, of those that
+    /// the job may use; infinite if there is none.
+    pub(crate) fn shortest_image_pull_s(&self, spec: &JobSpec) -> f64 {
+        self.types
+            .keys()
+            .filter(|machine_type| {
+                let allowed = spec.machine_types.as_ref();
+                allowed.is_none_or(|allowed| allowed.contains(machine_type))
+            })
+            .map(|machine_type| self.image_pull_s(machine_type, spec.image_gb))
+            .fold(f64::INFINITY, f64::min)
     }
 
-    /// Seconds until the image would be there: none if cached, the rest if being fetched.
-    pub(crate) fn wait_for_image(&self, now: Instant, m: &Machine, spec: &JobSpec) -> f64 {
-        if m.has_image(&spec.image) {
+    /// Seconds until the job's image would be on the machine: 0 if it is cached, the rest of the pull if one
+    /// is in progress.
+    pub(crate) fn image_wait_s(&self, now: Instant, machine: &Machine, spec: &JobSpec) -> f64 {
+        if machine.has_image(&spec.image) {
             return 0.0;
         }
-        let whole = self.fetch_s(&m.machine_type, spec.image_gb);
-        let fetching = |image: &Option<Image>| image.as_ref() == Some(&spec.image);
-        let under_way = m
+        let pull_s = self.image_pull_s(&machine.machine_type, spec.image_gb);
+        let pull_began_at = machine
             .live_attempts()
-            .filter(|s| s.running_since.is_none() && fetching(&s.image))
-            .map(|s| s.since)
+            .filter(|attempt| attempt.running_since.is_none())
+            .filter(|attempt| attempt.image.as_ref() == Some(&spec.image))
+            .map(|attempt| attempt.since)
             .min();
-        match under_way {
-            Some(since) => (whole - (now - since).secs()).max(0.0),
-            None => whole,
+        match pull_began_at {
+            Some(since) => (pull_s - (now - since).secs()).max(0.0),
+            None => pull_s,
         }
     }
 
-    /// Seconds that the machine takes to fetch the image of a job that is known.
-    pub(crate) fn longest_fetch_s(&self, machine_id: &MachineId, job: &JobId) -> f64 {
-        match (self.machines.get(machine_id), self.jobs.get(job)) {
-            (Some(machine), Some(job)) => self.fetch_s(&machine.machine_type, job.spec.image_gb),
-            _ => 0.0,
-        }
+    /// GPUs, free or not, of machines that have the image cached, as of the last recheck.
+    pub(crate) fn gpus_caching(&self, image: &Image) -> f64 {
+        self.gpus_by_cached_image.get(image).copied().unwrap_or(0.0)
     }
 
-    /// Seconds that a machine of the type takes to fetch so much.
-    pub(crate) fn fetch_s(&self, machine_type: &MachineType, gb: f64) -> f64 {
-        let rate = self
-            .machines
-            .types
-            .get(machine_type)
-            .map_or(0.0, |r| r.fetch_gb_per_s);
-        if rate > 0.0 {
-            gb / rate
-        } else {
-            0.0
+    /// Counts anew, once a second, the GPUs of machines that have each image cached.
+    pub(crate) fn recheck_cached_images(&mut self) {
+        let mut gpus_by_image: BTreeMap<Image, f64> = BTreeMap::new();
+        for machine in self.values() {
+            if machine.state != MachineState::Up || machine.draining || machine.reclaim_at.is_some()
+            {
+                continue;
+            }
+            let gpus = self.capacity(&machine.machine_type).gpus;
+            for (image, _) in &machine.images {
+                match gpus_by_image.get_mut(image) {
+                    Some(sum) => *sum += gpus,
+                    None => drop(gpus_by_image.insert(image.clone(), gpus)),
+                }
+            }
         }
+        self.gpus_by_cached_image = gpus_by_image;
     }
 }
--- a/src/coordination/machines/table.rs
+++ b/src/coordination/machines/table.rs
@@ -25,7 +25,7 @@
     /// Sets of machines by the room they have, kept in step by [`MachineTable::reindex`].
     pub(crate) index: MachineIndex,
     /// GPUs of machines that have each image cached.
-    pub(crate) gpus_by_cached_image: BTreeMap<Image, f64>,
+    pub(super) gpus_by_cached_image: BTreeMap<Image, f64>,
 }
 
 /// Sets of machines by the room they have.
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -167,7 +167,7 @@
             self.apply_graph_changes(now);
             self.recheck_machines(now);
             self.recheck_aging(now);
-            self.recheck_images();
+            self.machines.recheck_cached_images();
             self.forget_closed_jobs();
             self.log_cluster_state(now);
             self.placement.request_pass();
--- a/src/coordination/placement/image_locality.rs
+++ b/src/coordination/placement/image_locality.rs
@@ -66,8 +66,7 @@
 
     /// Seconds in which all pending tasks of the job could have had a turn on machines with its image.
     fn image_machines_free_within_s(&self, job: &Job) -> f64 {
-        let gpus_by_image = &self.view.machines().gpus_by_cached_image;
-        let gpus = gpus_by_image.get(&job.spec.image).copied().unwrap_or(0.0);
+        let gpus = self.view.machines().gpus_caching(&job.spec.image);
         let slots = gpus / job.spec.gpus.max(MIN_GPUS_PER_TASK);
         job.pending.len() as f64 * self.view.estimated_run_time_s(job) / slots.max(MIN_SLOTS)
     }
--- a/src/coordination/placement/view.rs
+++ b/src/coordination/placement/view.rs
@@ -132,11 +132,11 @@
 
     /// Seconds until the job's image would be on the machine: 0 if it is cached there.
     pub(super) fn image_wait_s(&self, machine: &Machine, spec: &JobSpec) -> f64 {
-        self.scheduler.wait_for_image(self.now, machine, spec)
+        self.machines().image_wait_s(self.now, machine, spec)
     }
 
     /// Seconds that a pull of the job's image takes on the machine type that is quickest at it.
     pub(super) fn shortest_image_pull_s(&self, spec: &JobSpec) -> f64 {
-        self.scheduler.shortest_fetch_s(spec)
+        self.machines().shortest_image_pull_s(spec)
     }
 }
