--- a/src/coordination/leadership/recovery.rs
+++ b/src/coordination/leadership/recovery.rs
@@ -6,6 +6,7 @@
 use crate::coordination::autoscaler::Autoscaler;
 use crate::coordination::jobs::aging::Aging;
 use crate::coordination::jobs::estimates::Estimates;
+use crate::coordination::jobs::job::Job;
 use crate::coordination::jobs::table::JobTable;
 use crate::coordination::leadership::Leadership;
 use crate::coordination::leadership::LeadershipTerm;
@@ -70,7 +71,7 @@
             machines: MachineTable::default(),
             team_usage: vec![Resources::default(); teams],
             outbox: Outbox::default(),
-            placement: PlacementState::new(policy.facts.quota.cores),
+            placement: PlacementState::new(policy.facts.process_limits.cores),
             autoscaler: Autoscaler::new(policy.facts.cloud.rps),
             estimates: Estimates::default(),
             aging: Aging::default(),
@@ -110,19 +111,15 @@
         let Some(key) = ProgressKey::parse(&item.key) else {
             return;
         };
-        let open = self.jobs.get_mut(&key.job).filter(|j| !j.closed);
-        let Some(job) = open else {
+        if self.jobs.get(&key.job).is_none_or(Job::is_closed) {
             self.writer
                 .orphaned_progress
                 .insert(item.key, item.revision);
             return;
-        };
+        }
         if let Some(text) = item.data.as_str() {
-            job.done.load(key.chunk, text);
-            let done = &job.done;
-            job.pending.retain(|i| !done.has(*i));
-            job.has_run |= done.count() > 0;
-            self.jobs.reindex(&key.job);
+            self.jobs
+                .update(&key.job, |job| job.load_progress(key.chunk, text));
         }
         self.writer.progress.insert(key, item.revision);
     }
--- a/src/coordination/machines/images.rs
+++ b/src/coordination/machines/images.rs
@@ -4,7 +4,8 @@
 
 use super::machine::{Machine, MachineState};
 use super::table::MachineTable;
-use crate::ids::{Image, MachineType};
+use crate::coordination::Scheduler;
+use crate::ids::{Image, JobId, MachineId, MachineType};
 use crate::protocol::users::JobSpec;
 use crate::time::Instant;
 use std::collections::BTreeMap;
@@ -79,3 +80,15 @@
         self.gpus_by_cached_image = gpus_by_image;
     }
 }
+
+impl Scheduler {
+    /// Seconds that a pull of the job's image takes on the machine; 0 if either is not known.
+    pub(crate) fn longest_fetch_s(&self, machine_id: &MachineId, job_id: &JobId) -> f64 {
+        match (self.machines.get(machine_id), self.jobs.get(job_id)) {
+            (Some(machine), Some(job)) => self
+                .machines
+                .image_pull_s(&machine.machine_type, job.spec().image_gb),
+            _ => 0.0,
+        }
+    }
+}
--- a/src/coordination/placement/reservations.rs
+++ b/src/coordination/placement/reservations.rs
@@ -47,8 +47,8 @@
 impl PlacementPass<'_> {
     /// Reserves machines for a job that could not be placed.
     pub(super) fn reserve_machines_for(&mut self, job: &Job) {
-        let spec = &job.spec;
-        let is_gang_of_several = job.is_all_or_nothing();
+        let spec = job.spec();
+        let is_gang_of_several = job.needs_gang_scheduling();
         let is_large = self.view.is_large_task(spec);
         let is_aged = self.view.is_aged(job);
         if is_gang_of_several && (is_aged || is_large) {
