--- a/src/coordination/machines/table.rs
+++ b/src/coordination/machines/table.rs
@@ -2,7 +2,7 @@
 //! machines with room that placement looks up often.
 
 use super::machine::{Machine, MachineState};
-use crate::coordination::jobs::table::set_membership;
+use crate::coordination::jobs::index::set_membership;
 use crate::ids::{Image, MachineId, MachineType};
 use crate::protocol::cloud::MachineTypeInfo;
 use crate::protocol::users::JobSpec;
@@ -25,7 +25,7 @@
     /// Sets of machines by the room they have, kept in step by [`MachineTable::reindex`].
     pub(crate) index: MachineIndex,
     /// GPUs of machines that have each image cached.
-    pub(crate) gpus_by_cached_image: BTreeMap<Image, f64>,
+    pub(super) gpus_by_cached_image: BTreeMap<Image, f64>,
 }
 
 /// Sets of machines by the room they have.
--- a/src/coordination/placement/view.rs
+++ b/src/coordination/placement/view.rs
@@ -91,12 +91,9 @@
 
     /// The lowest effective priority among the jobs that may run.
     pub(super) fn lowest_priority(&self) -> Option<Priority> {
-        let may_run = self
-            .jobs()
-            .iter()
-            .filter(|(_, job)| !job.closed && job.released);
+        let may_run = self.jobs().iter().filter(|(_, job)| job.is_released());
         may_run
-            .map(|(id, job)| self.effective_priority(id, &job.spec))
+            .map(|(id, job)| self.effective_priority(id, job.spec()))
             .min()
     }
 
@@ -107,12 +104,12 @@
 
     /// What the job's team uses: everything that may be on a machine.
     pub(super) fn usage_of_team(&self, job: &Job) -> Resources {
-        self.scheduler.used_by(job.team)
+        self.scheduler.used_by(job.team())
     }
 
     /// How many more tasks of the job its team's limit lets start, when the teams use so much.
     pub(super) fn quota_headroom(&self, job: &Job, team_usage: &[Resources]) -> u32 {
-        self.scheduler.headroom(&job.spec, job.team, team_usage)
+        self.scheduler.headroom(job.spec(), job.team(), team_usage)
     }
 
     /// Seconds that a task of the job should run.
@@ -132,11 +129,11 @@
 
     /// Seconds until the job's image would be on the machine: 0 if it is cached there.
     pub(super) fn image_wait_s(&self, machine: &Machine, spec: &JobSpec) -> f64 {
-        self.scheduler.wait_for_image(self.now, machine, spec)
+        self.machines().image_wait_s(self.now, machine, spec)
     }
 
     /// Seconds that a pull of the job's image takes on the machine type that is quickest at it.
     pub(super) fn shortest_image_pull_s(&self, spec: &JobSpec) -> f64 {
-        self.scheduler.shortest_fetch_s(spec)
+        self.machines().shortest_image_pull_s(spec)
     }
 }
