--- a/src/coordination/autoscaler/forecast/waiting_tasks.rs
+++ b/src/coordination/autoscaler/forecast/waiting_tasks.rs
@@ -33,13 +33,13 @@
         let Some(job) = view.jobs().get(&tasks.job) else {
             continue;
         };
-        let headroom = view.headroom(&job.spec, job.team, &team_usage);
+        let headroom = view.headroom(job.spec(), job.team(), &team_usage);
         let count = tasks.count.min(headroom);
         if count == 0 || cluster.is_full() {
             continue;
         }
-        let mut spec = job.spec.clone();
-        if spec.together && job.is_all_or_nothing() && spec.zone.is_none() {
+        let mut spec = job.spec().clone();
+        if spec.together && job.needs_gang_scheduling() && spec.zone.is_none() {
             spec.zone = zone_for_gang(view, cluster, &spec);
         }
         let batch = TaskBatch {
@@ -48,8 +48,8 @@
             origin: TaskOrigin::Waiting,
         };
         let assigned = assign(view, &batch, cluster);
-        if let Some(usage) = job.team.and_then(|team| team_usage.get_mut(team.0)) {
-            usage.add(&Resources::of(&job.spec).times(f64::from(assigned)));
+        if let Some(usage) = job.team().and_then(|team| team_usage.get_mut(team.0)) {
+            usage.add(&Resources::of(job.spec()).times(f64::from(assigned)));
         }
     }
 }
--- a/src/coordination/placement/candidates.rs
+++ b/src/coordination/placement/candidates.rs
@@ -109,7 +109,7 @@
         zones: &ZoneChoice,
         locality: ImageLocality,
     ) -> Vec<Placement> {
-        let request = Resources::of(&job.spec);
+        let request = Resources::of(job.spec());
         let mut candidates = self.candidates(job_id, job, zones, locality);
         let mut spread = ZoneSpread::of(&self.view, job);
         let mut placements = Vec::new();
@@ -144,10 +144,10 @@
         zones: &ZoneChoice,
         locality: ImageLocality,
     ) -> BinaryHeap<Candidate<'_>> {
-        let spec = &job.spec;
+        let spec = job.spec();
         let request = Resources::of(spec);
         let label = self.view.jobs().graph.label(job_id);
-        let avoids_failures = job.failed_on.len() <= MAX_AVOIDED_MACHINES;
+        let avoids_failures = job.retry().failed_on().len() <= MAX_AVOIDED_MACHINES;
         let may_use_warm_pool = self.view.is_aged(job);
         self.view
             .machines()
@@ -156,7 +156,7 @@
             .filter(|machine| allows_machine(spec, machine) && zones.includes(&machine.zone))
             .filter(|machine| self.view.is_usable(machine) && !self.state.is_reserved(&machine.id))
             .filter(|machine| locality.is_met_by(machine, &spec.image))
-            .filter(|machine| !(avoids_failures && job.failed_on.contains(&machine.id)))
+            .filter(|machine| !(avoids_failures && job.retry().failed_on().contains(&machine.id)))
             .filter(|machine| !self.view.is_reserved_for_another(machine, job_id))
             .filter(|machine| {
                 may_use_warm_pool || self.view.warm_pool_admits(&machine.id, &spec.class)
@@ -186,8 +186,8 @@
             .live_attempts()
             .any(|attempt| attempt.latency != is_latency);
         FixedCosts {
-            image_wait_s: self.view.image_wait_s(machine, &job.spec),
-            on_demand_s: cost_if(job.spec.spot && !machine.spot, ON_DEMAND_COST_S),
+            image_wait_s: self.view.image_wait_s(machine, job.spec()),
+            on_demand_s: cost_if(job.spec().spot && !machine.spot, ON_DEMAND_COST_S),
             label_mismatch_s: cost_if(runs_other_label, LABEL_MISMATCH_COST_S),
         }
     }
--- a/src/coordination/placement/mod.rs
+++ b/src/coordination/placement/mod.rs
@@ -141,9 +141,7 @@
         let view = self.placement_view(now);
         let waits = PlacementPass { view, state }.waits_for_image(job_id);
         if waits {
-            if let Some(job) = self.jobs.get_mut(job_id) {
-                job.waits_since.get_or_insert(now);
-            }
+            self.jobs.update(job_id, |job| job.image_wait_began(now));
         }
         waits
     }
@@ -198,15 +196,17 @@
         attempt_id: AttemptId,
         plan: JobPlan,
     ) {
-        let Some(job) = self.jobs.get_mut(job_id) else {
+        let updated = self.jobs.update(job_id, |job| {
+            job.gang_attempt_started();
+            if locality == ImageLocality::Required {
+                // The machines that it waits for do come free.
+                job.image_wait_ended();
+            }
+            job.needs_gang_scheduling()
+        });
+        let Some(is_gang) = updated else {
             return;
         };
-        job.incomplete = false;
-        if locality == ImageLocality::Required {
-            // The machines that it waits for do come free.
-            job.waits_since = None;
-        }
-        let is_gang = job.is_all_or_nothing();
         let is_latency = self.jobs.graph.label(job_id) == Label::Latency;
         for placement in plan.placements {
             let Placement {
--- a/src/coordination/placement/pass.rs
+++ b/src/coordination/placement/pass.rs
@@ -119,8 +119,8 @@
 
     /// Counts so many tasks of a job towards its team's usage.
     fn charge_team(&mut self, job: &Job, tasks: f64) {
-        if let Some(usage) = job.team.and_then(|team| self.team_usage.get_mut(team.0)) {
-            usage.add(&Resources::of(&job.spec).times(tasks));
+        if let Some(usage) = job.team().and_then(|team| self.team_usage.get_mut(team.0)) {
+            usage.add(&Resources::of(job.spec()).times(tasks));
         }
     }
 
@@ -206,22 +206,22 @@
         if starts_as_gang && locality == ImageLocality::Required {
             return Startable::Nothing;
         }
-        if starts_as_gang && !job.placements.is_empty() {
+        if starts_as_gang && !job.placements().is_empty() {
             // A task of the last gang attempt may still be on a machine.
             return Startable::Nothing;
         }
         let headroom = self.view.quota_headroom(job, &self.state.team_usage);
-        let mut count = headroom.min(job.pending.len() as u32);
+        let mut count = headroom.min(job.pending().len() as u32);
         if !starts_as_gang && job.fails_everywhere() && !self.has_run_long_enough(job_id, job) {
             // Guards against a job submitted with a mistake whose tasks all start and fail again and
             // again, with a write for each and machines rented for all: one task tries, the rest wait
             // for how it fares.
-            count = count.min(u32::from(job.placements.is_empty()));
+            count = count.min(u32::from(job.placements().is_empty()));
             if count == 0 {
                 return Startable::Nothing;
             }
         }
-        if count == 0 || (starts_as_gang && count < job.spec.tasks) {
+        if count == 0 || (starts_as_gang && count < job.spec().tasks) {
             return Startable::BlockedByQuota;
         }
         Startable::Tasks(count)
@@ -230,7 +230,7 @@
     /// Whether a task of the job has run for long enough to say that the job can run.
     fn has_run_long_enough(&self, job_id: &JobId, job: &Job) -> bool {
         let now = self.view.now();
-        job.placements
+        job.placements()
             .values()
             .flatten()
             .filter_map(|machine_id| self.view.machines().get(machine_id))
@@ -244,7 +244,7 @@
     /// take every bit that is given back: what it needs is kept free for it.
     fn keep_quota_free(&mut self, job: &Job) {
         let tasks = if starts_as_gang(job) {
-            f64::from(job.spec.tasks)
+            f64::from(job.spec().tasks)
         } else {
             1.0
         };
@@ -260,7 +260,7 @@
         startable: u32,
         locality: ImageLocality,
     ) -> Vec<Placement> {
-        let request = ResourceRequest::of(&job.spec);
+        let request = ResourceRequest::of(job.spec());
         if !self.state.has_reservation(job_id) && self.state.is_known_to_fail(&request) {
             return Vec::new();
         }
@@ -271,7 +271,7 @@
             startable.min(self.state.remaining())
         };
         let task_indexes: Vec<u32> = job
-            .pending
+            .pending()
             .iter()
             .take(max_tasks as usize)
             .copied()
@@ -284,8 +284,9 @@
                 !placements.is_empty() && (!is_gang || placements.len() == task_indexes.len())
             })
             .unwrap_or_default();
-        let depends_on_request_alone =
-            job.failed_on.is_empty() && !job.spec.scatter && (!is_gang || job.spec.tasks == 1);
+        let depends_on_request_alone = job.retry().failed_on().is_empty()
+            && !job.spec().scatter
+            && (!is_gang || job.spec().tasks == 1);
         if placements.is_empty() && depends_on_request_alone && locality == ImageLocality::Preferred
         {
             self.state.failed_requests.push(request);
@@ -295,7 +296,7 @@
 
     /// Whether a machine can be found for the first pending task of the job.
     pub(super) fn has_room_for_one(&self, job_id: &JobId, job: &Job) -> bool {
-        let first: Vec<u32> = job.pending.iter().take(1).copied().collect();
+        let first: Vec<u32> = job.pending().iter().take(1).copied().collect();
         let zones = ZoneChoice::Any;
         let placements =
             self.choose_machines(job_id, job, &first, &zones, ImageLocality::Preferred);
@@ -306,5 +307,5 @@
 /// Whether the job's tasks start together or not at all. Once one task of a gang is done all are, and the
 /// rest only have to say so one by one.
 fn starts_as_gang(job: &Job) -> bool {
-    job.spec.shape == Shape::Gang && job.done.count() == 0
+    job.spec().shape == Shape::Gang && job.completed().count() == 0
 }
--- a/src/coordination/placement/queue.rs
+++ b/src/coordination/placement/queue.rs
@@ -52,17 +52,14 @@
 impl<'a> PlacementView<'a> {
     /// The pending jobs in the order in which they are placed.
     pub(super) fn queue(&self) -> Vec<Round> {
-        if self.jobs().index.pending.is_empty() {
+        if !self.jobs().has_pending() {
             return Vec::new();
         }
         let guaranteed = self.guaranteed_jobs();
         let mut queue: Vec<QueueKey<'a>> = self
             .jobs()
-            .index
-            .pending
-            .iter()
-            .filter_map(|id| Some((id, self.jobs().get(id)?)))
-            .filter(|(_, job)| job.not_before <= self.now())
+            .pending()
+            .filter(|(_, job)| job.retry().allows_start(self.now()))
             .map(|(id, job)| self.queue_key(id, job, &guaranteed))
             .collect();
         queue.sort();
@@ -71,7 +68,9 @@
 
     fn queue_key(&self, id: &'a JobId, job: &Job, guaranteed: &BTreeSet<JobId>) -> QueueKey<'a> {
         let aging = if self.is_aged(job) {
-            AgingRank::Aged { ready: job.ready }
+            AgingRank::Aged {
+                ready: job.ready_at(),
+            }
         } else {
             AgingRank::NotAged
         };
@@ -81,13 +80,13 @@
                 aging,
                 depth: graph.depth(id),
                 is_outside_guarantee: !guaranteed.contains(id),
-                priority: Reverse(self.effective_priority(id, &job.spec)),
+                priority: Reverse(self.effective_priority(id, job.spec())),
                 label: graph.label(id),
                 missed_objectives: self.missed_objectives(id, job),
-                is_small_task: !self.is_large_task(&job.spec),
+                is_small_task: !self.is_large_task(job.spec()),
             },
             pending_work: TimeSpan::from_secs(self.pending_work_s(job)),
-            ready: job.ready,
+            ready: job.ready_at(),
             job_id: id,
         }
     }
@@ -117,19 +116,16 @@
     /// Jobs that fit into their team's guaranteed share together with the team's earlier unfinished ones.
     pub(super) fn guaranteed_jobs(&self) -> BTreeSet<JobId> {
         let mut guaranteed = BTreeSet::new();
-        for (index, team_jobs) in self.jobs().index.by_team.iter().enumerate() {
-            let Some(team) = self.policy().team(Some(TeamIndex(index))) else {
+        for index in (0..self.jobs().team_count()).map(TeamIndex) {
+            let Some(team) = self.policy().team(Some(index)) else {
                 continue;
             };
             if team.cpus <= 0.0 && team.gpus <= 0.0 {
                 continue;
             }
             let mut unfinished = Resources::default();
-            for (_, id) in team_jobs {
-                let Some(job) = self.jobs().get(id) else {
-                    continue;
-                };
-                unfinished.add(&job.left());
+            for (id, job) in self.jobs().released_of_team(index) {
+                unfinished.add(&job.remaining_request());
                 if within_limit(unfinished.cpus, team.cpus)
                     && within_limit(unfinished.gpus, team.gpus)
                 {
@@ -144,8 +140,8 @@
     /// first goes ahead, and a job past all of them goes last. Otherwise, when there is too much to do,
     /// jobs already late would make every other late as well.
     fn missed_objectives(&self, id: &JobId, job: &Job) -> u8 {
-        let class = &job.spec.class;
-        let after_ready = |seconds: f64| job.ready + TimeSpan::from_secs(seconds);
+        let class = &job.spec().class;
+        let after_ready = |seconds: f64| job.ready_at() + TimeSpan::from_secs(seconds);
         let run_time = TimeSpan::from_secs(self.longest_run_time_s(job));
         let mut latest_starts: Vec<Instant> = self
             .policy()
@@ -160,7 +156,7 @@
                 .map(|seconds| after_ready(seconds) - run_time),
         );
         let graph = &self.jobs().graph;
-        let has_deadline = job.spec.due_s.is_some() || graph.has_consumers(id);
+        let has_deadline = job.spec().due_s.is_some() || graph.has_consumers(id);
         if let Some(deadline) = graph.due(id).filter(|_| has_deadline) {
             let deadlines = self.deadline_objectives(job, deadline);
             latest_starts.extend(deadlines.map(|deadline| deadline - run_time));
@@ -172,10 +168,10 @@
     /// The deadline that a job has, of its own or for its downstream jobs, and the multiples of the time
     /// that it allows itself which its class's objectives name.
     fn deadline_objectives(&self, job: &Job, deadline: Instant) -> impl Iterator<Item = Instant> {
-        let submitted = job.submitted;
+        let submitted = job.submitted_at();
         let mut multiples = Vec::new();
-        if job.spec.due_s.is_some() {
-            let objectives = self.policy().of_class("deadline", &job.spec.class);
+        if job.spec().due_s.is_some() {
+            let objectives = self.policy().of_class("deadline", &job.spec().class);
             multiples.extend(objectives.filter_map(|objective| objective.times));
         }
         if multiples.is_empty() {
--- a/tests/support/leader.rs
+++ b/tests/support/leader.rs
@@ -1,9 +1,9 @@
 //! A leader's policy and leadership term, for tests of the scheduler alone.
 
+use chalklug::config::OperatorConfig;
 use chalklug::coordination::leadership::LeadershipTerm;
 use chalklug::coordination::Policy;
 use chalklug::ids::{FencingToken, KeyRevision, LeaseId};
-use chalklug::settings::Operator;
 use std::sync::Arc;
 
 /// One team with that guaranteed share of GPUs and twice as much as its limit; that many pushes at once.
@@ -20,7 +20,7 @@
     );
     Arc::new(Policy {
         facts: toml::from_str(&text).unwrap(),
-        operator: Operator::default(),
+        operator: OperatorConfig::default(),
         max_pushes,
     })
 }
