--- a/src/coordination/persistence/draft/job_ends.rs
+++ b/src/coordination/persistence/draft/job_ends.rs
@@ -13,7 +13,7 @@
     /// launches.
     pub fn draft_upstream_finishes(&self, draft: &mut Draft) {
         let max_ops = (draft.limits().max_ops / 2).max(JOB_END_OPS);
-        for (id, job) in self.jobs_in(&self.cluster.jobs.index.complete) {
+        for (id, job) in self.cluster.jobs.complete() {
             if draft.op_count() + JOB_END_OPS > max_ops {
                 return;
             }
@@ -25,7 +25,7 @@
 
     /// Finishes of jobs that no other depends on.
     pub fn draft_other_finishes(&self, draft: &mut Draft) {
-        for (id, job) in self.jobs_in(&self.cluster.jobs.index.complete) {
+        for (id, job) in self.cluster.jobs.complete() {
             if !self.has_downstream_jobs(id) && !self.draft_finish(id, job, draft) {
                 return;
             }
@@ -34,10 +34,10 @@
 
     /// Cancellations of jobs that depend on a cancelled one, directly or through others.
     pub fn draft_cancellations(&self, draft: &mut Draft) {
-        for (id, job) in self.jobs_in(&self.cluster.jobs.index.ancestor_cancelled) {
-            let record = TerminalRecord::cancelled(job.spec.tasks);
+        for (id, job) in self.cluster.jobs.ancestor_cancelled() {
+            let record = TerminalRecord::cancelled(job.spec().tasks);
             let update = RecordUpdate::JobCancelled { job: id.clone() };
-            if !close_job(draft, id, job.revision, &record, update) {
+            if !close_job(draft, id, job.open_record_revision(), &record, update) {
                 return;
             }
         }
@@ -48,11 +48,11 @@
         let time_of_day_ms = || self.leadership.time_of_day_ms(now);
         let record = TerminalRecord {
             phase: JobPhase::Done,
-            tasks: job.spec.tasks,
+            tasks: job.spec().tasks,
             at_ms: self.has_downstream_jobs(id).then(time_of_day_ms),
         };
         let update = RecordUpdate::JobFinished { job: id.clone() };
-        close_job(draft, id, job.revision, &record, update)
+        close_job(draft, id, job.open_record_revision(), &record, update)
     }
 
     fn has_downstream_jobs(&self, id: &JobId) -> bool {
--- a/src/coordination/persistence/draft/launches.rs
+++ b/src/coordination/persistence/draft/launches.rs
@@ -77,10 +77,10 @@
                 queue.next();
                 continue;
             };
-            if !page.require_open(intent.job(), job.revision, draft) {
+            if !page.require_open(intent.job(), job.open_record_revision(), draft) {
                 return;
             }
-            page.size.add(intent, &job.spec.team);
+            page.size.add(intent, &job.spec().team);
             if page.size.bytes() > draft.limits().max_value_bytes {
                 return;
             }
@@ -93,7 +93,7 @@
     fn launchable_job(&self, intent: &LaunchIntent) -> Option<&Job> {
         let machine = self.cluster.machines.get(&intent.machine_id)?;
         let job = self.cluster.jobs.get(intent.job())?;
-        (machine.is_recorded && !job.closed).then_some(job)
+        (machine.is_recorded && !job.is_closed()).then_some(job)
     }
 
     /// Adds a page to the draft; false if it doesn't fit.
@@ -111,7 +111,7 @@
         let mut size = IntentPageSize::default();
         for intent in intents {
             let job = self.cluster.jobs.get(intent.job());
-            let team = job.map(|job| job.spec.team.as_str());
+            let team = job.map(|job| job.spec().team.as_str());
             size.add(intent, team.unwrap_or_default());
         }
         size
@@ -138,7 +138,7 @@
     /// What the tasks of an intent's job take: from the job, or, if that is closed and forgotten, from the attempt.
     fn resources_of(&self, intent: &LaunchIntent) -> JobResources {
         if let Some(job) = self.cluster.jobs.get(intent.job()) {
-            return JobResources::of(&job.spec);
+            return JobResources::of(job.spec());
         }
         let attempt = attempt_of(self.cluster.machines, intent);
         let team = attempt.and_then(|attempt| attempt.team);
--- a/src/coordination/persistence/draft/mod.rs
+++ b/src/coordination/persistence/draft/mod.rs
@@ -14,7 +14,6 @@
 
 use super::limits::{WriteLimits, MAX_TRANSACTION_BYTES};
 use super::writer::Writer;
-use crate::coordination::jobs::job::Job;
 use crate::coordination::leadership::Leadership;
 use crate::coordination::ClusterView;
 use crate::ids::{FencingToken, JobId, KeyRevision, MachineId, PageNumber};
@@ -186,14 +185,3 @@
     /// What is known of the stored records.
     pub writer: &'a Writer,
 }
-
-impl DraftContext<'_> {
-    /// Those of the jobs that are held, in the order of ids.
-    fn jobs_in<'b>(
-        &'b self,
-        ids: &'b BTreeSet<JobId>,
-    ) -> impl Iterator<Item = (&'b JobId, &'b Job)> {
-        ids.iter()
-            .filter_map(|id| Some((id, self.cluster.jobs.get(id)?)))
-    }
-}
--- a/src/coordination/persistence/draft/progress.rs
+++ b/src/coordination/persistence/draft/progress.rs
@@ -15,9 +15,8 @@
         if !self.writer.progress.is_due(self.cluster.now) {
             return;
         }
-        let unpersisted = &self.cluster.jobs.index.unpersisted;
-        let mut jobs: Vec<(&JobId, &Job)> = self.jobs_in(unpersisted).collect();
-        jobs.sort_by_key(|(id, job)| (Reverse(job.unpersisted.len()), *id));
+        let mut jobs: Vec<(&JobId, &Job)> = self.cluster.jobs.unpersisted().collect();
+        jobs.sort_by_key(|(id, job)| (Reverse(job.unpersisted().len()), *id));
         for (id, job) in jobs {
             if !job.is_complete() && !self.draft_job_progress(id, job, draft) {
                 return;
@@ -28,7 +27,7 @@
     /// Progress of one job; false if not all of it fits.
     fn draft_job_progress(&self, id: &JobId, job: &Job, draft: &mut Draft) -> bool {
         let chunk_of = |task: &u32| task / TASKS_PER_PROGRESS_RECORD;
-        let chunks: BTreeSet<u32> = job.unpersisted.iter().map(chunk_of).collect();
+        let chunks: BTreeSet<u32> = job.unpersisted().iter().map(chunk_of).collect();
         chunks.into_iter().all(|chunk| {
             let job_id = id.clone();
             let key = ProgressKey { job: job_id, chunk };
@@ -39,13 +38,16 @@
     fn draft_chunk(&self, key: ProgressKey, job: &Job, draft: &mut Draft) -> bool {
         let stored_key = key.to_string();
         let preconditions = vec![
-            (open_key(&key.job), job.revision),
+            (open_key(&key.job), job.open_record_revision()),
             (stored_key.clone(), self.writer.progress.revision(&key)),
         ];
-        let changes = vec![Change::put(stored_key, job.done.chunk(key.chunk).into())];
+        let changes = vec![Change::put(
+            stored_key,
+            job.completed().chunk(key.chunk).into(),
+        )];
         let first_task = key.chunk * TASKS_PER_PROGRESS_RECORD;
         let tasks = first_task..first_task + TASKS_PER_PROGRESS_RECORD;
-        let tasks = job.unpersisted.range(tasks).copied().collect();
+        let tasks = job.unpersisted().range(tasks).copied().collect();
         draft.add(
             preconditions,
             changes,
--- a/src/coordination/persistence/limits.rs
+++ b/src/coordination/persistence/limits.rs
@@ -1,8 +1,8 @@
 //! How large a transaction and a value may be. The settings say; should the state store refuse something for its
 //! size all the same, less is tried.
 
+use crate::config::StateStoreLimits;
 use crate::protocol::state::{Change, Transaction};
-use crate::settings::StateLimits;
 
 /// Changes that finish or cancel one job.
 pub(super) const JOB_END_OPS: usize = 2;
@@ -26,7 +26,7 @@
 
 impl WriteLimits {
     /// The limits that the settings give.
-    pub fn new(state: &StateLimits) -> WriteLimits {
+    pub fn new(state: &StateStoreLimits) -> WriteLimits {
         WriteLimits {
             max_ops: state.txn_ops,
             max_value_bytes: (state.value_kb * 1024.0 * VALUE_LIMIT_USED) as usize,
--- a/src/coordination/persistence/outcomes.rs
+++ b/src/coordination/persistence/outcomes.rs
@@ -112,14 +112,13 @@
     ) {
         let id = key.job.clone();
         self.writer.progress.written(now, key, revision);
-        let Some(job) = self.jobs.get_mut(&id) else {
-            return;
-        };
-        job.unpersisted.retain(|task| !tasks.contains(task));
-        if job.closed {
+        let is_closed = self.jobs.update(&id, |job| {
+            job.progress_persisted(tasks);
+            job.is_closed()
+        });
+        if is_closed == Some(true) {
             self.writer.orphan_progress(&id);
         }
-        self.jobs.reindex(&id);
     }
 
     /// A transaction was certainly not executed, nor will it be.
--- a/src/coordination/persistence/reread.rs
+++ b/src/coordination/persistence/reread.rs
@@ -57,8 +57,8 @@
     fn open_record_reread(&mut self, now: Instant, id: &JobId, revision: KeyRevision) {
         if revision == KeyRevision(0) {
             self.open_record_gone(now, id);
-        } else if let Some(job) = self.jobs.get_mut(id) {
-            job.revision = revision;
+        } else {
+            self.jobs.update(id, |job| job.open_record_seen(revision));
         }
     }
 
--- a/src/coordination/persistence/writer.rs
+++ b/src/coordination/persistence/writer.rs
@@ -9,12 +9,12 @@
 use super::machine_pages::MachinePages;
 use super::orphans::OrphanedRecords;
 use super::progress::ProgressRecords;
+use crate::config::StateStoreLimits;
 use crate::ids::{JobId, KeyRevision, MachineId, PageNumber};
 use crate::protocol::state::Transaction;
-use crate::settings::StateLimits;
 use crate::storage::records::{LaunchIntent, ProgressKey, LEADER_KEY};
 use crate::time::{Instant, TimeSpan};
-use crate::transport::budget::Budget;
+use crate::transport::token_bucket::TokenBucket;
 use std::collections::BTreeSet;
 
 /// The part of the state store's rate of changes that the writer uses: the rest is left to submissions,
@@ -72,7 +72,7 @@
 pub struct Writer {
     in_flight: InFlight,
     limits: WriteLimits,
-    budget: Budget,
+    budget: TokenBucket,
     not_before: Instant,
     last_begun_at: Instant,
     token_raised_at: Instant,
@@ -85,13 +85,13 @@
 
 impl Writer {
     /// A writer that keeps within its part of the rate of changes.
-    pub fn new(state: &StateLimits, now: Instant) -> Writer {
+    pub fn new(state: &StateStoreLimits, now: Instant) -> Writer {
         let changes_per_s = state.write_rps * WRITE_RATE_USED;
         let limits = WriteLimits::new(state);
         Writer {
             in_flight: InFlight::Idle,
             limits,
-            budget: Budget::new(changes_per_s, changes_per_s),
+            budget: TokenBucket::new(changes_per_s, changes_per_s),
             not_before: Instant::ZERO,
             last_begun_at: Instant::LONG_AGO,
             token_raised_at: now,
@@ -232,7 +232,7 @@
 
     /// Whether enough of the budget is left for what may wait.
     pub(super) fn has_spare_budget(&self, now: Instant) -> bool {
-        self.budget.left(now) > MIN_BUDGET_FOR_DEFERRABLE
+        self.budget.fill_ratio(now) > MIN_BUDGET_FOR_DEFERRABLE
     }
 
     /// What is to be done now.
@@ -264,7 +264,7 @@
     /// Takes so many changes out of the budget; false if it doesn't allow them now.
     #[must_use]
     pub(super) fn take_budget(&mut self, now: Instant, changes: usize) -> bool {
-        self.budget.take(now, changes as f64)
+        self.budget.try_take(now, changes as f64)
     }
 
     /// A transaction is sent.
@@ -344,7 +344,7 @@
     /// The state store takes no changes for so long. What may wait does so until the budget has come up again.
     pub(super) fn rate_limited(&mut self, now: Instant, pause: TimeSpan) {
         self.not_before = now + pause;
-        self.budget.empty(now);
+        self.budget.drain(now);
     }
 
     /// From now on less is written at once than the transaction that was rejected had.
