--- a/src/coordination/autoscaler/offers.rs
+++ b/src/coordination/autoscaler/offers.rs
@@ -1,6 +1,7 @@
 //! What the cloud offers to rent, and which of it was refused lately.
 
 use crate::coordination::machines::machine::Machine;
+use crate::coordination::placement::request::allows_machine_kind;
 use crate::ids::{MachineType, Zone};
 use crate::protocol::users::JobSpec;
 use crate::time::{Instant, TimeSpan};
@@ -35,12 +36,7 @@
 
     /// Whether the job's own constraints allow such a machine. Its size is not looked at.
     pub fn is_allowed_by(&self, spec: &JobSpec) -> bool {
-        (spec.spot || !self.spot)
-            && spec.zone.as_ref().is_none_or(|zone| *zone == self.zone)
-            && spec
-                .machine_types
-                .as_ref()
-                .is_none_or(|types| types.contains(&self.machine_type))
+        allows_machine_kind(spec, &self.machine_type, &self.zone, self.spot)
     }
 }
 
--- a/src/coordination/autoscaler/warm_pool.rs
+++ b/src/coordination/autoscaler/warm_pool.rs
@@ -4,7 +4,7 @@
 
 use super::view::AutoscalerView;
 use crate::coordination::machines::machine::Machine;
-use crate::coordination::placement::request::allows_machine;
+use crate::coordination::placement::request::{allows_machine, allows_machine_type};
 use crate::coordination::Scheduler;
 use crate::ids::MachineId;
 use crate::protocol::users::JobSpec;
@@ -137,10 +137,7 @@
     let request = Resources::of(spec);
     let types = view.machines().types.values();
     types
-        .filter(|info| {
-            let allowed = spec.machine_types.as_ref();
-            allowed.is_none_or(|allowed| allowed.contains(&info.name))
-        })
+        .filter(|info| allows_machine_type(spec, &info.name))
         .filter(|info| request.fits(&view.machines().capacity(&info.name)))
         .map(|info| info.boot_s + spec.image_gb / info.fetch_gb_per_s.max(MIN_FETCH_GB_PER_S))
         .fold(f64::INFINITY, f64::min)
--- a/src/coordination/placement/request.rs
+++ b/src/coordination/placement/request.rs
@@ -39,10 +39,23 @@
 
 /// Whether the job's own constraints (spot instances, zone, machine types) allow a machine of this kind.
 pub(crate) fn allows_machine(spec: &JobSpec, machine: &Machine) -> bool {
-    (spec.spot || !machine.spot)
-        && spec.zone.as_ref().is_none_or(|zone| *zone == machine.zone)
-        && spec
-            .machine_types
-            .as_ref()
-            .is_none_or(|types| types.contains(&machine.machine_type))
+    allows_machine_kind(spec, &machine.machine_type, &machine.zone, machine.spot)
+}
+
+/// Whether the job's own constraints allow machines of a type in a zone, as spot instances or not.
+pub(crate) fn allows_machine_kind(
+    spec: &JobSpec,
+    machine_type: &MachineType,
+    zone: &Zone,
+    spot: bool,
+) -> bool {
+    (spec.spot || !spot)
+        && spec.zone.as_ref().is_none_or(|only| only == zone)
+        && allows_machine_type(spec, machine_type)
+}
+
+/// Whether the job's own constraints allow machines of a type.
+pub(crate) fn allows_machine_type(spec: &JobSpec, machine_type: &MachineType) -> bool {
+    let allowed = spec.machine_types.as_ref();
+    allowed.is_none_or(|types| types.contains(machine_type))
 }
