--- a/src/coordination/attempts/commands.rs
+++ b/src/coordination/attempts/commands.rs
@@ -1,6 +1,6 @@
 //! What is sent to workers: launches, stops and clears, in answers to check-ins and as direct commands.
 
-use crate::coordination::attempts::task_attempt::{PushDelivery, TaskAttempt};
+use crate::coordination::attempts::ledger::{PushDelivery, TaskAttempt};
 use crate::coordination::machines::machine::{Machine, MachineState};
 use crate::coordination::{Effect, Scheduler};
 use crate::ids::{MachineId, Session};
@@ -93,7 +93,7 @@
         };
         let mut commands = Vec::new();
         let mut launched = Vec::new();
-        for (key, s) in &m.attempts {
+        for s in m.attempts.iter() {
             if commands.len() >= MAX_COMMANDS {
                 break;
             }
@@ -114,12 +114,12 @@
                     task: s.task.clone(),
                     attempt_id: s.attempt_id,
                 });
-                launched.push(key.clone());
+                launched.push(s.key());
             }
         }
         let (session, tick) = (m.session, m.tick);
         for key in launched {
-            if let Some(s) = self.attempt_mut(machine_id, &key) {
+            if let Some(s) = self.ledger().get_mut(machine_id, &key) {
                 s.heartbeat_carrier = Some(tick);
                 s.launched_in = Some(session);
             }
@@ -173,7 +173,7 @@
         let mut commands = Vec::new();
         let mut carried = Vec::new();
         let mut stops = Vec::new();
-        for (key, s) in &m.attempts {
+        for s in m.attempts.iter() {
             if commands.len() >= MAX_COMMANDS {
                 break;
             }
@@ -181,14 +181,14 @@
                 // Repeats are left to the check-ins.
                 if !w.pushed {
                     commands.extend(Self::stop_command(s, now));
-                    stops.push(key.clone());
+                    stops.push(s.key());
                 }
             } else if self.wants_launch(m, s) && !s.in_flight() {
                 commands.push(Command::Launch {
                     task: s.task.clone(),
                     attempt_id: s.attempt_id,
                 });
-                carried.push(key.clone());
+                carried.push(s.key());
             }
         }
         // Whether a machine that seems deaf hears us after all is seen by asking it.
--- a/src/coordination/attempts/audit.rs
+++ b/src/coordination/attempts/ledger/audit.rs
@@ -1,5 +1,6 @@
 //! Counts everything again that the ledger keeps in step, and compares. For tests: no decision calls it.
 
+use super::TeamUsage;
 use crate::coordination::jobs::job::Job;
 use crate::coordination::jobs::table::JobIndex;
 use crate::coordination::machines::machine::Machine;
@@ -28,9 +29,9 @@
     #[error("teams use {kept:?}, counted {counted:?}")]
     TeamUsage {
         /// As kept, team by team.
-        kept: Vec<Resources>,
+        kept: TeamUsage,
         /// As counted.
-        counted: Vec<Resources>,
+        counted: TeamUsage,
     },
     /// The machines with room.
     #[error("machines with room {kept:?}, counted {counted:?}")]
@@ -82,28 +83,31 @@
     }
 
     fn audit_machine(&self, machine: &Machine) -> Result<(), AuditError> {
-        let counted = machine.free_of(self.machines.capacity(&machine.machine_type));
+        let counted = machine
+            .attempts
+            .free_of(self.machines.capacity(&machine.machine_type));
         let live = machine.live_attempts().count();
-        if nearly_equal(&counted, &machine.free) && machine.live_count as usize == live {
+        if nearly_equal(&counted, machine.free()) && machine.attempts.live_count() == live {
             return Ok(());
         }
         Err(AuditError::Machine {
             machine: machine.id.to_string(),
-            kept: machine.free,
+            kept: *machine.free(),
             counted,
         })
     }
 
     fn audit_team_usage(&self) -> Result<(), AuditError> {
-        let mut counted = vec![Resources::default(); self.team_usage.len()];
+        let mut counted = TeamUsage::new(self.policy.facts.teams.len());
         let live = self.machines.values().flat_map(Machine::live_attempts);
         for attempt in live {
-            if let Some(usage) = attempt.team.and_then(|team| counted.get_mut(team.0)) {
-                usage.add(&attempt.request);
-            }
+            counted.charge(attempt.team, &attempt.request);
         }
-        let mut pairs = counted.iter().zip(&self.team_usage);
-        if pairs.all(|(a, b)| nearly_equal(a, b)) {
+        let nearly_all_equal = {
+            let mut pairs = counted.iter().zip(self.team_usage.iter());
+            pairs.all(|(a, b)| nearly_equal(a, b))
+        };
+        if nearly_all_equal {
             return Ok(());
         }
         Err(AuditError::TeamUsage {
@@ -132,7 +136,7 @@
     }
 
     fn audit_job(&self, id: &JobId, job: &Job) -> Result<(), AuditError> {
-        let attempts = self.machines.values().flat_map(|m| m.attempts.values());
+        let attempts = self.machines.values().flat_map(|m| m.attempts.iter());
         let (mut counted, mut running) = (0, 0);
         for attempt in attempts.filter(|attempt| attempt.task.job == *id) {
             counted += 1;
--- a/src/coordination/attempts/task_attempt.rs
+++ b/src/coordination/attempts/ledger/task_attempt.rs
@@ -77,15 +77,14 @@
     /// A start that is only planned. Without a job (over and forgotten) `request` stands for all that
     /// it might take.
     pub fn planned(
-        task: TaskId,
-        attempt_id: AttemptId,
+        key: AttemptKey,
         job: Option<&Job>,
         request: Resources,
         now: Instant,
     ) -> TaskAttempt {
         TaskAttempt {
-            task,
-            attempt_id,
+            task: key.task,
+            attempt_id: key.attempt_id,
             request: job.map_or(request, |j| Resources::of(&j.spec)),
             team: job.and_then(|j| j.team),
             image: job.map(|j| j.spec.image.clone()),
--- a/src/coordination/attempts/reconciliation.rs
+++ b/src/coordination/attempts/reconciliation.rs
@@ -1,9 +1,10 @@
 //! Sessions with workers: which message is newer, what a report proves, which orders to send.
 //!
-//! A start leaves the ledger only by one of the proofs of docs/SAFETY.md; `remove_attempt` is the one place
-//! where that happens, and each caller names its proof.
+//! What a status proves, and what follows for the ledger, is decided in `ledger`.
 
-use crate::coordination::attempts::task_attempt::{LastStatus, PushDelivery, TaskAttempt};
+use crate::coordination::attempts::ledger::{
+    LastStatus, PushDelivery, RemovalProof, StatusEvidence, TaskAttempt,
+};
 use crate::coordination::machines::machine::{MachineState, MAX_UNACKNOWLEDGED_RESPONSES};
 use crate::coordination::{Effect, Scheduler};
 use crate::ids::{AttemptKey, JobId, MachineId, Session};
@@ -140,7 +141,7 @@
             m.push_in_flight = None;
             self.outbox.pushes_in_flight = self.outbox.pushes_in_flight.saturating_sub(1);
         }
-        for s in m.attempts.values_mut() {
+        for s in m.attempts.iter_mut() {
             if s.push == PushDelivery::InFlight(seq) {
                 s.push = end;
             }
@@ -245,18 +246,19 @@
         let Some(m) = self.machines.get_mut(machine_id) else {
             return;
         };
-        if !m.attempts.contains_key(&key) {
+        if !m.attempts.contains(&key) {
             if !confirmed {
                 // Every start that is on a machine has an intent. One without was proven gone: this
                 // is a report from before that, and a later one will tell.
                 return;
             }
             // Listed but not in our ledger: a tombstone, for its intent needn't be kept.
-            let mut s = self.new_attempt(machine_id, p.task.clone(), p.attempt_id, now);
+            let mut s = self.new_attempt(machine_id, key.clone(), now);
             s.recovered = true;
-            self.insert_attempt(machine_id, s);
-            if p.phase != TaskPhase::Ended {
-                self.add_place(machine_id, &p.task);
+            if p.phase == TaskPhase::Ended {
+                self.ledger().insert_without_place(machine_id, s);
+            } else {
+                self.ledger().insert(machine_id, s);
             }
         }
         let Some(m) = self.machines.get_mut(machine_id) else {
@@ -265,13 +267,6 @@
         let Some(s) = m.attempts.get_mut(&key) else {
             return;
         };
-        // A launch by a carrier of an earlier session, or with a token that the worker has outgrown,
-        // can't be what we see now, nor come any more.
-        if let PushDelivery::Lost(t, b) = s.push {
-            if t < r.session || b < r.token {
-                s.push = PushDelivery::None;
-            }
-        }
         let before = s.last_status;
         if before.is_none() && s.launched_in == Some(r.session) {
             m.mark_reachable();
@@ -290,12 +285,12 @@
         match before {
             // No news: only noted, so that the start isn't taken for absent.
             Some(b) if b.phase == p.phase && b.cause == p.cause && b.stored == p.stored => {
-                if let Some(s) = self.attempt_mut(machine_id, &key) {
+                if let Some(s) = self.ledger().get_mut(machine_id, &key) {
                     s.last_status = Some(last_status);
                 }
                 return;
             }
-            _ => self.update_status(now, machine_id, &key, last_status),
+            _ => self.record_status(now, machine_id, &key, last_status),
         }
         let was = before.map(|b| b.phase);
         if p.phase == TaskPhase::Waiting && was != Some(TaskPhase::Waiting) {
@@ -316,6 +311,37 @@
         }
     }
 
+    /// Notes what a status says of an attempt in the ledger.
+    fn record_status(
+        &mut self,
+        now: Instant,
+        machine_id: &MachineId,
+        key: &AttemptKey,
+        status: LastStatus,
+    ) {
+        let running_since = self.running_since(now, machine_id, key);
+        let is_first = self
+            .ledger()
+            .record_status(machine_id, key, status, running_since);
+        if is_first {
+            self.note_begun(now, &key.task.job);
+        }
+    }
+
+    /// Since when an attempt that is first seen running now has run, at the latest. What a former leader
+    /// launched may have run for long: since its image was there.
+    fn running_since(&self, now: Instant, machine_id: &MachineId, key: &AttemptKey) -> Instant {
+        let machine = self.machines.get(machine_id);
+        let attempt = machine.and_then(|machine| machine.attempts.get(key));
+        match attempt.filter(|attempt| attempt.recovered) {
+            Some(attempt) => {
+                let fetch_s = self.longest_fetch_s(machine_id, &key.task.job);
+                (attempt.since + TimeSpan::from_secs(fetch_s)).min(now)
+            }
+            None => now,
+        }
+    }
+
     fn note_image(&mut self, now: Instant, machine_id: &MachineId, job: &JobId) {
         let Some(job) = self.jobs.get(job) else {
             return;
@@ -344,10 +370,16 @@
         let Some(m) = self.machines.get_mut(machine_id) else {
             return;
         };
+        let evidence = StatusEvidence {
+            at: (r.session, r.tick),
+            token: r.token,
+            is_heartbeat: channel == StatusSource::Heartbeat,
+            starts_session: ended_session,
+            is_confirmed: confirmed,
+        };
         let mut gone = Vec::new();
         let mut unacknowledged_responses = m.token_sent > r.token;
-        for (key, s) in m.attempts.iter_mut() {
-            let listed = s.last_status.is_some_and(|x| x.at == (r.session, r.tick));
+        for s in m.attempts.iter_mut() {
             let settled = channel == StatusSource::Heartbeat
                 && s.heartbeat_carrier
                     .is_some_and(|t| t < r.tick || ended_session);
@@ -356,32 +388,18 @@
                 // was either executed or dropped.
                 s.heartbeat_carrier = None;
             }
-            if listed || s.untouched() {
-                continue;
-            }
-            unacknowledged_responses |= settled;
-            if ended_session && !s.recovered {
-                // Proof 2: launched in an earlier session, whose tasks are all killed and forgotten
-                // and whose launches no longer match.
-                s.heartbeat_carrier = None;
-                s.push = PushDelivery::None;
-                gone.push(key.clone());
-                continue;
-            }
-            if !confirmed {
-                // Guards against an order of the former leader that may still be executed.
-                continue;
-            }
-            if let PushDelivery::Lost(_, b) = s.push {
-                if b < r.token {
-                    // The worker refuses that command from now on.
+            if let PushDelivery::Lost(session, token) = s.push {
+                // The worker refuses that command from now on.
+                if session < r.session || token < r.token {
                     s.push = PushDelivery::None;
                 }
             }
-            if s.recovered || !s.in_flight() {
-                // Proof 1. For an inherited start our token in the report is enough: orders with
-                // the former one are no longer accepted by this worker.
-                gone.push(key.clone());
+            if evidence.lists(s) || s.untouched() {
+                continue;
+            }
+            unacknowledged_responses |= settled;
+            if let Some(proof) = RemovalProof::from_status(s, &evidence) {
+                gone.push((s.key(), proof));
             }
         }
         if channel == StatusSource::Heartbeat && unacknowledged_responses {
@@ -392,7 +410,7 @@
                 self.outbox.pushes_due.insert(machine_id.clone());
             }
         }
-        for key in gone {
+        for (key, proof) in gone {
             let relaunch = self.machines.get(machine_id).is_some_and(|m| {
                 m.attempts.get(&key).is_some_and(|s| {
                     s.last_status.is_none() && !s.recovered && s.launched_in == Some(m.session)
@@ -400,13 +418,13 @@
             });
             if relaunch {
                 // The launch was dropped, nothing was started: it may simply be sent again.
-                if let Some(s) = self.attempt_mut(machine_id, &key) {
+                if let Some(s) = self.ledger().get_mut(machine_id, &key) {
                     s.launched_in = None;
                 }
                 self.outbox.pushes_due.insert(machine_id.clone());
                 continue;
             }
-            self.remove_attempt(now, machine_id, &key);
+            self.ledger().remove(now, machine_id, &key, proof);
         }
     }
 
@@ -414,25 +432,21 @@
     /// progress.
     pub(crate) fn recheck_machines(&mut self, now: Instant) {
         let lease_expiry_bound = self.policy.lease_expiry_bound();
+        let began_at = self.leadership.began_at();
         let quiet = self.machines.values().filter(|m| !m.attempts.is_empty());
-        let quiet = quiet.filter(|m| {
-            now - m.last_response_at.max(self.leadership.began_at()) > lease_expiry_bound
-        });
-        let expired: Vec<(MachineId, AttemptKey)> = quiet
+        let quiet = quiet.filter(|m| now - m.last_response_at.max(began_at) > lease_expiry_bound);
+        let expired: Vec<(MachineId, AttemptKey, RemovalProof)> = quiet
             .flat_map(|m| {
-                let gone = |s: &&TaskAttempt| {
-                    now - m.lease_from(s).max(self.leadership.began_at()) > lease_expiry_bound
-                };
-                let key = |s: &TaskAttempt| (m.id.clone(), s.key());
-                m.attempts.values().filter(gone).map(key)
+                m.attempts.iter().filter_map(move |s| {
+                    let proof =
+                        RemovalProof::lease_expired(m, s, began_at, lease_expiry_bound, now)?;
+                    Some((m.id.clone(), s.key(), proof))
+                })
             })
             .collect();
-        for (machine_id, key) in expired {
-            // Proof 3: no entitled controller has answered it for longer than its lease, and the
-            // session that the start belongs to is older than that too. Starts that were never
-            // launched stay planned no longer either.
+        for (machine_id, key, proof) in expired {
             tracing::info!(machine = %machine_id, task = %key.task, "lease over: the task is gone");
-            self.remove_attempt(now, &machine_id, &key);
+            self.ledger().remove(now, &machine_id, &key, proof);
         }
         let patience = self.policy.silence();
         let mut given_up = Vec::new();
@@ -442,7 +456,7 @@
                     && s.last_status.is_none()
                     && now - s.since > LOST_LAUNCH_TIMEOUT
             };
-            if !m.draining && m.attempts.values().any(unaccounted) {
+            if !m.draining && m.attempts.iter().any(unaccounted) {
                 tracing::info!(machine = %m.id, "a launch stays unaccounted for: giving the machine up");
                 m.start_draining(now);
                 given_up.push(m.id.clone());
--- a/src/coordination/attempts/stops.rs
+++ b/src/coordination/attempts/stops.rs
@@ -1,10 +1,10 @@
 //! Which starts should end: of closed jobs, of done tasks, on machines to be emptied, of gangs that are
 //! broken. The orders that say so go out with check-ins and directly (`commands.rs`).
 
-use crate::coordination::attempts::task_attempt::{StopRequest, TaskAttempt};
+use crate::coordination::attempts::ledger::{RemovalProof, StopRequest, TaskAttempt};
 use crate::coordination::machines::machine::Machine;
 use crate::coordination::Scheduler;
-use crate::ids::MachineId;
+use crate::ids::{AttemptKey, MachineId};
 use crate::protocol::workers::{Command, TaskPhase};
 use crate::time::{Instant, TimeSpan};
 use std::collections::BTreeSet;
@@ -35,18 +35,20 @@
         let silent = m.silent(now, silence) || m.is_unreachable();
         let mut dropped = Vec::new();
         let mut stopped = false;
-        for (key, s) in m.attempts.iter_mut() {
+        for s in m.attempts.iter_mut() {
             if s.ended() {
                 continue;
             }
-            let job = self.jobs.get(&key.task.job);
-            let wanted = job.is_some_and(|j| j.needs_run(key.task.index));
+            let job = self.jobs.get(&s.task.job);
+            let wanted = job.is_some_and(|j| j.needs_run(s.task.index));
             let leave = recall.is_some() || draining;
             // A start stopped before it was launched would wait for ever: neither launched nor
             // seen to end.
-            if s.untouched() && (silent || s.stop.is_some() || !wanted || leave) {
-                dropped.push(key.clone());
-                continue;
+            if silent || s.stop.is_some() || !wanted || leave {
+                if let Some(proof) = RemovalProof::never_launched(s) {
+                    dropped.push((s.key(), proof));
+                    continue;
+                }
             }
             if wanted && !leave {
                 continue;
@@ -77,15 +79,14 @@
             });
             stopped = true;
             if job.is_some_and(|j| j.is_all_or_nothing()) {
-                self.outbox.gangs_to_check.insert(key.task.job.clone());
+                self.outbox.gangs_to_check.insert(s.task.job.clone());
             }
         }
         if stopped {
             self.outbox.pushes_due.insert(machine_id.clone());
         }
-        for key in dropped {
-            // Proof: never launched.
-            self.remove_attempt(now, machine_id, &key);
+        for (key, proof) in dropped {
+            self.ledger().remove(now, machine_id, &key, proof);
         }
     }
 
@@ -142,7 +143,7 @@
                 if again {
                     m.reservation = Some((id.clone(), now + lease));
                 }
-                for s in m.attempts.values_mut() {
+                for s in m.attempts.iter_mut() {
                     if s.task.job == id && !s.ended() && s.stop.is_none() {
                         s.stop = Some(StopRequest {
                             grace_s,
@@ -164,12 +165,22 @@
         let silence = self.policy.silence();
         let near = |m: &&mut Machine| m.last_message_at.is_some_and(|h| now - h <= silence);
         if let Some(m) = self.machines.get_mut(machine_id).filter(near) {
-            for w in m.attempts.values_mut().filter_map(|s| s.stop.as_mut()) {
+            for w in m.attempts.iter_mut().filter_map(|s| s.stop.as_mut()) {
                 w.pushed = false;
             }
         }
     }
 
+    /// An attempt is to be stopped, for work of higher priority.
+    pub(crate) fn request_stop(&mut self, machine_id: &MachineId, key: &AttemptKey, grace_s: f64) {
+        if let Some(attempt) = self.ledger().get_mut(machine_id, key) {
+            attempt.stop = Some(StopRequest {
+                grace_s,
+                pushed: false,
+            });
+        }
+    }
+
     pub(crate) fn stop_command(s: &TaskAttempt, now: Instant) -> Option<Command> {
         let wish = s.stop?;
         let saving = s.last_status.filter(|x| x.phase == TaskPhase::Saving);
--- a/src/coordination/attempts/task_ends.rs
+++ b/src/coordination/attempts/task_ends.rs
@@ -20,7 +20,9 @@
         let task = &key.task;
         let lease = TimeSpan::from_secs(self.policy.facts.workers.lease_s);
         tracing::debug!(task = %task, machine = %machine_id, cause = ?cause, "ended");
-        self.note_idle(now, machine_id);
+        if let Some(machine) = self.machines.get_mut(machine_id) {
+            machine.note_idle(now);
+        }
         if cause == Cause::Done {
             self.note_run_time(now, machine_id, key);
             if let Some(job) = self.jobs.get_mut(&task.job) {
@@ -35,7 +37,7 @@
                 m.failed_jobs.clear();
             }
         }
-        self.drop_place(machine_id, task);
+        self.ledger().attempt_ended(machine_id, task);
         match cause {
             Cause::Error => self.failed(now, machine_id, task),
             Cause::Full => {
--- a/src/coordination/autoscaler/forecast.rs
+++ b/src/coordination/autoscaler/forecast.rs
@@ -6,7 +6,7 @@
 //! is up (on a day of 58 rentals, 17 machines had never run a task), and against renting too late for
 //! a burst, each of whose tasks by itself would not wait longer than for a new machine.
 
-use crate::coordination::attempts::task_attempt::TaskAttempt;
+use crate::coordination::attempts::ledger::TaskAttempt;
 use crate::coordination::autoscaler::Kind;
 use crate::coordination::machines::machine::{Machine, MachineState};
 use crate::coordination::placement::candidates::emptiness;
@@ -158,7 +158,9 @@
             let Some(job) = self.jobs.get(&u.job) else {
                 continue;
             };
-            let left = u.count.min(self.headroom(&job.spec, job.team, &used));
+            let left = u
+                .count
+                .min(used.headroom(&self.policy, job.team, &job.spec));
             if left == 0 || fleet.bins.len() >= fleet.most {
                 continue;
             }
@@ -173,9 +175,7 @@
                 from_s: None,
             };
             let given = self.give(now, fleet, &ask);
-            if let Some(u) = job.team.and_then(|t| used.get_mut(t.0)) {
-                u.add(&Resources::of(&job.spec).times(f64::from(given)));
-            }
+            used.charge(job.team, &Resources::of(&job.spec).times(f64::from(given)));
         }
     }
 
@@ -242,9 +242,9 @@
                     }
                 }
                 MachineState::Up if self.usable(m, now) => {
-                    let mut b = bin(0.0, m.free);
-                    b.idle = (m.live_count == 0).then(|| m.id.clone());
-                    b.empty = emptiness(&m.free, &self.machines.capacity(&m.machine_type));
+                    let mut b = bin(0.0, *m.free());
+                    b.idle = (m.attempts.live_count() == 0).then(|| m.id.clone());
+                    b.empty = emptiness(m.free(), &self.machines.capacity(&m.machine_type));
                     b.class = self.autoscaler.warm_pool.get(&m.id).cloned();
                     b.images = m.images.iter().map(|(i, _)| i.clone()).collect();
                     for s in m.live_attempts() {
--- a/src/coordination/autoscaler/mod.rs
+++ b/src/coordination/autoscaler/mod.rs
@@ -179,9 +179,9 @@
                 continue;
             }
             up += 1;
-            idle += u32::from(m.live_count == 0);
+            idle += u32::from(m.attempts.live_count() == 0);
             gpus[0] += self.machines.capacity(&m.machine_type).gpus;
-            gpus[1] += m.free.gpus.max(0.0);
+            gpus[1] += m.free().gpus.max(0.0);
             for s in m.live_attempts() {
                 let runs = s.running_since.is_some();
                 gpus[if runs { 2 } else { 3 }] += s.request.gpus;
--- a/src/coordination/autoscaler/scale_in.rs
+++ b/src/coordination/autoscaler/scale_in.rs
@@ -78,7 +78,7 @@
             if m.state == MachineState::Returning {
                 continue;
             }
-            let busy = m.live_count > 0;
+            let busy = m.attempts.live_count() > 0;
             let age = now - m.since;
             let dead_boot = m.state == MachineState::Booting
                 && age.secs() > self.boot_s(&m.machine_type) * DEAD_BOOTS + DEAD_PLUS_S;
@@ -131,8 +131,7 @@
 
     pub(crate) fn returned(&mut self, now: Instant, machine_ids: &[MachineId]) {
         for h in machine_ids {
-            // Proof 4: the cloud's 200 to returning the machine.
-            self.empty_machine(now, h);
+            self.ledger().machine_terminated(now, h);
             self.machines.terminated.insert(h.clone());
             if let Some(m) = self.machines.remove(h) {
                 if m.push_in_flight.is_some() {
--- a/src/coordination/autoscaler/warm_pool.rs
+++ b/src/coordination/autoscaler/warm_pool.rs
@@ -41,7 +41,11 @@
                 continue;
             }
             let n = ((jobs + 0.5 * jobs.sqrt()) * d.tasks_per_job()).ceil() as u32;
-            let n = n.min(self.headroom(spec, self.team_of(spec), &self.team_usage));
+            let n = n.min(self.team_usage.headroom(
+                &self.policy,
+                self.policy.team_index(&spec.team),
+                spec,
+            ));
             if n > 0 {
                 wanted.push((spec.clone(), n));
             }
@@ -61,7 +65,7 @@
                 .with_room
                 .iter()
                 .filter_map(|h| self.machines.get(h))
-                .filter(|m| request.fits(&m.free) && Self::allows(&spec, m) && self.usable(m, now))
+                .filter(|m| request.fits(m.free()) && Self::allows(&spec, m) && self.usable(m, now))
                 .filter(|m| !warm_pool.contains_key(&m.id))
                 .map(|m| (!m.has_image(&spec.image), &m.id))
                 .collect();
--- a/src/coordination/jobs/lifecycle.rs
+++ b/src/coordination/jobs/lifecycle.rs
@@ -67,7 +67,7 @@
             Some(job) if job.closed => {}
             Some(job) => job.revision = revision,
             None => {
-                let team = self.team_of(&record.spec);
+                let team = self.policy.team_index(&record.spec.team);
                 let mut job = Job::new(record.spec, team, revision, submitted);
                 job.dependency_pages = record.dependency_pages;
                 let traits = self.traits_of(&job, &record.after);
@@ -130,7 +130,7 @@
         self.placement.due = true;
         let machine_ids: BTreeSet<MachineId> = job.placements.values().flatten().cloned().collect();
         for h in machine_ids {
-            self.drop_untouched(now, &h, id);
+            self.ledger().remove_never_launched(now, &h, id);
             self.outbox.machines_to_review.insert(h);
         }
         self.jobs.reindex(id);
--- a/src/coordination/jobs/pending.rs
+++ b/src/coordination/jobs/pending.rs
@@ -70,7 +70,7 @@
             return PendingReason::LastAttempt;
         }
         let needed = if gang { job.pending.len() as u32 } else { 1 };
-        if self.headroom(&job.spec, job.team, &self.team_usage) < needed {
+        if self.team_usage.headroom(&self.policy, job.team, &job.spec) < needed {
             return PendingReason::TeamLimit;
         }
         PendingReason::Room
--- a/src/coordination/leadership/recovery.rs
+++ b/src/coordination/leadership/recovery.rs
@@ -2,6 +2,7 @@
 //! and machines. Whatever has an intent counts as running until proven otherwise; what has none
 //! was never launched and may start at once.
 
+use crate::coordination::attempts::ledger::TeamUsage;
 use crate::coordination::attempts::Outbox;
 use crate::coordination::autoscaler::Autoscaler;
 use crate::coordination::jobs::aging::Aging;
@@ -17,7 +18,6 @@
 use crate::ids::{AttemptKey, KeyRevision, MachineId};
 use crate::protocol::cloud::MachineTypeInfo;
 use crate::protocol::state::KeyValue;
-use crate::resources::Resources;
 use crate::storage::pages::PlacedAttempt;
 use crate::storage::records::{
     parse_page, parse_progress_key, IntentPage, MachinePage, OpenJobRecord, INTENT_PAGE_PREFIX,
@@ -70,7 +70,7 @@
             leadership: Leadership::new(term, now, found.day_ms),
             jobs: JobTable::new(teams),
             machines: MachineTable::default(),
-            team_usage: vec![Resources::default(); teams],
+            team_usage: TeamUsage::new(teams),
             outbox: Outbox::default(),
             placement: PlacementState::new(policy.facts.quota.cores),
             autoscaler: Autoscaler::new(policy.facts.cloud.rps),
@@ -101,7 +101,11 @@
         }
         for id in core.machines.keys().cloned().collect::<Vec<_>>() {
             core.machines.reindex(&id);
-            if let Some(m) = core.machines.get_mut(&id).filter(|m| m.live_count == 0) {
+            if let Some(m) = core
+                .machines
+                .get_mut(&id)
+                .filter(|m| m.attempts.live_count() == 0)
+            {
                 m.idle_since = Some(now);
             }
         }
@@ -231,20 +235,19 @@
                 attempt_id,
             };
             let known = self.machines.get(&machine_id);
-            if known.is_some_and(|m| m.attempts.contains_key(&key)) {
+            if known.is_some_and(|m| m.attempts.contains(&key)) {
                 continue;
             }
             let placed = record.placed_s.get(&attempt_id);
             let since = placed.map_or(now, |s| self.on_steady_clock(*s).min(now));
-            let mut s = self.new_attempt(&machine_id, task.clone(), attempt_id, since);
+            let mut s = self.new_attempt(&machine_id, key.clone(), since);
             if let Some(takes) = record.jobs.get(&task.job) {
                 s.request = takes.amount();
                 s.team = self.policy.team_index(&takes.0);
             }
             s.page = Some(page);
             s.recovered = true;
-            self.insert_attempt(&machine_id, s);
-            self.add_place(&machine_id, &task);
+            self.ledger().insert(&machine_id, s);
             self.writer
                 .intents
                 .holds(page, PlacedAttempt::new(&machine_id, &key));
--- a/src/coordination/machines/images.rs
+++ b/src/coordination/machines/images.rs
@@ -49,7 +49,7 @@
             return false;
         }
         let first: Vec<u32> = job.pending.iter().take(1).copied().collect();
-        if self.headroom(spec, job.team, &pass.used) == 0
+        if pass.used.headroom(&self.policy, job.team, spec) == 0
             || self.plan(now, id, spec, &first, None, pass).is_empty()
         {
             return false;
--- a/src/coordination/machines/machine.rs
+++ b/src/coordination/machines/machine.rs
@@ -1,12 +1,12 @@
 //! A machine as the leader holds it.
 
-use crate::coordination::attempts::task_attempt::TaskAttempt;
+use crate::coordination::attempts::ledger::{MachineAttempts, TaskAttempt};
 use crate::ids::{
-    AttemptKey, FencingToken, Image, JobId, MachineId, MachineType, PageNumber, Session, Tick, Zone,
+    FencingToken, Image, JobId, MachineId, MachineType, PageNumber, Session, Tick, Zone,
 };
 use crate::resources::Resources;
 use crate::time::{Instant, TimeSpan};
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeSet;
 
 /// Check-ins in a row that show nothing of what we answered before: the machine counts as deaf.
 pub const MAX_UNACKNOWLEDGED_RESPONSES: u32 = 2;
@@ -59,11 +59,8 @@
     /// When its present session was first seen: its lease counts from no later than this, or than its
     /// last answer.
     pub session_first_seen_at: Instant,
-    /// Every start that may be on it, tombstones included.
-    pub attempts: BTreeMap<AttemptKey, TaskAttempt>,
-    /// What is free on it, and how many starts have not ended: kept in step by `attempts.rs`.
-    pub free: Resources,
-    pub live_count: u32,
+    /// Every task attempt that may be on it, and what they leave free of it.
+    pub attempts: MachineAttempts,
     /// The page on the state service that lists it, and whether that is written.
     pub page: Option<PageNumber>,
     pub is_recorded: bool,
@@ -123,9 +120,7 @@
             last_heartbeat_at: None,
             last_response_at: now,
             session_first_seen_at: Instant::LONG_AGO,
-            attempts: BTreeMap::new(),
-            free: whole,
-            live_count: 0,
+            attempts: MachineAttempts::new(whole),
             page: None,
             is_recorded: false,
             reclaim_at: None,
@@ -144,18 +139,23 @@
         }
     }
 
-    /// What is free of `whole` beside the attempts that have not ended.
-    pub fn free_of(&self, whole: Resources) -> Resources {
-        let mut free = whole;
-        for attempt in self.live_attempts() {
-            free.sub(&attempt.request);
-        }
-        free
+    /// What live task attempts leave free of it.
+    pub fn free(&self) -> &Resources {
+        self.attempts.free()
     }
 
-    /// Attempts that have not ended.
+    /// Task attempts that have not ended.
     pub fn live_attempts(&self) -> impl Iterator<Item = &TaskAttempt> {
-        self.attempts.values().filter(|s| !s.ended())
+        self.attempts.live()
+    }
+
+    /// Notes since when it has had nothing to do.
+    pub fn note_idle(&mut self, now: Instant) {
+        if self.attempts.live_count() > 0 {
+            self.idle_since = None;
+        } else {
+            self.idle_since.get_or_insert(now);
+        }
     }
 
     /// Whether nothing that we say seems to reach it.
@@ -182,22 +182,6 @@
         self.state == MachineState::Up && self.last_heartbeat_at.is_none_or(|h| now - h > bound)
     }
 
-    /// The latest moment from which the lease that a start lives by can count.
-    ///
-    /// Guards against a machine that reaches no controller while direct commands reach it: a session
-    /// that began after its last answer has a lease of its own, and what was launched in it was taken
-    /// for gone with the session before, and started elsewhere. What a former leader launched is in a
-    /// session that had begun when we took over, unless it is seen in a later one.
-    pub fn lease_from(&self, s: &TaskAttempt) -> Instant {
-        let here = s.launched_in == Some(self.session)
-            || s.last_status.is_some_and(|x| x.at.0 == self.session);
-        if here {
-            self.last_response_at.max(self.session_first_seen_at)
-        } else {
-            self.last_response_at
-        }
-    }
-
     /// A job has turned out to fail everywhere: what it did here says nothing of the machine.
     pub fn forget_failures_of(&mut self, job: &JobId, most: usize) {
         let removed = self.failed_jobs.remove(job);
--- a/src/coordination/machines/table.rs
+++ b/src/coordination/machines/table.rs
@@ -127,9 +127,9 @@
             let Some(machine) = self.machines.get(&id) else {
                 continue;
             };
-            let free = machine.free_of(self.capacity(&machine.machine_type));
+            let capacity = self.capacity(&machine.machine_type);
             if let Some(machine) = self.machines.get_mut(&id) {
-                machine.free = free;
+                machine.attempts.set_capacity(capacity);
             }
             self.reindex(&id);
         }
@@ -148,9 +148,9 @@
     pub fn room_on(&self, machine: &Machine) -> Room {
         let whole = self.capacity(&machine.machine_type);
         let has_some = |free: f64, whole: f64| whole <= 0.0 || free > 1e-6;
-        if machine.state != MachineState::Up || !has_some(machine.free.cpus, whole.cpus) {
+        if machine.state != MachineState::Up || !has_some(machine.free().cpus, whole.cpus) {
             Room::None
-        } else if has_some(machine.free.gpus, whole.gpus) {
+        } else if has_some(machine.free().gpus, whole.gpus) {
             Room::Some
         } else {
             Room::CpusOnly
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -20,9 +20,9 @@
 pub use view::ClusterView;
 
 use crate::ids::{AttemptId, FencingToken, JobId, KeyRevision};
-use crate::resources::Resources;
 use crate::storage::records::OpenJobRecord;
 use crate::time::{Instant, TimeSpan};
+use attempts::ledger::TeamUsage;
 use attempts::Outbox;
 use autoscaler::Autoscaler;
 use jobs::aging::Aging;
@@ -43,8 +43,8 @@
     pub(crate) leadership: Leadership,
     pub(crate) jobs: JobTable,
     pub(crate) machines: MachineTable,
-    /// What each team uses: everything that may be on a machine. Kept in step by `attempts/ledger.rs`.
-    pub(crate) team_usage: Vec<Resources>,
+    /// What each team uses, kept by the ledger.
+    pub(crate) team_usage: TeamUsage,
     pub(crate) outbox: Outbox,
     pub(crate) placement: PlacementState,
     pub(crate) autoscaler: Autoscaler,
@@ -89,7 +89,7 @@
     /// Starts that may be on machines, and those of them whose job is not open any more.
     pub fn attempt_counts(&self) -> AttemptCounts {
         let mut listed = AttemptCounts::default();
-        for attempt in self.machines.values().flat_map(|m| m.attempts.values()) {
+        for attempt in self.machines.values().flat_map(|m| m.attempts.iter()) {
             let open = self.jobs.get(&attempt.task.job).is_some_and(|j| !j.closed);
             listed.all += 1;
             listed.of_closed_jobs += usize::from(!open);
--- a/src/coordination/persistence/mod.rs
+++ b/src/coordination/persistence/mod.rs
@@ -12,7 +12,7 @@
 mod machine_pages;
 mod outcomes;
 
-use crate::coordination::attempts::task_attempt::{PushDelivery, TaskAttempt};
+use crate::coordination::attempts::ledger::{PushDelivery, TaskAttempt};
 use crate::coordination::jobs::job::Job;
 use crate::coordination::machines::machine::Machine;
 use crate::coordination::{Effect, Scheduler};
@@ -248,20 +248,21 @@
         if since < RAISE_SOON {
             return;
         }
-        let tombs = |m: &Machine| m.attempts.len() - m.live_count as usize;
         let blocked =
             |s: &TaskAttempt| s.ended() && s.launched_with == Some(self.leadership.token());
         let lost = |m: &Machine| {
             m.attempts
-                .values()
+                .iter()
                 .any(|s| matches!(s.push, PushDelivery::Lost(..)))
         };
-        let soon = self.machines.values().any(|m| tombs(m) >= RAISE_AT);
+        let soon = self
+            .machines
+            .values()
+            .any(|m| m.attempts.tombstone_count() >= RAISE_AT);
         let due = since >= RAISE_EVERY
-            && self
-                .machines
-                .values()
-                .any(|m| lost(m) || (tombs(m) > 0 && m.attempts.values().any(blocked)));
+            && self.machines.values().any(|m| {
+                lost(m) || (m.attempts.tombstone_count() > 0 && m.attempts.iter().any(blocked))
+            });
         if !soon && !due {
             return;
         }
--- a/src/coordination/persistence/outcomes.rs
+++ b/src/coordination/persistence/outcomes.rs
@@ -91,14 +91,14 @@
         let mut live = Vec::new();
         let mut gone = false;
         for k in keys {
-            let m = self.machines.get_mut(&k.machine_id);
-            let attempt = m.and_then(|m| m.attempts.get_mut(&k.key()));
-            match attempt.filter(|s| !s.ended()) {
-                Some(s) => {
-                    if s.page.is_none() {
+            let persisted = self
+                .ledger()
+                .intent_persisted(&k.machine_id, &k.key(), page);
+            match persisted {
+                Some(newly) => {
+                    if newly {
                         machine_ids.insert(k.machine_id.clone());
                     }
-                    s.page = Some(page);
                     live.push(k);
                 }
                 None => gone = true,
--- a/src/coordination/placement/candidates.rs
+++ b/src/coordination/placement/candidates.rs
@@ -94,7 +94,7 @@
         let mut heap: BinaryHeap<Candidate> = self
             .machines
             .with_room_for(spec)
-            .filter(|m| request.fits(&m.free) && m.attempts.len() < MAX_LISTED)
+            .filter(|m| request.fits(m.free()) && m.attempts.len() < MAX_LISTED)
             .filter(|m| Self::allows(spec, m) && zone.is_none_or(|z| *z == m.zone))
             .filter(|m| self.usable(m, now) && !pass.kept.contains(&m.id))
             .filter(|m| !pass.cached || m.has_image(&spec.image))
@@ -115,7 +115,7 @@
                 Candidate {
                     cost: 0.0,
                     fixed: self.wait_for_image(now, m, spec) + Self::dislike(m, spec, latency),
-                    room: m.free,
+                    room: *m.free(),
                     machine_id: m.id.clone(),
                     zone: m.zone.clone(),
                     whole: self.machines.capacity(&m.machine_type),
--- a/src/coordination/placement/mod.rs
+++ b/src/coordination/placement/mod.rs
@@ -9,11 +9,12 @@
 mod queue;
 mod reservations;
 
+use crate::coordination::attempts::ledger::TeamUsage;
 use crate::coordination::jobs::graph::Label;
 use crate::coordination::jobs::job::Job;
 use crate::coordination::machines::machine::{Machine, MachineState};
 use crate::coordination::Scheduler;
-use crate::ids::{AttemptId, JobId, MachineId, MachineType, TaskId, TeamIndex, Zone};
+use crate::ids::{AttemptId, AttemptKey, JobId, MachineId, MachineType, TaskId, Zone};
 use crate::protocol::users::{JobSpec, Priority, Shape};
 use crate::resources::Resources;
 use crate::storage::pages::PlacedAttempt;
@@ -84,7 +85,7 @@
 pub(crate) struct Pass {
     attempt_id: AttemptId,
     /// What teams use, and what is kept for jobs that their team's limit holds up.
-    pub(crate) used: Vec<Resources>,
+    pub(crate) used: TeamUsage,
     /// Machines kept for large tasks.
     pub(crate) kept: BTreeSet<MachineId>,
     /// Jobs for which a machine was emptied.
@@ -245,30 +246,10 @@
         let young = now - job.ready < LONGEST_IMAGE_WAIT;
         let candidate =
             young && above_others && job.spec.shape == Shape::Gang && job.placements.is_empty();
-        let head = || self.headroom(&job.spec, job.team, &pass.used) as usize;
+        let head = || pass.used.headroom(&self.policy, job.team, &job.spec) as usize;
         candidate && head() >= job.pending.len()
     }
 
-    /// How many more tasks the team's limit lets start.
-    pub(crate) fn headroom(
-        &self,
-        spec: &JobSpec,
-        team: Option<TeamIndex>,
-        used: &[Resources],
-    ) -> u32 {
-        let (Some(no), Some(team)) = (team, self.policy.team(team)) else {
-            return 0;
-        };
-        let used = used.get(no.0).copied().unwrap_or_default();
-        let bound = |max: f64, used: f64| if max > 0.0 { max - used } else { f64::INFINITY };
-        let room = Resources {
-            cpus: bound(team.cpus_max, used.cpus),
-            gpus: bound(team.gpus_max, used.gpus),
-            ram_gb: f64::INFINITY,
-        };
-        Resources::of(spec).count_in(&room, spec.tasks)
-    }
-
     /// Whether a task of the job has run for long enough to say that the job can run.
     fn has_run_long_enough(&self, now: Instant, id: &JobId, job: &Job) -> bool {
         let machine_ids = job.placements.values().flatten();
@@ -288,7 +269,7 @@
         };
         let spec = job.spec.clone();
         let team = job.team;
-        let head = self.headroom(&spec, team, &pass.used);
+        let head = pass.used.headroom(&self.policy, team, &spec);
         // Once one task of a gang is done all are, and the rest only have to say so one by one.
         let gang = spec.shape == Shape::Gang && job.done.count() == 0;
         if pass.cached && (gang || job.pending.is_empty()) {
@@ -309,9 +290,7 @@
             }
         }
         let keep = |pass: &mut Pass, n: f64| {
-            if let Some(u) = team.and_then(|t| pass.used.get_mut(t.0)) {
-                u.add(&Resources::of(&spec).times(n));
-            }
+            pass.used.charge(team, &Resources::of(&spec).times(n));
         };
         if pass.cached && could == 0 {
             return 0;
@@ -381,14 +360,17 @@
                     m.reservation = None;
                 }
             }
-            let mut attempt = self.new_attempt(&machine_id, task.clone(), pass.attempt_id, now);
+            let key = AttemptKey {
+                task,
+                attempt_id: pass.attempt_id,
+            };
+            let placed = PlacedAttempt::new(&machine_id, &key);
+            let mut attempt = self.new_attempt(&machine_id, key, now);
             let several = gang && spec.tasks > 1;
             let m = self.machines.get(&machine_id).filter(|_| several);
             attempt.image_s = m.map(|m| self.wait_for_image(now, m, &spec));
             attempt.latency = latency;
-            let placed = PlacedAttempt::new(&machine_id, &attempt.key());
-            self.insert_attempt(&machine_id, attempt);
-            self.add_place(&machine_id, &task);
+            self.ledger().insert(&machine_id, attempt);
             self.writer.intents.wait(placed);
             keep(pass, 1.0);
         }
@@ -416,7 +398,7 @@
         let request = Resources::of(spec);
         for m in self.machines.with_room_for(spec) {
             if self.usable(m, now) && Self::allows(spec, m) && !pass.kept.contains(&m.id) {
-                let n = request.count_in(&m.free, spec.tasks);
+                let n = request.count_in(m.free(), spec.tasks);
                 *fit.entry(m.zone.clone()).or_default() += n;
             }
         }
--- a/src/coordination/placement/preemption.rs
+++ b/src/coordination/placement/preemption.rs
@@ -1,7 +1,7 @@
 //! Stopping tasks to make room, as far as the protocol allows it: for a job of higher priority, or
 //! to give a team its guarantee at the cost of work that another team runs beyond its own.
 
-use crate::coordination::attempts::task_attempt::{StopRequest, TaskAttempt};
+use crate::coordination::attempts::ledger::TaskAttempt;
 use crate::coordination::jobs::job::Job;
 use crate::coordination::machines::machine::Machine;
 use crate::coordination::placement::{Pass, UnplacedTasks};
@@ -84,7 +84,7 @@
             .values()
             .filter(|m| match kept(m) {
                 Some(mine) => mine,
-                None => request.fits(&m.free) && Self::allows(&job.spec, m) && self.usable(m, now),
+                None => request.fits(m.free()) && Self::allows(&job.spec, m) && self.usable(m, now),
             })
             .count() as u32;
         let wanted = if job.is_all_or_nothing() {
@@ -168,7 +168,7 @@
         let request = Resources::of(spec);
         let with_image = |m: &&Machine| m.has_image(&spec.image) && self.usable(m, now);
         let here = || self.machines.values().filter(with_image);
-        let ready = |m: &&Machine| request.fits(&m.free) && Self::allows(spec, m);
+        let ready = |m: &&Machine| request.fits(m.free()) && Self::allows(spec, m);
         if here().any(|m| ready(&m)) {
             return None;
         }
@@ -248,9 +248,7 @@
             return None;
         }
         let mut victims: Vec<(f64, &TaskAttempt, f64)> = m
-            .attempts
-            .values()
-            .filter(|s| !s.ended())
+            .live_attempts()
             .filter_map(|s| {
                 let other = self.jobs.get(&s.task.job)?;
                 let may = s.stop.is_none() && self.may_stop(job, id, other, &s.task.job, inside);
@@ -274,7 +272,7 @@
             })
             .collect();
         victims.sort_by(|a, b| a.0.total_cmp(&b.0));
-        let mut room = m.free;
+        let mut room = *m.free();
         let mut chosen = Vec::new();
         let mut cost_s = self.wait_for_image(now, m, spec);
         for (cost, s, grace) in victims {
@@ -306,7 +304,7 @@
             return true;
         }
         let borrowed = || {
-            let u = self.used_by(other.team);
+            let u = self.team_usage.of(other.team);
             self.policy.team(other.team).is_some_and(|t| {
                 (t.gpus > 0.0 && u.gpus > t.gpus) || (t.cpus > 0.0 && u.cpus > t.cpus)
             })
@@ -331,12 +329,7 @@
         };
         m.reservation = Some((id.clone(), now + KEPT));
         for (key, grace_s) in eviction.victims {
-            if let Some(s) = m.attempts.get_mut(&key) {
-                s.stop = Some(StopRequest {
-                    grace_s,
-                    pushed: false,
-                });
-            }
+            self.request_stop(&eviction.machine_id, &key, grace_s);
         }
         self.outbox
             .machines_to_review
--- a/src/coordination/placement/reservations.rs
+++ b/src/coordination/placement/reservations.rs
@@ -26,7 +26,7 @@
             .filter(|m| Self::allows(spec, m) && self.usable(m, now))
             .map(|m| (m, self.machines.capacity(&m.machine_type)))
             .filter(|(_, whole)| request.fits(whole))
-            .map(|(m, whole)| (emptiness(&m.free, &whole), &m.id))
+            .map(|(m, whole)| (emptiness(m.free(), &whole), &m.id))
             .max_by(|a, b| a.0.total_cmp(&b.0).then_with(|| b.1.cmp(a.1)));
         if let Some((_, machine_id)) = best {
             pass.kept.insert(machine_id.clone());
@@ -66,7 +66,7 @@
             .iter()
             .filter_map(|h| self.machines.get(h))
         {
-            let free = request.fits(&m.free) && Self::allows(spec, m) && self.usable(m, now);
+            let free = request.fits(m.free()) && Self::allows(spec, m) && self.usable(m, now);
             if free && !pass.kept.contains(&m.id) {
                 let zone = spec.together.then_some(&m.zone);
                 fit.entry(zone).or_default().push(&m.id);
--- a/src/coordination/view.rs
+++ b/src/coordination/view.rs
@@ -1,10 +1,10 @@
 //! What decisions read: the parts of the scheduler that several of them need, borrowed together.
 
+use super::attempts::ledger::TeamUsage;
 use super::jobs::estimates::Estimates;
 use super::jobs::table::JobTable;
 use super::machines::table::MachineTable;
 use super::{Policy, Scheduler};
-use crate::resources::Resources;
 use crate::time::Instant;
 
 /// The cluster as a decision sees it at one moment. Nothing can be changed through it.
@@ -19,7 +19,7 @@
     /// All machines, with the task attempts on them.
     pub machines: &'a MachineTable,
     /// What each team uses.
-    pub team_usage: &'a [Resources],
+    pub team_usage: &'a TeamUsage,
     /// What is known of run times.
     pub estimates: &'a Estimates,
 }
