--- a/src/coordination/attempts/ledger/mod.rs
+++ b/src/coordination/attempts/ledger/mod.rs
@@ -21,10 +21,11 @@
 use super::Outbox;
 use crate::coordination::jobs::table::JobTable;
 use crate::coordination::machines::table::MachineTable;
+use crate::coordination::persistence::pages::IntentPages;
 use crate::coordination::placement::PlacementState;
 use crate::coordination::Scheduler;
 use crate::ids::{AttemptKey, JobId, MachineId, PageNumber, TaskId};
-use crate::storage::pages::{IntentPages, PlacedAttempt};
+use crate::storage::records::LaunchIntent;
 use crate::time::Instant;
 
 /// All that a change of the ledger touches.
@@ -164,7 +165,7 @@
             job.running = job.running.saturating_sub(u32::from(attempt.runs()));
         }
         if let Some(page) = attempt.page {
-            let removed = PlacedAttempt::new(machine_id, key);
+            let removed = LaunchIntent::new(machine_id, key);
             self.intents.gone(now, page, &removed);
         }
         self.jobs.reindex(&key.task.job);
--- a/src/coordination/placement/mod.rs
+++ b/src/coordination/placement/mod.rs
@@ -17,7 +17,7 @@
 use crate::ids::{AttemptId, AttemptKey, JobId, MachineId, MachineType, TaskId, Zone};
 use crate::protocol::users::{JobSpec, Priority, Shape};
 use crate::resources::Resources;
-use crate::storage::pages::PlacedAttempt;
+use crate::storage::records::LaunchIntent;
 use crate::time::{Instant, TimeSpan};
 use crate::transport::budget::Budget;
 use std::collections::{BTreeMap, BTreeSet};
@@ -364,7 +364,7 @@
                 task,
                 attempt_id: pass.attempt_id,
             };
-            let placed = PlacedAttempt::new(&machine_id, &key);
+            let placed = LaunchIntent::new(&machine_id, &key);
             let mut attempt = self.new_attempt(&machine_id, key, now);
             let several = gang && spec.tasks > 1;
             let m = self.machines.get(&machine_id).filter(|_| several);
