--- a/src/coordination/attempts/ledger/mod.rs
+++ b/src/coordination/attempts/ledger/mod.rs
@@ -234,7 +234,7 @@
     /// A live attempt of the task on that machine has ended or has been removed. The task is pending again
     /// if no other live attempt of it may be anywhere.
     fn drop_place(&mut self, machine_id: &MachineId, task: &TaskId) {
-        self.placement.due = true;
+        self.placement.request_pass();
         let machine = self.machines.get(machine_id);
         if machine.is_some_and(|machine| machine.attempts.has_live_attempt_of(task)) {
             return;
