--- a/src/coordination/attempts/stops.rs
+++ b/src/coordination/attempts/stops.rs
@@ -141,7 +141,7 @@
                     continue;
                 };
                 if again {
-                    m.reservation = Some((id.clone(), now + lease));
+                    m.reserve_for(id.clone(), now + lease);
                 }
                 for s in m.attempts.iter_mut() {
                     if s.task.job == id && !s.ended() && s.stop.is_none() {
