--- a/src/coordination/attempts/ledger/mod.rs
+++ b/src/coordination/attempts/ledger/mod.rs
@@ -19,6 +19,7 @@
 pub use team_usage::TeamUsage;
 
 use super::Outbox;
+use crate::coordination::jobs::job::Job;
 use crate::coordination::jobs::table::JobTable;
 use crate::coordination::machines::table::MachineTable;
 use crate::coordination::persistence::pages::IntentPages;
@@ -69,12 +70,9 @@
         if !attempt.ended() {
             self.team_usage.charge(attempt.team, &attempt.request);
         }
-        if let Some(job) = self.jobs.get_mut(&job_id) {
-            job.attempt_count += 1;
-            job.running += u32::from(attempt.runs());
-        }
+        let runs = attempt.runs();
         machine.attempts.insert(attempt);
-        self.jobs.reindex(&job_id);
+        self.jobs.update(&job_id, |job| job.attempt_added(runs));
         self.machines.reindex(machine_id);
     }
 
@@ -100,17 +98,15 @@
             self.team_usage.charge(change.team, &change.request);
             self.machines.reindex(machine_id);
         }
-        if change.was_running == change.is_running {
-            return false;
+        let job_id = &key.task.job;
+        match (change.was_running, change.is_running) {
+            (false, true) => self.jobs.update(job_id, Job::attempt_began) == Some(true),
+            (true, false) => {
+                self.jobs.update(job_id, Job::attempt_stopped_running);
+                false
+            }
+            (true, true) | (false, false) => false,
         }
-        let Some(job) = self.jobs.get_mut(&key.task.job) else {
-            return false;
-        };
-        let running = job.running + u32::from(change.is_running);
-        job.running = running.saturating_sub(u32::from(change.was_running));
-        let is_first = change.is_running && !job.has_run;
-        job.has_run |= is_first;
-        is_first
     }
 
     /// The intent of an attempt is durable, on that page: only now may it be launched. Says whether it was
@@ -160,15 +156,12 @@
         if !attempt.ended() {
             self.team_usage.release(attempt.team, &attempt.request);
         }
-        if let Some(job) = self.jobs.get_mut(&key.task.job) {
-            job.attempt_count = job.attempt_count.saturating_sub(1);
-            job.running = job.running.saturating_sub(u32::from(attempt.runs()));
-        }
+        self.jobs
+            .update(&key.task.job, |job| job.attempt_removed(attempt.runs()));
         if let Some(page) = attempt.page {
             let removed = LaunchIntent::new(machine_id, key);
             self.intents.gone(now, page, &removed);
         }
-        self.jobs.reindex(&key.task.job);
         self.machines.reindex(machine_id);
         Some(attempt)
     }
@@ -220,15 +213,8 @@
     }
 
     fn add_place(&mut self, machine_id: &MachineId, task: &TaskId) {
-        let Some(job) = self.jobs.get_mut(&task.job) else {
-            return;
-        };
-        let placements = job.placements.entry(task.index).or_default();
-        if !placements.contains(machine_id) {
-            placements.push(machine_id.clone());
-        }
-        job.pending.remove(&task.index);
-        self.jobs.reindex(&task.job);
+        self.jobs
+            .update(&task.job, |job| job.task_placed(task.index, machine_id));
     }
 
     /// A live attempt of the task on that machine has ended or has been removed. The task is pending again
@@ -239,22 +225,13 @@
         if machine.is_some_and(|machine| machine.attempts.has_live_attempt_of(task)) {
             return;
         }
-        let Some(job) = self.jobs.get_mut(&task.job) else {
-            return;
-        };
-        if let Some(placements) = job.placements.get_mut(&task.index) {
-            placements.retain(|id| id != machine_id);
-            if placements.is_empty() {
-                job.placements.remove(&task.index);
-            }
-        }
-        if job.needs_run(task.index) && !job.placements.contains_key(&task.index) {
-            job.pending.insert(task.index);
-        }
-        if job.is_all_or_nothing() {
+        let needs_gang_scheduling = self.jobs.update(&task.job, |job| {
+            job.task_left_machine(task.index, machine_id);
+            job.needs_gang_scheduling()
+        });
+        if needs_gang_scheduling == Some(true) {
             self.outbox.gangs_to_check.insert(task.job.clone());
         }
-        self.jobs.reindex(&task.job);
     }
 }
 
--- a/src/coordination/autoscaler/forecast/simulated_cluster.rs
+++ b/src/coordination/autoscaler/forecast/simulated_cluster.rs
@@ -169,10 +169,10 @@
     let Some(job) = view.jobs().get(&attempt.task.job) else {
         return 0.0;
     };
-    if machine.has_image(&job.spec.image) {
+    if machine.has_image(&job.spec().image) {
         return 0.0;
     }
-    let fetch_s = view.fetch_s(&machine.machine_type, job.spec.image_gb);
+    let fetch_s = view.fetch_s(&machine.machine_type, job.spec().image_gb);
     (fetch_s - (view.now() - attempt.since).secs()).max(0.0)
 }
 
--- a/src/coordination/autoscaler/forecast/waiting_tasks.rs
+++ b/src/coordination/autoscaler/forecast/waiting_tasks.rs
@@ -33,13 +33,13 @@
         let Some(job) = view.jobs().get(&tasks.job) else {
             continue;
         };
-        let headroom = view.headroom(&job.spec, job.team, &team_usage);
+        let headroom = view.headroom(job.spec(), job.team(), &team_usage);
         let count = tasks.count.min(headroom);
         if count == 0 || cluster.is_full() {
             continue;
         }
-        let mut spec = job.spec.clone();
-        if spec.together && job.is_all_or_nothing() && spec.zone.is_none() {
+        let mut spec = job.spec().clone();
+        if spec.together && job.needs_gang_scheduling() && spec.zone.is_none() {
             spec.zone = zone_for_gang(view, cluster, &spec);
         }
         let batch = TaskBatch {
@@ -49,8 +49,8 @@
         };
         let assigned = assign(view, &batch, cluster);
         team_usage.charge(
-            job.team,
-            &Resources::of(&job.spec).times(f64::from(assigned)),
+            job.team(),
+            &Resources::of(job.spec()).times(f64::from(assigned)),
         );
     }
 }
--- a/src/coordination/persistence/mod.rs
+++ b/src/coordination/persistence/mod.rs
@@ -13,13 +13,13 @@
 mod outcomes;
 pub(crate) mod pages;
 
+use crate::config::StateStoreLimits;
 use crate::coordination::attempts::ledger::{PushDelivery, TaskAttempt};
 use crate::coordination::jobs::job::Job;
 use crate::coordination::machines::machine::Machine;
 use crate::coordination::{Effect, Scheduler};
 use crate::ids::{FencingToken, JobId, KeyRevision, MachineId, PageNumber};
 use crate::protocol::state::{Change, Precondition, Transaction};
-use crate::settings::StateLimits;
 use crate::storage::records::{
     dependency_list_key, dependency_page_key, open_key, LaunchIntent, LeaderRecord, ProgressKey,
     FENCING_TOKEN_KEY, HINTS_KEY, LEADER_KEY, TASKS_PER_PROGRESS_RECORD,
@@ -127,7 +127,7 @@
 
 impl Writer {
     /// A writer that keeps within its part of the write rate.
-    pub fn new(state: &StateLimits, now: Instant) -> Writer {
+    pub fn new(state: &StateStoreLimits, now: Instant) -> Writer {
         // The rest is left to submissions, cancellations and the lease.
         let mine = state.write_rps * 0.7;
         let limits = WriteLimits::new(state);
@@ -288,26 +288,19 @@
         draft.add(preconditions, changes, Work::Raise { token });
     }
 
-    fn jobs_in<'a>(
-        &'a self,
-        ids: &'a BTreeSet<JobId>,
-    ) -> impl Iterator<Item = (&'a JobId, &'a Job)> {
-        ids.iter().filter_map(|id| Some((id, self.jobs.get(id)?)))
-    }
-
     fn draft_progress(&self, now: Instant, draft: &mut Draft) {
         if now - self.writer.progress_at < PROGRESS_EVERY {
             return;
         }
         // Most unsaved first: it is they whose tombstones fill reports.
-        let mut jobs: Vec<(&JobId, &Job)> = self.jobs_in(&self.jobs.index.unpersisted).collect();
-        jobs.sort_by_key(|(id, j)| (Reverse(j.unpersisted.len()), *id));
+        let mut jobs: Vec<(&JobId, &Job)> = self.jobs.unpersisted().collect();
+        jobs.sort_by_key(|(id, j)| (Reverse(j.unpersisted().len()), *id));
         for (id, job) in jobs {
             if job.is_complete() {
                 continue;
             }
             let chunks: BTreeSet<u32> = job
-                .unpersisted
+                .unpersisted()
                 .iter()
                 .map(|i| i / TASKS_PER_PROGRESS_RECORD)
                 .collect();
@@ -317,10 +310,14 @@
                     chunk,
                 };
                 let revision = self.writer.progress.get(&key).copied().unwrap_or_default();
-                let preconditions = vec![(open_key(id), job.revision), (key.to_string(), revision)];
-                let changes = vec![Change::put(key.to_string(), job.done.chunk(chunk).into())];
+                let preconditions = vec![
+                    (open_key(id), job.open_record_revision()),
+                    (key.to_string(), revision),
+                ];
+                let text = job.completed().chunk(chunk);
+                let changes = vec![Change::put(key.to_string(), text.into())];
                 let tasks = job
-                    .unpersisted
+                    .unpersisted()
                     .range(
                         chunk * TASKS_PER_PROGRESS_RECORD..(chunk + 1) * TASKS_PER_PROGRESS_RECORD,
                     )
--- a/src/coordination/placement/image_locality.rs
+++ b/src/coordination/placement/image_locality.rs
@@ -43,8 +43,8 @@
         let Some(job) = self.view.jobs().get(job_id) else {
             return false;
         };
-        let spec = &job.spec;
-        if spec.shape != Shape::Array || job.pending.is_empty() || self.view.is_aged(job) {
+        let spec = job.spec();
+        if spec.shape != Shape::Array || job.pending().is_empty() || self.view.is_aged(job) {
             return false;
         }
         if self.state.is_known_to_fail(&ResourceRequest::of(spec)) {
@@ -53,7 +53,7 @@
         let pull_s = self.view.shortest_image_pull_s(spec);
         let max_wait = TimeSpan::from_secs(pull_s * MAX_WAIT_FRACTION_OF_PULL);
         let has_waited_enough = job
-            .waits_since
+            .image_wait_since()
             .is_some_and(|since| self.view.now() - since > max_wait);
         if has_waited_enough
             || self.image_machines_free_within_s(job) > pull_s * MAX_PULLS_UNTIL_PLACED
@@ -66,10 +66,9 @@
 
     /// Seconds in which all pending tasks of the job could have had a turn on machines with its image.
     fn image_machines_free_within_s(&self, job: &Job) -> f64 {
-        let gpus_by_image = &self.view.machines().gpus_by_cached_image;
-        let gpus = gpus_by_image.get(&job.spec.image).copied().unwrap_or(0.0);
-        let slots = gpus / job.spec.gpus.max(MIN_GPUS_PER_TASK);
-        job.pending.len() as f64 * self.view.estimated_run_time_s(job) / slots.max(MIN_SLOTS)
+        let gpus = self.view.machines().gpus_caching(&job.spec().image);
+        let slots = gpus / job.spec().gpus.max(MIN_GPUS_PER_TASK);
+        job.pending().len() as f64 * self.view.estimated_run_time_s(job) / slots.max(MIN_SLOTS)
     }
 
     /// Whether a job leaves the room there is, because machines that have its image can be had sooner than
@@ -104,12 +103,12 @@
             return false;
         };
         // Guards against a job for which machine after machine is emptied in vain: it goes anywhere then.
-        let is_recent = self.view.now() - job.ready < MAX_READY_TIME_FOR_IMAGE_PREEMPTION;
-        let priority = self.view.effective_priority(job_id, &job.spec);
+        let is_recent = self.view.now() - job.ready_at() < MAX_READY_TIME_FOR_IMAGE_PREEMPTION;
+        let priority = self.view.effective_priority(job_id, job.spec());
         is_recent
             && self.state.is_above_lowest(priority)
-            && job.spec.shape == Shape::Gang
-            && job.placements.is_empty()
-            && self.view.quota_headroom(job, &self.state.team_usage) as usize >= job.pending.len()
+            && job.spec().shape == Shape::Gang
+            && job.placements().is_empty()
+            && self.view.quota_headroom(job, &self.state.team_usage) as usize >= job.pending().len()
     }
 }
--- a/src/coordination/placement/preemption.rs
+++ b/src/coordination/placement/preemption.rs
@@ -92,7 +92,7 @@
     /// gang as many as it needs at once, for fewer would not help. Empty if there are not enough, or if
     /// enough are free or being emptied.
     fn evictions(&self, preemptor: &Preemptor<'_>, unplaced_count: u32) -> Vec<Eviction> {
-        let machines_needed = if preemptor.job.is_all_or_nothing() {
+        let machines_needed = if preemptor.job.needs_gang_scheduling() {
             unplaced_count
         } else {
             1
@@ -114,7 +114,7 @@
     fn machines_available_to(&self, job_id: &JobId, job: &Job) -> u32 {
         let is_available = |machine: &&Machine| match machine.reserved_for(self.now()) {
             Some(holder) => holder == job_id,
-            None => self.has_room_for(machine, &job.spec) && self.is_usable(machine),
+            None => self.has_room_for(machine, job.spec()) && self.is_usable(machine),
         };
         self.machines().values().filter(is_available).count() as u32
     }
@@ -130,7 +130,7 @@
         };
         self.machines().values().any(|machine| {
             machine.reserved_for(self.now()) == Some(job_id)
-                && machine.has_image(&job.spec.image)
+                && machine.has_image(&job.spec().image)
                 && self.is_usable(machine)
                 && machine
                     .live_attempts()
@@ -145,12 +145,12 @@
         let Some(preemptor) = Preemptor::new(self, job_id, &no_guaranteed_jobs) else {
             return Vec::new();
         };
-        let spec = &preemptor.job.spec;
+        let spec = preemptor.job.spec();
         let pull_s = self.shortest_image_pull_s(spec);
         // A job that has failed may be mistaken: nothing is stopped for it.
         if !self.is_large_task(spec)
             || pull_s < MIN_PULL_WORTH_PREEMPTING_S
-            || !preemptor.job.failed_on.is_empty()
+            || !preemptor.job.retry().failed_on().is_empty()
         {
             return Vec::new();
         }
@@ -172,14 +172,14 @@
                     .all(|victim| victim.grace_s < max_grace_s)
             })
             .collect();
-        cheapest(evictions, preemptor.job.pending.len())
+        cheapest(evictions, preemptor.job.pending().len())
     }
 
     /// Whether the job would miss the time by which it should start if it waited for a machine to be rented, or
     /// none can be rented.
     fn would_start_late(&self, job: &Job) -> bool {
-        let spec = &job.spec;
-        let waited_s = (self.now() - job.ready).secs();
+        let spec = job.spec();
+        let waited_s = (self.now() - job.ready_at()).secs();
         let misses_objective = self
             .policy()
             .started_within(&spec.class)
