--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,12 +1,14 @@
 //! chalklug, a small cluster scheduler.
 //!
-//! Layers, dependencies pointing down:
-//! - [`cli`] and [`config`]: the command line and checked settings;
-//! - [`runtime`]: the long-lived tasks that do all I/O around the decision core;
-//! - [`transport`]: HTTP server and client, peer link, rate budgets (no policy);
-//! - [`protocol`]: the types on each wire, domain language inside;
-//! - [`coordination`]: the deterministic decision core;
-//! - [`storage`]: durable records and in-memory ledgers.
+//! Several controllers run it; one of them, the elected leader, schedules. Layers, dependencies pointing down:
+//!
+//! - [`cli`] and [`config`]: the command line and the checked settings;
+//! - [`runtime`]: all I/O around the scheduler: the HTTP API, the leader's tasks, the clients;
+//! - [`coordination`]: the deterministic scheduler: events in, effects out;
+//! - [`storage`]: the records in the state store, their keys and pages;
+//! - [`transport`]: HTTP server and client, the link between controllers, rate limits, sockets; no policy;
+//! - [`protocol`]: the messages on each wire, and the only place of the wire's words;
+//! - [`ids`], [`time`], [`resources`]: small types that all of them use.
 #![forbid(unsafe_code)]
 
 pub mod cli;
--- a/src/runtime/api/request.rs
+++ b/src/runtime/api/request.rs
@@ -3,7 +3,7 @@
 use super::error::ApiError;
 use crate::ids::JobId;
 use crate::protocol::peers::PeerRequest;
-use crate::protocol::users::{parse_submission, Malformed, Submission};
+use crate::protocol::users::{parse_submission, MalformedSubmission, Submission};
 
 /// Where users submit jobs.
 const SUBMISSIONS_PATH: &str = "/submissions";
@@ -37,7 +37,7 @@
 #[derive(Debug)]
 pub enum UserAction {
     /// Submit a job. A malformed one may still name a job that is known already.
-    Submit(Box<Result<Submission, Malformed>>),
+    Submit(Box<Result<Submission, MalformedSubmission>>),
     /// Read a job's state. None: the text is no job id, so there is no such job.
     Poll(Option<JobId>),
     /// Cancel a job; None as for a poll.
--- a/src/runtime/api/response.rs
+++ b/src/runtime/api/response.rs
@@ -2,7 +2,7 @@
 
 use super::error::ApiError;
 use crate::ids::JobId;
-use crate::protocol::users::{Accepted, JobPhase};
+use crate::protocol::users::{JobPhase, JobResponse};
 use serde::Serialize;
 use warp::http::{Response, StatusCode};
 
@@ -29,12 +29,12 @@
 
     /// The response to a submission that created the job.
     pub fn job_created(id: &JobId, phase: JobPhase) -> ApiResponse {
-        ApiResponse::json(StatusCode::CREATED, &Accepted { id, phase })
+        ApiResponse::json(StatusCode::CREATED, &JobResponse { id, phase })
     }
 
     /// The response that tells the phase of a job that was known already, or is cancelled.
     pub fn job_phase(id: &JobId, phase: JobPhase) -> ApiResponse {
-        ApiResponse::json(StatusCode::OK, &Accepted { id, phase })
+        ApiResponse::json(StatusCode::OK, &JobResponse { id, phase })
     }
 
     /// Whether the client is told to come back later.
--- a/src/runtime/api/status.rs
+++ b/src/runtime/api/status.rs
@@ -4,7 +4,7 @@
 use super::response::ApiResponse;
 use super::users::POLL_TIMEOUT;
 use crate::ids::JobId;
-use crate::protocol::users::{JobPhase, Status};
+use crate::protocol::users::{JobPhase, JobStatusResponse};
 use crate::runtime::clients::job_lookup::{find_job, JobState, TerminalState};
 use crate::runtime::clients::open_job_cache::OpenJob;
 use crate::runtime::leader::TaskCounts;
@@ -23,9 +23,9 @@
     Ok(ApiResponse::json(StatusCode::OK, &status))
 }
 
-fn open_status<'a>(node: &Node, id: &'a JobId, job: &OpenJob) -> Status<'a> {
+fn open_status<'a>(node: &Node, id: &'a JobId, job: &OpenJob) -> JobStatusResponse<'a> {
     let counts = task_counts(node, id);
-    Status {
+    JobStatusResponse {
         id,
         phase: open_phase(counts),
         done: counts.completed.min(job.tasks),
@@ -33,12 +33,12 @@
     }
 }
 
-fn terminal_status(id: &JobId, state: TerminalState) -> Status<'_> {
+fn terminal_status(id: &JobId, state: TerminalState) -> JobStatusResponse<'_> {
     let done = match state.phase {
         JobPhase::Done => state.tasks,
         JobPhase::Queued | JobPhase::Running | JobPhase::Cancelled => 0,
     };
-    Status {
+    JobStatusResponse {
         id,
         phase: state.phase,
         done,
--- a/src/runtime/api/submissions.rs
+++ b/src/runtime/api/submissions.rs
@@ -10,7 +10,7 @@
 use crate::ids::JobId;
 use crate::protocol::cloud::MachineTypeInfo;
 use crate::protocol::state::{Change, Precondition, Transaction};
-use crate::protocol::users::{JobPhase, JobSpec, Malformed, Shape, Submission};
+use crate::protocol::users::{JobPhase, JobSpec, MalformedSubmission, Shape, Submission};
 use crate::resources::{within_limit, Resources};
 use crate::runtime::clients::dependency_pages::{self, PagesOutcome};
 use crate::runtime::clients::job_lookup::TerminalState;
@@ -33,7 +33,7 @@
 /// Accepts a job, or answers with the state of a job that is known already.
 pub async fn submit(
     node: &Node,
-    submission: &Result<Submission, Malformed>,
+    submission: &Result<Submission, MalformedSubmission>,
 ) -> Result<ApiResponse, ApiError> {
     let (id, outcome) = match submission {
         Ok(submission) => (Some(&submission.spec.id), accept(node, submission).await),
--- a/src/runtime/clients/state_store.rs
+++ b/src/runtime/clients/state_store.rs
@@ -4,7 +4,8 @@
 
 use crate::ids::{LeaseId, StoreRevision};
 use crate::protocol::state::{
-    AtRevision, Conflict, Granted, KeyValue, KeyValuePage, Transaction, WatchResponse,
+    KeyValue, KeyValuePage, LeaseGranted, Transaction, TransactionApplied, TransactionConflict,
+    WatchResponse,
 };
 use crate::time::TimeSpan;
 use crate::transport::client::{HttpClient, HttpResponse, RequestError};
@@ -138,11 +139,12 @@
             .await?;
         match response.status {
             200 => {
-                let applied: AtRevision = parse_body(&response)?;
+                let applied: TransactionApplied = parse_body(&response)?;
                 Ok(TransactionOutcome::Applied(applied.store_revision))
             }
             409 => {
-                let conflict: Option<Conflict> = serde_json::from_slice(&response.body).ok();
+                let conflict: Option<TransactionConflict> =
+                    serde_json::from_slice(&response.body).ok();
                 let failed = conflict.map(|conflict| conflict.failed).unwrap_or_default();
                 Ok(TransactionOutcome::Conflict(failed))
             }
@@ -160,7 +162,7 @@
         if response.status != 200 {
             return Err(StateStoreError::OutcomeUnknown);
         }
-        let granted: Granted = parse_body(&response)?;
+        let granted: LeaseGranted = parse_body(&response)?;
         Ok(granted.lease)
     }
 
