--- a/tests/arrival_rate.rs
+++ b/tests/arrival_rate.rs
@@ -1,4 +1,4 @@
-//! What is expected to arrive, by the arrivals seen.
+//! The arrival rate that the autoscaler expects, by the arrivals seen.
 
 use chalklug::coordination::autoscaler::arrivals::ArrivalRate;
 use chalklug::protocol::users::{parse_submission, JobSpec};
@@ -13,29 +13,37 @@
 
 #[test]
 fn backlog_is_no_arrival_rate_but_a_burst_is() {
-    let mut d = ArrivalRate::new(&spec(10));
+    let mut rate = ArrivalRate::new(&spec(10));
     for _ in 0..100 {
-        d.note(&spec(10), Instant(500));
+        rate.note(&spec(10), Instant(500));
     }
-    assert_eq!(d.jobs_per_s(Instant(12_000)), 0.0, "one heap says nothing");
+    assert_eq!(
+        rate.jobs_per_s(Instant(12_000)),
+        0.0,
+        "one backlog says nothing"
+    );
     for i in 0..110 {
-        d.note(&spec(10), Instant(10_000 + i * 1000));
+        rate.note(&spec(10), Instant(10_000 + i * 1000));
     }
-    let usual = d.jobs_per_s(Instant(120_000));
+    let usual = rate.jobs_per_s(Instant(120_000));
     assert!((usual - 1.0).abs() < 0.15, "{usual}");
     for i in 0..80 {
-        d.note(&spec(10), Instant(120_000 + i * 250));
+        rate.note(&spec(10), Instant(120_000 + i * 250));
     }
-    let burst = d.jobs_per_s(Instant(140_000));
+    let burst = rate.jobs_per_s(Instant(140_000));
     assert!((burst - 4.0).abs() < 0.2, "{burst}");
-    let mut ebb = ArrivalRate::new(&spec(10));
+    let mut subsided = ArrivalRate::new(&spec(10));
     for i in 0..100 {
-        ebb.note(&spec(10), Instant(i * 1000));
+        subsided.note(&spec(10), Instant(i * 1000));
     }
     assert!(
-        ebb.jobs_per_s(Instant(110_000)) > 0.5,
+        subsided.jobs_per_s(Instant(110_000)) > 0.5,
         "one quiet interval is chance"
     );
-    assert_eq!(ebb.jobs_per_s(Instant(130_000)), 0.0, "three are an ebb");
-    assert_eq!(d.jobs_per_s(Instant(300_000)), 0.0, "nothing for long");
+    assert_eq!(
+        subsided.jobs_per_s(Instant(130_000)),
+        0.0,
+        "after three, arrivals have subsided"
+    );
+    assert_eq!(rate.jobs_per_s(Instant(300_000)), 0.0, "nothing for long");
 }
--- a/tests/dependency_graph.rs
+++ b/tests/dependency_graph.rs
@@ -1,4 +1,4 @@
-//! The job graph: release, labels, groups.
+//! The dependency graph of jobs: release, cancellation, deadlines, labels, stages.
 
 use chalklug::coordination::jobs::graph::{Graph, JobTraits, Label, Release};
 use chalklug::ids::JobId;
@@ -9,7 +9,7 @@
     JobId::from(format!("wk-{n}").as_str())
 }
 
-/// A job that runs for a second, with a deadline if one is given.
+/// A job of low priority that runs for a second, with a deadline if one is given.
 fn traits(due: Option<Instant>) -> JobTraits {
     JobTraits {
         due,
@@ -18,7 +18,7 @@
     }
 }
 
-const PLAIN: JobTraits = JobTraits {
+const ROUTINE: JobTraits = JobTraits {
     due: None,
     run: TimeSpan(1000),
     priority: Priority::Low,
@@ -26,123 +26,130 @@
 
 #[test]
 fn last_upstream_job_releases_and_cancelled_one_cancels_downstream() {
-    let mut g = Graph::default();
-    g.add(&id(3), &[id(1), id(2)], PLAIN);
-    g.add(&id(1), &[], PLAIN);
-    g.add(&id(2), &[], PLAIN);
-    assert!(g.released(&id(1)) && !g.released(&id(3)));
-    g.finished(&id(1), Instant(10));
-    assert!(!g.released(&id(3)));
-    g.take_changes();
-    g.finished(&id(2), Instant(20));
-    assert!(g.released(&id(3)));
+    let mut graph = Graph::default();
+    graph.add(&id(3), &[id(1), id(2)], ROUTINE);
+    graph.add(&id(1), &[], ROUTINE);
+    graph.add(&id(2), &[], ROUTINE);
+    assert!(graph.released(&id(1)) && !graph.released(&id(3)));
+    graph.finished(&id(1), Instant(10));
+    assert!(!graph.released(&id(3)));
+    graph.take_changes();
+    graph.finished(&id(2), Instant(20));
+    assert!(graph.released(&id(3)));
     let at = Some(Instant(20));
-    assert_eq!(g.take_changes().released, [Release { id: id(3), at }]);
-    g.add(&id(4), &[id(3)], PLAIN);
-    g.add(&id(5), &[id(4)], PLAIN);
-    g.cancelled(&id(3));
-    g.recheck();
-    let changes = g.take_changes();
+    assert_eq!(graph.take_changes().released, [Release { id: id(3), at }]);
+    graph.add(&id(4), &[id(3)], ROUTINE);
+    graph.add(&id(5), &[id(4)], ROUTINE);
+    graph.cancelled(&id(3));
+    graph.recheck();
+    let changes = graph.take_changes();
     assert_eq!(changes.cancelled, [id(4), id(5)]);
     assert!(changes.released.is_empty());
-    assert!(!g.released(&id(4)) && !g.released(&id(3)));
-    g.add(&id(6), &[id(5)], PLAIN);
-    assert_eq!(g.take_changes().cancelled, [id(6)]);
+    assert!(!graph.released(&id(4)) && !graph.released(&id(3)));
+    graph.add(&id(6), &[id(5)], ROUTINE);
+    assert_eq!(graph.take_changes().cancelled, [id(6)]);
 }
 
-/// What is no longer open is neither finished nor cancelled until its mark says so.
+/// Guards against a release by absence: what is no longer open is neither done nor cancelled until its
+/// terminal record says so.
 #[test]
 fn closed_upstream_job_releases_nobody_before_its_terminal_record_is_known() {
-    let mut g = Graph::default();
-    g.add(&id(1), &[], PLAIN);
-    g.add(&id(2), &[id(1), id(9)], PLAIN);
-    g.take_changes();
-    assert_eq!(g.unknown_after(None, 9), [id(9)]);
-    g.closed(&id(1));
-    assert_eq!(g.unknown_after(None, 9), [id(1), id(9)]);
-    assert_eq!(g.unknown_after(Some(&id(1)), 9), [id(9), id(1)]);
-    g.forget(&id(1));
-    g.finished(&id(9), Instant(5));
-    assert!(!g.released(&id(2)));
-    assert_eq!(g.unknown_after(None, 9), [id(1)]);
-    g.finished(&id(1), Instant(3));
-    assert!(g.released(&id(2)));
-    // It was ready when the later of the two was done.
-    assert_eq!(g.take_changes().released[0].at, Some(Instant(5)));
-    assert!(g.unknown_after(None, 9).is_empty());
+    let mut graph = Graph::default();
+    graph.add(&id(1), &[], ROUTINE);
+    graph.add(&id(2), &[id(1), id(9)], ROUTINE);
+    graph.take_changes();
+    assert_eq!(graph.unknown_after(None, 9), [id(9)]);
+    graph.closed(&id(1));
+    assert_eq!(graph.unknown_after(None, 9), [id(1), id(9)]);
+    assert_eq!(graph.unknown_after(Some(&id(1)), 9), [id(9), id(1)]);
+    graph.forget(&id(1));
+    graph.finished(&id(9), Instant(5));
+    assert!(!graph.released(&id(2)));
+    assert_eq!(graph.unknown_after(None, 9), [id(1)]);
+    graph.finished(&id(1), Instant(3));
+    assert!(graph.released(&id(2)));
+    // It was released when the later of the two was done.
+    assert_eq!(graph.take_changes().released[0].at, Some(Instant(5)));
+    assert!(graph.unknown_after(None, 9).is_empty());
 }
 
-/// Deadlines, less the time of what lies behind, and priorities go backwards to all ancestors, and back
-/// when the consumer is cancelled.
+/// Deadlines, less the run times of the jobs in between, and priorities propagate to all upstream jobs, and
+/// back when the downstream job is cancelled.
 #[test]
 fn deadlines_and_priorities_propagate_upstream() {
-    let mut g = Graph::default();
-    g.add(&id(1), &[], PLAIN);
-    g.add(&id(2), &[id(1)], PLAIN);
+    let mut graph = Graph::default();
+    graph.add(&id(1), &[], ROUTINE);
+    graph.add(&id(2), &[id(1)], ROUTINE);
     let last = JobTraits {
         due: Some(Instant(9000)),
         run: TimeSpan(500),
         priority: Priority::Urgent,
     };
-    g.add(&id(3), &[id(2)], last);
-    g.refresh();
-    let seen = |g: &Graph, n| (g.due(&id(n)), g.priority(&id(n)));
-    assert_eq!(seen(&g, 2), (Some(Instant(8500)), Some(Priority::Urgent)));
-    assert_eq!(seen(&g, 1), (Some(Instant(7500)), Some(Priority::Urgent)));
-    g.cancelled(&id(3));
-    g.refresh();
-    assert_eq!(seen(&g, 2), (None, Some(Priority::Low)));
-    assert_eq!(seen(&g, 1), (None, Some(Priority::Low)));
+    graph.add(&id(3), &[id(2)], last);
+    graph.refresh();
+    let seen = |graph: &Graph, n| (graph.due(&id(n)), graph.priority(&id(n)));
+    assert_eq!(
+        seen(&graph, 2),
+        (Some(Instant(8500)), Some(Priority::Urgent))
+    );
+    assert_eq!(
+        seen(&graph, 1),
+        (Some(Instant(7500)), Some(Priority::Urgent))
+    );
+    graph.cancelled(&id(3));
+    graph.refresh();
+    assert_eq!(seen(&graph, 2), (None, Some(Priority::Low)));
+    assert_eq!(seen(&graph, 1), (None, Some(Priority::Low)));
 }
 
-/// Thousands of jobs in one chain, and before one consumer, are no danger to the stack.
+/// Guards against recursion: thousands of jobs in one chain, or upstream of one job, need no stack.
 #[test]
 fn long_chains_and_wide_joins_do_not_overflow_the_stack() {
-    let mut g = Graph::default();
+    let mut graph = Graph::default();
     for n in 0..5000 {
         let after: Vec<JobId> = (n > 0).then(|| id(n - 1)).into_iter().collect();
-        g.add(&id(n), &after, PLAIN);
+        graph.add(&id(n), &after, ROUTINE);
     }
     let all: Vec<JobId> = (0..5000).map(id).collect();
-    g.add(&id(9999), &all, traits(Some(Instant(9_000_000))));
-    g.refresh();
-    assert_eq!(g.depth(&id(9999)), 5000);
-    assert_eq!(g.due(&id(0)), Some(Instant(9_000_000 - 5_000_000)));
-    g.take_changes();
-    g.cancelled(&id(0));
-    assert_eq!(g.take_changes().cancelled.len(), 5000);
+    graph.add(&id(9999), &all, traits(Some(Instant(9_000_000))));
+    graph.refresh();
+    assert_eq!(graph.depth(&id(9999)), 5000);
+    assert_eq!(graph.due(&id(0)), Some(Instant(9_000_000 - 5_000_000)));
+    graph.take_changes();
+    graph.cancelled(&id(0));
+    assert_eq!(graph.take_changes().cancelled.len(), 5000);
 }
 
 #[test]
 fn latency_labels_propagate_upstream_and_stages_are_grouped() {
-    let mut g = Graph::default();
+    let mut graph = Graph::default();
     let due = Some(Instant(9000));
-    g.add(&id(1), &[], PLAIN);
-    g.add(&id(2), &[id(1)], PLAIN);
+    graph.add(&id(1), &[], ROUTINE);
+    graph.add(&id(2), &[id(1)], ROUTINE);
     for n in [3, 4] {
-        g.add(&id(n), &[id(2)], PLAIN);
+        graph.add(&id(n), &[id(2)], ROUTINE);
     }
-    g.add(&id(5), &[id(3), id(4)], traits(due));
-    g.add(&id(9), &[], PLAIN);
-    g.refresh();
-    let labels: Vec<Label> = (1..=5).map(|n| g.label(&id(n))).collect();
+    graph.add(&id(5), &[id(3), id(4)], traits(due));
+    graph.add(&id(9), &[], ROUTINE);
+    graph.refresh();
+    let labels: Vec<Label> = (1..=5).map(|n| graph.label(&id(n))).collect();
     use Label::{Latency as L, Throughput as T};
     assert_eq!(labels, [T, L, L, L, L]);
-    assert_eq!(g.label(&id(9)), T);
-    // Three jobs of a second each lie behind it.
-    assert_eq!(g.due(&id(1)), Some(Instant(6000)));
-    assert_eq!(g.group(&id(3)), [id(3), id(4)]);
-    assert_eq!(g.group(&id(9)), [id(9)]);
-    assert_eq!(g.depth(&id(5)), 3);
+    assert_eq!(graph.label(&id(9)), T);
+    // Three jobs of a second each lie downstream of it.
+    assert_eq!(graph.due(&id(1)), Some(Instant(6000)));
+    assert_eq!(graph.group(&id(3)), [id(3), id(4)]);
+    assert_eq!(graph.group(&id(9)), [id(9)]);
+    assert_eq!(graph.depth(&id(5)), 3);
 }
 
 #[test]
 fn cycle_is_never_released_and_blocks_no_other_job() {
-    let mut g = Graph::default();
-    g.add(&id(1), &[id(2)], PLAIN);
-    g.add(&id(2), &[id(1)], PLAIN);
-    g.add(&id(3), &[], PLAIN);
-    g.recheck();
-    g.refresh();
-    assert!(!g.released(&id(1)) && !g.released(&id(2)) && g.released(&id(3)));
+    let mut graph = Graph::default();
+    graph.add(&id(1), &[id(2)], ROUTINE);
+    graph.add(&id(2), &[id(1)], ROUTINE);
+    graph.add(&id(3), &[], ROUTINE);
+    graph.recheck();
+    graph.refresh();
+    assert!(!graph.released(&id(1)) && !graph.released(&id(2)) && graph.released(&id(3)));
 }
--- a/tests/encodings.rs
+++ b/tests/encodings.rs
@@ -108,11 +108,11 @@
         at_ms: None,
     };
     stored(&done, r#"{"phase":"done","pieces":16}"#);
-    let waited_for = TerminalRecord {
+    let with_time = TerminalRecord {
         at_ms: Some(7),
         ..done
     };
-    stored(&waited_for, r#"{"phase":"done","pieces":16,"at_ms":7}"#);
+    stored(&with_time, r#"{"phase":"done","pieces":16,"at_ms":7}"#);
     let cancelled = TerminalRecord::cancelled(16);
     stored(&cancelled, r#"{"phase":"aborted","pieces":16}"#);
 }
@@ -196,13 +196,13 @@
         images: vec![(Image::from("img-07"), 6.2)],
         ..MachinePage::default()
     };
-    let note = MachineEntry {
+    let entry = MachineEntry {
         kind: 0,
         rented_s: 1_700_000_000,
         has_reported: true,
         images: vec![0],
     };
-    page.machines.insert(MachineId::from("host-000231"), note);
+    page.machines.insert(MachineId::from("host-000231"), entry);
     stored(
         &page,
         concat!(
@@ -243,7 +243,7 @@
     sent(&PeerReply::Noted, &[2]);
 }
 
-/// A list of producers too long for the open record goes to pages, each within the limit; none is lost.
+/// Guards against lost dependencies: a list of upstream jobs too long for the open record goes to pages, each within the limit; none is lost.
 #[test]
 fn dependency_pages_are_unchanged() {
     let body = serde_json::json!({"ref":"wk-1","jobclass":"c","crew":"t","shape":"array","urgency":"low","pieces":1,
--- a/tests/leadership.rs
+++ b/tests/leadership.rs
@@ -1,4 +1,4 @@
-//! A leader's right to act, and when it hands over.
+//! A leader's authority, and when it transfers leadership.
 
 use chalklug::config::{LeaderTimes, OperatorConfig, WorkerTimes};
 use chalklug::coordination::leadership::authority::{Authority, AuthorityLoss};
@@ -27,12 +27,17 @@
 
 #[test]
 fn leader_that_alone_hears_no_workers_transfers_leadership() {
-    let (quiet, loud, bound) = (TimeSpan(9000), TimeSpan(100), TimeSpan(6000));
-    let over = |n, own, sib: &[Option<TimeSpan>]| should_hand_over(n, own, sib, bound);
-    assert!(over(3, quiet, &[None, Some(loud)]));
-    assert!(!over(3, loud, &[Some(loud)]), "it hears workers itself");
-    assert!(!over(0, quiet, &[Some(loud)]), "there is nobody to hear");
-    assert!(!over(3, quiet, &[None, Some(quiet)]), "nobody hears more");
+    let (long, short, bound) = (TimeSpan(9000), TimeSpan(100), TimeSpan(6000));
+    let transfers = |machines, silence, peer_silences: &[Option<TimeSpan>]| {
+        should_hand_over(machines, silence, peer_silences, bound)
+    };
+    assert!(transfers(3, long, &[None, Some(short)]));
+    let hears_workers = transfers(3, short, &[Some(short)]);
+    assert!(!hears_workers, "it hears workers itself");
+    let no_machines = transfers(0, long, &[Some(short)]);
+    assert!(!no_machines, "there is nobody to hear");
+    let all_silent = transfers(3, long, &[None, Some(long)]);
+    assert!(!all_silent, "nobody hears more");
 }
 
 #[test]
@@ -43,34 +48,34 @@
     assert_eq!(bound(40), TimeSpan(6_250));
     assert_eq!(bound(1_000), TimeSpan(3_000));
     assert_eq!(silence_bound(1_000, 1.0), TimeSpan(3_000));
-    // Reports so frequent that the longest wait is the shorter one.
+    // Heartbeats so frequent that the longest interval is the shorter bound.
     assert_eq!(silence_bound(1_000, 0.5), TimeSpan(1_750));
 }
 
 #[test]
 fn authority_counts_from_sending_the_renewal_and_never_shrinks() {
-    let a = Authority::new(times(), Instant(1000));
+    let authority = Authority::new(times(), Instant(1000));
     let end = 1000 + 4000 - 300 - 9;
-    assert!(a.is_held(Instant(end - 1)) && !a.is_held(Instant(end)));
-    a.lease_renewed(Instant(3000));
-    a.lease_renewed(Instant(2000));
-    assert!(a.is_held(Instant(end + 1999)) && !a.is_held(Instant(end + 2000)));
-    a.resign();
-    a.lease_renewed(Instant(9000));
-    assert!(!a.is_held(Instant(3000)));
+    assert!(authority.is_held(Instant(end - 1)) && !authority.is_held(Instant(end)));
+    authority.lease_renewed(Instant(3000));
+    authority.lease_renewed(Instant(2000));
+    assert!(authority.is_held(Instant(end + 1999)) && !authority.is_held(Instant(end + 2000)));
+    authority.resign();
+    authority.lease_renewed(Instant(9000));
+    assert!(!authority.is_held(Instant(3000)));
 }
 
-/// Touches are served, but what is known of the jobs grows old: authority ends all the same, and an
-/// answer to a request sent long ago brings back no more than it proves.
+/// Lease renewals are served, but the view of the jobs grows old. Guards against acting on it: authority ends
+/// all the same, and a response to a request sent long ago extends it no further than it proves.
 #[test]
 fn authority_ends_when_the_view_is_too_old() {
-    let a = Authority::new(times(), Instant(0));
+    let authority = Authority::new(times(), Instant(0));
     for t in 1..=30 {
-        a.lease_renewed(Instant(t * 1000));
+        authority.lease_renewed(Instant(t * 1000));
     }
-    assert!(a.is_held(Instant(19_999)) && !a.is_held(Instant(20_000)));
-    a.view_refreshed(Instant(5000));
-    assert!(a.is_held(Instant(24_999)) && !a.is_held(Instant(25_000)));
+    assert!(authority.is_held(Instant(19_999)) && !authority.is_held(Instant(20_000)));
+    authority.view_refreshed(Instant(5000));
+    assert!(authority.is_held(Instant(24_999)) && !authority.is_held(Instant(25_000)));
 }
 
 /// The inequality of docs/SAFETY.md, over many settings: the staleness allowed and a worker's lease,
@@ -107,19 +112,28 @@
     assert!(derived > 60, "{derived} of the settings can be kept");
 }
 
-/// The log says why a leader ended: an operator must tell a processor that is too slow from a view that stood still.
+/// The log says why a leader ended: an operator must tell a lease that expired from a view that grew too old.
 #[test]
 fn authority_loss_has_a_reason() {
-    let a = Authority::new(times(), Instant(0));
-    assert_eq!(a.loss(Instant(3000)), None);
-    assert_eq!(a.loss(Instant(4000)), Some(AuthorityLoss::LeaseExpired));
-    a.lease_renewed(Instant(19_000));
-    assert_eq!(a.loss(Instant(19_999)), None);
-    assert_eq!(a.view_age(Instant(19_999)), TimeSpan(19_999));
-    assert_eq!(a.loss(Instant(20_000)), Some(AuthorityLoss::ViewTooOld));
-    a.view_refreshed(Instant(18_000));
-    assert_eq!(a.loss(Instant(20_000)), None);
-    assert_eq!(a.view_age(Instant(20_000)), TimeSpan(2000));
-    a.resign();
-    assert_eq!(a.loss(Instant(20_000)), Some(AuthorityLoss::Resigned));
+    let authority = Authority::new(times(), Instant(0));
+    assert_eq!(authority.loss(Instant(3000)), None);
+    assert_eq!(
+        authority.loss(Instant(4000)),
+        Some(AuthorityLoss::LeaseExpired)
+    );
+    authority.lease_renewed(Instant(19_000));
+    assert_eq!(authority.loss(Instant(19_999)), None);
+    assert_eq!(authority.view_age(Instant(19_999)), TimeSpan(19_999));
+    assert_eq!(
+        authority.loss(Instant(20_000)),
+        Some(AuthorityLoss::ViewTooOld)
+    );
+    authority.view_refreshed(Instant(18_000));
+    assert_eq!(authority.loss(Instant(20_000)), None);
+    assert_eq!(authority.view_age(Instant(20_000)), TimeSpan(2000));
+    authority.resign();
+    assert_eq!(
+        authority.loss(Instant(20_000)),
+        Some(AuthorityLoss::Resigned)
+    );
 }
--- a/tests/production.rs
+++ b/tests/production.rs
@@ -161,12 +161,12 @@
 fn terminal_records_stay_compatible() {
     for (phase, name) in [(JobPhase::Done, "done"), (JobPhase::Cancelled, "aborted")] {
         for at_ms in [None, Some(1_700_000_000_000)] {
-            let mark = records::TerminalRecord {
+            let record = records::TerminalRecord {
                 phase,
                 tasks: 16,
                 at_ms,
             };
-            let old: FinalRecord = old_reads(&mark);
+            let old: FinalRecord = old_reads(&record);
             assert_eq!((old.phase.as_str(), old.pieces), (name, 16));
             let back: records::TerminalRecord = new_keeps(&old);
             assert_eq!((back.phase, back.at_ms), (phase, None));
@@ -189,10 +189,10 @@
 #[test]
 fn intent_and_machine_pages_stay_compatible() {
     let job = JobId::from("wk-000412");
-    let host = MachineId::from("host-000231");
+    let machine_id = MachineId::from("host-000231");
     let mut page = records::IntentPage::default();
     let task = TaskId::parse("wk-000412/4").expect("a task");
-    page.add(&host, &task, AttemptId(9));
+    page.add(&machine_id, &task, AttemptId(9));
     let takes = records::JobResources {
         team: "vision".into(),
         request: Resources {
@@ -218,13 +218,13 @@
         images: vec![(Image::from("img-07"), 6.2)],
         ..records::MachinePage::default()
     };
-    let note = records::MachineEntry {
+    let entry = records::MachineEntry {
         kind: 0,
         rented_s: 1_700_000_000,
         has_reported: true,
         images: vec![0],
     };
-    machines.machines.insert(host, note);
+    machines.machines.insert(machine_id, entry);
     let old: HostsPage = old_reads(&machines);
     assert_eq!(
         old.hosts["host-000231"],
--- a/tests/protocol.rs
+++ b/tests/protocol.rs
@@ -1,4 +1,4 @@
-//! What goes over each wire, in the protocol's own words, and what is made of words not yet known.
+//! Messages on each wire, in the protocol's own words, and how values not yet known are read.
 
 use chalklug::ids::*;
 use chalklug::protocol::cloud::{CloudPhase, MachineListPage};
@@ -23,12 +23,14 @@
         (Shape::Service, Priority::Urgent)
     );
     assert_eq!(serde_json::to_value(&spec).unwrap(), sent);
-    let mut less = sent.clone();
+    let mut without_optional = sent.clone();
     for optional in ["rigs", "site", "dueS"] {
-        less.as_object_mut().unwrap().remove(optional);
+        without_optional.as_object_mut().unwrap().remove(optional);
     }
-    less["unheard_of"] = json!([1, 2]);
-    let spec = parse_submission(less.to_string().as_bytes()).unwrap().spec;
+    without_optional["unheard_of"] = json!([1, 2]);
+    let spec = parse_submission(without_optional.to_string().as_bytes())
+        .unwrap()
+        .spec;
     assert_eq!(
         (spec.machine_types, spec.zone, spec.due_s),
         (None, None, None)
@@ -47,7 +49,7 @@
 
 #[test]
 fn unknown_values_in_heartbeats_are_read_conservatively() {
-    let r: WorkerStatus = serde_json::from_value(
+    let status: WorkerStatus = serde_json::from_value(
         json!({"host":"host-000231","endpoint":"10.1.0.232:9000","rig":"g8","site":"a",
         "loaners":true,"tenure":1,"tick":88,"baton":41,"recallS":null,"pieces":[
             {"piece":"wk-000412/3","try":2,"phase":"pulling"},
@@ -56,12 +58,12 @@
             {"piece":"wk-000398/1","try":1,"phase":"ended","cause":"struck_by_lightning"}]}),
     )
     .unwrap();
-    let phases: Vec<TaskPhase> = r.tasks.iter().map(|p| p.phase).collect();
-    // A phase not known counts as present, a cause not known as an error.
+    let phases: Vec<TaskPhase> = status.tasks.iter().map(|task| task.phase).collect();
+    // An unknown phase counts as running, an unknown cause as an error.
     assert_eq!(phases[..2], [TaskPhase::Fetching, TaskPhase::Running]);
-    assert_eq!(r.tasks[2].cause, Some(Cause::MatesGone));
-    assert_eq!(r.tasks[3].cause, Some(Cause::Error));
-    assert!(r.tasks[2].stored && r.token == FencingToken(41));
+    assert_eq!(status.tasks[2].cause, Some(Cause::MatesGone));
+    assert_eq!(status.tasks[3].cause, Some(Cause::Error));
+    assert!(status.tasks[2].stored && status.token == FencingToken(41));
 }
 
 #[test]
@@ -157,8 +159,8 @@
     ));
 }
 
-/// The jobs that a submission waits for: none if the field is null, absent or empty; each once; anything
-/// but a list of job ids is malformed.
+/// Upstream jobs: none if the field is null, absent or empty; each once; anything but a list of job ids is
+/// malformed.
 #[test]
 fn upstream_jobs_of_a_submission_are_parsed() {
     let with = |list: serde_json::Value| {
