--- a/src/coordination/event.rs
+++ b/src/coordination/event.rs
@@ -7,15 +7,22 @@
 use crate::storage::records::{OpenJobRecord, TerminalRecord};
 use crate::time::{Instant, TimeSpan};
 
+/// An open job as read from the state store.
+#[derive(Clone, Debug)]
+pub struct OpenJob {
+    /// Its open record, with all upstream jobs.
+    pub record: OpenJobRecord,
+    /// The revision of that record: a write with it as a precondition is applied only while the job is open.
+    pub revision: KeyRevision,
+    /// When its user submitted it.
+    pub submitted_at: Instant,
+}
+
 /// What happened.
 #[derive(Debug)]
 pub enum Event {
     /// An open job appeared.
-    JobOpened {
-        record: Box<OpenJobRecord>,
-        revision: KeyRevision,
-        submitted: Instant,
-    },
+    JobOpened(Box<OpenJob>),
     /// A job is no longer open: cancelled, or finished by us.
     JobClosed { id: JobId },
     /// A controller has confirmed that a job is cancelled: its mark is written.
@@ -25,9 +32,7 @@
         terminal_records: Vec<(JobId, Option<TerminalRecord>)>,
     },
     /// The whole list of open jobs, as read anew (after a gap in the watch).
-    OpenJobs {
-        jobs: Vec<(OpenJobRecord, KeyRevision, Instant)>,
-    },
+    OpenJobs(Vec<OpenJob>),
     /// A direct command was answered: 200 (executed) or 409 (not).
     PushAnswered {
         machine_id: MachineId,
--- a/src/coordination/jobs/lifecycle.rs
+++ b/src/coordination/jobs/lifecycle.rs
@@ -7,10 +7,10 @@
 
 use crate::coordination::jobs::graph::{Changes, JobTraits, Release};
 use crate::coordination::jobs::job::Job;
-use crate::coordination::{Effect, Scheduler};
-use crate::ids::{JobId, KeyRevision, MachineId};
+use crate::coordination::{Effect, OpenJob, Scheduler};
+use crate::ids::{JobId, MachineId};
 use crate::protocol::users::JobPhase;
-use crate::storage::records::{OpenJobRecord, TerminalRecord};
+use crate::storage::records::TerminalRecord;
 use crate::time::{Instant, TimeSpan};
 use std::collections::BTreeSet;
 
@@ -54,13 +54,13 @@
 }
 
 impl Scheduler {
-    pub(crate) fn job_opened(
-        &mut self,
-        now: Instant,
-        record: OpenJobRecord,
-        revision: KeyRevision,
-        submitted: Instant,
-    ) {
+    /// An open job has appeared, or is listed again.
+    pub(crate) fn job_opened(&mut self, now: Instant, open_job: OpenJob) {
+        let OpenJob {
+            record,
+            revision,
+            submitted_at,
+        } = open_job;
         let id = record.spec.id.clone();
         match self.jobs.get_mut(&id) {
             // A job that is over here never opens again: the finish mark stands for ever.
@@ -68,7 +68,7 @@
             Some(job) => job.revision = revision,
             None => {
                 let team = self.team_of(&record.spec);
-                let mut job = Job::new(record.spec, team, revision, submitted);
+                let mut job = Job::new(record.spec, team, revision, submitted_at);
                 job.dependency_pages = record.dependency_pages;
                 let traits = self.traits_of(&job, &record.after);
                 self.jobs.insert(id.clone(), job);
--- /dev/null
+++ b/src/coordination/leadership/recovery/intent_pages.rs
@@ -0,0 +1,82 @@
+//! Recovery of task attempts from the pages of launch intents.
+
+use super::{parse_record, Recovery, UnreadableRecord};
+use crate::coordination::attempts::task_attempt::TaskAttempt;
+use crate::coordination::machines::machine::MachineState;
+use crate::ids::{AttemptId, MachineId, PageNumber, TaskId};
+use crate::protocol::state::KeyValue;
+use crate::storage::pages::PlacedAttempt;
+use crate::storage::records::{parse_page, IntentPage, INTENT_PAGE_PREFIX};
+
+impl Recovery {
+    pub(super) fn load_intent_pages(&mut self, pages: &[KeyValue]) -> Result<(), UnreadableRecord> {
+        for page in pages {
+            self.load_intent_page(page)?;
+        }
+        Ok(())
+    }
+
+    fn load_intent_page(&mut self, item: &KeyValue) -> Result<(), UnreadableRecord> {
+        let Some(page) = parse_page(&item.key, INTENT_PAGE_PREFIX) else {
+            return Ok(());
+        };
+        let record: IntentPage = parse_record(item)?;
+        self.scheduler.writer.intents.found(page, item.revision);
+        for (machine_id, task, attempt_id) in record.attempts() {
+            self.load_intent(page, &record, &machine_id, task, attempt_id);
+        }
+        Ok(())
+    }
+
+    fn load_intent(
+        &mut self,
+        page: PageNumber,
+        record: &IntentPage,
+        machine_id: &MachineId,
+        task: TaskId,
+        attempt_id: AttemptId,
+    ) {
+        let Some(machine) = self.scheduler.machines.get_mut(machine_id) else {
+            // Proof 4, on record: an intent is written only once its machine's page is, and a machine
+            // leaves its page only once the cloud has confirmed that it is gone.
+            self.scheduler.writer.intents.outdated(self.now, page);
+            return;
+        };
+        // It had been given work: its worker has reported.
+        machine.state = MachineState::Up;
+        let key = (task, attempt_id);
+        if machine.attempts.contains_key(&key) {
+            return;
+        }
+        let attempt = self.recovered_attempt(page, record, machine_id, &key);
+        self.scheduler.insert_attempt(machine_id, attempt);
+        self.scheduler.add_place(machine_id, &key.0);
+        let placed = PlacedAttempt::new(machine_id, &key);
+        self.scheduler.writer.intents.holds(page, placed);
+    }
+
+    /// An attempt of a former leader. The page says what it takes, for its job may be over and unknown.
+    fn recovered_attempt(
+        &self,
+        page: PageNumber,
+        record: &IntentPage,
+        machine_id: &MachineId,
+        (task, attempt_id): &(TaskId, AttemptId),
+    ) -> TaskAttempt {
+        let placed_at = record
+            .placed_s
+            .get(attempt_id)
+            .map_or(self.now, |time_of_day_s| {
+                self.recorded_instant(*time_of_day_s)
+            });
+        let scheduler = &self.scheduler;
+        let mut attempt = scheduler.new_attempt(machine_id, task.clone(), *attempt_id, placed_at);
+        if let Some(resources) = record.jobs.get(&task.job) {
+            attempt.request = resources.amount();
+            attempt.team = scheduler.policy.team_index(&resources.0);
+        }
+        attempt.page = Some(page);
+        attempt.recovered = true;
+        attempt
+    }
+}
--- /dev/null
+++ b/src/coordination/leadership/recovery/mod.rs
@@ -0,0 +1,163 @@
+//! Failover: a new leader's scheduler is rebuilt from durable records, at a cost in proportion to open jobs
+//! and machines.
+//!
+//! Promises that every task attempt with a launch intent counts as running until proven otherwise. An attempt
+//! without an intent was never launched, so its task may start at once.
+
+mod intent_pages;
+mod machine_pages;
+
+use crate::coordination::autoscaler::arrivals::Hints;
+use crate::coordination::leadership::LeadershipTerm;
+use crate::coordination::{OpenJob, Policy, Scheduler};
+use crate::ids::MachineId;
+use crate::protocol::cloud::MachineTypeInfo;
+use crate::protocol::state::KeyValue;
+use crate::storage::records::parse_progress_key;
+use crate::time::Instant;
+use std::sync::Arc;
+
+/// What a new leader has read, all of it after its own leader key was written.
+#[derive(Debug, Default)]
+pub struct RecoveredState {
+    /// All open jobs.
+    pub open_jobs: Vec<OpenJob>,
+    /// Records of completed tasks, also of jobs that are over.
+    pub progress_records: Vec<KeyValue>,
+    /// Pages of launch intents.
+    pub intent_pages: Vec<KeyValue>,
+    /// Pages of machines.
+    pub machine_pages: Vec<KeyValue>,
+    /// Machine types and prices, as last seen.
+    pub machine_types: Vec<MachineTypeInfo>,
+    /// What former leaders observed of arrivals and run times.
+    pub hints: Option<KeyValue>,
+    /// The time of day at the steady clock's zero, in milliseconds since 1970.
+    pub time_of_day_at_zero_ms: u64,
+}
+
+/// A record that stops a failover: whatever rests on it would be taken for never launched.
+#[derive(Debug, thiserror::Error)]
+#[error("{key}: {cause}")]
+pub struct UnreadableRecord {
+    /// The record's key.
+    pub key: String,
+    /// What is wrong with it.
+    #[source]
+    pub cause: UnreadableCause,
+}
+
+/// What is wrong with a record that can't be read.
+#[derive(Debug, thiserror::Error)]
+pub enum UnreadableCause {
+    /// Its value is not of the form that it should have.
+    #[error(transparent)]
+    Malformed(#[from] serde_json::Error),
+    /// A machine names its type, zone and spot flag by a number that the page doesn't explain.
+    #[error("{machine} is of no kind that the page names")]
+    UnknownMachineKind {
+        /// The machine's id.
+        machine: MachineId,
+    },
+}
+
+impl UnreadableRecord {
+    fn new(item: &KeyValue, cause: impl Into<UnreadableCause>) -> UnreadableRecord {
+        UnreadableRecord {
+            key: item.key.clone(),
+            cause: cause.into(),
+        }
+    }
+}
+
+fn parse_record<T: serde::de::DeserializeOwned>(item: &KeyValue) -> Result<T, UnreadableRecord> {
+    serde_json::from_value(item.data.clone()).map_err(|error| UnreadableRecord::new(item, error))
+}
+
+impl Scheduler {
+    /// The scheduler of a new leadership term that begins now.
+    ///
+    /// # Errors
+    /// A page of machines or intents that can't be read: the new leader must not act.
+    pub fn recover(
+        policy: Arc<Policy>,
+        term: LeadershipTerm,
+        now: Instant,
+        recovered: RecoveredState,
+    ) -> Result<Scheduler, UnreadableRecord> {
+        let mut scheduler = Scheduler::new(policy, term, now, recovered.time_of_day_at_zero_ms);
+        scheduler.machines.set_types(recovered.machine_types);
+        let mut recovery = Recovery { scheduler, now };
+        recovery.load_open_jobs(recovered.open_jobs);
+        recovery.load_hints(recovered.hints);
+        recovery.load_progress_records(recovered.progress_records);
+        recovery.load_machine_pages(recovered.machine_pages)?;
+        recovery.load_intent_pages(&recovered.intent_pages)?;
+        recovery.index_machines();
+        Ok(recovery.scheduler)
+    }
+}
+
+/// A scheduler that is being rebuilt. The order of its steps counts: progress belongs to open jobs, and
+/// intents to machines.
+struct Recovery {
+    scheduler: Scheduler,
+    now: Instant,
+}
+
+impl Recovery {
+    fn load_open_jobs(&mut self, open_jobs: Vec<OpenJob>) {
+        for open_job in open_jobs {
+            self.scheduler.job_opened(self.now, open_job);
+        }
+    }
+
+    /// Hints that can't be read are learnt again.
+    fn load_hints(&mut self, item: Option<KeyValue>) {
+        let Some(item) = item else {
+            return;
+        };
+        self.scheduler.writer.hints = item.revision;
+        if let Ok(hints) = serde_json::from_value::<Hints>(item.data) {
+            self.scheduler.load_hints(self.now, hints);
+        }
+    }
+
+    fn load_progress_records(&mut self, items: Vec<KeyValue>) {
+        for item in items {
+            self.load_progress_record(item);
+        }
+    }
+
+    fn load_progress_record(&mut self, item: KeyValue) {
+        let scheduler = &mut self.scheduler;
+        let Some((id, chunk)) = parse_progress_key(&item.key) else {
+            return;
+        };
+        let Some(job) = scheduler.jobs.get_mut(&id).filter(|job| !job.closed) else {
+            let orphaned = &mut scheduler.writer.orphaned_progress;
+            orphaned.insert(item.key, item.revision);
+            return;
+        };
+        if let Some(completed_tasks) = item.data.as_str() {
+            job.done.load(chunk, completed_tasks);
+            let done = &job.done;
+            job.pending.retain(|index| !done.has(*index));
+            job.has_run |= done.count() > 0;
+            scheduler.jobs.reindex(&id);
+        }
+        scheduler.writer.progress.insert((id, chunk), item.revision);
+    }
+
+    /// Machines on which nothing runs count as idle from now on.
+    fn index_machines(&mut self) {
+        let ids: Vec<MachineId> = self.scheduler.machines.keys().cloned().collect();
+        for id in ids {
+            self.scheduler.machines.reindex(&id);
+            let machine = self.scheduler.machines.get_mut(&id);
+            if let Some(machine) = machine.filter(|machine| machine.live_count == 0) {
+                machine.idle_since = Some(self.now);
+            }
+        }
+    }
+}
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -15,13 +15,12 @@
 mod view;
 
 pub use effect::Effect;
-pub use event::Event;
+pub use event::{Event, OpenJob};
 pub use policy::Policy;
 pub use view::ClusterView;
 
-use crate::ids::{AttemptId, FencingToken, JobId, KeyRevision};
+use crate::ids::{AttemptId, FencingToken, JobId};
 use crate::resources::Resources;
-use crate::storage::records::OpenJobRecord;
 use crate::time::{Instant, TimeSpan};
 use attempts::Outbox;
 use autoscaler::Autoscaler;
@@ -29,7 +28,7 @@
 use jobs::estimates::Estimates;
 use jobs::lifecycle::Closure;
 use jobs::table::JobTable;
-use leadership::Leadership;
+use leadership::{Leadership, LeadershipTerm};
 use machines::machine::{Machine, MachineState};
 use machines::table::MachineTable;
 use persistence::Writer;
@@ -70,6 +69,32 @@
 pub type JobCounts = (JobId, u32, u32);
 
 impl Scheduler {
+    /// The scheduler of a leadership term that begins now, before anything is known of jobs and machines.
+    fn new(
+        policy: Arc<Policy>,
+        term: LeadershipTerm,
+        now: Instant,
+        time_of_day_at_zero_ms: u64,
+    ) -> Scheduler {
+        let teams = policy.facts.teams.len();
+        Scheduler {
+            leadership: Leadership::new(term, now, time_of_day_at_zero_ms),
+            jobs: JobTable::new(teams),
+            machines: MachineTable::default(),
+            team_usage: vec![Resources::default(); teams],
+            outbox: Outbox::default(),
+            placement: PlacementState::new(policy.facts.quota.cores),
+            autoscaler: Autoscaler::new(policy.facts.cloud.rps),
+            estimates: Estimates::default(),
+            aging: Aging::default(),
+            writer: Writer::new(&policy.facts.state, now),
+            policy,
+            effects: Vec::new(),
+            last_seq: 0,
+            last_recheck_at: now,
+        }
+    }
+
     /// The fencing token in force.
     pub fn token(&self) -> FencingToken {
         self.leadership.token()
@@ -110,17 +135,13 @@
     /// Takes in an event.
     pub fn on(&mut self, now: Instant, event: Event) {
         match event {
-            Event::JobOpened {
-                record,
-                revision,
-                submitted,
-            } => self.job_opened(now, *record, revision, submitted),
+            Event::JobOpened(open_job) => self.job_opened(now, *open_job),
             Event::JobClosed { id } => self.job_closed(now, &id, Closure::Unknown),
             Event::JobCancelled { id } => self.job_closed(now, &id, Closure::Cancelled),
             Event::TerminalRecordsRead { terminal_records } => {
                 self.terminal_records_read(now, terminal_records)
             }
-            Event::OpenJobs { jobs } => self.open_jobs(now, jobs),
+            Event::OpenJobs(open_jobs) => self.open_jobs_listed(now, open_jobs),
             Event::PushAnswered {
                 machine_id,
                 seq,
@@ -200,8 +221,10 @@
         job.map_or((0, 0), |j| (j.done.count(), j.running))
     }
 
-    fn open_jobs(&mut self, now: Instant, jobs: Vec<(OpenJobRecord, KeyRevision, Instant)>) {
-        let listed: BTreeSet<JobId> = jobs.iter().map(|(r, _, _)| r.spec.id.clone()).collect();
+    /// The whole list of open jobs: one that is missing from it is no longer open.
+    fn open_jobs_listed(&mut self, now: Instant, open_jobs: Vec<OpenJob>) {
+        let id_of = |open_job: &OpenJob| open_job.record.spec.id.clone();
+        let listed: BTreeSet<JobId> = open_jobs.iter().map(id_of).collect();
         let closed: Vec<JobId> = self
             .jobs
             .iter()
@@ -211,8 +234,8 @@
         for id in closed {
             self.job_closed(now, &id, Closure::Unknown);
         }
-        for (record, revision, submitted) in jobs {
-            self.job_opened(now, record, revision, submitted);
+        for open_job in open_jobs {
+            self.job_opened(now, open_job);
         }
     }
 
--- a/src/runtime/leader/job_watch.rs
+++ b/src/runtime/leader/job_watch.rs
@@ -2,8 +2,8 @@
 
 use crate::coordination::leadership::authority::Authority;
 use crate::coordination::leadership::recovery::RecoveredState;
-use crate::coordination::Event;
-use crate::ids::{JobId, KeyRevision, StoreRevision};
+use crate::coordination::{Event, OpenJob};
+use crate::ids::{JobId, StoreRevision};
 use crate::protocol::state::{KeyValue, WatchResponse};
 use crate::runtime::clients::dependency_pages;
 use crate::runtime::clients::state_store::StateError;
@@ -21,32 +21,34 @@
 /// former leader can add an intent that we miss: its writes are guarded by the old key.
 pub(in crate::runtime) async fn inherit(node: &Node) -> Option<(RecoveredState, StoreRevision)> {
     let state = &node.state;
-    let ((open, store_revision), (progress, _), (machine_pages, _), (intents, _), hints) =
-        tokio::try_join!(
-            state.list(OPEN_JOB_PREFIX),
-            state.list(PROGRESS_PREFIX),
-            state.list(MACHINE_PAGE_PREFIX),
-            state.list(INTENT_PAGE_PREFIX),
-            state.get(HINTS_KEY),
-        )
-        .ok()?;
-    let open = read_open(node, open).await.ok()?;
+    let (
+        (open_jobs, store_revision),
+        (progress_records, _),
+        (machine_pages, _),
+        (intent_pages, _),
+        hints,
+    ) = tokio::try_join!(
+        state.list(OPEN_JOB_PREFIX),
+        state.list(PROGRESS_PREFIX),
+        state.list(MACHINE_PAGE_PREFIX),
+        state.list(INTENT_PAGE_PREFIX),
+        state.get(HINTS_KEY),
+    )
+    .ok()?;
+    let open_jobs = read_open(node, open_jobs).await.ok()?;
     let found = RecoveredState {
-        open,
-        progress,
-        intents,
+        open_jobs,
+        progress_records,
+        intent_pages,
         machine_pages,
         machine_types: lock(&node.machine_types).clone(),
         hints,
-        day_ms: time_of_day_ms().saturating_sub(node.now().0.max(0) as u64),
+        time_of_day_at_zero_ms: time_of_day_ms().saturating_sub(node.now().0.max(0) as u64),
     };
     Some((found, store_revision))
 }
 
-async fn read_open(
-    node: &Node,
-    items: Vec<KeyValue>,
-) -> Result<Vec<(OpenJobRecord, KeyRevision, Instant)>, StateError> {
+async fn read_open(node: &Node, items: Vec<KeyValue>) -> Result<Vec<OpenJob>, StateError> {
     let mut jobs = Vec::new();
     for item in items {
         let record = serde_json::from_value::<OpenJobRecord>(item.data);
@@ -55,8 +57,11 @@
             continue;
         };
         if dependency_pages::is_complete(node, &mut record).await? {
-            let submitted = submitted_at(node, &record);
-            jobs.push((record, item.revision, submitted));
+            jobs.push(OpenJob {
+                submitted_at: submitted_at(node, &record),
+                record,
+                revision: item.revision,
+            });
         }
     }
     Ok(jobs)
@@ -75,12 +80,13 @@
             if !dependency_pages::is_complete(node, &mut record).await? {
                 continue;
             }
-            let opened = Event::JobOpened {
-                submitted: submitted_at(node, &record),
-                record: Box::new(record),
+            let open_job = OpenJob {
+                submitted_at: submitted_at(node, &record),
+                record,
                 revision: events.revision,
             };
-            node.leader.event(node.now(), opened);
+            let event = Event::JobOpened(Box::new(open_job));
+            node.leader.event(node.now(), event);
         } else if let Some(id) = events
             .delete
             .as_deref()
@@ -142,7 +148,7 @@
                     if let Ok((jobs, store_revision)) = listed {
                         let age_ms = (node.now() - asked).0;
                         tracing::info!(reason = ?e, since = %since, store_revision = %store_revision, age_ms, jobs = jobs.len(), "open jobs listed again after a gap");
-                        node.leader.event(node.now(), Event::OpenJobs { jobs });
+                        node.leader.event(node.now(), Event::OpenJobs(jobs));
                         since = store_revision;
                         authority.view_refreshed(asked);
                     }
--- a/src/runtime/leader/mod.rs
+++ b/src/runtime/leader/mod.rs
@@ -180,7 +180,7 @@
     let asked = node.now();
     let found = inherit(node).await;
     let core = found.and_then(|(found, store_revision)| {
-        let jobs = found.open.len();
+        let jobs = found.open_jobs.len();
         let taken = Scheduler::recover(node.policy.clone(), won.lead, node.now(), found);
         // Guards against taking a start for never launched because its record can't be read.
         taken
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -13,7 +13,7 @@
 use chalklug::coordination::attempts::reconciliation::HeartbeatOutcome;
 use chalklug::coordination::jobs::pending::PendingReason;
 use chalklug::coordination::leadership::recovery::RecoveredState;
-use chalklug::coordination::{Effect, Event, Policy};
+use chalklug::coordination::{Effect, Event, OpenJob, Policy};
 use chalklug::ids::*;
 use chalklug::protocol::state::{Change, KeyValue};
 use chalklug::protocol::users::{parse_submission, JobPhase};
@@ -49,7 +49,7 @@
         page.machines
             .insert(machine_id(n), MachineEntry(0, 0, true, vec![]));
     }
-    let mut open = Vec::new();
+    let mut open_jobs = Vec::new();
     for j in 0..MACHINES / 10 {
         let id = format!("wk-{j:06}");
         let body = serde_json::json!({"ref": id, "jobclass": "c", "crew": "blue", "shape": "array",
@@ -70,7 +70,11 @@
             after: Vec::new(),
             dependency_pages: 0,
         };
-        open.push((record, KeyRevision(1), Instant(0)));
+        open_jobs.push(OpenJob {
+            record,
+            revision: KeyRevision(1),
+            submitted_at: Instant(0),
+        });
     }
     let item = |key: String, data| KeyValue {
         key,
@@ -79,8 +83,8 @@
         lease: None,
     };
     RecoveredState {
-        open,
-        intents: pages
+        open_jobs,
+        intent_pages: pages
             .iter()
             .enumerate()
             .map(|(n, p)| {
@@ -248,11 +252,11 @@
         after: Vec::new(),
         dependency_pages: 0,
     };
-    Event::JobOpened {
-        record: Box::new(record),
+    Event::JobOpened(Box::new(OpenJob {
+        record,
         revision: KeyRevision(5),
-        submitted: Instant(0),
-    }
+        submitted_at: Instant(0),
+    }))
 }
 
 /// Steps the core until the given time; says how many starts of each job were put on record.
@@ -295,8 +299,8 @@
 /// The core of a new leader to which every machine has reported that nothing is on it.
 fn idle_fleet(policy: Arc<Policy>, now: Instant) -> RecordedCore {
     let mut found = recovered();
-    found.open.clear();
-    found.intents.clear();
+    found.open_jobs.clear();
+    found.intent_pages.clear();
     let mut core = RecordedCore::recover(policy, lead(9), now, found).unwrap();
     for n in 0..MACHINES {
         let mut empty = report(n, 1, 9, 0);
@@ -360,16 +364,12 @@
 }
 
 fn gpu_job(id: &str, tasks: u32, after: Vec<JobId>) -> Event {
-    let Event::JobOpened { mut record, .. } = job(id, "normal", tasks) else {
+    let Event::JobOpened(mut open_job) = job(id, "normal", tasks) else {
         unreachable!("a job that is opened");
     };
-    record.spec.gpus = 1.0;
-    record.after = after;
-    Event::JobOpened {
-        record,
-        revision: KeyRevision(5),
-        submitted: Instant(0),
-    }
+    open_job.record.spec.gpus = 1.0;
+    open_job.record.after = after;
+    Event::JobOpened(open_job)
 }
 
 /// A thousand jobs wait for one that is cancelled: each of their marks is written once, in transactions
--- a/tests/stale_knowledge.rs
+++ b/tests/stale_knowledge.rs
@@ -12,7 +12,7 @@
 
 use chalklug::coordination::attempts::reconciliation::HeartbeatOutcome;
 use chalklug::coordination::leadership::recovery::RecoveredState;
-use chalklug::coordination::{Effect, Event};
+use chalklug::coordination::{Effect, Event, OpenJob};
 use chalklug::ids::*;
 use chalklug::protocol::state::{Change, KeyValue};
 use chalklug::protocol::users::parse_submission;
@@ -78,12 +78,16 @@
         .jobs
         .insert(job(1), JobResources::of(&record(1, &[]).spec));
     let found = RecoveredState {
-        open: open
+        open_jobs: open
             .iter()
-            .map(|r| (r.clone(), KeyRevision(1), Instant(0)))
+            .map(|record| OpenJob {
+                record: record.clone(),
+                revision: KeyRevision(1),
+                submitted_at: Instant(0),
+            })
             .collect(),
         machine_pages: vec![item(machine_page_key(PageNumber(0)), &machines)],
-        intents: vec![item(intent_page_key(PageNumber(0)), &attempts)],
+        intent_pages: vec![item(intent_page_key(PageNumber(0)), &attempts)],
         machine_types: vec![machine_type(8.0)],
         ..RecoveredState::default()
     };
@@ -230,11 +234,11 @@
     core.heartbeat(now, &report(3, CURRENT_TOKEN, None));
     settle(&mut core, now, 3_000);
     let now = now + TimeSpan(3_000);
-    let again = Event::JobOpened {
-        record: Box::new(record(1, &[])),
+    let again = Event::JobOpened(Box::new(OpenJob {
+        record: record(1, &[]),
         revision: KeyRevision(1),
-        submitted: Instant(0),
-    };
+        submitted_at: Instant(0),
+    }));
     core.on(now, again);
     core.on(now, Event::JobClosed { id: job(1) });
     let written = settle(&mut core, now, 5_000);
--- a/tests/upgrade/repacking.rs
+++ b/tests/upgrade/repacking.rs
@@ -6,7 +6,7 @@
 use super::world::store::Store;
 use chalklug::coordination::leadership::recovery::RecoveredState;
 use chalklug::coordination::leadership::LeadershipTerm;
-use chalklug::coordination::{Effect, Event, Policy};
+use chalklug::coordination::{Effect, Event, OpenJob, Policy};
 use chalklug::ids::*;
 use chalklug::protocol::state::{Change, Transaction};
 use chalklug::protocol::users::parse_submission;
@@ -85,9 +85,9 @@
     };
     let found = RecoveredState {
         machine_pages: store.list(MACHINE_PAGE_PREFIX),
-        intents: store.list(INTENT_PAGE_PREFIX),
+        intent_pages: store.list(INTENT_PAGE_PREFIX),
         machine_types: vec![machine_type(8.0)],
-        day_ms: 1_700_000_000_000,
+        time_of_day_at_zero_ms: 1_700_000_000_000,
         ..RecoveredState::default()
     };
     RecordedCore::recover(policy(next), lead, now, found).expect("all pages can be read")
@@ -201,11 +201,11 @@
             after: vec![JobId::from("wk-900")],
             dependency_pages: 0,
         };
-        let opened = Event::JobOpened {
-            record: Box::new(record),
+        let opened = Event::JobOpened(Box::new(OpenJob {
+            record,
             revision: KeyRevision(0),
-            submitted: now,
-        };
+            submitted_at: now,
+        }));
         core.on(now, opened);
     }
 }
--- a/tests/world/leading.rs
+++ b/tests/world/leading.rs
@@ -4,7 +4,7 @@
 use chalklug::coordination::leadership::authority::Authority;
 use chalklug::coordination::leadership::recovery::RecoveredState;
 use chalklug::coordination::leadership::LeadershipTerm;
-use chalklug::coordination::{Event, Scheduler};
+use chalklug::coordination::{Event, OpenJob, Scheduler};
 use chalklug::ids::*;
 use chalklug::protocol::state::{Change, Transaction};
 use chalklug::protocol::workers::Command;
@@ -88,17 +88,21 @@
             .into_iter()
             .map(|i| {
                 let revision = i.revision;
-                (self.open_record(i), revision, now)
+                OpenJob {
+                    record: self.open_record(i),
+                    revision,
+                    submitted_at: now,
+                }
             })
             .collect();
         let found = RecoveredState {
-            open,
-            progress: self.store.list(PROGRESS_PREFIX),
-            intents: self.store.list(INTENT_PAGE_PREFIX),
+            open_jobs: open,
+            progress_records: self.store.list(PROGRESS_PREFIX),
+            intent_pages: self.store.list(INTENT_PAGE_PREFIX),
             machine_pages: self.store.list(MACHINE_PAGE_PREFIX),
             machine_types: self.machine_types.clone(),
             hints: self.store.get(HINTS_KEY),
-            day_ms: 0,
+            time_of_day_at_zero_ms: 0,
         };
         self.seen_epoch = self.store.store_revision;
         let lead = LeadershipTerm {
@@ -157,11 +161,11 @@
                 continue;
             };
             let event = match item {
-                Some(i) => Event::JobOpened {
+                Some(i) => Event::JobOpened(Box::new(OpenJob {
                     revision: i.revision,
-                    record: Box::new(self.open_record(i)),
-                    submitted: self.now,
-                },
+                    record: self.open_record(i),
+                    submitted_at: self.now,
+                })),
                 None => Event::JobClosed {
                     id: JobId::from(id),
                 },
