--- a/src/coordination/leadership/recovery/intent_pages.rs
+++ b/src/coordination/leadership/recovery/intent_pages.rs
@@ -3,7 +3,7 @@
 use super::{parse_record, Recovery, UnreadableRecord};
 use crate::coordination::attempts::task_attempt::TaskAttempt;
 use crate::coordination::machines::machine::MachineState;
-use crate::ids::{AttemptId, MachineId, PageNumber, TaskId};
+use crate::ids::{AttemptKey, MachineId, PageNumber};
 use crate::protocol::state::KeyValue;
 use crate::storage::pages::PlacedAttempt;
 use crate::storage::records::{parse_page, IntentPage, INTENT_PAGE_PREFIX};
@@ -23,7 +23,8 @@
         let record: IntentPage = parse_record(item)?;
         self.scheduler.writer.intents.found(page, item.revision);
         for (machine_id, task, attempt_id) in record.attempts() {
-            self.load_intent(page, &record, &machine_id, task, attempt_id);
+            let key = AttemptKey { task, attempt_id };
+            self.load_intent(page, &record, &machine_id, key);
         }
         Ok(())
     }
@@ -33,8 +34,7 @@
         page: PageNumber,
         record: &IntentPage,
         machine_id: &MachineId,
-        task: TaskId,
-        attempt_id: AttemptId,
+        key: &AttemptKey,
     ) {
         let Some(machine) = self.scheduler.machines.get_mut(machine_id) else {
             // Proof 4, on record: an intent is written only once its machine's page is, and a machine
@@ -44,14 +44,13 @@
         };
         // It had been given work: its worker has reported.
         machine.state = MachineState::Up;
-        let key = (task, attempt_id);
-        if machine.attempts.contains_key(&key) {
+        if machine.attempts.contains_key(key) {
             return;
         }
-        let attempt = self.recovered_attempt(page, record, machine_id, &key);
+        let attempt = self.recovered_attempt(page, record, machine_id, key);
         self.scheduler.insert_attempt(machine_id, attempt);
-        self.scheduler.add_place(machine_id, &key.0);
-        let placed = PlacedAttempt::new(machine_id, &key);
+        self.scheduler.add_place(machine_id, &key.task);
+        let placed = PlacedAttempt::new(machine_id, key);
         self.scheduler.writer.intents.holds(page, placed);
     }
 
@@ -61,17 +60,18 @@
         page: PageNumber,
         record: &IntentPage,
         machine_id: &MachineId,
-        (task, attempt_id): &(TaskId, AttemptId),
+        key: &AttemptKey,
     ) -> TaskAttempt {
         let placed_at = record
             .placed_s
-            .get(attempt_id)
+            .get(&key.attempt_id)
             .map_or(self.now, |time_of_day_s| {
                 self.recorded_instant(*time_of_day_s)
             });
         let scheduler = &self.scheduler;
-        let mut attempt = scheduler.new_attempt(machine_id, task.clone(), *attempt_id, placed_at);
-        if let Some(resources) = record.jobs.get(&task.job) {
+        let mut attempt =
+            scheduler.new_attempt(machine_id, key.task.clone(), key.attempt_id, placed_at);
+        if let Some(resources) = record.jobs.get(&key.task.job) {
             attempt.request = resources.amount();
             attempt.team = scheduler.policy.team_index(&resources.0);
         }
