--- a/src/coordination/leadership/recovery/intent_pages.rs
+++ b/src/coordination/leadership/recovery/intent_pages.rs
@@ -24,7 +24,7 @@
         self.scheduler.writer.intents.found(page, item.revision);
         for (machine_id, task, attempt_id) in record.attempts() {
             let key = AttemptKey { task, attempt_id };
-            self.load_intent(page, &record, &machine_id, key);
+            self.load_intent(page, &record, &machine_id, &key);
         }
         Ok(())
     }
