--- a/src/coordination/leadership/recovery/intent_pages.rs
+++ b/src/coordination/leadership/recovery/intent_pages.rs
@@ -5,8 +5,7 @@
 use crate::coordination::machines::machine::MachineState;
 use crate::ids::{AttemptKey, MachineId, PageNumber};
 use crate::protocol::state::KeyValue;
-use crate::storage::pages::PlacedAttempt;
-use crate::storage::records::{parse_page, IntentPage, INTENT_PAGE_PREFIX};
+use crate::storage::records::{IntentPage, LaunchIntent, RecordKey};
 
 impl Recovery {
     pub(super) fn load_intent_pages(&mut self, pages: &[KeyValue]) -> Result<(), UnreadableRecord> {
@@ -17,25 +16,22 @@
     }
 
     fn load_intent_page(&mut self, item: &KeyValue) -> Result<(), UnreadableRecord> {
-        let Some(page) = parse_page(&item.key, INTENT_PAGE_PREFIX) else {
+        let Some(RecordKey::IntentPage(page)) = RecordKey::parse(&item.key) else {
             return Ok(());
         };
         let record: IntentPage = parse_record(item)?;
         self.scheduler.writer.intents.found(page, item.revision);
-        for (machine_id, task, attempt_id) in record.attempts() {
-            let key = AttemptKey { task, attempt_id };
-            self.load_intent(page, &record, &machine_id, &key);
+        for intent in record.intents() {
+            self.load_intent(page, &record, intent);
         }
         Ok(())
     }
 
-    fn load_intent(
-        &mut self,
-        page: PageNumber,
-        record: &IntentPage,
-        machine_id: &MachineId,
-        key: &AttemptKey,
-    ) {
+    fn load_intent(&mut self, page: PageNumber, record: &IntentPage, intent: LaunchIntent) {
+        let LaunchIntent {
+            machine_id,
+            attempt: key,
+        } = &intent;
         let Some(machine) = self.scheduler.machines.get_mut(machine_id) else {
             // Proof 4, on record: an intent is written only once its machine's page is, and a machine
             // leaves its page only once the cloud has confirmed that it is gone.
@@ -50,8 +46,7 @@
         let attempt = self.recovered_attempt(page, record, machine_id, key);
         self.scheduler.insert_attempt(machine_id, attempt);
         self.scheduler.add_place(machine_id, &key.task);
-        let placed = PlacedAttempt::new(machine_id, key);
-        self.scheduler.writer.intents.holds(page, placed);
+        self.scheduler.writer.intents.holds(page, intent);
     }
 
     /// An attempt of a former leader. The page says what it takes, for its job may be over and unknown.
@@ -72,8 +67,8 @@
         let mut attempt =
             scheduler.new_attempt(machine_id, key.task.clone(), key.attempt_id, placed_at);
         if let Some(resources) = record.jobs.get(&key.task.job) {
-            attempt.request = resources.amount();
-            attempt.team = scheduler.policy.team_index(&resources.0);
+            attempt.request = resources.request;
+            attempt.team = scheduler.policy.team_index(&resources.team);
         }
         attempt.page = Some(page);
         attempt.recovered = true;
--- a/src/coordination/leadership/recovery/machine_pages.rs
+++ b/src/coordination/leadership/recovery/machine_pages.rs
@@ -4,7 +4,7 @@
 use crate::coordination::machines::machine::{Machine, MachineState};
 use crate::ids::{KeyRevision, MachineId, PageNumber};
 use crate::protocol::state::KeyValue;
-use crate::storage::records::{parse_page, MachineEntry, MachinePage, MACHINE_PAGE_PREFIX};
+use crate::storage::records::{MachineEntry, MachineKind, MachinePage, RecordKey};
 use crate::time::{Instant, TimeSpan};
 use std::collections::BTreeSet;
 
@@ -24,7 +24,7 @@
     }
 
     fn load_machine_page(&mut self, item: &KeyValue) -> Result<(), UnreadableRecord> {
-        let Some(page) = parse_page(&item.key, MACHINE_PAGE_PREFIX) else {
+        let Some(RecordKey::MachinePage(page)) = RecordKey::parse(&item.key) else {
             return Ok(());
         };
         let record: MachinePage = parse_record(item)?;
@@ -69,21 +69,24 @@
         id: &MachineId,
         entry: &MachineEntry,
     ) -> Option<Machine> {
-        let MachineEntry(kind, rented_at_s, has_reported, cached_images) = entry;
-        let (machine_type, zone, spot) = record.kinds.get(*kind).cloned()?;
+        let MachineKind {
+            machine_type,
+            zone,
+            spot,
+        } = record.kinds.get(entry.kind).cloned()?;
         let capacity = self.scheduler.machines.capacity(&machine_type);
-        let rented_at = self.rented_at(*rented_at_s);
+        let rented_at = self.rented_at(entry.rented_s);
         let mut machine = Machine::new(id.clone(), machine_type, zone, spot, capacity, rented_at);
         machine.last_response_at = self.now;
         machine.push_not_before = self.now;
         machine.unschedulable_until = self.now;
         machine.page = Some(page);
         machine.is_recorded = true;
-        if *has_reported {
+        if entry.has_reported {
             machine.state = MachineState::Up;
         }
         let image = |index: &usize| record.images.get(*index).cloned();
-        machine.images = cached_images.iter().filter_map(image).collect();
+        machine.images = entry.images.iter().filter_map(image).collect();
         Some(machine)
     }
 
--- a/src/coordination/leadership/recovery/mod.rs
+++ b/src/coordination/leadership/recovery/mod.rs
@@ -13,7 +13,7 @@
 use crate::ids::MachineId;
 use crate::protocol::cloud::MachineTypeInfo;
 use crate::protocol::state::KeyValue;
-use crate::storage::records::parse_progress_key;
+use crate::storage::records::ProgressKey;
 use crate::time::Instant;
 use std::sync::Arc;
 
@@ -131,22 +131,22 @@
 
     fn load_progress_record(&mut self, item: KeyValue) {
         let scheduler = &mut self.scheduler;
-        let Some((id, chunk)) = parse_progress_key(&item.key) else {
+        let Some(key) = ProgressKey::parse(&item.key) else {
             return;
         };
-        let Some(job) = scheduler.jobs.get_mut(&id).filter(|job| !job.closed) else {
+        let Some(job) = scheduler.jobs.get_mut(&key.job).filter(|job| !job.closed) else {
             let orphaned = &mut scheduler.writer.orphaned_progress;
             orphaned.insert(item.key, item.revision);
             return;
         };
         if let Some(completed_tasks) = item.data.as_str() {
-            job.done.load(chunk, completed_tasks);
+            job.done.load(key.chunk, completed_tasks);
             let done = &job.done;
             job.pending.retain(|index| !done.has(*index));
             job.has_run |= done.count() > 0;
-            scheduler.jobs.reindex(&id);
+            scheduler.jobs.reindex(&key.job);
         }
-        scheduler.writer.progress.insert((id, chunk), item.revision);
+        scheduler.writer.progress.insert(key, item.revision);
     }
 
     /// Machines on which nothing runs count as idle from now on.
--- a/src/coordination/placement/mod.rs
+++ b/src/coordination/placement/mod.rs
@@ -16,7 +16,7 @@
 use crate::ids::{AttemptId, JobId, MachineId, MachineType, TaskId, TeamIndex, Zone};
 use crate::protocol::users::{JobSpec, Priority, Shape};
 use crate::resources::Resources;
-use crate::storage::pages::PlacedAttempt;
+use crate::storage::records::LaunchIntent;
 use crate::time::{Instant, TimeSpan};
 use crate::transport::budget::Budget;
 use std::collections::{BTreeMap, BTreeSet};
@@ -386,7 +386,7 @@
             let m = self.machines.get(&machine_id).filter(|_| several);
             attempt.image_s = m.map(|m| self.wait_for_image(now, m, &spec));
             attempt.latency = latency;
-            let placed = PlacedAttempt::new(&machine_id, &attempt.key());
+            let placed = LaunchIntent::new(&machine_id, &attempt.key());
             self.insert_attempt(&machine_id, attempt);
             self.add_place(&machine_id, &task);
             self.writer.intents.wait(placed);
