--- a/src/coordination/leadership/recovery/mod.rs
+++ b/src/coordination/leadership/recovery/mod.rs
@@ -7,7 +7,6 @@
 mod intent_pages;
 mod machine_pages;
 
-use crate::coordination::autoscaler::arrivals::Hints;
 use crate::coordination::leadership::LeadershipTerm;
 use crate::coordination::{OpenJob, Policy, Scheduler};
 use crate::ids::MachineId;
@@ -118,7 +117,7 @@
             return;
         };
         self.scheduler.writer.hints = item.revision;
-        if let Ok(hints) = serde_json::from_value::<Hints>(item.data) {
+        if let Ok(hints) = serde_json::from_value(item.data) {
             self.scheduler.load_hints(self.now, hints);
         }
     }
--- a/src/coordination/persistence/outcomes.rs
+++ b/src/coordination/persistence/outcomes.rs
@@ -223,7 +223,7 @@
                 Some(RecordKey::Terminal(_) | RecordKey::Catalog) | None => {}
             }
         }
-        self.placement.due = true;
+        self.placement.request_pass();
     }
 
     pub(crate) fn open_reread(&mut self, now: Instant, id: &JobId, revision: KeyRevision) {
