--- a/src/coordination/autoscaler/report.rs
+++ b/src/coordination/autoscaler/report.rs
@@ -51,11 +51,8 @@
 }
 
 fn pending_tasks(cluster: &ClusterView<'_>) -> usize {
-    let pending = cluster.jobs.index.pending.iter();
-    pending
-        .filter_map(|id| cluster.jobs.get(id))
-        .map(|job| job.pending.len())
-        .sum()
+    let pending = cluster.jobs.pending();
+    pending.map(|(_, job)| job.pending().len()).sum()
 }
 
 impl Scheduler {
--- a/src/coordination/leadership/recovery/mod.rs
+++ b/src/coordination/leadership/recovery/mod.rs
@@ -7,6 +7,7 @@
 mod intent_pages;
 mod machine_pages;
 
+use crate::coordination::jobs::job::Job;
 use crate::coordination::leadership::LeadershipTerm;
 use crate::coordination::{OpenJob, Policy, Scheduler};
 use crate::ids::MachineId;
@@ -133,17 +134,14 @@
         let Some(key) = ProgressKey::parse(&item.key) else {
             return;
         };
-        let Some(job) = scheduler.jobs.get_mut(&key.job).filter(|job| !job.closed) else {
+        if scheduler.jobs.get(&key.job).is_none_or(Job::is_closed) {
             let orphaned = &mut scheduler.writer.orphaned_progress;
             orphaned.insert(item.key, item.revision);
             return;
-        };
+        }
         if let Some(completed_tasks) = item.data.as_str() {
-            job.done.load(key.chunk, completed_tasks);
-            let done = &job.done;
-            job.pending.retain(|index| !done.has(*index));
-            job.has_run |= done.count() > 0;
-            scheduler.jobs.reindex(&key.job);
+            let load = |job: &mut Job| job.load_progress(key.chunk, completed_tasks);
+            scheduler.jobs.update(&key.job, load);
         }
         scheduler.writer.progress.insert(key, item.revision);
     }
--- a/src/coordination/machines/images.rs
+++ b/src/coordination/machines/images.rs
@@ -57,7 +57,7 @@
     /// Seconds that the machine takes to fetch the image of a job that is known.
     pub(crate) fn longest_fetch_s(&self, machine_id: &MachineId, job: &JobId) -> f64 {
         match (self.machines.get(machine_id), self.jobs.get(job)) {
-            (Some(machine), Some(job)) => self.fetch_s(&machine.machine_type, job.spec.image_gb),
+            (Some(machine), Some(job)) => self.fetch_s(&machine.machine_type, job.spec().image_gb),
             _ => 0.0,
         }
     }
--- a/src/coordination/placement/zones.rs
+++ b/src/coordination/placement/zones.rs
@@ -31,7 +31,7 @@
     /// How many tasks of the job may be in each zone, those that are about to end included.
     pub(super) fn tasks_by_zone(&self, job: &Job) -> BTreeMap<Zone, u32> {
         let mut tasks_by_zone = BTreeMap::new();
-        for machine_id in job.placements.values().flatten() {
+        for machine_id in job.placements().values().flatten() {
             if let Some(machine) = self.machines().get(machine_id) {
                 *tasks_by_zone.entry(machine.zone.clone()).or_default() += 1;
             }
@@ -44,7 +44,7 @@
     /// The zones to try in turn for a job. With affinity: the one where its tasks are, or all zones, the
     /// one with room for most tasks first.
     pub(super) fn zone_choices(&self, job: &Job) -> Vec<ZoneChoice> {
-        let spec = &job.spec;
+        let spec = job.spec();
         if let Some(zone) = &spec.zone {
             return vec![ZoneChoice::Only(zone.clone())];
         }
@@ -68,7 +68,7 @@
 
     /// For how many tasks of the job each zone has room.
     fn room_by_zone(&self, job: &Job) -> BTreeMap<Zone, u32> {
-        let spec = &job.spec;
+        let spec = job.spec();
         let request = Resources::of(spec);
         let mut room_by_zone: BTreeMap<Zone, u32> = BTreeMap::new();
         for machine in self.view.machines().with_room_for(spec) {
@@ -94,9 +94,9 @@
 impl ZoneSpread {
     /// The spread of a job with anti-affinity as it is; `None` for any other job.
     pub(super) fn of(view: &PlacementView<'_>, job: &Job) -> Option<ZoneSpread> {
-        job.spec.scatter.then(|| ZoneSpread {
+        job.spec().scatter.then(|| ZoneSpread {
             tasks_by_zone: view.tasks_by_zone(job),
-            max_tasks_per_zone: job.spec.tasks.div_ceil(2),
+            max_tasks_per_zone: job.spec().tasks.div_ceil(2),
         })
     }
 
