--- a/src/coordination/placement/mod.rs
+++ b/src/coordination/placement/mod.rs
@@ -108,7 +108,7 @@
         state: &mut PassState,
     ) -> Vec<UnplacedTasks> {
         let mut unplaced: BTreeMap<QueuePosition, UnplacedTasks> = BTreeMap::new();
-        let mut deferred: Vec<(QueuePosition, JobId)> = Vec::new();
+        let mut deferred: BTreeMap<QueuePosition, JobId> = BTreeMap::new();
         let mut position: QueuePosition = 0;
         for round in queue {
             // Jobs that are alike first go where their image is; what is left goes anywhere. With too
@@ -121,7 +121,7 @@
             for job_id in round {
                 position += 1;
                 if self.defer_for_image(now, &job_id, state) {
-                    deferred.push((position, job_id));
+                    deferred.insert(position, job_id);
                 } else if let Some(rest) = self.place_anywhere(now, job_id, state) {
                     unplaced.insert(position, rest);
                 }
--- a/src/coordination/placement/reservations.rs
+++ b/src/coordination/placement/reservations.rs
@@ -58,17 +58,17 @@
         if (is_gang_of_several && is_aged) || (is_large && !may_wait()) {
             let count = if is_gang_of_several { spec.tasks } else { 1 };
             for _ in 0..count {
-                self.reserve_emptiest_machine(spec);
+                self.reserve_least_allocated_machine(spec);
             }
         }
     }
 
     /// Guards against a task of a whole machine that never finds one, because small tasks fill
-    /// every gap and no more machines are to be had: the emptiest that it may use takes nothing
-    /// more from jobs behind it.
-    fn reserve_emptiest_machine(&mut self, spec: &JobSpec) {
+    /// every gap and no more machines are to be had: the one with the largest
+    /// free fraction that it may use takes nothing more from jobs behind it.
+    fn reserve_least_allocated_machine(&mut self, spec: &JobSpec) {
         let request = Resources::of(spec);
-        let emptiest = self
+        let least_allocated = self
             .view
             .machines_with_room()
             .filter(|machine| !self.state.is_reserved(&machine.id))
@@ -77,7 +77,7 @@
             .filter(|(_, capacity)| request.fits(capacity))
             .map(|(machine, capacity)| (free_fraction(&machine.free, &capacity), &machine.id))
             .max_by(|left, right| left.0.total_cmp(&right.0).then_with(|| right.1.cmp(left.1)));
-        if let Some((_, machine_id)) = emptiest {
+        if let Some((_, machine_id)) = least_allocated {
             self.state.reserve(machine_id);
         }
     }
--- a/src/coordination/placement/zones.rs
+++ b/src/coordination/placement/zones.rs
@@ -54,15 +54,15 @@
         if let Some(zone) = self.view.tasks_by_zone(job).into_keys().next() {
             return vec![ZoneChoice::Only(zone)];
         }
-        let mut zones: Vec<(u32, Zone)> = self
-            .room_by_zone(job)
-            .into_iter()
-            .map(|(zone, room)| (room, zone))
-            .collect();
-        zones.sort_by(|left, right| right.cmp(left));
+        let mut zones: Vec<(Zone, u32)> = self.room_by_zone(job).into_iter().collect();
+        zones.sort_by(|(left_zone, left_room), (right_zone, right_room)| {
+            right_room
+                .cmp(left_room)
+                .then_with(|| right_zone.cmp(left_zone))
+        });
         zones
             .into_iter()
-            .map(|(_, zone)| ZoneChoice::Only(zone))
+            .map(|(zone, _)| ZoneChoice::Only(zone))
             .collect()
     }
 
