--- a/src/runtime/leader/job_watch.rs
+++ b/src/runtime/leader/job_watch.rs
@@ -2,8 +2,8 @@
 
 use super::term::Term;
 use crate::coordination::leadership::recovery::RecoveredState;
-use crate::coordination::Event;
-use crate::ids::{JobId, KeyRevision, StoreRevision};
+use crate::coordination::{Event, OpenJob};
+use crate::ids::{JobId, StoreRevision};
 use crate::protocol::state::{KeyValue, WatchEvent, WatchResponse};
 use crate::runtime::clients::dependency_pages;
 use crate::runtime::clients::state_store::StateStoreError;
@@ -22,30 +22,32 @@
 /// Jobs count as submitted at most this long ago, whatever their records say.
 const MAX_JOB_AGE_MS: u64 = 1 << 50;
 
-/// An open job record, its revision, and when the job was submitted.
-type OpenJobEntry = (OpenJobRecord, KeyRevision, Instant);
-
 /// Reads everything a new leader needs. All reads come after the leader key was written, so no former leader
 /// can add an intent that we miss: its writes have the old key as a precondition. None if any read fails.
 pub async fn read_recovered_state(node: &Node) -> Option<(RecoveredState, StoreRevision)> {
     let store = &node.state_store;
-    let ((open, store_revision), (progress, _), (machine_pages, _), (intents, _), hints) =
-        tokio::try_join!(
-            store.list(OPEN_JOB_PREFIX),
-            store.list(PROGRESS_PREFIX),
-            store.list(MACHINE_PAGE_PREFIX),
-            store.list(INTENT_PAGE_PREFIX),
-            store.get(HINTS_KEY),
-        )
-        .ok()?;
+    let (
+        (open_jobs, store_revision),
+        (progress_records, _),
+        (machine_pages, _),
+        (intent_pages, _),
+        hints,
+    ) = tokio::try_join!(
+        store.list(OPEN_JOB_PREFIX),
+        store.list(PROGRESS_PREFIX),
+        store.list(MACHINE_PAGE_PREFIX),
+        store.list(INTENT_PAGE_PREFIX),
+        store.get(HINTS_KEY),
+    )
+    .ok()?;
     let recovered = RecoveredState {
-        open: read_open_jobs(node, open).await.ok()?,
-        progress,
-        intents,
+        open_jobs: read_open_jobs(node, open_jobs).await.ok()?,
+        progress_records,
+        intent_pages,
         machine_pages,
         machine_types: node.catalog.machine_types(),
         hints,
-        day_ms: time_of_day_ms().saturating_sub(node.now().0.max(0) as u64),
+        time_of_day_at_zero_ms: time_of_day_ms().saturating_sub(node.now().0.max(0) as u64),
     };
     Some((recovered, store_revision))
 }
@@ -53,7 +55,7 @@
 async fn read_open_jobs(
     node: &Node,
     items: Vec<KeyValue>,
-) -> Result<Vec<OpenJobEntry>, StateStoreError> {
+) -> Result<Vec<OpenJob>, StateStoreError> {
     let mut jobs = Vec::new();
     for item in items {
         let Ok(mut record) = serde_json::from_value::<OpenJobRecord>(item.data) else {
@@ -61,8 +63,11 @@
             continue;
         };
         if dependency_pages::read_pages(&node.state_store, &mut record).await? {
-            let submitted = submitted_at(node, &record);
-            jobs.push((record, item.revision, submitted));
+            jobs.push(OpenJob {
+                submitted_at: submitted_at(node, &record),
+                record,
+                revision: item.revision,
+            });
         }
     }
     Ok(jobs)
@@ -146,11 +151,11 @@
         return Ok(());
     };
     if dependency_pages::read_pages(&node.state_store, &mut record).await? {
-        let opened = Event::JobOpened {
-            submitted: submitted_at(node, &record),
-            record: Box::new(record),
+        let opened = Event::JobOpened(Box::new(OpenJob {
+            submitted_at: submitted_at(node, &record),
+            record,
             revision: change.revision,
-        };
+        }));
         node.leadership.handle_event(node.now(), opened);
     }
     Ok(())
@@ -183,7 +188,7 @@
         jobs = jobs.len(),
         "open jobs listed again"
     );
-    let listed = Event::OpenJobs { jobs };
+    let listed = Event::OpenJobs(jobs);
     node.leadership.handle_event(node.now(), listed);
     term.authority.view_refreshed(asked_at);
     Some(store_revision)
--- a/tests/simulation/leadership.rs
+++ b/tests/simulation/leadership.rs
@@ -6,7 +6,7 @@
 use chalklug::coordination::leadership::authority::Authority;
 use chalklug::coordination::leadership::recovery::RecoveredState;
 use chalklug::coordination::leadership::LeadershipTerm;
-use chalklug::coordination::{Event, Policy, Scheduler};
+use chalklug::coordination::{Event, OpenJob, Policy, Scheduler};
 use chalklug::ids::*;
 use chalklug::protocol::state::{Change, Transaction};
 use chalklug::protocol::workers::Command;
@@ -184,18 +184,19 @@
     fn read_recovered_state(&self) -> RecoveredState {
         let open = self.store.list(OPEN_JOB_PREFIX).into_iter();
         RecoveredState {
-            open: open
-                .map(|item| {
-                    let revision = item.revision;
-                    (self.read_open_record(item), revision, self.now)
+            open_jobs: open
+                .map(|item| OpenJob {
+                    revision: item.revision,
+                    record: self.read_open_record(item),
+                    submitted_at: self.now,
                 })
                 .collect(),
-            progress: self.store.list(PROGRESS_PREFIX),
-            intents: self.store.list(INTENT_PAGE_PREFIX),
+            progress_records: self.store.list(PROGRESS_PREFIX),
+            intent_pages: self.store.list(INTENT_PAGE_PREFIX),
             machine_pages: self.store.list(MACHINE_PAGE_PREFIX),
             machine_types: self.cloud.machine_types.clone(),
             hints: self.store.get(HINTS_KEY),
-            day_ms: 0,
+            time_of_day_at_zero_ms: 0,
         }
     }
 
@@ -257,11 +258,11 @@
             .filter_map(|(key, item)| {
                 let id = JobId::from(key.strip_prefix(OPEN_JOB_PREFIX)?);
                 Some(match item {
-                    Some(item) => Event::JobOpened {
+                    Some(item) => Event::JobOpened(Box::new(OpenJob {
                         revision: item.revision,
-                        record: Box::new(self.read_open_record(item)),
-                        submitted: now,
-                    },
+                        record: self.read_open_record(item),
+                        submitted_at: now,
+                    })),
                     None => Event::JobClosed { id },
                 })
             })
