--- a/tests/encodings.rs
+++ b/tests/encodings.rs
@@ -1,6 +1,7 @@
 //! Stored records and messages between controllers, by example bytes. A landing may take over from the one
 //! before it while both run: a rename in the code, or a new field, must not change what the other reads.
 
+use chalklug::coordination::autoscaler::hints::Hints;
 use chalklug::ids::*;
 use chalklug::protocol::peers::{PeerReply, PeerRequest};
 use chalklug::protocol::users::{parse_submission, JobPhase};
@@ -107,15 +108,36 @@
         at_ms: None,
     };
     stored(&done, r#"{"phase":"done","pieces":16}"#);
-    let waited_for = TerminalRecord {
+    let with_time = TerminalRecord {
         at_ms: Some(7),
         ..done
     };
-    stored(&waited_for, r#"{"phase":"done","pieces":16,"at_ms":7}"#);
+    stored(&with_time, r#"{"phase":"done","pieces":16,"at_ms":7}"#);
     let cancelled = TerminalRecord::cancelled(16);
     stored(&cancelled, r#"{"phase":"aborted","pieces":16}"#);
 }
 
+/// The record of arrivals and run times has no constructor of its own: it is read and written back.
+#[test]
+fn hints() {
+    let job = concat!(
+        r#"{"ref":"wk-000412","jobclass":"train","crew":"vision","shape":"array","urgency":"normal","#,
+        r#""pieces":2,"cpus":8.0,"gpus":1.0,"ramGb":64.0,"bundle":"img-07","pullGb":6.2,"rigs":["g8"],"#,
+        r#""together":true,"scatter":false,"loaners":true,"guessS":240.0,"markEveryS":30.0,"markCostS":4.0}"#
+    );
+    let example = format!(
+        r#"{{"observed":{{"train":{{"ran_s":61.5,"guessed_s":60.0,"count":3,"longer":0.25}}}},"demand":{{"train":[0.75,12.5,{job}]}}}}"#
+    );
+    let record: Hints = serde_json::from_str(&example).expect("the example can be read");
+    stored(&record, &example);
+    stored(&Hints::default(), r#"{"observed":{},"demand":{}}"#);
+    let empty: Hints = serde_json::from_str("{}").expect("every part may be missing");
+    assert_eq!(
+        serde_json::to_string(&empty).unwrap(),
+        r#"{"observed":{},"demand":{}}"#
+    );
+}
+
 #[test]
 fn progress_records_are_unchanged() {
     let mut set = CompletedTasks::new(20);
@@ -174,13 +196,13 @@
         images: vec![(Image::from("img-07"), 6.2)],
         ..MachinePage::default()
     };
-    let note = MachineEntry {
+    let entry = MachineEntry {
         kind: 0,
         rented_s: 1_700_000_000,
         has_reported: true,
         images: vec![0],
     };
-    page.machines.insert(MachineId::from("host-000231"), note);
+    page.machines.insert(MachineId::from("host-000231"), entry);
     stored(
         &page,
         concat!(
@@ -221,7 +243,7 @@
     sent(&PeerReply::Noted, &[2]);
 }
 
-/// A list of producers too long for the open record goes to pages, each within the limit; none is lost.
+/// Guards against lost dependencies: a list of upstream jobs too long for the open record goes to pages, each within the limit; none is lost.
 #[test]
 fn dependency_pages_are_unchanged() {
     let body = serde_json::json!({"ref":"wk-1","jobclass":"c","crew":"t","shape":"array","urgency":"low","pieces":1,
