--- a/src/coordination/autoscaler/warm_pool.rs
+++ b/src/coordination/autoscaler/warm_pool.rs
@@ -94,7 +94,7 @@
     let with_room = view.machines().index.with_room.iter();
     let (mut candidates, others): (Vec<&Machine>, Vec<&Machine>) = with_room
         .filter_map(|id| view.machines().get(id))
-        .filter(|machine| request.fits(&machine.free) && allows_machine(spec, machine))
+        .filter(|machine| request.fits(machine.free()) && allows_machine(spec, machine))
         .filter(|machine| view.is_schedulable(machine) && !pool.contains(&machine.id))
         .partition(|machine| machine.has_image(&spec.image));
     candidates.extend(others);
--- /dev/null
+++ b/src/coordination/leadership/recovery/intent_pages.rs
@@ -0,0 +1,75 @@
+//! Recovery of task attempts from the pages of launch intents.
+
+use super::{parse_record, Recovery, UnreadableRecord};
+use crate::coordination::attempts::ledger::TaskAttempt;
+use crate::coordination::machines::machine::MachineState;
+use crate::ids::{AttemptKey, MachineId, PageNumber};
+use crate::protocol::state::KeyValue;
+use crate::storage::records::{IntentPage, LaunchIntent, RecordKey};
+
+impl Recovery {
+    pub(super) fn load_intent_pages(&mut self, pages: &[KeyValue]) -> Result<(), UnreadableRecord> {
+        for page in pages {
+            self.load_intent_page(page)?;
+        }
+        Ok(())
+    }
+
+    fn load_intent_page(&mut self, item: &KeyValue) -> Result<(), UnreadableRecord> {
+        let Some(RecordKey::IntentPage(page)) = RecordKey::parse(&item.key) else {
+            return Ok(());
+        };
+        let record: IntentPage = parse_record(item)?;
+        self.scheduler.writer.intents.found(page, item.revision);
+        for intent in record.intents() {
+            self.load_intent(page, &record, intent);
+        }
+        Ok(())
+    }
+
+    fn load_intent(&mut self, page: PageNumber, record: &IntentPage, intent: LaunchIntent) {
+        let LaunchIntent {
+            machine_id,
+            attempt: key,
+        } = &intent;
+        let Some(machine) = self.scheduler.machines.get_mut(machine_id) else {
+            // Proof 4, on record: an intent is written only once its machine's page is, and a machine
+            // leaves its page only once the cloud has confirmed that it is gone.
+            self.scheduler.writer.intents.outdated(self.now, page);
+            return;
+        };
+        // It had been given work: its worker has reported.
+        machine.state = MachineState::Up;
+        if machine.attempts.contains(key) {
+            return;
+        }
+        let attempt = self.recovered_attempt(page, record, machine_id, key);
+        self.scheduler.ledger().insert(machine_id, attempt);
+        self.scheduler.writer.intents.holds(page, intent);
+    }
+
+    /// An attempt of a former leader. The page says what it takes, for its job may be over and unknown.
+    fn recovered_attempt(
+        &self,
+        page: PageNumber,
+        record: &IntentPage,
+        machine_id: &MachineId,
+        key: &AttemptKey,
+    ) -> TaskAttempt {
+        let placed_at = record
+            .placed_s
+            .get(&key.attempt_id)
+            .map_or(self.now, |time_of_day_s| {
+                self.recorded_instant(*time_of_day_s)
+            });
+        let scheduler = &self.scheduler;
+        let mut attempt = scheduler.new_attempt(machine_id, key.clone(), placed_at);
+        if let Some(resources) = record.jobs.get(&key.task.job) {
+            attempt.request = resources.request;
+            attempt.team = scheduler.policy.team_index(&resources.team);
+        }
+        attempt.page = Some(page);
+        attempt.recovered = true;
+        attempt
+    }
+}
--- a/src/coordination/placement/pass.rs
+++ b/src/coordination/placement/pass.rs
@@ -7,6 +7,7 @@
 use super::view::PlacementView;
 use super::zones::ZoneChoice;
 use super::Placement;
+use crate::coordination::attempts::ledger::TeamUsage;
 use crate::coordination::jobs::job::Job;
 use crate::coordination::machines::machine::Machine;
 use crate::ids::{AttemptId, Image, JobId, MachineId};
@@ -39,7 +40,7 @@
     /// The attempt id of everything that is placed in this pass.
     pub(super) attempt_id: AttemptId,
     /// What teams use, with what is kept free for jobs that their team's limit holds up.
-    pub(super) team_usage: Vec<Resources>,
+    pub(super) team_usage: TeamUsage,
     /// Machines reserved in this pass for jobs ahead in the queue.
     reserved_machines: BTreeSet<MachineId>,
     /// Jobs for which machines are reserved beyond this pass.
@@ -58,7 +59,7 @@
     /// The state in which a pass begins that places at most so many tasks.
     pub(super) fn new(
         view: &PlacementView<'_>,
-        team_usage: Vec<Resources>,
+        team_usage: TeamUsage,
         attempt_id: AttemptId,
         max_placed: usize,
     ) -> PassState {
@@ -119,9 +120,8 @@
 
     /// Counts so many tasks of a job towards its team's usage.
     fn charge_team(&mut self, job: &Job, tasks: f64) {
-        if let Some(usage) = job.team().and_then(|team| self.team_usage.get_mut(team.0)) {
-            usage.add(&Resources::of(job.spec()).times(tasks));
-        }
+        let request = Resources::of(job.spec()).times(tasks);
+        self.team_usage.charge(job.team(), &request);
     }
 
     /// Counts the placements of one job.
--- a/src/runtime/leader/term.rs
+++ b/src/runtime/leader/term.rs
@@ -89,7 +89,7 @@
     let fencing_token = leadership.initial_token;
     let asked_at = node.now();
     let (recovered, store_revision) = job_watch::read_recovered_state(node).await?;
-    let jobs = recovered.open.len();
+    let jobs = recovered.open_jobs.len();
     let scheduler = Scheduler::recover(node.policy.clone(), leadership, node.now(), recovered)
         // Guards against taking an attempt for never launched because its record can't be read.
         .map_err(|error| tracing::error!(%error, "failover stopped by an unreadable record"))
