--- a/src/coordination/autoscaler/forecast/simulated_cluster.rs
+++ b/src/coordination/autoscaler/forecast/simulated_cluster.rs
@@ -3,7 +3,7 @@
 
 use super::slot::{MachineInUse, MachineSlot, Release};
 use super::ForecastResult;
-use crate::coordination::attempts::task_attempt::TaskAttempt;
+use crate::coordination::attempts::ledger::TaskAttempt;
 use crate::coordination::autoscaler::requests::ScaleOutRequest;
 use crate::coordination::autoscaler::view::AutoscalerView;
 use crate::coordination::autoscaler::MachineOffer;
@@ -135,9 +135,9 @@
     let attempts = machine.live_attempts();
     MachineSlot::in_use(MachineInUse {
         offer: MachineOffer::of(machine),
-        idle_machine: (machine.live_count == 0).then(|| machine.id.clone()),
-        free_share: free_fraction(&machine.free, &capacity),
-        free: machine.free,
+        idle_machine: (machine.attempts.live_count() == 0).then(|| machine.id.clone()),
+        free_share: free_fraction(machine.free(), &capacity),
+        free: *machine.free(),
         releases: attempts
             .filter_map(|attempt| release_of(view, machine, attempt))
             .collect(),
--- a/src/coordination/autoscaler/view.rs
+++ b/src/coordination/autoscaler/view.rs
@@ -1,6 +1,7 @@
 //! What the autoscaler's decisions read: the cluster, and what other parts know of jobs and machines.
 
 use super::{Autoscaler, MachineOffer};
+use crate::coordination::attempts::ledger::TeamUsage;
 use crate::coordination::jobs::job::Job;
 use crate::coordination::jobs::table::JobTable;
 use crate::coordination::machines::machine::Machine;
@@ -61,7 +62,7 @@
     }
 
     /// What each team uses.
-    pub(super) fn team_usage(&self) -> &'a [Resources] {
+    pub(super) fn team_usage(&self) -> &'a TeamUsage {
         &self.scheduler.team_usage
     }
 
@@ -70,9 +71,9 @@
         &self,
         spec: &JobSpec,
         team: Option<TeamIndex>,
-        team_usage: &[Resources],
+        team_usage: &TeamUsage,
     ) -> u32 {
-        self.scheduler.headroom(spec, team, team_usage)
+        team_usage.headroom(&self.scheduler.policy, team, spec)
     }
 
     /// Whether a machine may be given new work at all.
--- a/src/coordination/jobs/lifecycle.rs
+++ b/src/coordination/jobs/lifecycle.rs
@@ -69,7 +69,7 @@
             }
             return;
         }
-        let team = self.team_of(&record.spec);
+        let team = self.policy.team_index(&record.spec.team);
         let pages = record.dependency_pages;
         let job = Job::new(record.spec, team, revision, submitted_at, pages);
         let traits = self.traits_of(&job, &record.after);
@@ -129,7 +129,7 @@
         self.jobs.update(id, Job::close);
         self.placement.request_pass();
         for machine_id in machine_ids {
-            self.drop_untouched(now, &machine_id, id);
+            self.ledger().remove_never_launched(now, &machine_id, id);
             self.outbox.machines_to_review.insert(machine_id);
         }
     }
--- a/src/coordination/leadership/recovery/intent_pages.rs
+++ b/src/coordination/leadership/recovery/intent_pages.rs
@@ -1,7 +1,7 @@
 //! Recovery of task attempts from the pages of launch intents.
 
 use super::{parse_record, Recovery, UnreadableRecord};
-use crate::coordination::attempts::task_attempt::TaskAttempt;
+use crate::coordination::attempts::ledger::TaskAttempt;
 use crate::coordination::machines::machine::MachineState;
 use crate::ids::{AttemptKey, MachineId, PageNumber};
 use crate::protocol::state::KeyValue;
@@ -40,12 +40,11 @@
         };
         // It had been given work: its worker has reported.
         machine.state = MachineState::Up;
-        if machine.attempts.contains_key(key) {
+        if machine.attempts.contains(key) {
             return;
         }
         let attempt = self.recovered_attempt(page, record, machine_id, key);
-        self.scheduler.insert_attempt(machine_id, attempt);
-        self.scheduler.add_place(machine_id, &key.task);
+        self.scheduler.ledger().insert(machine_id, attempt);
         self.scheduler.writer.intents.holds(page, intent);
     }
 
@@ -64,8 +63,7 @@
                 self.recorded_instant(*time_of_day_s)
             });
         let scheduler = &self.scheduler;
-        let mut attempt =
-            scheduler.new_attempt(machine_id, key.task.clone(), key.attempt_id, placed_at);
+        let mut attempt = scheduler.new_attempt(machine_id, key.clone(), placed_at);
         if let Some(resources) = record.jobs.get(&key.task.job) {
             attempt.request = resources.request;
             attempt.team = scheduler.policy.team_index(&resources.team);
--- a/src/coordination/leadership/recovery/mod.rs
+++ b/src/coordination/leadership/recovery/mod.rs
@@ -152,7 +152,7 @@
         for id in ids {
             self.scheduler.machines.reindex(&id);
             let machine = self.scheduler.machines.get_mut(&id);
-            if let Some(machine) = machine.filter(|machine| machine.live_count == 0) {
+            if let Some(machine) = machine.filter(|machine| machine.attempts.live_count() == 0) {
                 machine.idle_since = Some(self.now);
             }
         }
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -20,8 +20,8 @@
 pub use view::ClusterView;
 
 use crate::ids::{AttemptId, FencingToken, JobId};
-use crate::resources::Resources;
 use crate::time::Instant;
+use attempts::ledger::TeamUsage;
 use attempts::Outbox;
 use autoscaler::Autoscaler;
 use jobs::aging::Aging;
@@ -42,8 +42,8 @@
     pub(crate) leadership: Leadership,
     pub(crate) jobs: JobTable,
     pub(crate) machines: MachineTable,
-    /// What each team uses: everything that may be on a machine. Kept in step by `attempts/ledger.rs`.
-    pub(crate) team_usage: Vec<Resources>,
+    /// What each team uses, kept by the ledger.
+    pub(crate) team_usage: TeamUsage,
     pub(crate) outbox: Outbox,
     pub(crate) placement: PlacementState,
     pub(crate) autoscaler: Autoscaler,
@@ -81,7 +81,7 @@
             leadership: Leadership::new(term, now, time_of_day_at_zero_ms),
             jobs: JobTable::new(teams),
             machines: MachineTable::default(),
-            team_usage: vec![Resources::default(); teams],
+            team_usage: TeamUsage::new(teams),
             outbox: Outbox::default(),
             placement: PlacementState::new(policy.facts.process_limits.cores),
             autoscaler: Autoscaler::new(policy.facts.cloud.rps),
@@ -114,7 +114,7 @@
     /// Starts that may be on machines, and those of them whose job is not open any more.
     pub fn attempt_counts(&self) -> AttemptCounts {
         let mut listed = AttemptCounts::default();
-        for attempt in self.machines.values().flat_map(|m| m.attempts.values()) {
+        for attempt in self.machines.values().flat_map(|m| m.attempts.iter()) {
             let open = self
                 .jobs
                 .get(&attempt.task.job)
--- a/src/coordination/placement/reservations.rs
+++ b/src/coordination/placement/reservations.rs
@@ -75,7 +75,7 @@
             .filter(|machine| allows_machine(spec, machine) && self.view.is_usable(machine))
             .map(|machine| (machine, self.view.capacity(machine)))
             .filter(|(_, capacity)| request.fits(capacity))
-            .map(|(machine, capacity)| (free_fraction(&machine.free, &capacity), &machine.id))
+            .map(|(machine, capacity)| (free_fraction(machine.free(), &capacity), &machine.id))
             .max_by(|left, right| left.0.total_cmp(&right.0).then_with(|| right.1.cmp(left.1)));
         if let Some((_, machine_id)) = least_allocated {
             self.state.reserve(machine_id);
@@ -89,7 +89,7 @@
         let request = Resources::of(spec);
         let mut by_zone: BTreeMap<Option<&Zone>, Vec<&MachineId>> = BTreeMap::new();
         for machine in self.view.machines_with_room() {
-            if request.fits(&machine.free)
+            if request.fits(machine.free())
                 && allows_machine(spec, machine)
                 && self.view.is_usable(machine)
                 && !self.state.is_reserved(&machine.id)
--- a/src/coordination/placement/zones.rs
+++ b/src/coordination/placement/zones.rs
@@ -77,7 +77,7 @@
                 && !self.state.is_reserved(&machine.id)
             {
                 *room_by_zone.entry(machine.zone.clone()).or_default() +=
-                    request.count_in(&machine.free, spec.tasks);
+                    request.count_in(machine.free(), spec.tasks);
             }
         }
         room_by_zone
