--- a/src/coordination/persistence/draft/launches.rs
+++ b/src/coordination/persistence/draft/launches.rs
@@ -1,7 +1,7 @@
 //! Launch intents, packed into pages.
 
 use super::{Draft, DraftContext, RecordUpdate};
-use crate::coordination::attempts::task_attempt::TaskAttempt;
+use crate::coordination::attempts::ledger::TaskAttempt;
 use crate::coordination::jobs::job::Job;
 use crate::coordination::machines::table::MachineTable;
 use crate::coordination::persistence::intent_pages::IntentPageSize;
--- a/src/coordination/persistence/draft/token.rs
+++ b/src/coordination/persistence/draft/token.rs
@@ -1,7 +1,7 @@
 //! Raising the leader's own fencing token.
 
 use super::{Draft, DraftContext, RecordUpdate};
-use crate::coordination::attempts::task_attempt::{PushDelivery, TaskAttempt};
+use crate::coordination::attempts::ledger::{PushDelivery, TaskAttempt};
 use crate::coordination::machines::machine::Machine;
 use crate::ids::FencingToken;
 use crate::protocol::state::Change;
@@ -50,7 +50,8 @@
             return false;
         }
         let mut machines = self.cluster.machines.values();
-        if machines.any(|machine| tombstone_count(machine) >= MAX_TOMBSTONES_PER_MACHINE) {
+        if machines.any(|machine| machine.attempts.tombstone_count() >= MAX_TOMBSTONES_PER_MACHINE)
+        {
             return true;
         }
         let mut machines = self.cluster.machines.values();
@@ -64,11 +65,7 @@
             attempt.ended() && attempt.launched_with == Some(self.leadership.token())
         };
         let is_lost = |attempt: &TaskAttempt| matches!(attempt.push, PushDelivery::Lost(..));
-        machine.attempts.values().any(is_lost)
-            || (tombstone_count(machine) > 0 && machine.attempts.values().any(is_blocked))
+        machine.attempts.iter().any(is_lost)
+            || (machine.attempts.tombstone_count() > 0 && machine.attempts.iter().any(is_blocked))
     }
 }
-
-fn tombstone_count(machine: &Machine) -> usize {
-    machine.attempts.len() - machine.live_count as usize
-}
--- a/src/coordination/persistence/outcomes.rs
+++ b/src/coordination/persistence/outcomes.rs
@@ -61,15 +61,14 @@
         let mut launchable_on = BTreeSet::new();
         let mut live = Vec::new();
         for intent in intents {
-            let machine = self.machines.get_mut(&intent.machine_id);
-            let attempt = machine.and_then(|machine| machine.attempts.get_mut(&intent.attempt));
-            let Some(attempt) = attempt.filter(|attempt| !attempt.ended()) else {
+            let mut ledger = self.ledger();
+            let persisted = ledger.intent_persisted(&intent.machine_id, &intent.attempt, page);
+            let Some(is_new) = persisted else {
                 continue;
             };
-            if attempt.page.is_none() {
+            if is_new {
                 launchable_on.insert(intent.machine_id.clone());
             }
-            attempt.page = Some(page);
             live.push(intent);
         }
         let outdated = live.len() < written_count;
--- a/src/coordination/placement/candidates.rs
+++ b/src/coordination/placement/candidates.rs
@@ -152,7 +152,7 @@
         self.view
             .machines()
             .with_room_for(spec)
-            .filter(|machine| request.fits(&machine.free) && machine.attempts.len() < MAX_LISTED)
+            .filter(|machine| request.fits(machine.free()) && machine.attempts.len() < MAX_LISTED)
             .filter(|machine| allows_machine(spec, machine) && zones.includes(&machine.zone))
             .filter(|machine| self.view.is_usable(machine) && !self.state.is_reserved(&machine.id))
             .filter(|machine| locality.is_met_by(machine, &spec.image))
@@ -170,7 +170,7 @@
             machine_id: &machine.id,
             zone: &machine.zone,
             capacity: self.view.capacity(machine),
-            free: machine.free,
+            free: *machine.free(),
             attempt_count: machine.attempts.len(),
             fixed_costs: self.fixed_costs(machine, job, label),
             cost_s: 0.0,
--- a/src/coordination/placement/preemption.rs
+++ b/src/coordination/placement/preemption.rs
@@ -7,7 +7,6 @@
 use super::request::allows_machine;
 use super::view::PlacementView;
 use super::UnplacedTasks;
-use crate::coordination::attempts::task_attempt::StopRequest;
 use crate::coordination::jobs::job::Job;
 use crate::coordination::machines::machine::Machine;
 use crate::coordination::Scheduler;
@@ -78,12 +77,7 @@
             };
             machine.reserve_for(job_id.clone(), now + RESERVATION_AFTER_EVICTION);
             for victim in eviction.victims {
-                if let Some(attempt) = machine.attempts.get_mut(&victim.attempt) {
-                    attempt.stop = Some(StopRequest {
-                        grace_s: victim.grace_s,
-                        pushed: false,
-                    });
-                }
+                self.request_stop(&eviction.machine_id, &victim.attempt, victim.grace_s);
             }
             self.outbox
                 .machines_to_review
@@ -126,7 +120,7 @@
     }
 
     fn has_room_for(&self, machine: &Machine, spec: &JobSpec) -> bool {
-        Resources::of(spec).fits(&machine.free) && allows_machine(spec, machine)
+        Resources::of(spec).fits(machine.free()) && allows_machine(spec, machine)
     }
 
     /// Whether machines with the job's image are being emptied for it.
--- a/src/coordination/placement/view.rs
+++ b/src/coordination/placement/view.rs
@@ -1,5 +1,6 @@
 //! What placement and preemption read: the cluster, and what the other parts know of jobs and machines.
 
+use crate::coordination::attempts::ledger::TeamUsage;
 use crate::coordination::jobs::job::Job;
 use crate::coordination::jobs::table::JobTable;
 use crate::coordination::machines::machine::Machine;
@@ -104,12 +105,12 @@
 
     /// What the job's team uses: everything that may be on a machine.
     pub(super) fn usage_of_team(&self, job: &Job) -> Resources {
-        self.scheduler.used_by(job.team())
+        self.scheduler.team_usage.of(job.team())
     }
 
     /// How many more tasks of the job its team's limit lets start, when the teams use so much.
-    pub(super) fn quota_headroom(&self, job: &Job, team_usage: &[Resources]) -> u32 {
-        self.scheduler.headroom(job.spec(), job.team(), team_usage)
+    pub(super) fn quota_headroom(&self, job: &Job, team_usage: &TeamUsage) -> u32 {
+        team_usage.headroom(&self.scheduler.policy, job.team(), job.spec())
     }
 
     /// Seconds that a task of the job should run.
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -13,7 +13,7 @@
 use chalklug::coordination::attempts::reconciliation::HeartbeatOutcome;
 use chalklug::coordination::jobs::pending::PendingReason;
 use chalklug::coordination::leadership::recovery::RecoveredState;
-use chalklug::coordination::{Effect, Event, Policy};
+use chalklug::coordination::{Effect, Event, OpenJob, Policy};
 use chalklug::ids::*;
 use chalklug::protocol::state::{Change, KeyValue};
 use chalklug::protocol::users::{parse_submission, JobPhase};
@@ -108,10 +108,14 @@
     let records: Vec<OpenJobRecord> = (0..MACHINES / MACHINES_PER_JOB).map(running_job).collect();
     let intents = (0..).zip(&records);
     RecoveredState {
-        intents: intents.map(|(n, record)| intent_page(n, record)).collect(),
-        open: records
+        intent_pages: intents.map(|(n, record)| intent_page(n, record)).collect(),
+        open_jobs: records
             .into_iter()
-            .map(|record| (record, KeyRevision(1), Instant(0)))
+            .map(|record| OpenJob {
+                record,
+                revision: KeyRevision(1),
+                submitted_at: Instant(0),
+            })
             .collect(),
         machine_pages: machine_pages(),
         machine_types: vec![machine_type(GPUS_PER_MACHINE as f64)],
@@ -257,11 +261,11 @@
         "pullGb": 1, "together": false, "scatter": false, "loaners": false, "guessS": 4,
         "markEveryS": 0, "markCostS": 0});
     let record = open_record(&body);
-    Event::JobOpened {
-        record: Box::new(record),
+    Event::JobOpened(Box::new(OpenJob {
+        record,
         revision: KeyRevision(5),
-        submitted: Instant(0),
-    }
+        submitted_at: Instant(0),
+    }))
 }
 
 /// Steps the scheduler until the given time; says for how many tasks of each job intents were written.
@@ -299,8 +303,8 @@
 /// A new leader to which every machine has sent a heartbeat with no task.
 fn idle_cluster(policy: Arc<Policy>, now: Instant) -> RecordedScheduler {
     let mut state = recovered();
-    state.open.clear();
-    state.intents.clear();
+    state.open_jobs.clear();
+    state.intent_pages.clear();
     let mut scheduler = RecordedScheduler::recover(policy, term(9), now, state).unwrap();
     for n in 0..MACHINES {
         let mut empty = status(n, 1, 9, 0);
@@ -365,16 +369,12 @@
 
 /// A job whose tasks need a GPU each is opened.
 fn gpu_job_opened(id: &str, tasks: u32, after: Vec<JobId>) -> Event {
-    let Event::JobOpened { mut record, .. } = job_opened(id, "normal", tasks) else {
+    let Event::JobOpened(mut open_job) = job_opened(id, "normal", tasks) else {
         unreachable!("a job that is opened");
     };
-    record.spec.gpus = 1.0;
-    record.after = after;
-    Event::JobOpened {
-        record,
-        revision: KeyRevision(5),
-        submitted: Instant(0),
-    }
+    open_job.record.spec.gpus = 1.0;
+    open_job.record.after = after;
+    Event::JobOpened(open_job)
 }
 
 /// A thousand jobs depend on one that is cancelled. Guards against repeated writes: each terminal record is
--- a/tests/upgrade/page_splitting.rs
+++ b/tests/upgrade/page_splitting.rs
@@ -7,7 +7,7 @@
 use chalklug::config::OperatorConfig;
 use chalklug::coordination::leadership::recovery::RecoveredState;
 use chalklug::coordination::leadership::LeadershipTerm;
-use chalklug::coordination::{Effect, Event, Policy};
+use chalklug::coordination::{Effect, Event, OpenJob, Policy};
 use chalklug::ids::*;
 use chalklug::protocol::state::{Change, Transaction};
 use chalklug::protocol::users::parse_submission;
@@ -96,9 +96,9 @@
     };
     let recovered = RecoveredState {
         machine_pages: store.list(MACHINE_PAGE_PREFIX),
-        intents: store.list(INTENT_PAGE_PREFIX),
+        intent_pages: store.list(INTENT_PAGE_PREFIX),
         machine_types: vec![machine_type(8.0)],
-        day_ms: 1_700_000_000_000,
+        time_of_day_at_zero_ms: 1_700_000_000_000,
         ..RecoveredState::default()
     };
     RecordedScheduler::recover(policy(announced), term, now, recovered)
@@ -205,11 +205,11 @@
             after: vec![JobId::from("wk-900")],
             dependency_pages: 0,
         };
-        let opened = Event::JobOpened {
-            record: Box::new(record),
+        let opened = Event::JobOpened(Box::new(OpenJob {
+            record,
             revision: KeyRevision(0),
-            submitted: now,
-        };
+            submitted_at: now,
+        }));
         scheduler.on(now, opened);
     }
 }
