--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings: what is ignored, what is refused, and that an error names file, field and reason.
+//! Settings: what is ignored, what is rejected, and that an error names file, field and reason.
 
 use chalklug::config::StateStoreLimits;
 use std::process::Command;
@@ -59,81 +59,74 @@
 
 #[test]
 fn invalid_settings_are_rejected_with_file_and_field() {
+    check_valid_settings();
+    check_invalid_platform_settings();
+    check_invalid_operator_settings();
+}
+
+fn check_valid_settings() {
     assert_eq!(check("good", GOOD, None).0, 0);
     let next = format!("{GOOD}[facts.state.next]\nvalue_kb = 2.0\nwrite_rps = 18.0\n");
     assert_eq!(check("next-good", &next, None).0, 0);
     let close = GOOD.replace("cancel_s = 40.0", "cancel_s = 25.0");
     assert_eq!(check("close", &close, None).0, 0);
     assert_eq!(check("own", GOOD, Some(r#"{"idle_boots": 2.0}"#)).0, 0);
-    let refused = [
+}
+
+/// The settings are refused, and the error names the file and the field.
+fn assert_rejected(name: &str, platform: &str, operator: Option<&str>, file: &str, field: &str) {
+    let (code, text) = check(name, platform, operator);
+    assert_eq!(code, 2, "{name}: {text}");
+    let names_both = text.contains(field) && text.contains(file);
+    assert!(names_both, "{name}: {text}");
+}
+
+fn check_invalid_platform_settings() {
+    let cases = [
         (
             "lease",
             GOOD.replace("lease_s = 20.0", "lease_s = -1.0"),
-            None,
             "facts.workers.lease_s",
         ),
         (
             "cancel",
             GOOD.replace("cancel_s = 40.0", "cancel_s = 23.5"),
-            None,
             "facts.workers.lease_s",
         ),
         (
             "cancel-too",
             GOOD.replace("cancel_s = 40.0", "cancel_s = 23.5"),
-            None,
             "facts.workers.cancel_s",
         ),
-        (
-            "missing",
-            GOOD.replace("lease_s = 20.0", ""),
-            None,
-            "lease_s",
-        ),
+        ("missing", GOOD.replace("lease_s = 20.0", ""), "lease_s"),
         (
             "next",
             format!("{GOOD}[facts.state.next]\nvalue_kb = -2.0\n"),
-            None,
             "facts.state.next.value_kb",
         ),
         (
             "next-ops",
             format!("{GOOD}[facts.state.next]\ntxn_ops = 2\n"),
-            None,
             "facts.state.next.txn_ops",
         ),
-        (
-            "addr",
-            GOOD.replace("127.0.0.1:1\"", "nowhere\""),
-            None,
-            "cloud",
-        ),
-        (
-            "unknown",
-            GOOD.into(),
-            Some(r#"{"idle_boot": 2.0}"#),
-            "idle_boot",
-        ),
-        (
-            "range",
-            GOOD.into(),
-            Some(r#"{"leader_life_ms": 10}"#),
-            "leader_life_ms",
-        ),
+        ("addr", GOOD.replace("127.0.0.1:1\"", "nowhere\""), "cloud"),
+    ];
+    for (name, platform, field) in cases {
+        assert_rejected(name, &platform, None, "platform.toml", field);
+    }
+}
+
+fn check_invalid_operator_settings() {
+    let cases = [
+        ("unknown", r#"{"idle_boot": 2.0}"#, "idle_boot"),
+        ("range", r#"{"leader_life_ms": 10}"#, "leader_life_ms"),
     ];
-    for (name, platform, own, says) in refused {
-        let (code, text) = check(name, &platform, own);
-        assert_eq!(code, 2, "{name}: {text}");
-        let file = if own.is_some() {
-            "operator.json"
-        } else {
-            "platform.toml"
-        };
-        assert!(text.contains(says) && text.contains(file), "{name}: {text}");
+    for (name, operator, field) in cases {
+        assert_rejected(name, GOOD, Some(operator), "operator.json", field);
     }
 }
 
-/// Limits to come are kept to from the start, each for itself; without any, nothing changes.
+/// Announced limits hold from the start, each for itself; without any, nothing changes.
 #[test]
 fn lower_of_current_and_announced_store_limits_holds() {
     let limits = |text: &str| -> StateStoreLimits {
--- a/tests/support/wire_digest.rs
+++ b/tests/support/wire_digest.rs
@@ -55,7 +55,7 @@
         }
     }
 
-    /// The answer to a worker's check-in.
+    /// The response to a worker's heartbeat.
     pub fn heartbeat_response(
         &mut self,
         now: Instant,
