--- a/src/coordination/attempts/commands.rs
+++ b/src/coordination/attempts/commands.rs
@@ -2,17 +2,16 @@
 
 use crate::coordination::attempts::ledger::{PushDelivery, TaskAttempt};
 use crate::coordination::machines::machine::{Machine, MachineState};
-use crate::coordination::{Effect, Scheduler};
-use crate::ids::{MachineId, Session};
+use crate::coordination::Scheduler;
+use crate::ids::MachineId;
 use crate::protocol::workers::{Cause, Command, TaskPhase};
 use crate::time::Instant;
-use std::collections::BTreeSet;
 
 /// The part of the wait for a gang by which fetches may differ, as estimated: they take up to half as
 /// long again.
 const PATIENT: f64 = 0.4;
 /// Orders in one message: keeps its line well under 64 KiB.
-const MAX_COMMANDS: usize = 400;
+pub(super) const MAX_COMMANDS: usize = 400;
 
 impl Scheduler {
     /// Whether an ended start may be cleared: its outcome is durable (or of no interest), and no
@@ -38,7 +37,7 @@
         }
     }
 
-    fn wants_launch(&self, m: &Machine, s: &TaskAttempt) -> bool {
+    pub(super) fn wants_launch(&self, m: &Machine, s: &TaskAttempt) -> bool {
         s.page.is_some()
             && !self.waits_for_mates(s)
             && s.stop.is_none()
@@ -142,85 +141,4 @@
         });
         commands
     }
-
-    /// Launches and stops that needn't wait for the next check-in go straight to the worker: one
-    /// command at a time on each machine, and a bounded number of them at once.
-    pub(crate) fn send_pushes(&mut self, now: Instant) {
-        let mut later = BTreeSet::new();
-        while let Some(machine_id) = self.outbox.pushes_due.pop_first() {
-            let Some(m) = self.machines.get(&machine_id) else {
-                continue;
-            };
-            // An answer that is awaited brings it back here; so does the worker's first report.
-            let never =
-                m.push_in_flight.is_some() || m.endpoint.is_empty() || m.session == Session(0);
-            if never || m.state != MachineState::Up {
-                continue;
-            }
-            if m.push_not_before > now || self.outbox.pushes_in_flight >= self.policy.max_pushes {
-                later.insert(machine_id);
-                continue;
-            }
-            self.push_to(now, &machine_id);
-        }
-        self.outbox.pushes_due = later;
-    }
-
-    fn push_to(&mut self, now: Instant, machine_id: &MachineId) {
-        let Some(m) = self.machines.get(machine_id) else {
-            return;
-        };
-        let mut commands = Vec::new();
-        let mut carried = Vec::new();
-        let mut stops = Vec::new();
-        for s in m.attempts.iter() {
-            if commands.len() >= MAX_COMMANDS {
-                break;
-            }
-            if let Some(w) = s.stop.filter(|_| !s.ended()) {
-                // Repeats are left to the check-ins.
-                if !w.pushed {
-                    commands.extend(Self::stop_command(s, now));
-                    stops.push(s.key());
-                }
-            } else if self.wants_launch(m, s) && !s.in_flight() {
-                commands.push(Command::Launch {
-                    task: s.task.clone(),
-                    attempt_id: s.attempt_id,
-                });
-                carried.push(s.key());
-            }
-        }
-        // Whether a machine that seems deaf hears us after all is seen by asking it.
-        if commands.is_empty() && !m.is_unreachable() {
-            return;
-        }
-        let (endpoint, session) = (m.endpoint.clone(), m.session);
-        let seq = self.seq();
-        let token = self.leadership.token();
-        self.outbox.pushes_in_flight += 1;
-        if let Some(m) = self.machines.get_mut(machine_id) {
-            m.push_in_flight = Some(seq);
-            for key in carried {
-                if let Some(s) = m.attempts.get_mut(&key) {
-                    s.push = PushDelivery::InFlight(seq);
-                    s.launched_in = Some(session);
-                    s.launched_with = Some(token);
-                }
-            }
-            for key in stops {
-                if let Some(w) = m.attempts.get_mut(&key).and_then(|s| s.stop.as_mut()) {
-                    w.pushed = true;
-                }
-            }
-        }
-        self.effects.push(Effect::Push {
-            machine_id: machine_id.clone(),
-            endpoint,
-            seq,
-            token,
-            session,
-            commands,
-        });
-    }
 }
--- a/src/coordination/attempts/ledger/mod.rs
+++ b/src/coordination/attempts/ledger/mod.rs
@@ -29,6 +29,9 @@
 use crate::storage::records::LaunchIntent;
 use crate::time::Instant;
 
+/// Attempts on one machine, tombstones included: keeps its worker's status well under 64 KiB.
+pub(crate) const MAX_ATTEMPTS_PER_MACHINE: usize = 400;
+
 /// All that a change of the ledger touches.
 pub(crate) struct AttemptLedger<'a> {
     machines: &'a mut MachineTable,
--- a/src/coordination/attempts/ledger/task_attempt.rs
+++ b/src/coordination/attempts/ledger/task_attempt.rs
@@ -1,10 +1,11 @@
 //! One attempt of a task: how it was launched, and what its worker said of it.
 
+use super::StatusEvidence;
 use crate::coordination::jobs::job::Job;
 use crate::ids::{
     AttemptId, AttemptKey, FencingToken, Image, PageNumber, Session, TaskId, TeamIndex, Tick,
 };
-use crate::protocol::workers::{Cause, TaskPhase};
+use crate::protocol::workers::{Cause, TaskPhase, TaskStatus};
 use crate::resources::Resources;
 use crate::time::Instant;
 
@@ -32,6 +33,30 @@
     pub at: (Session, Tick),
 }
 
+impl LastStatus {
+    /// What a status at `at` says of a task, after what was known of it before.
+    pub(in crate::coordination::attempts) fn after(
+        before: Option<LastStatus>,
+        task: &TaskStatus,
+        at: (Session, Tick),
+        now: Instant,
+    ) -> LastStatus {
+        let same_phase = before.filter(|before| before.phase == task.phase);
+        LastStatus {
+            phase: task.phase,
+            cause: task.cause,
+            stored: task.stored,
+            since: same_phase.map_or(now, |before| before.since),
+            at,
+        }
+    }
+
+    /// Whether another status says the same of the attempt.
+    pub(in crate::coordination::attempts) fn says_the_same_as(&self, other: &LastStatus) -> bool {
+        (self.phase, self.cause, self.stored) == (other.phase, other.cause, other.stored)
+    }
+}
+
 /// A wish that a start end.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct StopRequest {
@@ -115,6 +140,26 @@
         self.last_status
             .is_some_and(|s| s.phase == TaskPhase::Ended)
     }
+    /// Takes in what a status says of launches under way. True if it settles one that the response to a
+    /// heartbeat carried.
+    pub(in crate::coordination::attempts) fn settle_launches(
+        &mut self,
+        status: &StatusEvidence,
+    ) -> bool {
+        if let PushDelivery::Lost(session, token) = self.push {
+            if session < status.at.0 || token < status.token {
+                // The worker refuses that command from now on.
+                self.push = PushDelivery::None;
+            }
+        }
+        let carrier = self.heartbeat_carrier.filter(|_| status.is_heartbeat);
+        let is_settled = carrier.is_some_and(|tick| tick < status.at.1 || status.starts_session);
+        if is_settled {
+            // A later heartbeat means that the response was either executed or dropped.
+            self.heartbeat_carrier = None;
+        }
+        is_settled
+    }
     /// Whether a launch of it can still arrive.
     pub fn in_flight(&self) -> bool {
         self.heartbeat_carrier.is_some() || self.push != PushDelivery::None
--- a/src/coordination/attempts/mod.rs
+++ b/src/coordination/attempts/mod.rs
@@ -1,10 +1,12 @@
 //! Task attempts: the ledger of all that may be on machines, the proofs by which an attempt leaves it, and
 //! the commands that workers are sent.
 
-pub mod commands;
+mod commands;
+mod leases;
 pub mod ledger;
+mod pushes;
 pub mod reconciliation;
-pub mod stops;
+mod stops;
 mod task_ends;
 
 use crate::ids::{JobId, MachineId};
--- /dev/null
+++ b/src/coordination/attempts/reconciliation/session.rs
@@ -0,0 +1,122 @@
+//! What a worker's status says of its machine: that it is up, its session, whether it hears us, and that it
+//! is to be reclaimed.
+
+use super::StatusSource;
+use crate::coordination::attempts::ledger::StatusEvidence;
+use crate::coordination::autoscaler::MachineOffer;
+use crate::coordination::machines::machine::{Machine, MachineState};
+use crate::coordination::Scheduler;
+use crate::ids::{MachineId, Session};
+use crate::protocol::workers::WorkerStatus;
+use crate::time::{Instant, TimeSpan};
+
+impl Scheduler {
+    /// A machine that is not known is not verified by its status, which may be a late copy of one of a machine
+    /// long terminated: it is given work once it has shown our token.
+    pub(super) fn add_unknown_machine(&mut self, now: Instant, status: &WorkerStatus) {
+        if self.machines.contains_key(&status.machine_id) {
+            return;
+        }
+        tracing::info!(machine = %status.machine_id, machine_type = %status.machine_type, "heartbeat of an unknown machine");
+        let offer = MachineOffer {
+            machine_type: status.machine_type.clone(),
+            zone: status.zone.clone(),
+            spot: status.spot,
+        };
+        self.add_machine(now, &status.machine_id, &offer, now, false);
+    }
+
+    /// Notes what a status says of its machine, and returns what it proves of attempts; `None` if it is not
+    /// newer than all before.
+    pub(super) fn update_session(
+        &mut self,
+        now: Instant,
+        status: &WorkerStatus,
+        source: StatusSource,
+    ) -> Option<StatusEvidence> {
+        let machine = self.machines.get(&status.machine_id)?;
+        if (status.session, status.tick) <= (machine.session, machine.tick) {
+            return None;
+        }
+        if machine.state == MachineState::Booting {
+            self.machine_came_up(now, &status.machine_id);
+        }
+        let initial_token = self.leadership.initial_token();
+        let lease_expiry_bound = self.policy.lease_expiry_bound();
+        let machine = self.machines.get_mut(&status.machine_id)?;
+        let evidence = StatusEvidence {
+            at: (status.session, status.tick),
+            token: status.token,
+            is_heartbeat: source == StatusSource::Heartbeat,
+            starts_session: status.session > machine.session,
+            is_confirmed: status.token >= initial_token,
+        };
+        if machine.endpoint != status.endpoint {
+            machine.endpoint.clone_from(&status.endpoint);
+        }
+        machine.reachability.token_seen(status.token, initial_token);
+        if evidence.starts_session {
+            start_session(machine, now, lease_expiry_bound);
+        }
+        machine.session = status.session;
+        machine.tick = status.tick;
+        machine.last_message_at = Some(now);
+        self.update_reclaim_notice(now, status);
+        if evidence.is_confirmed {
+            self.confirm_machine(&status.machine_id);
+        }
+        Some(evidence)
+    }
+
+    fn machine_came_up(&mut self, now: Instant, machine_id: &MachineId) {
+        let Some(machine) = self.machines.get_mut(machine_id) else {
+            return;
+        };
+        machine.state = MachineState::Up;
+        machine.idle_since = Some(now);
+        tracing::debug!(machine = %machine_id, boot_ms = (now - machine.since).0, "machine is up");
+        let page = machine.page;
+        self.placement.request_pass();
+        self.machines.reindex(machine_id);
+        if let Some(page) = page {
+            self.writer.machine_pages.changed(now, page);
+        }
+    }
+
+    fn update_reclaim_notice(&mut self, now: Instant, status: &WorkerStatus) {
+        let Some(machine) = self.machines.get_mut(&status.machine_id) else {
+            return;
+        };
+        let reclaim_at = status.recall_s.map(|s| now + TimeSpan::from_secs(s));
+        let is_new = machine.reclaim_at.is_none() && reclaim_at.is_some();
+        machine.reclaim_at = reclaim_at;
+        if is_new {
+            tracing::debug!(machine = %status.machine_id, "spot preemption notice");
+            self.placement.request_pass();
+            self.outbox
+                .machines_to_review
+                .insert(status.machine_id.clone());
+        }
+    }
+
+    /// A status with a token of this leadership was written after it began.
+    fn confirm_machine(&mut self, machine_id: &MachineId) {
+        let unconfirmed = self.machines.get_mut(machine_id).filter(|m| !m.confirmed);
+        let Some(machine) = unconfirmed else {
+            return;
+        };
+        machine.confirmed = true;
+        machine.mark_reachable();
+        self.placement.request_pass();
+        self.machines.reindex(machine_id);
+    }
+}
+
+/// The machine's worker has begun another session: the lease of the one before has run out.
+fn start_session(machine: &mut Machine, now: Instant, lease_expiry_bound: TimeSpan) {
+    let is_first = machine.session == Session(0);
+    if !is_first && now - machine.last_response_at < lease_expiry_bound {
+        machine.reachability.lease_lost_despite_responses();
+    }
+    machine.session_first_seen_at = now;
+}
--- a/src/coordination/machines/machine.rs
+++ b/src/coordination/machines/machine.rs
@@ -1,17 +1,13 @@
 //! A machine as the leader holds it.
 
+use super::reachability::Reachability;
 use super::reservation::Reservation;
 use crate::coordination::attempts::ledger::{MachineAttempts, TaskAttempt};
-use crate::ids::{
-    FencingToken, Image, JobId, MachineId, MachineType, PageNumber, Session, Tick, Zone,
-};
+use crate::ids::{Image, JobId, MachineId, MachineType, PageNumber, Session, Tick, Zone};
 use crate::resources::Resources;
 use crate::time::{Instant, TimeSpan};
 use std::collections::BTreeSet;
 
-/// Check-ins in a row that show nothing of what we answered before: the machine counts as deaf.
-pub const MAX_UNACKNOWLEDGED_RESPONSES: u32 = 2;
-
 /// Where a machine is in its life, as far as the leader knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MachineState {
@@ -43,13 +39,8 @@
     pub verified: bool,
     /// A report with a token of this leadership has been seen.
     pub confirmed: bool,
-    /// The highest token that we answered it with, and that it has shown.
-    pub token_sent: FencingToken,
-    pub token_acknowledged: FencingToken,
-    /// Check-ins in a row that showed nothing of what we had answered, and since when it has counted
-    /// as deaf.
-    pub unacknowledged_responses: u32,
-    pub unreachable_since: Option<Instant>,
+    /// Whether it receives what it is answered.
+    pub reachability: Reachability,
     /// Deliberately not answered any more, so that its lease runs out.
     pub lease_withheld: bool,
     /// When its last message arrived, of any kind, and its last check-in.
@@ -112,10 +103,7 @@
             last_heartbeat: (Session(0), Tick(0)),
             verified: true,
             confirmed: false,
-            token_sent: FencingToken(0),
-            token_acknowledged: FencingToken(0),
-            unacknowledged_responses: 0,
-            unreachable_since: None,
+            reachability: Reachability::default(),
             lease_withheld: false,
             last_message_at: None,
             last_heartbeat_at: None,
@@ -161,13 +149,12 @@
 
     /// Whether nothing that we say seems to reach it.
     pub fn is_unreachable(&self) -> bool {
-        self.unacknowledged_responses >= MAX_UNACKNOWLEDGED_RESPONSES
+        self.reachability.is_unreachable()
     }
 
     /// It has shown that it hears us.
     pub fn mark_reachable(&mut self) {
-        self.unacknowledged_responses = 0;
-        self.unreachable_since = None;
+        self.reachability.mark_reachable();
     }
 
     /// Whether it may be given new work: it reports, our commands reach it, and nothing is known that speaks
--- a/src/coordination/machines/mod.rs
+++ b/src/coordination/machines/mod.rs
@@ -2,5 +2,6 @@
 
 pub mod images;
 pub mod machine;
+mod reachability;
 mod reservation;
 pub mod table;
--- a/src/coordination/placement/candidates.rs
+++ b/src/coordination/placement/candidates.rs
@@ -7,7 +7,7 @@
 use super::request::allows_machine;
 use super::zones::{ZoneChoice, ZoneSpread};
 use super::Placement;
-use crate::coordination::attempts::reconciliation::MAX_LISTED;
+use crate::coordination::attempts::ledger::MAX_ATTEMPTS_PER_MACHINE;
 use crate::coordination::jobs::graph::Label;
 use crate::coordination::jobs::job::Job;
 use crate::coordination::machines::machine::Machine;
@@ -69,7 +69,7 @@
     }
 
     fn has_room_for(&self, request: &Resources) -> bool {
-        request.fits(&self.free) && self.attempt_count < MAX_LISTED
+        request.fits(&self.free) && self.attempt_count < MAX_ATTEMPTS_PER_MACHINE
     }
 }
 
@@ -152,7 +152,9 @@
         self.view
             .machines()
             .with_room_for(spec)
-            .filter(|machine| request.fits(machine.free()) && machine.attempts.len() < MAX_LISTED)
+            .filter(|machine| {
+                request.fits(machine.free()) && machine.attempts.len() < MAX_ATTEMPTS_PER_MACHINE
+            })
             .filter(|machine| allows_machine(spec, machine) && zones.includes(&machine.zone))
             .filter(|machine| self.view.is_usable(machine) && !self.state.is_reserved(&machine.id))
             .filter(|machine| locality.is_met_by(machine, &spec.image))
