--- a/src/coordination/attempts/reconciliation/mod.rs
+++ b/src/coordination/attempts/reconciliation/mod.rs
@@ -23,7 +23,6 @@
 
 /// The answer to a heartbeat.
 #[derive(Debug, PartialEq)]
-#[must_use]
 pub enum HeartbeatOutcome {
     /// 200 with these commands.
     Commands(Vec<Command>),
