--- a/src/coordination/autoscaler/mod.rs
+++ b/src/coordination/autoscaler/mod.rs
@@ -56,8 +56,11 @@
     arrivals: ArrivalRates,
     /// Machines held ready, each for a job class.
     warm_pool: WarmPool,
+    /// When the last forecast was made.
     last_forecast_at: Instant,
+    /// When it was last looked what to give back.
     last_scale_in_at: Instant,
+    /// When the state of the cluster was last logged.
     last_logged_at: Instant,
     /// The cloud's rate, as far as it may be used.
     api_calls: TokenBucket,
--- a/src/coordination/autoscaler/scale_out.rs
+++ b/src/coordination/autoscaler/scale_out.rs
@@ -96,7 +96,9 @@
 /// The machines that a request brought.
 struct GrantedMachines {
     machine_ids: Vec<MachineId>,
+    /// What they were rented as.
     offer: MachineOffer,
+    /// When they were first requested.
     requested_at: Instant,
 }
 
@@ -233,6 +235,7 @@
 /// How good an offer is; the least one is taken.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 struct OfferRank {
+    /// The machine's price divided by the number of tasks that fit on it.
     price_per_task: f64,
     /// Among equally cheap offers machines are spread over the zones.
     machines_in_zone: usize,
