--- a/src/coordination/attempts/commands.rs
+++ b/src/coordination/attempts/commands.rs
@@ -25,14 +25,14 @@
         if !s.ended()
             || s.in_flight()
             || s.launched_with
-                .is_some_and(|b| b >= self.leadership.term.token)
+                .is_some_and(|b| b >= self.leadership.token())
         {
             return false;
         }
         let done = s.last_status.is_some_and(|x| x.cause == Some(Cause::Done));
         match self.jobs.get(&s.task.job) {
-            Some(j) if done && !j.closed => {
-                j.done.has(s.task.index) && !j.unpersisted.contains(&s.task.index)
+            Some(j) if done && !j.is_closed() => {
+                j.completed().has(s.task.index) && !j.unpersisted().contains(&s.task.index)
             }
             _ => true,
         }
@@ -73,7 +73,7 @@
                 && m.image_s.is_some_and(|later| later > soon + patience)
                 && m.last_status.is_none_or(|x| x.phase == TaskPhase::Fetching)
         };
-        job.placements
+        job.placements()
             .values()
             .flatten()
             .filter_map(|h| self.machines.get(h))
@@ -197,7 +197,7 @@
         }
         let (endpoint, session) = (m.endpoint.clone(), m.session);
         let seq = self.seq();
-        let token = self.leadership.term.token;
+        let token = self.leadership.token();
         self.outbox.pushes_in_flight += 1;
         if let Some(m) = self.machines.get_mut(machine_id) {
             m.push_in_flight = Some(seq);
--- a/src/coordination/attempts/placements.rs
+++ b/src/coordination/attempts/placements.rs
@@ -2,56 +2,45 @@
 
 use crate::coordination::attempts::task_attempt::TaskAttempt;
 use crate::coordination::Scheduler;
-use crate::ids::{AttemptId, JobId, MachineId, TaskId};
+use crate::ids::{AttemptId, AttemptKey, JobId, MachineId, TaskId};
 use crate::time::Instant;
 
 impl Scheduler {
     pub(crate) fn attempt_mut(
         &mut self,
         machine_id: &MachineId,
-        key: &(TaskId, AttemptId),
+        key: &AttemptKey,
     ) -> Option<&mut TaskAttempt> {
         self.machines.get_mut(machine_id)?.attempts.get_mut(key)
     }
 
     pub(crate) fn add_place(&mut self, machine_id: &MachineId, task: &TaskId) {
-        if let Some(job) = self.jobs.get_mut(&task.job) {
-            let placements = job.placements.entry(task.index).or_default();
-            if !placements.contains(machine_id) {
-                placements.push(machine_id.clone());
-            }
-            job.pending.remove(&task.index);
-            self.jobs.reindex(&task.job);
-        }
+        self.jobs
+            .update(&task.job, |job| job.task_placed(task.index, machine_id));
     }
 
     /// The task is no longer on that machine (ended there, or proven gone).
     pub(crate) fn drop_place(&mut self, machine_id: &MachineId, task: &TaskId) {
         // Another try of the same task may be on this machine.
         let still = self.machines.get(machine_id).is_some_and(|m| {
-            let tries = (task.clone(), AttemptId(0))..=(task.clone(), AttemptId(u64::MAX));
+            let key = |attempt_id| AttemptKey {
+                task: task.clone(),
+                attempt_id,
+            };
+            let tries = key(AttemptId(0))..=key(AttemptId(u64::MAX));
             m.attempts.range(tries).any(|(_, s)| !s.ended())
         });
-        self.placement.due = true;
-        let Some(job) = self.jobs.get_mut(&task.job) else {
-            return;
-        };
+        self.placement.request_pass();
         if still {
             return;
         }
-        if let Some(placements) = job.placements.get_mut(&task.index) {
-            placements.retain(|h| h != machine_id);
-            if placements.is_empty() {
-                job.placements.remove(&task.index);
-            }
-        }
-        if job.needs_run(task.index) && !job.placements.contains_key(&task.index) {
-            job.pending.insert(task.index);
-        }
-        if job.is_all_or_nothing() {
+        let gang = self.jobs.update(&task.job, |job| {
+            job.task_left_machine(task.index, machine_id);
+            job.needs_gang_scheduling()
+        });
+        if gang == Some(true) {
             self.outbox.gangs_to_check.insert(task.job.clone());
         }
-        self.jobs.reindex(&task.job);
     }
 
     /// A start is proven gone. Callers name the proof.
@@ -59,15 +48,15 @@
         &mut self,
         now: Instant,
         machine_id: &MachineId,
-        key: &(TaskId, AttemptId),
+        key: &AttemptKey,
     ) {
         let Some(s) = self.detach_attempt(now, machine_id, key) else {
             return;
         };
         self.note_idle(now, machine_id);
         if !s.ended() {
-            tracing::debug!(task = %key.0, machine = %machine_id, "proven gone");
-            self.drop_place(machine_id, &key.0);
+            tracing::debug!(task = %key.task, machine = %machine_id, "proven gone");
+            self.drop_place(machine_id, &key.task);
         }
     }
 
@@ -91,7 +80,7 @@
             .attempts
             .values()
             .filter(|s| s.task.job == *job && s.untouched())
-            .map(|s| (s.task.clone(), s.attempt_id))
+            .map(|s| s.key())
             .collect();
         for key in keys {
             // Proof: never launched. If its intent is being written, that only errs on the safe side.
--- a/src/coordination/attempts/reconciliation.rs
+++ b/src/coordination/attempts/reconciliation.rs
@@ -4,9 +4,10 @@
 //! where that happens, and each caller names its proof.
 
 use crate::coordination::attempts::task_attempt::{LastStatus, PushDelivery, TaskAttempt};
+use crate::coordination::autoscaler::MachineOffer;
 use crate::coordination::machines::machine::{MachineState, MAX_UNACKNOWLEDGED_RESPONSES};
 use crate::coordination::{Effect, Scheduler};
-use crate::ids::{AttemptId, JobId, MachineId, Session, TaskId};
+use crate::ids::{AttemptKey, JobId, MachineId, Session};
 use crate::protocol::workers::{Cause, Command, TaskPhase, TaskStatus, WorkerStatus};
 use crate::time::{Instant, TimeSpan};
 
@@ -40,7 +41,7 @@
     /// A worker's check-in. The caller has made sure of the leader's authority, and sends the
     /// orders only if it still holds then.
     pub fn heartbeat(&mut self, now: Instant, status: &WorkerStatus) -> HeartbeatOutcome {
-        if status.token > self.leadership.term.token {
+        if status.token > self.leadership.token() {
             self.effects.push(Effect::StepDown {
                 why: "a worker has seen a higher token",
             });
@@ -60,7 +61,7 @@
         }
         let fresh = self.take_report(now, status, StatusSource::Heartbeat);
         self.review(now, &status.machine_id);
-        let token = self.leadership.term.token;
+        let token = self.leadership.token();
         let Some(m) = self.machines.get_mut(&status.machine_id) else {
             return HeartbeatOutcome::Refused;
         };
@@ -88,7 +89,7 @@
         seq: u64,
         status: &WorkerStatus,
     ) {
-        if status.token > self.leadership.term.token {
+        if status.token > self.leadership.token() {
             self.effects.push(Effect::StepDown {
                 why: "a worker has seen a higher token",
             });
@@ -113,7 +114,7 @@
         seq: u64,
         sent: bool,
     ) {
-        let token = self.leadership.term.token;
+        let token = self.leadership.token();
         let Some(m) = self.machines.get_mut(machine_id) else {
             return;
         };
@@ -155,17 +156,14 @@
             tracing::info!(machine = %r.machine_id, machine_type = %r.machine_type, "a machine reports that was not known");
             // Not verified: this may be a late copy of a report of a machine long returned. It is
             // given work once it has shown our token.
-            self.enter_machine(
-                now,
-                machine_id,
-                &r.machine_type,
-                &r.zone,
-                r.spot,
-                now,
-                false,
-            );
-        }
-        let first = self.leadership.term.first;
+            let offer = MachineOffer {
+                machine_type: r.machine_type.clone(),
+                zone: r.zone.clone(),
+                spot: r.spot,
+            };
+            self.add_machine(now, machine_id, &offer, now, false);
+        }
+        let first = self.leadership.initial_token();
         let Some(m) = self.machines.get_mut(machine_id) else {
             return false;
         };
@@ -176,7 +174,7 @@
             m.state = MachineState::Up;
             m.idle_since = Some(now);
             tracing::debug!(machine = %m.id, boot_ms = (now - m.since).0, "machine is up");
-            self.placement.due = true;
+            self.placement.request_pass();
             let page = m.page;
             self.machines.reindex(machine_id);
             if let Some(page) = page {
@@ -209,7 +207,7 @@
         let recall = r.recall_s.map(|s| now + TimeSpan::from_secs(s));
         if m.reclaim_at.is_none() && recall.is_some() {
             tracing::debug!(machine = %m.id, "spot notice");
-            self.placement.due = true;
+            self.placement.request_pass();
             self.outbox.machines_to_review.insert(machine_id.clone());
         }
         m.reclaim_at = recall;
@@ -219,7 +217,7 @@
         if confirmed && !m.confirmed {
             m.confirmed = true;
             m.mark_reachable();
-            self.placement.due = true;
+            self.placement.request_pass();
             self.machines.reindex(machine_id);
         }
         for p in &r.tasks {
@@ -238,7 +236,10 @@
         r: &WorkerStatus,
         confirmed: bool,
     ) {
-        let key = (p.task.clone(), p.attempt_id);
+        let key = AttemptKey {
+            task: p.task.clone(),
+            attempt_id: p.attempt_id,
+        };
         let Some(m) = self.machines.get_mut(machine_id) else {
             return;
         };
@@ -301,7 +302,7 @@
             if let Some(job) = self.jobs.get(&p.task.job) {
                 self.outbox
                     .pushes_due
-                    .extend(job.placements.values().flatten().cloned());
+                    .extend(job.placements().values().flatten().cloned());
             }
         }
         if p.phase == TaskPhase::Running && was != Some(TaskPhase::Running) {
@@ -321,8 +322,8 @@
         let Some(machine) = self.machines.get_mut(machine_id) else {
             return;
         };
-        let new = !machine.has_image(&job.spec.image);
-        machine.use_image(&job.spec.image, job.spec.image_gb, cache_gb);
+        let new = !machine.has_image(&job.spec().image);
+        machine.use_image(&job.spec().image, job.spec().image_gb, cache_gb);
         if let Some(page) = machine.page.filter(|_| new) {
             self.writer.machine_pages.changed(now, page);
         }
@@ -413,14 +414,14 @@
         let lease_expiry_bound = self.policy.lease_expiry_bound();
         let quiet = self.machines.values().filter(|m| !m.attempts.is_empty());
         let quiet = quiet.filter(|m| {
-            now - m.last_response_at.max(self.leadership.began_at) > lease_expiry_bound
+            now - m.last_response_at.max(self.leadership.began_at()) > lease_expiry_bound
         });
-        let expired: Vec<(MachineId, (TaskId, AttemptId))> = quiet
+        let expired: Vec<(MachineId, AttemptKey)> = quiet
             .flat_map(|m| {
                 let gone = |s: &&TaskAttempt| {
-                    now - m.lease_from(s).max(self.leadership.began_at) > lease_expiry_bound
+                    now - m.lease_from(s).max(self.leadership.began_at()) > lease_expiry_bound
                 };
-                let key = |s: &TaskAttempt| (m.id.clone(), (s.task.clone(), s.attempt_id));
+                let key = |s: &TaskAttempt| (m.id.clone(), s.key());
                 m.attempts.values().filter(gone).map(key)
             })
             .collect();
@@ -428,7 +429,7 @@
             // Proof 3: no entitled controller has answered it for longer than its lease, and the
             // session that the start belongs to is older than that too. Starts that were never
             // launched stay planned no longer either.
-            tracing::info!(machine = %machine_id, task = %key.0, "lease over: the task is gone");
+            tracing::info!(machine = %machine_id, task = %key.task, "lease over: the task is gone");
             self.remove_attempt(now, &machine_id, &key);
         }
         let patience = self.policy.silence();
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -15,14 +15,14 @@
 mod view;
 
 pub use effect::Effect;
-pub use event::Event;
+pub use event::{Event, ScaleOutAnswer};
 pub use policy::Policy;
 pub use view::ClusterView;
 
 use crate::ids::{AttemptId, FencingToken, JobId, KeyRevision};
 use crate::resources::Resources;
 use crate::storage::records::OpenJobRecord;
-use crate::time::{Instant, TimeSpan};
+use crate::time::Instant;
 use attempts::Outbox;
 use autoscaler::Autoscaler;
 use jobs::aging::Aging;
@@ -70,14 +70,14 @@
 pub type JobCounts = (JobId, u32, u32);
 
 impl Scheduler {
-    /// The leader's token.
+    /// The fencing token in force.
     pub fn token(&self) -> FencingToken {
-        self.leadership.term.token
+        self.leadership.token()
     }
 
-    /// The token that this leadership began with.
-    pub fn first_token(&self) -> FencingToken {
-        self.leadership.term.first
+    /// The fencing token that this leadership began with.
+    pub fn initial_token(&self) -> FencingToken {
+        self.leadership.initial_token()
     }
 
     /// Machines whose workers should be reporting.
@@ -90,7 +90,10 @@
     pub fn attempt_counts(&self) -> AttemptCounts {
         let mut listed = AttemptCounts::default();
         for attempt in self.machines.values().flat_map(|m| m.attempts.values()) {
-            let open = self.jobs.get(&attempt.task.job).is_some_and(|j| !j.closed);
+            let open = self
+                .jobs
+                .get(&attempt.task.job)
+                .is_some_and(|j| !j.is_closed());
             listed.all += 1;
             listed.of_closed_jobs += usize::from(!open);
         }
@@ -133,16 +136,20 @@
             } => self.push_failed(now, &machine_id, seq, sent),
             Event::MachineTypes(machine_types) => {
                 self.machines.set_types(machine_types);
-                self.placement.due = true;
+                self.placement.request_pass();
             }
             Event::MachinesListed { asked, machines } => self.machines_listed(now, asked, machines),
             Event::ScaleOutAnswered {
                 idempotency_key,
-                machine_ids,
-            } => self.rented(now, &idempotency_key, machine_ids),
-            Event::ScaleOutUnclear { idempotency_key } => self.rent_unclear(now, &idempotency_key),
-            Event::MachinesTerminated { machine_ids } => self.returned(now, &machine_ids),
-            Event::ScaleInFailed { machine_ids } => self.return_failed(now, &machine_ids),
+                answer,
+            } => self.scale_out_answered(now, &idempotency_key, answer),
+            Event::ScaleOutUnclear { idempotency_key } => {
+                self.autoscaler.scale_out_unclear(now, &idempotency_key)
+            }
+            Event::MachinesTerminated { machine_ids } => {
+                self.machines_terminated(now, &machine_ids)
+            }
+            Event::ScaleInFailed { machine_ids } => self.scale_in_failed(now, &machine_ids),
             Event::Written {
                 seq,
                 store_revision,
@@ -163,21 +170,19 @@
             self.apply_graph_changes(now);
             self.recheck_machines(now);
             self.recheck_aging(now);
-            self.recheck_images();
+            self.machines.recheck_cached_images();
             self.forget_closed_jobs();
-            self.log_state(now);
-            self.placement.due = true;
+            self.log_cluster_state(now);
+            self.placement.request_pass();
         }
         self.read_terminal_records(now);
         self.stop_unwanted(now);
-        if self.placement.due && now - self.placement.last_pass_at >= PASS_EVERY {
-            self.placement.last_pass_at = now;
-            self.placement.due = false;
+        if self.placement.start_pass_if_due(now) {
             self.jobs.graph.refresh();
-            self.choose_warm_pool(now);
+            self.update_warm_pool(now);
             let unplaced = self.place(now);
             self.preempt(now, &unplaced);
-            self.size_fleet(now, unplaced);
+            self.autoscale(now, &unplaced);
         }
         self.write(now);
         self.send_pushes(now);
@@ -188,8 +193,8 @@
     pub fn counts(&self) -> Vec<JobCounts> {
         self.jobs
             .iter()
-            .filter(|(_, j)| !j.closed)
-            .map(|(id, j)| (id.clone(), j.done.count(), j.running))
+            .filter(|(_, j)| !j.is_closed())
+            .map(|(id, j)| (id.clone(), j.completed().count(), j.running_count()))
             .filter(|(_, done, running)| *done + *running > 0)
             .collect()
     }
@@ -197,7 +202,7 @@
     /// Counts of one job, for display only.
     pub fn counts_of(&self, id: &JobId) -> (u32, u32) {
         let job = self.jobs.get(id);
-        job.map_or((0, 0), |j| (j.done.count(), j.running))
+        job.map_or((0, 0), |j| (j.completed().count(), j.running_count()))
     }
 
     fn open_jobs(&mut self, now: Instant, jobs: Vec<(OpenJobRecord, KeyRevision, Instant)>) {
@@ -205,7 +210,7 @@
         let closed: Vec<JobId> = self
             .jobs
             .iter()
-            .filter(|(id, j)| !j.closed && !listed.contains(*id))
+            .filter(|(id, j)| !j.is_closed() && !listed.contains(*id))
             .map(|(id, _)| id.clone())
             .collect();
         for id in closed {
@@ -220,9 +225,7 @@
     fn forget_closed_jobs(&mut self) {
         let idle: Vec<JobId> = self
             .jobs
-            .index
-            .forgettable
-            .iter()
+            .forgettable()
             .filter(|id| !self.writer.mentions(id))
             .cloned()
             .collect();
@@ -231,6 +234,3 @@
         }
     }
 }
-
-/// Placement looks at most this often: what happens in between is decided together.
-const PASS_EVERY: TimeSpan = TimeSpan(40);
--- a/src/coordination/persistence/mod.rs
+++ b/src/coordination/persistence/mod.rs
@@ -11,23 +11,24 @@
 mod limits;
 mod machine_pages;
 mod outcomes;
+mod pages;
 
+use crate::config::StateStoreLimits;
 use crate::coordination::attempts::task_attempt::{PushDelivery, TaskAttempt};
 use crate::coordination::jobs::job::Job;
 use crate::coordination::machines::machine::Machine;
 use crate::coordination::{Effect, Scheduler};
 use crate::ids::{FencingToken, JobId, KeyRevision, MachineId, PageNumber};
 use crate::protocol::state::{Change, Precondition, Transaction};
-use crate::settings::StateLimits;
-use crate::storage::pages::{IntentPages, MachinePages, PlacedAttempt};
 use crate::storage::records::{
-    dependency_list_key, dependency_page_key, open_key, progress_key, LeaderRecord,
+    dependency_list_key, dependency_page_key, open_key, LaunchIntent, LeaderRecord, ProgressKey,
     FENCING_TOKEN_KEY, HINTS_KEY, LEADER_KEY, TASKS_PER_PROGRESS_RECORD,
 };
 use crate::time::{Instant, TimeSpan};
-use crate::transport::budget::Budget;
+use crate::transport::token_bucket::TokenBucket;
 use draft::{Draft, FINISH_OPS};
 use limits::WriteLimits;
+use pages::{IntentPages, MachinePages};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -37,7 +38,7 @@
     /// A page of intents holds these, and nothing else.
     Intents {
         page: PageNumber,
-        keys: Vec<PlacedAttempt>,
+        keys: Vec<LaunchIntent>,
     },
     /// A page of intents goes: nothing on it is true any more.
     DropIntents { page: PageNumber },
@@ -48,8 +49,7 @@
     },
     /// Done tasks of one chunk.
     Progress {
-        job: JobId,
-        chunk: u32,
+        key: ProgressKey,
         tasks: BTreeSet<u32>,
     },
     /// A job is done.
@@ -87,7 +87,7 @@
 pub struct Writer {
     flight: Flight,
     limits: WriteLimits,
-    budget: Budget,
+    budget: TokenBucket,
     not_before: Instant,
     /// When the last transaction was begun.
     last: Instant,
@@ -95,7 +95,7 @@
     pub(crate) intents: IntentPages,
     pub(crate) machine_pages: MachinePages,
     /// Versions of progress records, and when progress was last written.
-    pub(crate) progress: BTreeMap<(JobId, u32), KeyRevision>,
+    pub(crate) progress: BTreeMap<ProgressKey, KeyRevision>,
     progress_at: Instant,
     /// Progress records of jobs that are over.
     pub(crate) orphaned_progress: BTreeMap<String, KeyRevision>,
@@ -127,14 +127,14 @@
 
 impl Writer {
     /// A writer that keeps within its part of the write rate.
-    pub fn new(state: &StateLimits, now: Instant) -> Writer {
+    pub fn new(state: &StateStoreLimits, now: Instant) -> Writer {
         // The rest is left to submissions, cancellations and the lease.
         let mine = state.write_rps * 0.7;
         let limits = WriteLimits::new(state);
         Writer {
             flight: Flight::None,
             limits,
-            budget: Budget::new(mine, mine),
+            budget: TokenBucket::new(mine, mine),
             not_before: Instant(0),
             last: Instant::LONG_AGO,
             intents: IntentPages::default(),
@@ -163,9 +163,8 @@
     pub(crate) fn mentions(&self, id: &JobId) -> bool {
         match &self.flight {
             Flight::Writing { works, .. } => works.iter().any(|w| match w {
-                Work::Progress { job, .. } | Work::Finish { job } | Work::Cancel { job } => {
-                    job == id
-                }
+                Work::Progress { key, .. } => key.job == *id,
+                Work::Finish { job } | Work::Cancel { job } => job == id,
                 _ => false,
             }),
             _ => false,
@@ -196,7 +195,7 @@
         let mut draft = Draft {
             preconditions: BTreeMap::from([(
                 LEADER_KEY.to_string(),
-                self.leadership.term.revision,
+                self.leadership.term().leader_key_revision,
             )]),
             changes: Vec::new(),
             works: Vec::new(),
@@ -213,13 +212,14 @@
         self.draft_cancellations(&mut draft);
         self.draft_launches(&mut draft, 0);
         // What may wait takes only what is left of the rate.
-        if self.writer.budget.left(now) > 0.4 {
+        if self.writer.budget.fill_ratio(now) > 0.4 {
             self.draft_progress(now, &mut draft);
             self.draft_sweeping(now, &mut draft);
             self.draft_machine_pages(now, true, &mut draft);
             self.draft_hints(now, &mut draft);
         }
-        if draft.changes.is_empty() || !self.writer.budget.take(now, draft.changes.len() as f64) {
+        if draft.changes.is_empty() || !self.writer.budget.try_take(now, draft.changes.len() as f64)
+        {
             return;
         }
         let transaction = Transaction {
@@ -250,7 +250,7 @@
         }
         let tombs = |m: &Machine| m.attempts.len() - m.live_count as usize;
         let blocked =
-            |s: &TaskAttempt| s.ended() && s.launched_with == Some(self.leadership.term.token);
+            |s: &TaskAttempt| s.ended() && s.launched_with == Some(self.leadership.token());
         let lost = |m: &Machine| {
             m.attempts
                 .values()
@@ -265,9 +265,9 @@
         if !soon && !due {
             return;
         }
-        let token = FencingToken(self.leadership.term.token.0 + 1);
+        let token = FencingToken(self.leadership.token().0 + 1);
         let record = LeaderRecord {
-            host_name: self.leadership.term.host_name.clone(),
+            host_name: self.leadership.term().host_name.clone(),
             token,
         };
         let Ok(data) = serde_json::to_value(&record) else {
@@ -277,62 +277,53 @@
             Change::Put {
                 put: LEADER_KEY.into(),
                 data,
-                lease: Some(self.leadership.term.lease),
+                lease: Some(self.leadership.term().lease),
             },
             Change::put(FENCING_TOKEN_KEY.into(), token.0.into()),
         ];
         let preconditions = vec![(
             FENCING_TOKEN_KEY.to_string(),
-            self.leadership.term.token_stamp,
+            self.leadership.term().token_counter_revision,
         )];
         draft.add(preconditions, changes, Work::Raise { token });
     }
 
-    fn jobs_in<'a>(
-        &'a self,
-        ids: &'a BTreeSet<JobId>,
-    ) -> impl Iterator<Item = (&'a JobId, &'a Job)> {
-        ids.iter().filter_map(|id| Some((id, self.jobs.get(id)?)))
-    }
-
     fn draft_progress(&self, now: Instant, draft: &mut Draft) {
         if now - self.writer.progress_at < PROGRESS_EVERY {
             return;
         }
         // Most unsaved first: it is they whose tombstones fill reports.
-        let mut jobs: Vec<(&JobId, &Job)> = self.jobs_in(&self.jobs.index.unpersisted).collect();
-        jobs.sort_by_key(|(id, j)| (Reverse(j.unpersisted.len()), *id));
+        let mut jobs: Vec<(&JobId, &Job)> = self.jobs.unpersisted().collect();
+        jobs.sort_by_key(|(id, j)| (Reverse(j.unpersisted().len()), *id));
         for (id, job) in jobs {
             if job.is_complete() {
                 continue;
             }
             let chunks: BTreeSet<u32> = job
-                .unpersisted
+                .unpersisted()
                 .iter()
                 .map(|i| i / TASKS_PER_PROGRESS_RECORD)
                 .collect();
             for chunk in chunks {
-                let key = progress_key(id, chunk);
-                let revision = self
-                    .writer
-                    .progress
-                    .get(&(id.clone(), chunk))
-                    .copied()
-                    .unwrap_or_default();
-                let preconditions = vec![(open_key(id), job.revision), (key.clone(), revision)];
-                let changes = vec![Change::put(key, job.done.chunk(chunk).into())];
+                let key = ProgressKey {
+                    job: id.clone(),
+                    chunk,
+                };
+                let revision = self.writer.progress.get(&key).copied().unwrap_or_default();
+                let preconditions = vec![
+                    (open_key(id), job.open_record_revision()),
+                    (key.to_string(), revision),
+                ];
+                let text = job.completed().chunk(chunk);
+                let changes = vec![Change::put(key.to_string(), text.into())];
                 let tasks = job
-                    .unpersisted
+                    .unpersisted()
                     .range(
                         chunk * TASKS_PER_PROGRESS_RECORD..(chunk + 1) * TASKS_PER_PROGRESS_RECORD,
                     )
                     .copied()
                     .collect();
-                let work = Work::Progress {
-                    job: id.clone(),
-                    chunk,
-                    tasks,
-                };
+                let work = Work::Progress { key, tasks };
                 if !draft.add(preconditions, changes, work) {
                     return;
                 }
--- a/src/ids.rs
+++ b/src/ids.rs
@@ -76,6 +76,8 @@
     Zone);
 name!(/// An image that tasks need.
     Image);
+name!(/// Names one scale-out request for ever: the cloud answers a repetition with what it answered first.
+    IdempotencyKey);
 
 impl JobId {
     /// Reads an id as users write it: `wk-` and digits; anything else is no job's id.
@@ -96,6 +98,21 @@
     pub index: u32,
 }
 
+/// One attempt of one task. Attempt ids are never reused, so neither is a key.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct AttemptKey {
+    /// The task.
+    pub task: TaskId,
+    /// The attempt's id (`try` on the wire).
+    pub attempt_id: AttemptId,
+}
+
+impl fmt::Display for AttemptKey {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "{}@{}", self.task, self.attempt_id)
+    }
+}
+
 impl TaskId {
     /// Reads the wire form.
     pub fn parse(s: &str) -> Option<TaskId> {
--- /dev/null
+++ b/src/runtime/clients/cloud.rs
@@ -0,0 +1,127 @@
+//! Calls to the cloud: machine types, the machine list, scale out and scale in.
+
+use crate::ids::MachineId;
+use crate::protocol::cloud::{
+    ListedMachine, MachineListPage, MachineTypeInfo, MachineTypeList, RentReply, RentRequest,
+    ReturnRequest,
+};
+use crate::transport::client::{HttpClient, HttpResponse};
+use hyper::Method;
+use std::time::Duration;
+
+/// Machines on a page of the list: the maximum that the cloud allows.
+pub const LIST_PAGE_SIZE: usize = 500;
+/// Deadline of a call, machine types apart.
+const CALL_TIMEOUT: Duration = Duration::from_secs(4);
+/// Deadline of a request for the machine types.
+const MACHINE_TYPES_TIMEOUT: Duration = Duration::from_secs(3);
+/// Time allowed to establish a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
+
+/// The outcome of a request to rent machines.
+#[derive(Debug)]
+pub enum RentOutcome {
+    /// These machines are rented.
+    Rented(Vec<MachineId>),
+    /// The cloud has no such machines to rent at the moment.
+    NoCapacity,
+    /// The machines may have been rented: to be asked again with the same idempotency key.
+    Unknown,
+}
+
+/// The client.
+pub struct CloudClient {
+    http: HttpClient,
+    address: String,
+}
+
+impl CloudClient {
+    /// A client for the cloud at the address, with at most so many idle connections.
+    pub fn new(address: String, max_idle_connections: usize) -> Self {
+        CloudClient {
+            http: HttpClient::new(CONNECT_TIMEOUT, max_idle_connections),
+            address,
+        }
+    }
+
+    /// Reads the machine types; None if the cloud does not answer or knows none.
+    pub async fn machine_types(&self) -> Option<Vec<MachineTypeInfo>> {
+        let path = "/machine_types";
+        let response = self
+            .send(Method::GET, path, None, MACHINE_TYPES_TIMEOUT)
+            .await?;
+        if response.status != 200 {
+            return None;
+        }
+        let list: MachineTypeList = serde_json::from_slice(&response.body).ok()?;
+        (!list.machine_types.is_empty()).then_some(list.machine_types)
+    }
+
+    /// Reads the whole machine list, page by page; None if any page fails.
+    pub async fn list_machines(&self) -> Option<Vec<ListedMachine>> {
+        let mut machines: Vec<ListedMachine> = Vec::new();
+        loop {
+            let since = machines
+                .last()
+                .map_or(String::new(), |last| format!("since={}&", last.id));
+            let path = format!("/rentals?{since}most={LIST_PAGE_SIZE}");
+            let response = self.send(Method::GET, &path, None, CALL_TIMEOUT).await?;
+            if response.status != 200 {
+                return None;
+            }
+            let page: MachineListPage = serde_json::from_slice(&response.body).ok()?;
+            let more = page.more && !page.machines.is_empty();
+            machines.extend(page.machines);
+            if !more {
+                return Some(machines);
+            }
+        }
+    }
+
+    /// Rents machines. Idempotent by the key in the request.
+    pub async fn rent(&self, request: &RentRequest) -> RentOutcome {
+        let body = serde_json::to_vec(request).unwrap_or_default();
+        let response = self
+            .send(Method::POST, "/rentals", Some(body), CALL_TIMEOUT)
+            .await;
+        match response {
+            Some(HttpResponse { status: 200, body }) => {
+                match serde_json::from_slice::<RentReply>(&body) {
+                    Ok(reply) => RentOutcome::Rented(reply.machine_ids),
+                    Err(_) => RentOutcome::Unknown,
+                }
+            }
+            Some(HttpResponse { status: 503, body })
+                if String::from_utf8_lossy(&body).contains("no capacity") =>
+            {
+                RentOutcome::NoCapacity
+            }
+            _ => RentOutcome::Unknown,
+        }
+    }
+
+    /// Returns machines. True if the cloud has confirmed that they are terminated.
+    pub async fn return_machines(
+        &self,
+        request: &ReturnRequest,
+    ) -> Result<bool, serde_json::Error> {
+        let body = serde_json::to_vec(request)?;
+        let response = self
+            .send(Method::POST, "/rentals/return", Some(body), CALL_TIMEOUT)
+            .await;
+        Ok(response.is_some_and(|response| response.status == 200))
+    }
+
+    async fn send(
+        &self,
+        method: Method,
+        path: &str,
+        body: Option<Vec<u8>>,
+        deadline: Duration,
+    ) -> Option<HttpResponse> {
+        self.http
+            .send(method, &self.address, path, body, deadline)
+            .await
+            .ok()
+    }
+}
--- a/tests/encodings.rs
+++ b/tests/encodings.rs
@@ -1,9 +1,11 @@
 //! Stored records and messages between controllers, by example bytes. A landing may take over from the one
 //! before it while both run: a rename in the code, or a new field, must not change what the other reads.
 
+use chalklug::coordination::autoscaler::hints::Hints;
 use chalklug::ids::*;
 use chalklug::protocol::peers::{PeerReply, PeerRequest};
 use chalklug::protocol::users::{parse_submission, JobPhase};
+use chalklug::resources::Resources;
 use chalklug::storage::records::*;
 use serde::de::DeserializeOwned;
 use serde::Serialize;
@@ -23,23 +25,56 @@
 }
 
 #[test]
-fn keys() {
+fn keys_are_unchanged() {
     let job = JobId::from("wk-000412");
     assert_eq!(open_key(&job), "o/wk-000412");
     assert_eq!(terminal_key(&job), "f/wk-000412");
-    assert_eq!(progress_key(&job, 3), "p/wk-000412/3");
+    let progress_key = ProgressKey {
+        job: job.clone(),
+        chunk: 3,
+    };
+    assert_eq!(progress_key.to_string(), "p/wk-000412/3");
     assert_eq!(intent_page_key(PageNumber(7)), "i/7");
     assert_eq!(machine_page_key(PageNumber(7)), "h/7");
     assert_eq!(
         (LEADER_KEY, FENCING_TOKEN_KEY, CATALOG_KEY, HINTS_KEY),
         ("lead", "baton", "catalog", "hints")
     );
-    assert_eq!(parse_progress_key("p/wk-000412/3"), Some((job, 3)));
-    assert_eq!(parse_page("i/7", INTENT_PAGE_PREFIX), Some(PageNumber(7)));
+    assert_eq!(
+        ProgressKey::parse("p/wk-000412/3"),
+        Some(progress_key.clone())
+    );
+    let read_back = [
+        (LEADER_KEY, RecordKey::Leader),
+        (FENCING_TOKEN_KEY, RecordKey::FencingToken),
+        (CATALOG_KEY, RecordKey::Catalog),
+        (HINTS_KEY, RecordKey::Hints),
+        ("o/wk-000412", RecordKey::OpenJob(job.clone())),
+        ("f/wk-000412", RecordKey::Terminal(job)),
+        ("e/wk-000412", RecordKey::Dependencies),
+        ("e/wk-000412/2", RecordKey::Dependencies),
+        ("p/wk-000412/3", RecordKey::Progress(progress_key)),
+        ("i/7", RecordKey::IntentPage(PageNumber(7))),
+        ("h/7", RecordKey::MachinePage(PageNumber(7))),
+    ];
+    for (key, record_key) in read_back {
+        assert_eq!(RecordKey::parse(key), Some(record_key));
+    }
+    for other in [
+        "",
+        "leader",
+        "x/7",
+        "i/",
+        "i/wk-000412",
+        "p/wk-000412",
+        "p/x/3",
+    ] {
+        assert_eq!(RecordKey::parse(other), None, "{other}");
+    }
 }
 
 #[test]
-fn leader_and_jobs() {
+fn leader_and_job_records_are_unchanged() {
     let lead = LeaderRecord {
         host_name: "chalkbox-2".into(),
         token: FencingToken(41),
@@ -82,8 +117,29 @@
     stored(&cancelled, r#"{"phase":"aborted","pieces":16}"#);
 }
 
+/// The record of arrivals and run times has no constructor of its own: it is read and written back.
 #[test]
-fn progress() {
+fn hints() {
+    let job = concat!(
+        r#"{"ref":"wk-000412","jobclass":"train","crew":"vision","shape":"array","urgency":"normal","#,
+        r#""pieces":2,"cpus":8.0,"gpus":1.0,"ramGb":64.0,"bundle":"img-07","pullGb":6.2,"rigs":["g8"],"#,
+        r#""together":true,"scatter":false,"loaners":true,"guessS":240.0,"markEveryS":30.0,"markCostS":4.0}"#
+    );
+    let example = format!(
+        r#"{{"observed":{{"train":{{"ran_s":61.5,"guessed_s":60.0,"count":3,"longer":0.25}}}},"demand":{{"train":[0.75,12.5,{job}]}}}}"#
+    );
+    let record: Hints = serde_json::from_str(&example).expect("the example can be read");
+    stored(&record, &example);
+    stored(&Hints::default(), r#"{"observed":{},"demand":{}}"#);
+    let empty: Hints = serde_json::from_str("{}").expect("every part may be missing");
+    assert_eq!(
+        serde_json::to_string(&empty).unwrap(),
+        r#"{"observed":{},"demand":{}}"#
+    );
+}
+
+#[test]
+fn progress_records_are_unchanged() {
     let mut set = CompletedTasks::new(20);
     for task in [0, 3, 17] {
         set.add(task);
@@ -95,7 +151,7 @@
 }
 
 #[test]
-fn launch_intents() {
+fn launch_intent_pages_are_unchanged() {
     let mut page = IntentPage::default();
     let machine_id = MachineId::from("host-000231");
     for index in [0, 4] {
@@ -105,7 +161,14 @@
         };
         page.add(&machine_id, &task, AttemptId(9));
     }
-    let takes = JobResources("vision".into(), 8.0, 1.0, 64.0);
+    let takes = JobResources {
+        team: "vision".into(),
+        request: Resources {
+            cpus: 8.0,
+            gpus: 1.0,
+            ram_gb: 64.0,
+        },
+    };
     page.jobs.insert(JobId::from("wk-000412"), takes);
     let without_times = concat!(
         r#"{"starts":{"9":{"wk-000412":{"host-000231":[0,4]}}},"#,
@@ -123,13 +186,22 @@
 }
 
 #[test]
-fn machines() {
+fn machine_pages_are_unchanged() {
     let mut page = MachinePage {
-        kinds: vec![(MachineType::from("g8"), Zone::from("a"), true)],
+        kinds: vec![MachineKind::new(
+            MachineType::from("g8"),
+            Zone::from("a"),
+            true,
+        )],
         images: vec![(Image::from("img-07"), 6.2)],
         ..MachinePage::default()
     };
-    let note = MachineEntry(0, 1_700_000_000, true, vec![0]);
+    let note = MachineEntry {
+        kind: 0,
+        rented_s: 1_700_000_000,
+        has_reported: true,
+        images: vec![0],
+    };
     page.machines.insert(MachineId::from("host-000231"), note);
     stored(
         &page,
@@ -141,7 +213,7 @@
 }
 
 #[test]
-fn messages_between_controllers() {
+fn peer_messages_are_unchanged() {
     sent(&PeerRequest::Hello, &[0]);
     let forward = PeerRequest::Forward {
         method: "GET".into(),
@@ -173,7 +245,7 @@
 
 /// A list of producers too long for the open record goes to pages, each within the limit; none is lost.
 #[test]
-fn long_lists_of_producers() {
+fn dependency_pages_are_unchanged() {
     let body = serde_json::json!({"ref":"wk-1","jobclass":"c","crew":"t","shape":"array","urgency":"low","pieces":1,
         "cpus":1,"gpus":0,"ramGb":1,"bundle":"i","pullGb":1,"together":false,"scatter":false,"loaners":false,
         "guessS":1,"markEveryS":0,"markCostS":0});
@@ -189,9 +261,12 @@
     };
     assert_eq!(
         record.clone().move_dependencies_to_pages(100_000),
-        Some(vec![])
+        Ok(vec![])
+    );
+    assert_eq!(
+        record.clone().move_dependencies_to_pages(200),
+        Err(RecordTooLong { max_bytes: 200 })
     );
-    assert_eq!(record.clone().move_dependencies_to_pages(200), None);
     let pages = record.move_dependencies_to_pages(1800).unwrap();
     assert_eq!(record.dependency_pages as usize, pages.len());
     assert!(serde_json::to_string(&record).unwrap().len() <= 1800);
--- a/tests/leadership.rs
+++ b/tests/leadership.rs
@@ -1,23 +1,22 @@
 //! A leader's right to act, and when it hands over.
 
-use chalklug::coordination::leadership::authority::{
-    should_hand_over, silence_bound, Authority, AuthorityLoss,
-};
-use chalklug::settings::{LeaderTimes, Operator, Workers};
+use chalklug::config::{LeaderTimes, OperatorConfig, WorkerTimes};
+use chalklug::coordination::leadership::authority::{Authority, AuthorityLoss};
+use chalklug::coordination::leadership::transfer::{should_hand_over, silence_bound};
 use chalklug::time::{Instant, TimeSpan};
 
 fn times() -> LeaderTimes {
     LeaderTimes {
-        life: TimeSpan(4000),
-        margin: TimeSpan(300),
+        lease_duration: TimeSpan(4000),
+        authority_margin: TimeSpan(300),
         max_staleness: TimeSpan(20_000),
         watch_hold: TimeSpan(2500),
         watch_patience: TimeSpan(5000),
     }
 }
 
-fn workers(lease_s: f64, cancel_s: f64) -> Workers {
-    Workers {
+fn workers(lease_s: f64, cancel_s: f64) -> WorkerTimes {
+    WorkerTimes {
         report_s: 3.0,
         lease_s,
         gang_wait_s: 40.0,
@@ -27,7 +26,7 @@
 }
 
 #[test]
-fn only_a_leader_deaf_alone_hands_over() {
+fn leader_that_alone_hears_no_workers_transfers_leadership() {
     let (quiet, loud, bound) = (TimeSpan(9000), TimeSpan(100), TimeSpan(6000));
     let over = |n, own, sib: &[Option<TimeSpan>]| should_hand_over(n, own, sib, bound);
     assert!(over(3, quiet, &[None, Some(loud)]));
@@ -37,7 +36,7 @@
 }
 
 #[test]
-fn the_more_machines_report_the_sooner_silence_tells() {
+fn silence_bound_shrinks_with_more_machines() {
     let bound = |machines| silence_bound(machines, 5.0);
     assert_eq!(bound(0), TimeSpan(13_000));
     assert_eq!(bound(10), TimeSpan(13_000));
@@ -49,38 +48,38 @@
 }
 
 #[test]
-fn authority_counts_from_sending_and_never_shrinks() {
+fn authority_counts_from_sending_the_renewal_and_never_shrinks() {
     let a = Authority::new(times(), Instant(1000));
     let end = 1000 + 4000 - 300 - 9;
-    assert!(a.holds(Instant(end - 1)) && !a.holds(Instant(end)));
-    a.renewed(Instant(3000));
-    a.renewed(Instant(2000));
-    assert!(a.holds(Instant(end + 1999)) && !a.holds(Instant(end + 2000)));
+    assert!(a.is_held(Instant(end - 1)) && !a.is_held(Instant(end)));
+    a.lease_renewed(Instant(3000));
+    a.lease_renewed(Instant(2000));
+    assert!(a.is_held(Instant(end + 1999)) && !a.is_held(Instant(end + 2000)));
     a.resign();
-    a.renewed(Instant(9000));
-    assert!(!a.holds(Instant(3000)));
+    a.lease_renewed(Instant(9000));
+    assert!(!a.is_held(Instant(3000)));
 }
 
 /// Touches are served, but what is known of the jobs grows old: authority ends all the same, and an
 /// answer to a request sent long ago brings back no more than it proves.
 #[test]
-fn authority_ends_with_what_is_known() {
+fn authority_ends_when_the_view_is_too_old() {
     let a = Authority::new(times(), Instant(0));
     for t in 1..=30 {
-        a.renewed(Instant(t * 1000));
+        a.lease_renewed(Instant(t * 1000));
     }
-    assert!(a.holds(Instant(19_999)) && !a.holds(Instant(20_000)));
-    a.knows(Instant(5000));
-    assert!(a.holds(Instant(24_999)) && !a.holds(Instant(25_000)));
+    assert!(a.is_held(Instant(19_999)) && !a.is_held(Instant(20_000)));
+    a.view_refreshed(Instant(5000));
+    assert!(a.is_held(Instant(24_999)) && !a.is_held(Instant(25_000)));
 }
 
 /// The inequality of docs/SAFETY.md, over many settings: the staleness allowed and a worker's lease,
 /// both stretched by drift, leave two seconds of `cancel_s`; and a watch that fails and the next fit into it.
 #[test]
-fn cancelled_work_is_gone_in_time_by_the_leader_s_own_clock() {
-    let operators = [2000, 4000, 60_000].map(|life| Operator {
+fn derived_times_end_cancelled_tasks_within_the_limit() {
+    let operators = [2000, 4000, 60_000].map(|life| OperatorConfig {
         leader_life_ms: life,
-        ..Operator::default()
+        ..OperatorConfig::default()
     });
     let mut derived = 0;
     for lease in [5.0, 20.0, 26.0, 31.0, 120.0, 600.0] {
@@ -94,7 +93,10 @@
                 derived += 1;
                 let gone = t.max_staleness.secs() * 1.0005 + lease * 1.0005 + 2.0;
                 assert!(gone <= w.cancel_s, "lease {lease}, {more} more: {gone}");
-                assert!(t.life <= t.max_staleness && t.margin.0 * 2 < t.life.0);
+                assert!(
+                    t.lease_duration <= t.max_staleness
+                        && t.authority_margin.0 * 2 < t.lease_duration.0
+                );
                 let (once, pause) = (t.watch_hold + t.watch_patience, 300);
                 let next = t.watch_hold.0 * 2 + pause;
                 assert!(once.0 * 2 <= t.max_staleness.0, "{t:?}");
@@ -107,26 +109,17 @@
 
 /// The log says why a leader ended: an operator must tell a processor that is too slow from a view that stood still.
 #[test]
-fn the_reason_for_which_authority_ended_is_told() {
+fn authority_loss_has_a_reason() {
     let a = Authority::new(times(), Instant(0));
-    assert_eq!(a.authority_loss(Instant(3000)), None);
-    assert_eq!(
-        a.authority_loss(Instant(4000)),
-        Some(AuthorityLoss::LeaseExpired)
-    );
-    a.renewed(Instant(19_000));
-    assert_eq!(a.authority_loss(Instant(19_999)), None);
+    assert_eq!(a.loss(Instant(3000)), None);
+    assert_eq!(a.loss(Instant(4000)), Some(AuthorityLoss::LeaseExpired));
+    a.lease_renewed(Instant(19_000));
+    assert_eq!(a.loss(Instant(19_999)), None);
     assert_eq!(a.view_age(Instant(19_999)), TimeSpan(19_999));
-    assert_eq!(
-        a.authority_loss(Instant(20_000)),
-        Some(AuthorityLoss::ViewTooOld)
-    );
-    a.knows(Instant(18_000));
-    assert_eq!(a.authority_loss(Instant(20_000)), None);
+    assert_eq!(a.loss(Instant(20_000)), Some(AuthorityLoss::ViewTooOld));
+    a.view_refreshed(Instant(18_000));
+    assert_eq!(a.loss(Instant(20_000)), None);
     assert_eq!(a.view_age(Instant(20_000)), TimeSpan(2000));
     a.resign();
-    assert_eq!(
-        a.authority_loss(Instant(20_000)),
-        Some(AuthorityLoss::Resigned)
-    );
+    assert_eq!(a.loss(Instant(20_000)), Some(AuthorityLoss::Resigned));
 }
--- a/tests/production.rs
+++ b/tests/production.rs
@@ -7,6 +7,7 @@
 use chalklug::protocol::cloud::MachineTypeList;
 use chalklug::protocol::peers::{PeerReply, PeerRequest};
 use chalklug::protocol::users::{parse_submission, JobPhase};
+use chalklug::resources::Resources;
 use chalklug::storage::records;
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
@@ -138,7 +139,7 @@
 }
 
 #[test]
-fn open_jobs_with_and_without_producers() {
+fn open_job_records_stay_compatible() {
     let submission = parse_submission(body().to_string().as_bytes()).expect("a submission");
     for after in [submission.waits_on, Vec::new()] {
         let record = records::OpenJobRecord {
@@ -157,7 +158,7 @@
 }
 
 #[test]
-fn finish_marks() {
+fn terminal_records_stay_compatible() {
     for (phase, name) in [(JobPhase::Done, "done"), (JobPhase::Cancelled, "aborted")] {
         for at_ms in [None, Some(1_700_000_000_000)] {
             let mark = records::TerminalRecord {
@@ -174,7 +175,7 @@
 }
 
 #[test]
-fn the_leader_key() {
+fn leader_record_stays_compatible() {
     let record = records::LeaderRecord {
         host_name: "n0".into(),
         token: FencingToken(41),
@@ -186,13 +187,20 @@
 }
 
 #[test]
-fn pages_of_starts_and_machines() {
+fn intent_and_machine_pages_stay_compatible() {
     let job = JobId::from("wk-000412");
     let host = MachineId::from("host-000231");
     let mut page = records::IntentPage::default();
     let task = TaskId::parse("wk-000412/4").expect("a task");
     page.add(&host, &task, AttemptId(9));
-    let takes = records::JobResources("vision".into(), 8.0, 1.0, 64.0);
+    let takes = records::JobResources {
+        team: "vision".into(),
+        request: Resources {
+            cpus: 8.0,
+            gpus: 1.0,
+            ram_gb: 64.0,
+        },
+    };
     page.jobs.insert(job, takes);
     page.placed_s.insert(AttemptId(9), 1_700_000_000);
     let old: IntentsPage = old_reads(&page);
@@ -202,11 +210,20 @@
     assert_eq!(back.attempts, page.attempts);
 
     let mut machines = records::MachinePage {
-        kinds: vec![(MachineType::from("g8"), Zone::from("a"), true)],
+        kinds: vec![records::MachineKind::new(
+            MachineType::from("g8"),
+            Zone::from("a"),
+            true,
+        )],
         images: vec![(Image::from("img-07"), 6.2)],
         ..records::MachinePage::default()
     };
-    let note = records::MachineEntry(0, 1_700_000_000, true, vec![0]);
+    let note = records::MachineEntry {
+        kind: 0,
+        rented_s: 1_700_000_000,
+        has_reported: true,
+        images: vec![0],
+    };
     machines.machines.insert(host, note);
     let old: HostsPage = old_reads(&machines);
     assert_eq!(
@@ -226,7 +243,7 @@
 
 /// Messages between controllers describe nothing of themselves: both versions must lay them out alike.
 #[test]
-fn messages_between_controllers() {
+fn peer_messages_stay_compatible() {
     let job = JobId::from("wk-1");
     let requests = [
         PeerRequest::Hello,
@@ -268,7 +285,7 @@
 
 /// The copy of the machine types that leaders of either version keep for all controllers.
 #[test]
-fn machine_types() {
+fn machine_types_stay_compatible() {
     let stored = json!({"rigs": [{"sku": "g8", "cpus": 96.0, "gpus": 8.0, "ramGb": 768.0, "localGb": 200.0,
         "fetchGbPerS": 1.0, "hourly": 12.0, "marketPrice": 4.5, "bootS": 45.0, "sites": ["a", "b"]}]});
     let list: MachineTypeList = serde_json::from_value(stored.clone()).expect("it is read");
