--- a/src/coordination/autoscaler/forecast/waiting_tasks.rs
+++ b/src/coordination/autoscaler/forecast/waiting_tasks.rs
@@ -28,7 +28,7 @@
     unplaced: &[UnplacedTasks],
     cluster: &mut SimulatedCluster,
 ) {
-    let mut team_usage = view.team_usage().to_vec();
+    let mut team_usage = view.team_usage().clone();
     for tasks in unplaced {
         let Some(job) = view.jobs().get(&tasks.job) else {
             continue;
@@ -48,9 +48,10 @@
             origin: TaskOrigin::Waiting,
         };
         let assigned = assign(view, &batch, cluster);
-        if let Some(usage) = job.team().and_then(|team| team_usage.get_mut(team.0)) {
-            usage.add(&Resources::of(job.spec()).times(f64::from(assigned)));
-        }
+        team_usage.charge(
+            job.team(),
+            &Resources::of(job.spec()).times(f64::from(assigned)),
+        );
     }
 }
 
--- a/src/coordination/autoscaler/scale_in.rs
+++ b/src/coordination/autoscaler/scale_in.rs
@@ -110,8 +110,7 @@
     /// The cloud confirmed that machines are terminated: whatever was on them has ended.
     pub(crate) fn machines_terminated(&mut self, now: Instant, machine_ids: &[MachineId]) {
         for id in machine_ids {
-            // Proof 4: the cloud's 200 to returning the machine.
-            self.empty_machine(now, id);
+            self.ledger().machine_terminated(now, id);
             self.machines.terminated.insert(id.clone());
             if let Some(machine) = self.machines.remove(id) {
                 if machine.push_in_flight.is_some() {
@@ -206,12 +205,12 @@
         let is_overdue = machine
             .draining_since
             .is_some_and(|since| self.view.now() - since > DRAIN_TIMEOUT);
-        machine.draining && (machine.live_count == 0 || is_overdue)
+        machine.draining && (machine.attempts.live_count() == 0 || is_overdue)
     }
 
     fn is_idle_for_too_long(&self, machine: &Machine) -> bool {
         let autoscaler = &self.view.autoscaler();
-        let is_idle = machine.state == MachineState::Up && machine.live_count == 0;
+        let is_idle = machine.state == MachineState::Up && machine.attempts.live_count() == 0;
         let Some(idle_since) = machine.idle_since.filter(|_| is_idle) else {
             return false;
         };
--- a/src/coordination/autoscaler/warm_pool.rs
+++ b/src/coordination/autoscaler/warm_pool.rs
@@ -4,7 +4,7 @@
 
 use super::view::AutoscalerView;
 use crate::coordination::machines::machine::Machine;
-use crate::coordination::placement::request::allows_machine;
+use crate::coordination::placement::request::{allows_machine, allows_machine_type};
 use crate::coordination::Scheduler;
 use crate::ids::MachineId;
 use crate::protocol::users::JobSpec;
@@ -94,7 +94,7 @@
     let with_room = view.machines().index.with_room.iter();
     let (mut candidates, others): (Vec<&Machine>, Vec<&Machine>) = with_room
         .filter_map(|id| view.machines().get(id))
-        .filter(|machine| request.fits(&machine.free) && allows_machine(spec, machine))
+        .filter(|machine| request.fits(machine.free()) && allows_machine(spec, machine))
         .filter(|machine| view.is_schedulable(machine) && !pool.contains(&machine.id))
         .partition(|machine| machine.has_image(&spec.image));
     candidates.extend(others);
@@ -137,10 +137,7 @@
     let request = Resources::of(spec);
     let types = view.machines().types.values();
     types
-        .filter(|info| {
-            let allowed = spec.machine_types.as_ref();
-            allowed.is_none_or(|allowed| allowed.contains(&info.name))
-        })
+        .filter(|info| allows_machine_type(spec, &info.name))
         .filter(|info| request.fits(&view.machines().capacity(&info.name)))
         .map(|info| info.boot_s + spec.image_gb / info.fetch_gb_per_s.max(MIN_FETCH_GB_PER_S))
         .fold(f64::INFINITY, f64::min)
--- a/src/coordination/placement/mod.rs
+++ b/src/coordination/placement/mod.rs
@@ -26,9 +26,7 @@
 
 use crate::coordination::jobs::graph::Label;
 use crate::coordination::Scheduler;
-use crate::ids::{AttemptId, JobId, MachineId, TaskId, TeamIndex};
-use crate::protocol::users::JobSpec;
-use crate::resources::Resources;
+use crate::ids::{AttemptId, AttemptKey, JobId, MachineId, TaskId};
 use crate::storage::records::LaunchIntent;
 use crate::time::Instant;
 use image_locality::ImagePreemption;
@@ -58,26 +56,6 @@
 type QueuePosition = usize;
 
 impl Scheduler {
-    /// How many more tasks the team's limit lets start.
-    pub(crate) fn headroom(
-        &self,
-        spec: &JobSpec,
-        team: Option<TeamIndex>,
-        used: &[Resources],
-    ) -> u32 {
-        let (Some(no), Some(team)) = (team, self.policy.team(team)) else {
-            return 0;
-        };
-        let used = used.get(no.0).copied().unwrap_or_default();
-        let bound = |max: f64, used: f64| if max > 0.0 { max - used } else { f64::INFINITY };
-        let room = Resources {
-            cpus: bound(team.cpus_max, used.cpus),
-            gpus: bound(team.gpus_max, used.gpus),
-            ram_gb: f64::INFINITY,
-        };
-        Resources::of(spec).count_in(&room, spec.tasks)
-    }
-
     /// One pass: places what fits and says what does not, in the order of the queue.
     pub(crate) fn place(&mut self, now: Instant) -> Vec<UnplacedTasks> {
         if self.machines.types.is_empty() {
@@ -108,7 +86,7 @@
         state: &mut PassState,
     ) -> Vec<UnplacedTasks> {
         let mut unplaced: BTreeMap<QueuePosition, UnplacedTasks> = BTreeMap::new();
-        let mut deferred: Vec<(QueuePosition, JobId)> = Vec::new();
+        let mut deferred: BTreeMap<QueuePosition, JobId> = BTreeMap::new();
         let mut position: QueuePosition = 0;
         for round in queue {
             // Jobs that are alike first go where their image is; what is left goes anywhere. With too
@@ -121,7 +99,7 @@
             for job_id in round {
                 position += 1;
                 if self.defer_for_image(now, &job_id, state) {
-                    deferred.push((position, job_id));
+                    deferred.insert(position, job_id);
                 } else if let Some(rest) = self.place_anywhere(now, job_id, state) {
                     unplaced.insert(position, rest);
                 }
@@ -216,13 +194,13 @@
             } = placement;
             tracing::debug!(task = %task, machine = %machine, "task placed");
             self.release_for_use(&machine, job_id);
-            let mut attempt = self.new_attempt(&machine, task.clone(), attempt_id, now);
+            let key = AttemptKey { task, attempt_id };
+            let intent = LaunchIntent::new(&machine, &key);
+            let mut attempt = self.new_attempt(&machine, key, now);
             attempt.image_s = is_gang.then_some(image_wait_s);
             attempt.latency = is_latency;
-            let placed = LaunchIntent::new(&machine, &attempt.key());
-            self.insert_attempt(&machine, attempt);
-            self.add_place(&machine, &task);
-            self.writer.intents.wait(placed);
+            self.ledger().insert(&machine, attempt);
+            self.writer.intents.wait(intent);
         }
     }
 
