--- a/src/ids.rs
+++ b/src/ids.rs
@@ -26,11 +26,11 @@
     Tick);
 number!(/// Tells one start of a task from another; never used twice for a task.
     AttemptId);
-number!(/// The version of one key on the state service; 0 means absent.
+number!(/// The revision of one key in the state store; 0 means absent.
     KeyRevision);
-number!(/// The revision of the whole state service.
+number!(/// The revision of the whole state store.
     StoreRevision);
-number!(/// A lease held on the state service.
+number!(/// A lease in the state store.
     LeaseId);
 
 /// One page of records that are packed together on the state service.
--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -39,7 +39,7 @@
     pub zones: Vec<Zone>,
 }
 
-/// The answer of `GET /machine_types`; also kept under one key on the state service.
+/// The response of `GET /machine_types`; also stored under one key of the state store.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MachineTypeList {
     /// All machine types.
@@ -124,7 +124,7 @@
 /// One page of the machine list.
 #[derive(Clone, Debug, Deserialize)]
 pub struct MachineListPage {
-    /// The machines on the page, in the order of their ids.
+    /// The machines on the page; the next page begins after the last of them.
     #[serde(rename = "hosts")]
     pub machines: Vec<ListedMachine>,
     /// Whether there are pages after this one.
--- a/src/protocol/users.rs
+++ b/src/protocol/users.rs
@@ -115,7 +115,7 @@
     pub reason: String,
 }
 
-/// The most tasks a job may have.
+/// How many tasks a job may have.
 pub const MAX_TASKS: u32 = 100_000;
 
 /// Parses and checks a submission.
