--- a/src/coordination/attempts/ledger.rs
+++ b/src/coordination/attempts/ledger.rs
@@ -96,7 +96,9 @@
         match (ran, runs) {
             (false, true) => {
                 if self.jobs.update(job_id, Job::attempt_began) == Some(true) {
-                    self.note_begun(now, job_id);
+                    if let Some(job) = self.jobs.get(job_id) {
+                        self.aging.job_began(now, job);
+                    }
                 }
             }
             (true, false) => drop(self.jobs.update(job_id, Job::attempt_stopped_running)),
--- a/src/coordination/autoscaler/hints.rs
+++ b/src/coordination/autoscaler/hints.rs
@@ -1,7 +1,7 @@
 //! What a leader keeps on the state store of the arrivals and run times it has seen, so that the next one
 //! need not learn them again. Nothing rests on it: a record that can't be read is passed over.
 
-use crate::coordination::jobs::estimates::Observed;
+use crate::coordination::jobs::estimates::ObservedRunTimes;
 use crate::coordination::Scheduler;
 use crate::protocol::users::JobSpec;
 use crate::time::Instant;
@@ -12,7 +12,7 @@
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub struct Hints {
     #[serde(default)]
-    observed: BTreeMap<String, Observed>,
+    observed: BTreeMap<String, ObservedRunTimes>,
     #[serde(default, rename = "demand")]
     arrivals: BTreeMap<String, RecordedArrivals>,
 }
@@ -31,14 +31,14 @@
             Some((class.clone(), recorded))
         });
         Hints {
-            observed: self.estimates.observed.clone(),
+            observed: self.estimates.observed().clone(),
             arrivals: arrivals.collect(),
         }
     }
 
     /// Takes over what a former leader recorded.
     pub(crate) fn load_hints(&mut self, now: Instant, hints: Hints) {
-        self.estimates.observed = hints.observed;
+        self.estimates.load(hints.observed);
         for (class, RecordedArrivals(jobs_per_s, tasks_per_job, last_job)) in hints.arrivals {
             let rate = self.autoscaler.arrivals.rate_of(class, &last_job);
             rate.recover(now, jobs_per_s, tasks_per_job);
--- a/src/coordination/autoscaler/report.rs
+++ b/src/coordination/autoscaler/report.rs
@@ -83,6 +83,6 @@
             unwritten_intents,
             "cluster state"
         );
-        self.log_waiting(now);
+        self.log_pending_jobs(now);
     }
 }
--- a/src/coordination/autoscaler/view.rs
+++ b/src/coordination/autoscaler/view.rs
@@ -72,7 +72,7 @@
         team: Option<TeamIndex>,
         team_usage: &[Resources],
     ) -> u32 {
-        self.scheduler.headroom(spec, team, team_usage)
+        self.scheduler.policy.quota_headroom(spec, team, team_usage)
     }
 
     /// Whether a machine may be given new work at all.
@@ -87,17 +87,17 @@
 
     /// Seconds that a task of a job like this should run.
     pub(super) fn run_time_s(&self, spec: &JobSpec) -> f64 {
-        self.scheduler.estimate_s(spec)
+        self.scheduler.estimates.run_time_s(spec)
     }
 
     /// Seconds that a task of the job should run, by those that are completed too.
     pub(super) fn run_time_of_job_s(&self, job: &Job) -> f64 {
-        self.scheduler.estimate_of(job)
+        self.scheduler.estimates.run_time_of_job_s(job)
     }
 
     /// Seconds that a task of the job which has run for so long should still run.
     pub(super) fn remaining_run_time_s(&self, job: &Job, ran_s: f64) -> f64 {
-        self.scheduler.rest_s(job, ran_s)
+        self.scheduler.estimates.remaining_run_time_s(job, ran_s)
     }
 
     /// Seconds that a machine of the type takes to boot.
--- a/src/coordination/jobs/estimates.rs
+++ b/src/coordination/jobs/estimates.rs
@@ -1,150 +1,172 @@
-//! How long tasks run, and how much work a job is: the owners' guesses, corrected by what was seen.
+//! How long tasks run: the users' estimates, corrected by what was observed of each class and of each job.
 
 use crate::coordination::jobs::job::Job;
-use crate::coordination::Scheduler;
+use crate::coordination::{ClusterView, Scheduler};
 use crate::ids::{AttemptKey, MachineId};
 use crate::protocol::users::JobSpec;
 use crate::time::Instant;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Run times seen against those guessed, for one class.
+/// So many tasks of a job must be measured to say how long the others run.
+const MIN_MEASURED_TASKS: u32 = 3;
+/// Tasks of one job differ by up to this factor.
+const MAX_SPREAD_WITHIN_JOB: f64 = 1.4;
+/// A task past its estimate is taken to run on for this fraction of what it has run, while nothing is known
+/// of the others.
+const TAIL_FRACTION: f64 = 0.35;
+/// So many tasks of a class must be measured to correct the users' estimates.
+const MIN_MEASURED_TASKS_OF_CLASS: u32 = 5;
+/// The users' estimates are corrected by a factor within these bounds.
+const MIN_CORRECTION: f64 = 0.25;
+const MAX_CORRECTION: f64 = 4.0;
+/// How much the last job counts in what is known of the longest tasks of a class.
+const LONGEST_TASK_WEIGHT: f64 = 0.1;
+/// No running task is taken to end in less than this.
+const MIN_REMAINING_SECS: f64 = 2.0;
+
+/// Run times observed of one class, against those that the users estimated.
 #[derive(Debug, Default, Clone, Copy, Serialize, Deserialize)]
-pub struct Observed {
-    ran_s: f64,
-    guessed_s: f64,
+pub struct ObservedRunTimes {
+    #[serde(rename = "ran_s")]
+    total_s: f64,
+    #[serde(rename = "guessed_s")]
+    total_estimated_s: f64,
     count: u32,
-    /// By how much the longest task of a job outlasts the average one.
-    #[serde(default)]
-    longer: Option<f64>,
+    /// By what part of a job's mean its longest task outlasts it.
+    #[serde(default, rename = "longer")]
+    longest_over_mean: Option<f64>,
+}
+
+impl ObservedRunTimes {
+    fn task_completed(&mut self, run_time_s: f64, estimate_s: f64) {
+        self.total_s += run_time_s;
+        self.total_estimated_s += estimate_s;
+        self.count += 1;
+    }
+
+    fn job_completed(&mut self, longest_over_mean: f64) {
+        let before = self.longest_over_mean.unwrap_or(longest_over_mean);
+        let change = (longest_over_mean - before) * LONGEST_TASK_WEIGHT;
+        self.longest_over_mean = Some(before + change);
+    }
+
+    /// The factor by which the users' estimates are corrected, once enough is known.
+    fn correction(&self) -> Option<f64> {
+        let is_known = self.count >= MIN_MEASURED_TASKS_OF_CLASS && self.total_estimated_s > 0.0;
+        is_known
+            .then(|| (self.total_s / self.total_estimated_s).clamp(MIN_CORRECTION, MAX_CORRECTION))
+    }
 }
 
 /// What has been learnt of how long tasks run.
 #[derive(Debug, Default)]
 pub struct Estimates {
-    /// Observed against estimated run times, by job class.
-    pub(crate) observed: BTreeMap<String, Observed>,
+    by_class: BTreeMap<String, ObservedRunTimes>,
 }
 
-/// So many tasks of a job must be done to say how long the others run; they differ by up to this.
-const ALIKE: u32 = 3;
-const SPREAD: f64 = 1.4;
-/// A task past its estimate is taken to run on for this part of what it has run.
-const TAIL: f64 = 0.35;
+impl Estimates {
+    /// What was observed, by class.
+    pub fn observed(&self) -> &BTreeMap<String, ObservedRunTimes> {
+        &self.by_class
+    }
 
-impl Scheduler {
-    pub(crate) fn note_run_time(&mut self, now: Instant, machine_id: &MachineId, key: &AttemptKey) {
-        let attempt = self
-            .machines
-            .get(machine_id)
-            .and_then(|m| m.attempts.get(key));
-        // Guards against estimates that shrink with each takeover: when a start of a former leader began
-        // to run is not known, and it seemed to have run only since we saw it.
-        let known = attempt.filter(|s| !s.recovered);
-        let Some(since) = known.and_then(|s| s.running_since) else {
-            return;
-        };
-        let ran_s = (now - since).secs();
-        self.jobs
-            .update(&key.task.job, |job| job.run_time_measured(ran_s));
-        let Some(job) = self.jobs.get(&key.task.job) else {
-            return;
-        };
-        // All are done but this one, which is about to be.
-        let whole =
-            job.run_times().count() >= ALIKE && job.completed().count() + 1 >= job.spec().tasks;
-        let longer = job.run_times().longest_over_mean().filter(|_| whole);
-        if job.spec().guess_s <= 0.0 {
-            return;
+    /// Takes over what a former leader observed.
+    pub fn load(&mut self, by_class: BTreeMap<String, ObservedRunTimes>) {
+        self.by_class = by_class;
+    }
+
+    /// A task of the job ran for so many seconds and is about to be completed. Returns whether anything was
+    /// learnt from it.
+    pub(crate) fn task_completed(&mut self, job: &Job, run_time_s: f64) -> bool {
+        let spec = job.spec();
+        if spec.guess_s <= 0.0 {
+            return false;
         }
-        let o = self
-            .estimates
-            .observed
-            .entry(job.spec().class.clone())
-            .or_default();
-        if let Some(l) = longer {
-            let before = o.longer.unwrap_or(l);
-            o.longer = Some(before + (l - before) * 0.1);
+        let observed = self.by_class.entry(spec.class.clone()).or_default();
+        let is_last_task = job.completed().count() + 1 >= spec.tasks;
+        if is_last_task && job.run_times().count() >= MIN_MEASURED_TASKS {
+            if let Some(longest_over_mean) = job.run_times().longest_over_mean() {
+                observed.job_completed(longest_over_mean);
+            }
         }
-        o.ran_s += ran_s;
-        o.guessed_s += job.spec().guess_s;
-        o.count += 1;
-        self.writer.hints_news = true;
+        observed.task_completed(run_time_s, spec.guess_s);
+        true
     }
 
-    /// How long a task of the job should run: the owner's guess, corrected by what was seen of its
-    /// class once there is enough of it.
-    pub(crate) fn estimate_s(&self, spec: &JobSpec) -> f64 {
-        let factor = self
-            .estimates
-            .observed
-            .get(&spec.class)
-            .filter(|o| o.count >= 5 && o.guessed_s > 0.0)
-            .map_or(1.0, |o| (o.ran_s / o.guessed_s).clamp(0.25, 4.0));
-        spec.guess_s * factor
+    /// Seconds that a task of a job like this should run: the user's estimate, corrected by what was observed
+    /// of the class.
+    pub fn run_time_s(&self, spec: &JobSpec) -> f64 {
+        let observed = self.by_class.get(&spec.class);
+        let correction = observed.and_then(ObservedRunTimes::correction);
+        spec.guess_s * correction.unwrap_or(1.0)
     }
 
-    /// How long a task of the job should run: tasks of a job are alike, so what was seen of those that
-    /// are done soon counts more than the guess.
-    pub(crate) fn estimate_of(&self, job: &Job) -> f64 {
-        job.run_times()
-            .mean_with_estimate_s(self.estimate_s(job.spec()))
+    /// Seconds that a task of the job should run: tasks of a job are alike, so what was measured of those that
+    /// are completed soon counts more than the estimate.
+    pub fn run_time_of_job_s(&self, job: &Job) -> f64 {
+        let estimate_s = self.run_time_s(job.spec());
+        job.run_times().mean_with_estimate_s(estimate_s)
     }
 
-    /// How long a task that has run for so long should still run.
-    pub(crate) fn rest_s(&self, job: &Job, ran_s: f64) -> f64 {
-        let run = self.estimate_of(job);
-        let past = if job.run_times().count() >= ALIKE {
+    /// Seconds that a task of the job which has run for so long should still run.
+    pub fn remaining_run_time_s(&self, job: &Job, ran_s: f64) -> f64 {
+        let run_time_s = self.run_time_of_job_s(job);
+        let past_estimate_s = if job.run_times().count() >= MIN_MEASURED_TASKS {
             // Its like took about as long, so it can't be far from its end.
-            (run * SPREAD - ran_s) / 2.0
+            (run_time_s * MAX_SPREAD_WITHIN_JOB - ran_s) / 2.0
         } else {
-            // Guards against a forecast in which whatever is past its guess is about to end: run times
-            // have long tails, and during a burst nothing was rented for thousands of tasks.
-            ran_s * TAIL
+            // Guards against a forecast in which whatever is past its estimate is about to end: run times
+            // have long tails, and during a burst no machine was added for thousands of tasks.
+            ran_s * TAIL_FRACTION
         };
-        (run - ran_s).max(past).max(2.0)
+        (run_time_s - ran_s)
+            .max(past_estimate_s)
+            .max(MIN_REMAINING_SECS)
     }
 
-    /// How long the longest task of the job should run.
-    pub(crate) fn longest_of(&self, job: &Job) -> f64 {
-        let longer = self
-            .estimates
-            .observed
-            .get(&job.spec().class)
-            .and_then(|o| o.longer)
-            .unwrap_or(0.0);
-        let part = if job.spec().tasks < ALIKE {
-            0.0
-        } else {
-            longer
-        };
-        self.estimate_of(job) * (1.0 + part)
+    /// Seconds that the longest task of the job should run.
+    pub fn longest_run_time_s(&self, job: &Job) -> f64 {
+        let observed = self.by_class.get(&job.spec().class);
+        let excess = observed.and_then(|observed| observed.longest_over_mean);
+        let has_few_tasks = job.spec().tasks < MIN_MEASURED_TASKS;
+        let excess = excess.filter(|_| !has_few_tasks).unwrap_or(0.0);
+        self.run_time_of_job_s(job) * (1.0 + excess)
     }
+}
 
-    /// What is left to be placed of a job, in machine-seconds.
+impl ClusterView<'_> {
+    /// The work that is left to be placed of a job, in machine-seconds.
     ///
-    /// Of jobs that can still meet the same aim the least work goes first. When there is enough room
-    /// the order matters little; when there is too much to do, going by the least slack made every
-    /// job just late: on the grown site's rough day half of all deadlines were missed for hours of
-    /// machine time that went to a fifth of the jobs.
-    pub(crate) fn work_of(&self, job: &Job) -> f64 {
+    /// Of jobs that can still meet the same objective the least work goes first. When there is enough room
+    /// the order matters little; when there is too much to do, going by the least slack made every job just
+    /// late: on the grown site's rough day half of all deadlines were missed for hours of machine time that
+    /// went to a fifth of the jobs.
+    pub(crate) fn pending_work_s(&self, job: &Job) -> f64 {
         let tasks = job.pending().len() as f64;
-        self.part_of_machine(job.spec()) * tasks * self.estimate_of(job)
+        let fraction = self.machines.smallest_fraction_taken(job.spec());
+        fraction * tasks * self.estimates.run_time_of_job_s(job)
     }
+}
 
-    /// The largest part that a task takes of the machine type which it takes least of.
-    pub(crate) fn part_of_machine(&self, spec: &JobSpec) -> f64 {
-        let part = |request: f64, have: f64| if have > 0.0 { request / have } else { 0.0 };
-        self.machines
-            .types
-            .values()
-            .filter(|r| {
-                spec.machine_types
-                    .as_ref()
-                    .is_none_or(|a| a.contains(&r.name))
-            })
-            .map(|r| part(spec.gpus, r.gpus).max(part(spec.cpus, r.cpus)))
-            .filter(|p| *p <= 1.0)
-            .fold(f64::INFINITY, f64::min)
+impl Scheduler {
+    /// A task is about to be completed: what its attempt says of run times is learnt.
+    ///
+    /// Guards against estimates that shrink with each failover: when an attempt of a former leader began to
+    /// run is not known, and it seemed to have run only since this leader saw it.
+    pub(crate) fn note_run_time(&mut self, now: Instant, machine_id: &MachineId, key: &AttemptKey) {
+        let machine = self.machines.get(machine_id);
+        let attempt = machine.and_then(|machine| machine.attempts.get(key));
+        let launched_here = attempt.filter(|attempt| !attempt.recovered);
+        let Some(since) = launched_here.and_then(|attempt| attempt.running_since) else {
+            return;
+        };
+        let run_time_s = (now - since).secs();
+        let id = &key.task.job;
+        self.jobs
+            .update(id, |job| job.run_time_measured(run_time_s));
+        if let Some(job) = self.jobs.get(id) {
+            self.writer.hints_news |= self.estimates.task_completed(job, run_time_s);
+        }
     }
 }
--- /dev/null
+++ b/src/coordination/jobs/graph/derivation.rs
@@ -0,0 +1,122 @@
+//! What follows for each job from the jobs upstream and downstream of it: its depth, and, backwards from the
+//! outputs, its deadline, its label and its priority.
+
+use super::node::{Derived, Label};
+use super::Graph;
+use crate::ids::JobId;
+use crate::time::Instant;
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+
+/// Jobs at most so many steps upstream of an output with a deadline are latency jobs.
+const MAX_LATENCY_STEPS: u32 = 2;
+
+impl Graph {
+    /// Derives depths, deadlines, labels and priorities anew if anything changed; linear in the jobs that
+    /// have upstream or downstream jobs.
+    pub fn refresh(&mut self) {
+        if !std::mem::take(&mut self.is_stale) {
+            return;
+        }
+        for id in std::mem::take(&mut self.linked) {
+            if let Some(node) = self.nodes.get_mut(&id) {
+                node.derived = Derived::alone(&node.traits);
+            }
+        }
+        let order = self.topological_order();
+        self.derive_backwards(&order);
+        self.linked = order.into_iter().collect();
+    }
+
+    /// Open jobs directly upstream of an open job.
+    fn open_upstream<'a>(&'a self, id: &JobId) -> impl Iterator<Item = &'a JobId> {
+        let node = self.nodes.get(id).filter(|node| node.state.is_open());
+        let unfinished = node.into_iter().flat_map(|node| &node.unfinished_upstream);
+        unfinished.filter(|upstream| self.is_open(upstream))
+    }
+
+    /// Open jobs directly downstream of a job.
+    fn open_downstream<'a>(&'a self, id: &JobId) -> impl Iterator<Item = &'a JobId> {
+        let all = self.downstream.get(id).into_iter().flatten();
+        all.filter(|downstream| self.is_open(downstream))
+    }
+
+    /// Open jobs that have upstream or downstream jobs.
+    fn open_linked_jobs(&self) -> BTreeSet<JobId> {
+        let upstream = self.downstream.keys();
+        let downstream = self.downstream.values().flatten();
+        let linked = upstream.chain(downstream);
+        linked.filter(|id| self.is_open(id)).cloned().collect()
+    }
+
+    /// Open jobs with dependencies, upstream jobs first, with their depths set. Jobs in a cycle, which no
+    /// accepted submission can make, never come up: they keep what is their own and are never released.
+    fn topological_order(&mut self) -> Vec<JobId> {
+        let mut unordered_upstream: BTreeMap<JobId, usize> = BTreeMap::new();
+        let mut ready: VecDeque<JobId> = VecDeque::new();
+        for id in self.open_linked_jobs() {
+            match self.open_upstream(&id).count() {
+                0 => ready.push_back(id),
+                count => drop(unordered_upstream.insert(id, count)),
+            }
+        }
+        let mut order = Vec::new();
+        while let Some(id) = ready.pop_front() {
+            let next_depth = self.depth(&id) + 1;
+            for downstream in self.open_downstream(&id).cloned().collect::<Vec<_>>() {
+                if let Some(node) = self.nodes.get_mut(&downstream) {
+                    node.derived.depth = node.derived.depth.max(next_depth);
+                }
+                if let Some(left) = unordered_upstream.get_mut(&downstream) {
+                    *left -= 1;
+                    if *left == 0 {
+                        ready.push_back(downstream);
+                    }
+                }
+            }
+            order.push(id);
+        }
+        order
+    }
+
+    /// Backwards from the outputs: each job has to be done before its downstream jobs must begin, and has the
+    /// highest of their priorities; the latency label goes to the jobs directly upstream of an output with a
+    /// deadline and to those directly upstream of them.
+    fn derive_backwards(&mut self, order: &[JobId]) {
+        let mut steps_to_deadline: BTreeMap<JobId, u32> = BTreeMap::new();
+        for id in order.iter().rev() {
+            let is_output = self.open_downstream(id).next().is_none();
+            let Some(node) = self.nodes.get_mut(id) else {
+                continue;
+            };
+            let mut steps = steps_to_deadline.get(id).copied();
+            if is_output && node.traits.deadline.is_some() {
+                steps = Some(0);
+            }
+            node.derived.label = match steps {
+                Some(_) => Label::Latency,
+                None => Label::Throughput,
+            };
+            let derived = node.derived;
+            let latest_start = derived.deadline.map(|at| at - node.traits.run_time);
+            for upstream in self.open_upstream(id).cloned().collect::<Vec<_>>() {
+                self.derive_upstream(&upstream, &derived, latest_start);
+                if let Some(steps) = steps.filter(|steps| *steps < MAX_LATENCY_STEPS) {
+                    let nearest = steps_to_deadline.entry(upstream).or_insert(steps + 1);
+                    *nearest = (*nearest).min(steps + 1);
+                }
+            }
+        }
+    }
+
+    /// Carries priority and deadline over to a job from one directly downstream of it.
+    fn derive_upstream(&mut self, id: &JobId, downstream: &Derived, latest_start: Option<Instant>) {
+        let Some(node) = self.nodes.get_mut(id) else {
+            return;
+        };
+        node.derived.priority = node.derived.priority.max(downstream.priority);
+        node.derived.deadline = match (node.derived.deadline, latest_start) {
+            (Some(own), Some(latest)) => Some(own.min(latest)),
+            (own, latest) => own.or(latest),
+        };
+    }
+}
--- a/src/coordination/jobs/lifecycle.rs
+++ b/src/coordination/jobs/lifecycle.rs
@@ -1,12 +1,12 @@
-//! Chains of jobs: opening and closing of jobs, what follows from it for the jobs that need them, and
-//! the reading of finish marks that decide a release.
+//! Opening and closing of jobs, and what follows from it for the jobs downstream of them.
 //!
-//! A job is released only by finish marks known to be durable: one that this leader's own transaction
-//! has written, or one that was read. A report, a write without an answer, or an open record that is
-//! gone decide nothing.
+//! A job is released only by terminal records known to be durable: one that this leader's own transaction
+//! has written, or one that was read. A heartbeat, a write without an answer, or an open record that is gone
+//! decide nothing.
 
 use crate::coordination::jobs::graph::{Changes, JobTraits, Release};
 use crate::coordination::jobs::job::Job;
+use crate::coordination::jobs::table::JobTable;
 use crate::coordination::{Effect, Scheduler};
 use crate::ids::{JobId, KeyRevision, MachineId};
 use crate::protocol::users::JobPhase;
@@ -17,49 +17,58 @@
 /// How a job came to be no longer open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Closure {
-    /// Its finish mark is durable.
+    /// Its terminal record is durable and says that it is done.
     Finished,
     /// Its cancellation is durable.
     Cancelled,
     /// Its open record is gone: by a write of ours whose answer is still to come, by a cancellation, or
-    /// long ago, if what we see is old. Its finish mark says which.
+    /// long ago, if what we see is old. Its terminal record says which.
     Unknown,
 }
 
-/// Finish marks read in one go.
-const MAX_TERMINAL_RECORDS_PER_READ: usize = 32;
-/// The pause after a read in which a job had no mark: its open record is on the way to us.
-const MISSING_RECORD_RETRY_DELAY: TimeSpan = TimeSpan(1_000);
-/// A read that is not answered within this is made again, should the runtime have lost it.
-const READ_TIMEOUT: TimeSpan = TimeSpan(30_000);
+impl JobTable {
+    /// Takes in a job that was opened, with the jobs that it depends on directly.
+    fn open(&mut self, id: JobId, job: Job, upstream: &[JobId], traits: JobTraits) {
+        self.insert(id.clone(), job);
+        self.graph.add(&id, upstream, traits);
+    }
 
-/// The reading of finish marks.
-#[derive(Debug)]
-pub struct TerminalRecordReads {
-    /// Since when a read is under way.
-    asked: Option<Instant>,
-    not_before: Instant,
-    /// The last id of the last read: all have their turn.
-    last: Option<JobId>,
-}
+    /// Tells the graph how a job was closed.
+    fn closed_by(&mut self, now: Instant, id: &JobId, closure: Closure) {
+        match closure {
+            Closure::Finished => self.graph.finished(id, now),
+            Closure::Cancelled => self.graph.cancelled(id),
+            Closure::Unknown => self.graph.closed(id),
+        }
+    }
 
-impl Default for TerminalRecordReads {
-    fn default() -> TerminalRecordReads {
-        TerminalRecordReads {
-            asked: None,
-            not_before: Instant::LONG_AGO,
-            last: None,
+    /// Carries over to the jobs what the graph says. Returns the released ones that are held.
+    #[must_use]
+    fn apply_graph_changes(&mut self, now: Instant) -> Vec<Release> {
+        let Changes {
+            mut released,
+            cancelled,
+        } = self.graph.take_changes();
+        released.retain(|release| {
+            let finish = release.last_upstream_finish;
+            self.update(&release.id, |job| job.release(now, finish))
+                .is_some()
+        });
+        for id in cancelled {
+            self.update(&id, Job::cancel_with_ancestor);
         }
+        released
     }
 }
 
 impl Scheduler {
+    /// A job was opened, or its open record was seen again.
     pub(crate) fn job_opened(
         &mut self,
         now: Instant,
         record: OpenJobRecord,
         revision: KeyRevision,
-        submitted: Instant,
+        submitted_at: Instant,
     ) {
         let id = record.spec.id.clone();
         if let Some(job) = self.jobs.get(&id) {
@@ -71,10 +80,9 @@
         }
         let team = self.team_of(&record.spec);
         let pages = record.dependency_pages;
-        let job = Job::new(record.spec, team, revision, submitted, pages);
+        let job = Job::new(record.spec, team, revision, submitted_at, pages);
         let traits = self.traits_of(&job, &record.after);
-        self.jobs.insert(id.clone(), job);
-        self.jobs.graph.add(&id, &record.after, traits);
+        self.jobs.open(id, job, &record.after, traits);
         self.apply_graph_changes(now);
         self.placement.request_pass();
     }
@@ -82,17 +90,17 @@
     /// What the job brings into the graph. Its deadline is its own, or else the class's `finished`
     /// objective (an exception of ours, see docs/DESIGN.md: most deployed jobs state no deadline); that
     /// one counts from the release, so it says nothing for a job that waits for others.
-    fn traits_of(&self, job: &Job, after: &[JobId]) -> JobTraits {
+    fn traits_of(&self, job: &Job, upstream: &[JobId]) -> JobTraits {
         let spec = job.spec();
         let objective = || self.policy.finished_within(&spec.class);
-        let fallback = || objective().filter(|_| after.is_empty());
-        let due_s = spec.due_s.or_else(fallback);
-        // Without machine types nothing is known of the fetch.
-        let fetch_s = Some(self.shortest_fetch_s(spec)).filter(|s| s.is_finite());
-        let run_s = self.longest_of(job) + fetch_s.unwrap_or(0.0);
+        let fallback = || objective().filter(|_| upstream.is_empty());
+        let deadline_s = spec.due_s.or_else(fallback);
+        // Without machine types nothing is known of the image pull.
+        let pull_s = Some(self.shortest_fetch_s(spec)).filter(|seconds| seconds.is_finite());
+        let run_time_s = self.estimates.longest_run_time_s(job) + pull_s.unwrap_or(0.0);
         JobTraits {
-            due: due_s.map(|s| job.submitted_at() + TimeSpan::from_secs(s)),
-            run: TimeSpan::from_secs(run_s),
+            deadline: deadline_s.map(|seconds| job.submitted_at() + TimeSpan::from_secs(seconds)),
+            run_time: TimeSpan::from_secs(run_time_s),
             priority: spec.priority,
         }
     }
@@ -100,28 +108,25 @@
     /// A job is no longer open.
     ///
     /// Guards against a cancellation inferred from what is known of the tasks: changes can come twice, so
-    /// that a job which was done and forgotten opens once more without its tasks, and closes; the jobs that
-    /// need it were cancelled. Where the closure is unknown, only the finish mark says what it was.
+    /// that a job which was done and forgotten opens once more without its tasks, and closes; the jobs
+    /// downstream of it were cancelled. Where the closure is unknown, only the terminal record says what it
+    /// was.
     pub(crate) fn job_closed(&mut self, now: Instant, id: &JobId, closure: Closure) {
         if !self.jobs.contains(id) {
             return;
         }
-        match closure {
-            Closure::Finished => self.jobs.graph.finished(id, now),
-            Closure::Cancelled => self.jobs.graph.cancelled(id),
-            Closure::Unknown => self.jobs.graph.closed(id),
-        }
+        self.jobs.closed_by(now, id, closure);
         self.apply_graph_changes(now);
-        self.end_job(now, id);
+        self.close_job(now, id);
     }
 
     /// Nothing of the job may start any more, and what runs is stopped.
-    fn end_job(&mut self, now: Instant, id: &JobId) {
+    fn close_job(&mut self, now: Instant, id: &JobId) {
         let Some(job) = self.jobs.get(id).filter(|job| !job.is_closed()) else {
             return;
         };
         if !job.is_complete() {
-            tracing::debug!(job = %id, "cancelled");
+            tracing::debug!(job = %id, "job cancelled");
         }
         self.writer.orphan_edges(id, job.dependency_pages());
         let placements = job.placements().values().flatten();
@@ -134,80 +139,60 @@
         }
     }
 
-    /// Carries over to the jobs what the graph says.
+    /// Carries over to the jobs what the graph says. A released job counts from now on for its team, for the
+    /// forecast and for its objectives.
     pub(crate) fn apply_graph_changes(&mut self, now: Instant) {
-        let Changes {
-            released,
-            cancelled,
-        } = self.jobs.graph.take_changes();
-        for release in released {
-            self.release(now, release);
-        }
-        for id in cancelled {
-            self.jobs.update(&id, Job::cancel_with_ancestor);
+        for release in self.jobs.apply_graph_changes(now) {
+            let Some(job) = self.jobs.get(&release.id) else {
+                continue;
+            };
+            if let Some(finish) = release.last_upstream_finish {
+                tracing::debug!(job = %release.id, last_upstream_finish_ms = finish.0, "job released");
+            }
+            let (spec, ready_at) = (job.spec().clone(), job.ready_at());
+            self.aging.job_released(&spec);
+            self.note_arrival(&spec, ready_at);
+            self.placement.request_pass();
         }
     }
 
-    /// A job may run: from now on it counts for its team, for the forecast and for its aims.
-    fn release(&mut self, now: Instant, release: Release) {
-        self.jobs
-            .update(&release.id, |job| job.release(now, release.at));
-        let Some(job) = self.jobs.get(&release.id) else {
-            return;
-        };
-        if let Some(last_mark) = release.at {
-            tracing::debug!(job = %release.id, last_mark_ms = last_mark.0, "released by the marks of its producers");
-        }
-        let (spec, ready) = (job.spec().clone(), job.ready_at());
-        self.note_arrival(&spec, ready);
-        self.note_size(&spec.class, spec.tasks);
-        self.placement.request_pass();
+    /// Releases whatever should have been released already. To be called about once a second.
+    pub(crate) fn recheck_releases(&mut self, now: Instant) {
+        self.jobs.graph.recheck();
+        self.apply_graph_changes(now);
     }
 
-    /// Asks for the finish marks of producers of which nothing is known here.
+    /// Asks for the terminal records of upstream jobs of which nothing is known here.
     pub(crate) fn read_terminal_records(&mut self, now: Instant) {
-        let reads = &mut self.jobs.terminal_record_reads;
-        let under_way = reads.asked.is_some_and(|t| now - t < READ_TIMEOUT);
-        if under_way || now < reads.not_before {
-            return;
-        }
-        let last = reads.last.as_ref();
-        let ids = self
-            .jobs
-            .graph
-            .unknown_after(last, MAX_TERMINAL_RECORDS_PER_READ);
-        if ids.is_empty() {
-            return;
+        let jobs = &mut self.jobs;
+        if let Some(ids) = jobs.terminal_record_reads.start(now, &jobs.graph) {
+            self.effects.push(Effect::ReadTerminalRecords { ids });
         }
-        reads.asked = Some(now);
-        reads.last = ids.last().cloned();
-        self.effects.push(Effect::ReadTerminalRecords { ids });
     }
 
-    /// Finish marks as they stand.
+    /// Terminal records as they stand, with `None` for a job that has none.
     pub(crate) fn terminal_records_read(
         &mut self,
         now: Instant,
         terminal_records: Vec<(JobId, Option<TerminalRecord>)>,
     ) {
-        self.jobs.terminal_record_reads.asked = None;
-        for (id, terminal_record) in terminal_records {
-            match terminal_record {
-                Some(terminal_record) if terminal_record.phase == JobPhase::Done => {
-                    let at = terminal_record
-                        .at_ms
-                        .map(|ms| self.leadership.on_steady_clock(TimeSpan(ms as i64)));
-                    self.jobs
-                        .graph
-                        .finished(&id, at.map_or(now, |at| at.min(now)));
+        let mut any_missing = false;
+        for (id, record) in terminal_records {
+            match record {
+                Some(record) if record.phase == JobPhase::Done => {
+                    let at = record.at_ms;
+                    let at = at.map(|ms| self.leadership.on_steady_clock(TimeSpan(ms as i64)));
+                    let at = at.map_or(now, |at| at.min(now));
+                    self.jobs.graph.finished(&id, at);
                 }
-                Some(terminal_record) if terminal_record.phase == JobPhase::Cancelled => {
-                    self.jobs.graph.cancelled(&id)
+                Some(record) if record.phase == JobPhase::Cancelled => {
+                    self.jobs.graph.cancelled(&id);
                 }
-                // Still open as far as the service goes: its record comes with the next changes.
-                _ => self.jobs.terminal_record_reads.not_before = now + MISSING_RECORD_RETRY_DELAY,
+                // Still open as far as the state store goes: its record comes with the next changes.
+                _ => any_missing = true,
             }
         }
+        self.jobs.terminal_record_reads.answered(now, any_missing);
         self.apply_graph_changes(now);
     }
 }
--- a/src/coordination/jobs/mod.rs
+++ b/src/coordination/jobs/mod.rs
@@ -12,3 +12,4 @@
 pub mod run_times;
 pub mod table;
 mod tasks;
+pub mod terminal_record_reads;
--- a/src/coordination/jobs/table.rs
+++ b/src/coordination/jobs/table.rs
@@ -6,7 +6,7 @@
 use super::graph::Graph;
 use super::index::{JobIndex, Memberships};
 use super::job::Job;
-use super::lifecycle::TerminalRecordReads;
+use super::terminal_record_reads::TerminalRecordReads;
 use crate::ids::{JobId, TeamIndex};
 use std::collections::{btree_map, BTreeMap, BTreeSet};
 
@@ -16,9 +16,9 @@
     jobs: BTreeMap<JobId, Job>,
     pub(super) index: JobIndex,
     /// Which jobs depend on which.
-    pub(crate) graph: Graph,
+    pub(super) graph: Graph,
     /// Reads of the terminal records of upstream jobs that are not held here.
-    pub(crate) terminal_record_reads: TerminalRecordReads,
+    pub(super) terminal_record_reads: TerminalRecordReads,
 }
 
 impl JobTable {
@@ -121,6 +121,16 @@
         self.index.forgettable.iter()
     }
 
+    /// Which jobs depend on which, and what follows from it.
+    pub fn graph(&self) -> &Graph {
+        &self.graph
+    }
+
+    /// Derives deadlines, labels and priorities anew if anything changed in the graph.
+    pub fn refresh_graph(&mut self) {
+        self.graph.refresh();
+    }
+
     /// The number of teams.
     pub fn team_count(&self) -> usize {
         self.index.released_by_team.len()
--- a/src/coordination/leadership/recovery.rs
+++ b/src/coordination/leadership/recovery.rs
@@ -74,7 +74,7 @@
             placement: PlacementState::new(policy.facts.process_limits.cores),
             autoscaler: Autoscaler::new(policy.facts.cloud.rps),
             estimates: Estimates::default(),
-            aging: Aging::default(),
+            aging: Aging::new(policy.operator.begin_within_s),
             writer: Writer::new(state, now),
             policy: policy.clone(),
             effects: Vec::new(),
--- a/src/coordination/machines/mod.rs
+++ b/src/coordination/machines/mod.rs
@@ -4,3 +4,4 @@
 pub mod machine;
 mod reservation;
 pub mod table;
+mod type_fit;
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -166,10 +166,10 @@
     pub fn step(&mut self, now: Instant) -> Vec<Effect> {
         if (now - self.last_recheck_at).0 >= 1000 {
             self.last_recheck_at = now;
-            self.jobs.graph.recheck();
-            self.apply_graph_changes(now);
+            self.recheck_releases(now);
             self.recheck_machines(now);
-            self.recheck_aging(now);
+            self.aging
+                .recheck(now, self.jobs.pending().map(|(_, job)| job));
             self.recheck_images();
             self.forget_closed_jobs();
             self.log_cluster_state(now);
@@ -178,7 +178,7 @@
         self.read_terminal_records(now);
         self.stop_unwanted(now);
         if self.placement.start_pass_if_due(now) {
-            self.jobs.graph.refresh();
+            self.jobs.refresh_graph();
             self.update_warm_pool(now);
             let unplaced = self.place(now);
             self.preempt(now, &unplaced);
--- a/src/coordination/persistence/ends.rs
+++ b/src/coordination/persistence/ends.rs
@@ -12,7 +12,7 @@
 impl Scheduler {
     pub(crate) fn draft_finishes(&self, now: Instant, draft: &mut Draft) {
         for (id, job) in self.jobs.complete() {
-            if !self.jobs.graph.has_consumers(id) && !self.draft_finish(now, id, job, draft) {
+            if !self.jobs.graph().has_downstream(id) && !self.draft_finish(now, id, job, draft) {
                 return;
             }
         }
@@ -26,7 +26,7 @@
             if draft.changes.len() + FINISH_OPS > most {
                 return;
             }
-            if self.jobs.graph.has_consumers(id) && !self.draft_finish(now, id, job, draft) {
+            if self.jobs.graph().has_downstream(id) && !self.draft_finish(now, id, job, draft) {
                 return;
             }
         }
@@ -44,8 +44,8 @@
             tasks: job.spec().tasks,
             at_ms: self
                 .jobs
-                .graph
-                .has_consumers(id)
+                .graph()
+                .has_downstream(id)
                 .then(|| self.leadership.time_of_day_ms(now)),
         };
         draft.close(
--- a/src/coordination/placement/candidates.rs
+++ b/src/coordination/placement/candidates.rs
@@ -146,7 +146,7 @@
     ) -> BinaryHeap<Candidate<'_>> {
         let spec = job.spec();
         let request = Resources::of(spec);
-        let label = self.view.jobs().graph.label(job_id);
+        let label = self.view.jobs().graph().label(job_id);
         let avoids_failures = job.retry().failed_on().len() <= MAX_AVOIDED_MACHINES;
         let may_use_warm_pool = self.view.is_aged(job);
         self.view
--- a/src/coordination/placement/mod.rs
+++ b/src/coordination/placement/mod.rs
@@ -26,9 +26,7 @@
 
 use crate::coordination::jobs::graph::Label;
 use crate::coordination::Scheduler;
-use crate::ids::{AttemptId, JobId, MachineId, TaskId, TeamIndex};
-use crate::protocol::users::JobSpec;
-use crate::resources::Resources;
+use crate::ids::{AttemptId, JobId, MachineId, TaskId};
 use crate::storage::records::LaunchIntent;
 use crate::time::Instant;
 use image_locality::ImagePreemption;
@@ -58,26 +56,6 @@
 type QueuePosition = usize;
 
 impl Scheduler {
-    /// How many more tasks the team's limit lets start.
-    pub(crate) fn headroom(
-        &self,
-        spec: &JobSpec,
-        team: Option<TeamIndex>,
-        used: &[Resources],
-    ) -> u32 {
-        let (Some(no), Some(team)) = (team, self.policy.team(team)) else {
-            return 0;
-        };
-        let used = used.get(no.0).copied().unwrap_or_default();
-        let bound = |max: f64, used: f64| if max > 0.0 { max - used } else { f64::INFINITY };
-        let room = Resources {
-            cpus: bound(team.cpus_max, used.cpus),
-            gpus: bound(team.gpus_max, used.gpus),
-            ram_gb: f64::INFINITY,
-        };
-        Resources::of(spec).count_in(&room, spec.tasks)
-    }
-
     /// One pass: places what fits and says what does not, in the order of the queue.
     pub(crate) fn place(&mut self, now: Instant) -> Vec<UnplacedTasks> {
         if self.machines.types.is_empty() {
@@ -207,7 +185,7 @@
         let Some(is_gang) = updated else {
             return;
         };
-        let is_latency = self.jobs.graph.label(job_id) == Label::Latency;
+        let is_latency = self.jobs.graph().label(job_id) == Label::Latency;
         for placement in plan.placements {
             let Placement {
                 task,
--- a/src/coordination/placement/queue.rs
+++ b/src/coordination/placement/queue.rs
@@ -74,7 +74,7 @@
         } else {
             AgingRank::NotAged
         };
-        let graph = &self.jobs().graph;
+        let graph = &self.jobs().graph();
         QueueKey {
             round: RoundKey {
                 aging,
@@ -102,7 +102,7 @@
             let mut round = Round::new();
             for member in keys
                 .iter()
-                .flat_map(|key| self.jobs().graph.group(key.job_id))
+                .flat_map(|key| self.jobs().graph().task_group(key.job_id))
             {
                 if queued.contains(&member) && assigned.insert(member.clone()) {
                     round.push(member);
@@ -155,9 +155,9 @@
                 .filter_map(|objective| objective.within_s)
                 .map(|seconds| after_ready(seconds) - run_time),
         );
-        let graph = &self.jobs().graph;
-        let has_deadline = job.spec().due_s.is_some() || graph.has_consumers(id);
-        if let Some(deadline) = graph.due(id).filter(|_| has_deadline) {
+        let graph = &self.jobs().graph();
+        let has_deadline = job.spec().due_s.is_some() || graph.has_downstream(id);
+        if let Some(deadline) = graph.deadline(id).filter(|_| has_deadline) {
             let deadlines = self.deadline_objectives(job, deadline);
             latest_starts.extend(deadlines.map(|deadline| deadline - run_time));
         }
--- a/src/coordination/placement/view.rs
+++ b/src/coordination/placement/view.rs
@@ -32,7 +32,7 @@
     /// Whether a task takes most of a machine: large ones are placed first, small ones fill what is
     /// left.
     pub(crate) fn is_large_task(&self, spec: &JobSpec) -> bool {
-        self.part_of_machine(spec) > LARGE_TASK_FRACTION
+        self.machines.smallest_fraction_taken(spec) > LARGE_TASK_FRACTION
     }
 }
 
@@ -80,12 +80,12 @@
 
     /// Whether a job goes ahead of all others, lest it or its kind starve.
     pub(super) fn is_aged(&self, job: &Job) -> bool {
-        self.scheduler.aged(job, self.now)
+        self.scheduler.aging.is_aged(self.now, job)
     }
 
     /// The priority that a job is treated with: the highest of its own and of all downstream jobs.
     pub(super) fn effective_priority(&self, job_id: &JobId, spec: &JobSpec) -> Priority {
-        let derived = self.jobs().graph.priority(job_id);
+        let derived = self.jobs().graph().priority(job_id);
         derived.map_or(spec.priority, |highest| highest.max(spec.priority))
     }
 
@@ -109,22 +109,23 @@
 
     /// How many more tasks of the job its team's limit lets start, when the teams use so much.
     pub(super) fn quota_headroom(&self, job: &Job, team_usage: &[Resources]) -> u32 {
-        self.scheduler.headroom(job.spec(), job.team(), team_usage)
+        self.policy()
+            .quota_headroom(job.spec(), job.team(), team_usage)
     }
 
     /// Seconds that a task of the job should run.
     pub(super) fn estimated_run_time_s(&self, job: &Job) -> f64 {
-        self.scheduler.estimate_of(job)
+        self.scheduler.estimates.run_time_of_job_s(job)
     }
 
     /// Seconds that the longest task of the job should run.
     pub(super) fn longest_run_time_s(&self, job: &Job) -> f64 {
-        self.scheduler.longest_of(job)
+        self.scheduler.estimates.longest_run_time_s(job)
     }
 
     /// What is left to be placed of a job, in machine-seconds.
     pub(super) fn pending_work_s(&self, job: &Job) -> f64 {
-        self.scheduler.work_of(job)
+        self.scheduler.view(self.now).pending_work_s(job)
     }
 
     /// Seconds until the job's image would be on the machine: 0 if it is cached there.
--- a/src/coordination/policy.rs
+++ b/src/coordination/policy.rs
@@ -2,6 +2,8 @@
 
 use crate::config::{Config, Facts, OperatorConfig, Slo, Team};
 use crate::ids::TeamIndex;
+use crate::protocol::users::JobSpec;
+use crate::resources::Resources;
 use crate::time::TimeSpan;
 use crate::transport::sockets::Sockets;
 
@@ -34,6 +36,27 @@
     pub fn team(&self, no: Option<TeamIndex>) -> Option<&Team> {
         no.and_then(|n| self.facts.teams.get(n.0))
     }
+    /// How many more tasks of a job its team's limit lets start when the teams use so much; none if the
+    /// settings don't know the team.
+    pub fn quota_headroom(
+        &self,
+        spec: &JobSpec,
+        team: Option<TeamIndex>,
+        team_usage: &[Resources],
+    ) -> u32 {
+        let (Some(index), Some(team)) = (team, self.team(team)) else {
+            return 0;
+        };
+        let usage = team_usage.get(index.0).copied().unwrap_or_default();
+        let left = |max: f64, used: f64| if max > 0.0 { max - used } else { f64::INFINITY };
+        let left = Resources {
+            cpus: left(team.cpus_max, usage.cpus),
+            gpus: left(team.gpus_max, usage.gpus),
+            ram_gb: f64::INFINITY,
+        };
+        Resources::of(spec).count_in(&left, spec.tasks)
+    }
+
     /// The time by which most tasks of a class should have started, if the settings name one.
     pub fn started_within(&self, class: &str) -> Option<f64> {
         self.least("wait", class)
--- a/tests/dependency_graph.rs
+++ b/tests/dependency_graph.rs
@@ -10,17 +10,17 @@
 }
 
 /// A job that runs for a second, with a deadline if one is given.
-fn traits(due: Option<Instant>) -> JobTraits {
+fn traits(deadline: Option<Instant>) -> JobTraits {
     JobTraits {
-        due,
-        run: TimeSpan(1000),
+        deadline,
+        run_time: TimeSpan(1000),
         priority: Priority::Low,
     }
 }
 
 const PLAIN: JobTraits = JobTraits {
-    due: None,
-    run: TimeSpan(1000),
+    deadline: None,
+    run_time: TimeSpan(1000),
     priority: Priority::Low,
 };
 
@@ -30,14 +30,20 @@
     g.add(&id(3), &[id(1), id(2)], PLAIN);
     g.add(&id(1), &[], PLAIN);
     g.add(&id(2), &[], PLAIN);
-    assert!(g.released(&id(1)) && !g.released(&id(3)));
+    assert!(g.is_released(&id(1)) && !g.is_released(&id(3)));
     g.finished(&id(1), Instant(10));
-    assert!(!g.released(&id(3)));
+    assert!(!g.is_released(&id(3)));
     g.take_changes();
     g.finished(&id(2), Instant(20));
-    assert!(g.released(&id(3)));
+    assert!(g.is_released(&id(3)));
     let at = Some(Instant(20));
-    assert_eq!(g.take_changes().released, [Release { id: id(3), at }]);
+    assert_eq!(
+        g.take_changes().released,
+        [Release {
+            id: id(3),
+            last_upstream_finish: at
+        }]
+    );
     g.add(&id(4), &[id(3)], PLAIN);
     g.add(&id(5), &[id(4)], PLAIN);
     g.cancelled(&id(3));
@@ -45,7 +51,7 @@
     let changes = g.take_changes();
     assert_eq!(changes.cancelled, [id(4), id(5)]);
     assert!(changes.released.is_empty());
-    assert!(!g.released(&id(4)) && !g.released(&id(3)));
+    assert!(!g.is_released(&id(4)) && !g.is_released(&id(3)));
     g.add(&id(6), &[id(5)], PLAIN);
     assert_eq!(g.take_changes().cancelled, [id(6)]);
 }
@@ -57,19 +63,22 @@
     g.add(&id(1), &[], PLAIN);
     g.add(&id(2), &[id(1), id(9)], PLAIN);
     g.take_changes();
-    assert_eq!(g.unknown_after(None, 9), [id(9)]);
+    assert_eq!(g.unresolved_after(None, 9), [id(9)]);
     g.closed(&id(1));
-    assert_eq!(g.unknown_after(None, 9), [id(1), id(9)]);
-    assert_eq!(g.unknown_after(Some(&id(1)), 9), [id(9), id(1)]);
+    assert_eq!(g.unresolved_after(None, 9), [id(1), id(9)]);
+    assert_eq!(g.unresolved_after(Some(&id(1)), 9), [id(9), id(1)]);
     g.forget(&id(1));
     g.finished(&id(9), Instant(5));
-    assert!(!g.released(&id(2)));
-    assert_eq!(g.unknown_after(None, 9), [id(1)]);
+    assert!(!g.is_released(&id(2)));
+    assert_eq!(g.unresolved_after(None, 9), [id(1)]);
     g.finished(&id(1), Instant(3));
-    assert!(g.released(&id(2)));
+    assert!(g.is_released(&id(2)));
     // It was ready when the later of the two was done.
-    assert_eq!(g.take_changes().released[0].at, Some(Instant(5)));
-    assert!(g.unknown_after(None, 9).is_empty());
+    assert_eq!(
+        g.take_changes().released[0].last_upstream_finish,
+        Some(Instant(5))
+    );
+    assert!(g.unresolved_after(None, 9).is_empty());
 }
 
 /// Deadlines, less the time of what lies behind, and priorities go backwards to all ancestors, and back
@@ -80,13 +89,13 @@
     g.add(&id(1), &[], PLAIN);
     g.add(&id(2), &[id(1)], PLAIN);
     let last = JobTraits {
-        due: Some(Instant(9000)),
-        run: TimeSpan(500),
+        deadline: Some(Instant(9000)),
+        run_time: TimeSpan(500),
         priority: Priority::Urgent,
     };
     g.add(&id(3), &[id(2)], last);
     g.refresh();
-    let seen = |g: &Graph, n| (g.due(&id(n)), g.priority(&id(n)));
+    let seen = |g: &Graph, n| (g.deadline(&id(n)), g.priority(&id(n)));
     assert_eq!(seen(&g, 2), (Some(Instant(8500)), Some(Priority::Urgent)));
     assert_eq!(seen(&g, 1), (Some(Instant(7500)), Some(Priority::Urgent)));
     g.cancelled(&id(3));
@@ -107,7 +116,7 @@
     g.add(&id(9999), &all, traits(Some(Instant(9_000_000))));
     g.refresh();
     assert_eq!(g.depth(&id(9999)), 5000);
-    assert_eq!(g.due(&id(0)), Some(Instant(9_000_000 - 5_000_000)));
+    assert_eq!(g.deadline(&id(0)), Some(Instant(9_000_000 - 5_000_000)));
     g.take_changes();
     g.cancelled(&id(0));
     assert_eq!(g.take_changes().cancelled.len(), 5000);
@@ -130,9 +139,9 @@
     assert_eq!(labels, [T, L, L, L, L]);
     assert_eq!(g.label(&id(9)), T);
     // Three jobs of a second each lie behind it.
-    assert_eq!(g.due(&id(1)), Some(Instant(6000)));
-    assert_eq!(g.group(&id(3)), [id(3), id(4)]);
-    assert_eq!(g.group(&id(9)), [id(9)]);
+    assert_eq!(g.deadline(&id(1)), Some(Instant(6000)));
+    assert_eq!(g.task_group(&id(3)), [id(3), id(4)]);
+    assert_eq!(g.task_group(&id(9)), [id(9)]);
     assert_eq!(g.depth(&id(5)), 3);
 }
 
@@ -144,5 +153,5 @@
     g.add(&id(3), &[], PLAIN);
     g.recheck();
     g.refresh();
-    assert!(!g.released(&id(1)) && !g.released(&id(2)) && g.released(&id(3)));
+    assert!(!g.is_released(&id(1)) && !g.is_released(&id(2)) && g.is_released(&id(3)));
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -365,9 +365,9 @@
     let oldest = |reason| waiting.get(&reason).map(|w| (w.jobs, w.oldest.clone()));
     assert_eq!(oldest(PendingReason::TeamLimit), Some((1, small)));
     let consumer = JobId::from("wk-900002");
-    assert_eq!(oldest(PendingReason::Producers), Some((1, consumer)));
+    assert_eq!(oldest(PendingReason::UpstreamJobs), Some((1, consumer)));
     let cpu_only = JobId::from("wk-900003");
-    assert_eq!(oldest(PendingReason::Room), Some((1, cpu_only)));
+    assert_eq!(oldest(PendingReason::FreeCapacity), Some((1, cpu_only)));
     assert_eq!(waiting.len(), 3);
 }
 
