--- a/src/coordination/autoscaler/report.rs
+++ b/src/coordination/autoscaler/report.rs
@@ -35,9 +35,9 @@
                 continue;
             }
             counts.up += 1;
-            counts.idle += u32::from(machine.live_count == 0);
+            counts.idle += u32::from(machine.attempts.live_count() == 0);
             counts.gpus += cluster.machines.capacity(&machine.machine_type).gpus;
-            counts.free_gpus += machine.free.gpus.max(0.0);
+            counts.free_gpus += machine.free().gpus.max(0.0);
             for attempt in machine.live_attempts() {
                 if attempt.running_since.is_some() {
                     counts.running_gpus += attempt.request.gpus;
--- a/src/coordination/autoscaler/view.rs
+++ b/src/coordination/autoscaler/view.rs
@@ -1,6 +1,7 @@
 //! What the autoscaler's decisions read: the cluster, and what other parts know of jobs and machines.
 
 use super::{Autoscaler, MachineOffer};
+use crate::coordination::attempts::ledger::TeamUsage;
 use crate::coordination::jobs::job::Job;
 use crate::coordination::jobs::table::JobTable;
 use crate::coordination::machines::machine::Machine;
@@ -61,7 +62,7 @@
     }
 
     /// What each team uses.
-    pub(super) fn team_usage(&self) -> &'a [Resources] {
+    pub(super) fn team_usage(&self) -> &'a TeamUsage {
         &self.scheduler.team_usage
     }
 
@@ -70,9 +71,9 @@
         &self,
         spec: &JobSpec,
         team: Option<TeamIndex>,
-        team_usage: &[Resources],
+        team_usage: &TeamUsage,
     ) -> u32 {
-        self.scheduler.policy.quota_headroom(spec, team, team_usage)
+        team_usage.headroom(&self.scheduler.policy, team, spec)
     }
 
     /// Whether a machine may be given new work at all.
@@ -107,7 +108,7 @@
 
     /// Seconds that a machine of the type takes to fetch an image of so many gigabytes.
     pub(super) fn fetch_s(&self, machine_type: &MachineType, image_gb: f64) -> f64 {
-        self.scheduler.fetch_s(machine_type, image_gb)
+        self.scheduler.machines.image_pull_s(machine_type, image_gb)
     }
 
     /// What one machine of the type offers.
--- a/src/coordination/jobs/lifecycle.rs
+++ b/src/coordination/jobs/lifecycle.rs
@@ -7,10 +7,10 @@
 use crate::coordination::jobs::graph::{Changes, JobTraits, Release};
 use crate::coordination::jobs::job::Job;
 use crate::coordination::jobs::table::JobTable;
-use crate::coordination::{Effect, Scheduler};
-use crate::ids::{JobId, KeyRevision, MachineId};
+use crate::coordination::{Effect, OpenJob, Scheduler};
+use crate::ids::{JobId, MachineId};
 use crate::protocol::users::JobPhase;
-use crate::storage::records::{OpenJobRecord, TerminalRecord};
+use crate::storage::records::TerminalRecord;
 use crate::time::{Instant, TimeSpan};
 use std::collections::BTreeSet;
 
@@ -62,14 +62,13 @@
 }
 
 impl Scheduler {
-    /// A job was opened, or its open record was seen again.
-    pub(crate) fn job_opened(
-        &mut self,
-        now: Instant,
-        record: OpenJobRecord,
-        revision: KeyRevision,
-        submitted_at: Instant,
-    ) {
+    /// An open job has appeared, or is listed again.
+    pub(crate) fn job_opened(&mut self, now: Instant, open_job: OpenJob) {
+        let OpenJob {
+            record,
+            revision,
+            submitted_at,
+        } = open_job;
         let id = record.spec.id.clone();
         if let Some(job) = self.jobs.get(&id) {
             // A job that is closed here never opens again: the terminal record stands for ever.
@@ -78,7 +77,7 @@
             }
             return;
         }
-        let team = self.team_of(&record.spec);
+        let team = self.policy.team_index(&record.spec.team);
         let pages = record.dependency_pages;
         let job = Job::new(record.spec, team, revision, submitted_at, pages);
         let traits = self.traits_of(&job, &record.after);
@@ -96,7 +95,8 @@
         let fallback = || objective().filter(|_| upstream.is_empty());
         let deadline_s = spec.due_s.or_else(fallback);
         // Without machine types nothing is known of the image pull.
-        let pull_s = Some(self.shortest_fetch_s(spec)).filter(|seconds| seconds.is_finite());
+        let pull_s =
+            Some(self.machines.shortest_image_pull_s(spec)).filter(|seconds| seconds.is_finite());
         let run_time_s = self.estimates.longest_run_time_s(job) + pull_s.unwrap_or(0.0);
         JobTraits {
             deadline: deadline_s.map(|seconds| job.submitted_at() + TimeSpan::from_secs(seconds)),
@@ -134,7 +134,7 @@
         self.jobs.update(id, Job::close);
         self.placement.request_pass();
         for machine_id in machine_ids {
-            self.drop_untouched(now, &machine_id, id);
+            self.ledger().remove_never_launched(now, &machine_id, id);
             self.outbox.machines_to_review.insert(machine_id);
         }
     }
--- a/src/coordination/jobs/pending.rs
+++ b/src/coordination/jobs/pending.rs
@@ -84,8 +84,10 @@
         } else {
             1
         };
-        let policy = self.policy;
-        if policy.quota_headroom(job.spec(), job.team(), self.team_usage) < needed {
+        let headroom = self
+            .team_usage
+            .headroom(self.policy, job.team(), job.spec());
+        if headroom < needed {
             return PendingReason::TeamLimit;
         }
         PendingReason::FreeCapacity
--- a/src/coordination/placement/eviction.rs
+++ b/src/coordination/placement/eviction.rs
@@ -5,7 +5,7 @@
 
 use super::request::allows_machine;
 use super::view::PlacementView;
-use crate::coordination::attempts::task_attempt::TaskAttempt;
+use crate::coordination::attempts::ledger::TaskAttempt;
 use crate::coordination::jobs::job::Job;
 use crate::coordination::machines::machine::Machine;
 use crate::ids::{AttemptKey, JobId, MachineId};
@@ -113,7 +113,7 @@
             .collect();
         stoppable.sort_by(|left, right| left.cost_s.total_cmp(&right.cost_s));
         let request = Resources::of(spec);
-        let mut free = machine.free;
+        let mut free = *machine.free();
         let mut victims = Vec::new();
         let mut cost_s = self.image_wait_s(machine, spec);
         for candidate in stoppable {
--- a/src/coordination/placement/view.rs
+++ b/src/coordination/placement/view.rs
@@ -1,5 +1,6 @@
 //! What placement and preemption read: the cluster, and what the other parts know of jobs and machines.
 
+use crate::coordination::attempts::ledger::TeamUsage;
 use crate::coordination::jobs::job::Job;
 use crate::coordination::jobs::table::JobTable;
 use crate::coordination::machines::machine::Machine;
@@ -104,13 +105,12 @@
 
     /// What the job's team uses: everything that may be on a machine.
     pub(super) fn usage_of_team(&self, job: &Job) -> Resources {
-        self.scheduler.used_by(job.team())
+        self.scheduler.team_usage.of(job.team())
     }
 
     /// How many more tasks of the job its team's limit lets start, when the teams use so much.
-    pub(super) fn quota_headroom(&self, job: &Job, team_usage: &[Resources]) -> u32 {
-        self.policy()
-            .quota_headroom(job.spec(), job.team(), team_usage)
+    pub(super) fn quota_headroom(&self, job: &Job, team_usage: &TeamUsage) -> u32 {
+        team_usage.headroom(&self.scheduler.policy, job.team(), job.spec())
     }
 
     /// Seconds that a task of the job should run.
@@ -130,11 +130,11 @@
 
     /// Seconds until the job's image would be on the machine: 0 if it is cached there.
     pub(super) fn image_wait_s(&self, machine: &Machine, spec: &JobSpec) -> f64 {
-        self.scheduler.wait_for_image(self.now, machine, spec)
+        self.machines().image_wait_s(self.now, machine, spec)
     }
 
     /// Seconds that a pull of the job's image takes on the machine type that is quickest at it.
     pub(super) fn shortest_image_pull_s(&self, spec: &JobSpec) -> f64 {
-        self.scheduler.shortest_fetch_s(spec)
+        self.machines().shortest_image_pull_s(spec)
     }
 }
