--- a/src/coordination/machines/mod.rs
+++ b/src/coordination/machines/mod.rs
@@ -5,3 +5,4 @@
 mod reachability;
 mod reservation;
 pub mod table;
+mod type_fit;
