--- a/src/coordination/persistence/draft/job_ends.rs
+++ b/src/coordination/persistence/draft/job_ends.rs
@@ -56,7 +56,7 @@
     }
 
     fn has_downstream_jobs(&self, id: &JobId) -> bool {
-        self.cluster.jobs.graph.has_consumers(id)
+        self.cluster.jobs.graph().has_downstream(id)
     }
 }
 
--- a/src/coordination/placement/mod.rs
+++ b/src/coordination/placement/mod.rs
@@ -185,7 +185,7 @@
         let Some(is_gang) = updated else {
             return;
         };
-        let is_latency = self.jobs.graph.label(job_id) == Label::Latency;
+        let is_latency = self.jobs.graph().label(job_id) == Label::Latency;
         for placement in plan.placements {
             let Placement {
                 task,
