--- a/src/coordination/attempts/commands.rs
+++ b/src/coordination/attempts/commands.rs
@@ -196,14 +196,14 @@
             return;
         }
         let (endpoint, session) = (m.endpoint.clone(), m.session);
-        let seq = self.seq();
+        let request_id = self.next_request_id();
         let token = self.leadership.token();
         self.outbox.pushes_in_flight += 1;
         if let Some(m) = self.machines.get_mut(machine_id) {
-            m.push_in_flight = Some(seq);
+            m.push_in_flight = Some(request_id);
             for key in carried {
                 if let Some(s) = m.attempts.get_mut(&key) {
-                    s.push = PushDelivery::InFlight(seq);
+                    s.push = PushDelivery::InFlight(request_id);
                     s.launched_in = Some(session);
                     s.launched_with = Some(token);
                 }
@@ -217,7 +217,7 @@
         self.effects.push(Effect::Push {
             machine_id: machine_id.clone(),
             endpoint,
-            seq,
+            request_id,
             token,
             session,
             commands,
--- a/src/coordination/attempts/reconciliation.rs
+++ b/src/coordination/attempts/reconciliation.rs
@@ -6,7 +6,7 @@
 use crate::coordination::attempts::task_attempt::{LastStatus, PushDelivery, TaskAttempt};
 use crate::coordination::autoscaler::MachineOffer;
 use crate::coordination::machines::machine::{MachineState, MAX_UNACKNOWLEDGED_RESPONSES};
-use crate::coordination::{Effect, Scheduler};
+use crate::coordination::{Effect, RequestId, Scheduler, StepDownReason};
 use crate::ids::{AttemptKey, JobId, MachineId, Session};
 use crate::protocol::workers::{Cause, Command, TaskPhase, TaskStatus, WorkerStatus};
 use crate::time::{Instant, TimeSpan};
@@ -43,7 +43,7 @@
     pub fn heartbeat(&mut self, now: Instant, status: &WorkerStatus) -> HeartbeatOutcome {
         if status.token > self.leadership.token() {
             self.effects.push(Effect::StepDown {
-                why: "a worker has seen a higher token",
+                reason: StepDownReason::HigherFencingTokenSeen,
             });
             return HeartbeatOutcome::Refused;
         }
@@ -86,12 +86,12 @@
         &mut self,
         now: Instant,
         machine_id: &MachineId,
-        seq: u64,
+        request_id: RequestId,
         status: &WorkerStatus,
     ) {
         if status.token > self.leadership.token() {
             self.effects.push(Effect::StepDown {
-                why: "a worker has seen a higher token",
+                reason: StepDownReason::HigherFencingTokenSeen,
             });
             return;
         }
@@ -100,7 +100,7 @@
         }
         // Answered: executed, or certainly not. Either way it no longer is under way, and what the
         // report lists is what came of it.
-        self.settle_push(machine_id, seq, PushDelivery::None);
+        self.settle_push(machine_id, request_id, PushDelivery::None);
         self.take_report(now, status, StatusSource::Push);
         if let Some(m) = self.machines.get_mut(machine_id) {
             m.mark_reachable();
@@ -111,7 +111,7 @@
         &mut self,
         now: Instant,
         machine_id: &MachineId,
-        seq: u64,
+        request_id: RequestId,
         sent: bool,
     ) {
         let token = self.leadership.token();
@@ -128,21 +128,21 @@
             PushDelivery::None
         };
         tracing::debug!(machine = %machine_id, sent, "direct command not answered");
-        self.settle_push(machine_id, seq, end);
+        self.settle_push(machine_id, request_id, end);
         self.stop_again(now, machine_id);
         self.outbox.pushes_due.insert(machine_id.clone());
     }
 
-    fn settle_push(&mut self, machine_id: &MachineId, seq: u64, end: PushDelivery) {
+    fn settle_push(&mut self, machine_id: &MachineId, request_id: RequestId, end: PushDelivery) {
         let Some(m) = self.machines.get_mut(machine_id) else {
             return;
         };
-        if m.push_in_flight == Some(seq) {
+        if m.push_in_flight == Some(request_id) {
             m.push_in_flight = None;
             self.outbox.pushes_in_flight = self.outbox.pushes_in_flight.saturating_sub(1);
         }
         for s in m.attempts.values_mut() {
-            if s.push == PushDelivery::InFlight(seq) {
+            if s.push == PushDelivery::InFlight(request_id) {
                 s.push = end;
             }
         }
--- a/src/coordination/attempts/task_attempt.rs
+++ b/src/coordination/attempts/task_attempt.rs
@@ -1,6 +1,7 @@
 //! One attempt of a task: how it was launched, and what its worker said of it.
 
 use crate::coordination::jobs::job::Job;
+use crate::coordination::RequestId;
 use crate::ids::{
     AttemptId, AttemptKey, FencingToken, Image, PageNumber, Session, TaskId, TeamIndex, Tick,
 };
@@ -14,7 +15,7 @@
     /// None under way.
     None,
     /// Sent, the answer is awaited.
-    InFlight(u64),
+    InFlight(RequestId),
     /// No answer came: it may execute at any time in this session, until the worker has seen a higher
     /// token than this.
     Lost(Session, FencingToken),
--- a/src/coordination/event.rs
+++ b/src/coordination/event.rs
@@ -1,5 +1,8 @@
-//! What the scheduler takes in.
+//! What the scheduler takes in: news of jobs, workers and the cloud, and the answers to its requests.
+//!
+//! An answer repeats what names the request; one that comes late, or twice, changes nothing.
 
+use super::effect::RequestId;
 use crate::ids::{IdempotencyKey, JobId, KeyRevision, MachineId, StoreRevision};
 use crate::protocol::cloud::{ListedMachine, MachineTypeInfo};
 use crate::protocol::state::KeyValue;
@@ -18,6 +21,24 @@
     pub submitted_at: Instant,
 }
 
+/// A job's terminal record as read from the state store.
+#[derive(Clone, Debug)]
+pub struct TerminalRecordRead {
+    /// The job.
+    pub job: JobId,
+    /// Its terminal record; None if it has none, for it is still open.
+    pub record: Option<TerminalRecord>,
+}
+
+/// A key as read again after a write whose outcome was unclear.
+#[derive(Clone, Debug)]
+pub struct KeyReread {
+    /// The key.
+    pub key: String,
+    /// What it holds; None if it is absent.
+    pub item: Option<KeyValue>,
+}
+
 /// The cloud's answer to a scale-out request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ScaleOutAnswer {
@@ -30,65 +51,111 @@
 /// What happened.
 #[derive(Debug)]
 pub enum Event {
-    /// An open job appeared.
+    /// An open job appeared, or is told again.
     JobOpened(Box<OpenJob>),
     /// A job is no longer open: cancelled, or finished by us.
-    JobClosed { id: JobId },
-    /// A controller has confirmed that a job is cancelled: its mark is written.
-    JobCancelled { id: JobId },
-    /// Finish marks as read; None: the job has none.
-    TerminalRecordsRead {
-        terminal_records: Vec<(JobId, Option<TerminalRecord>)>,
+    JobClosed {
+        /// The job.
+        id: JobId,
+    },
+    /// A controller has confirmed that a job is cancelled: its terminal record is written.
+    JobCancelled {
+        /// The job.
+        id: JobId,
     },
-    /// The whole list of open jobs, as read anew (after a gap in the watch).
+    /// The whole list of open jobs, read anew after a gap in the watch.
     OpenJobs(Vec<OpenJob>),
-    /// A direct command was answered: 200 (executed) or 409 (not).
+    /// Answers [`super::Effect::ReadTerminalRecords`].
+    TerminalRecordsRead(Vec<TerminalRecordRead>),
+
+    /// Answers [`super::Effect::Push`]: the worker executed the commands (200), or certainly did not (409).
     PushAnswered {
+        /// The machine that the commands were pushed to.
         machine_id: MachineId,
-        seq: u64,
+        /// The push.
+        request_id: RequestId,
+        /// The worker's status after it.
         status: Box<WorkerStatus>,
     },
-    /// A direct command was not answered. `sent` is false if it certainly never left.
+    /// A push was not answered.
     PushFailed {
+        /// The machine that the commands were pushed to.
         machine_id: MachineId,
-        seq: u64,
+        /// The push.
+        request_id: RequestId,
+        /// False if it certainly never left. Otherwise it may be executed at any later time.
         sent: bool,
     },
-    /// Machine types and their prices.
+
+    /// Machine types and their prices, as the cloud lists them.
     MachineTypes(Vec<MachineTypeInfo>),
-    /// The whole machine list, asked for at the given moment.
+    /// The whole list of machines. It lags behind, so a machine that is missing may exist.
     MachinesListed {
+        /// When the list was asked for.
         asked: Instant,
+        /// The machines.
         machines: Vec<ListedMachine>,
     },
-    /// The cloud answered a scale-out request.
+    /// Answers [`super::Effect::ScaleOut`].
     ScaleOutAnswered {
+        /// The request.
         idempotency_key: IdempotencyKey,
+        /// What was granted.
         answer: ScaleOutAnswer,
     },
-    /// Whether a scale-out request was executed is not known; it is repeated under the same key.
-    ScaleOutUnclear { idempotency_key: IdempotencyKey },
-    /// The cloud confirmed that the machines are gone.
-    MachinesTerminated { machine_ids: Vec<MachineId> },
-    /// Returning was not confirmed.
-    ScaleInFailed { machine_ids: Vec<MachineId> },
-    /// A write is known to be done.
+    /// The outcome of a scale-out request is unclear; it is asked again with the same key.
+    ScaleOutUnclear {
+        /// The request.
+        idempotency_key: IdempotencyKey,
+    },
+    /// Answers [`super::Effect::ScaleIn`]: the cloud confirmed that the machines are terminated.
+    MachinesTerminated {
+        /// The machines.
+        machine_ids: Vec<MachineId>,
+    },
+    /// The cloud did not confirm a scale-in; it may have been executed.
+    ScaleInFailed {
+        /// The machines.
+        machine_ids: Vec<MachineId>,
+    },
+
+    /// Answers [`super::Effect::Write`]: the transaction is applied.
     Written {
-        seq: u64,
+        /// The write.
+        request_id: RequestId,
+        /// The store's revision after it, which is the revision of each key it wrote.
         store_revision: StoreRevision,
     },
-    /// A write was certainly not executed, nor will be.
-    NotWritten { seq: u64 },
-    /// A write was not executed since there were too many changes; none for so long.
-    WriteLimited { seq: u64, pause: TimeSpan },
-    /// A write was refused for what it is, and would be each time: too many operations, too large a value.
-    WriteRejected { seq: u64 },
-    /// A write's guards failed (these, if the service said which), or its outcome is unclear: the
-    /// keys must be read again.
-    WriteUnclear { seq: u64, failed: Vec<String> },
-    /// The keys read again.
+    /// A transaction was certainly not applied, nor will be.
+    NotWritten {
+        /// The write.
+        request_id: RequestId,
+    },
+    /// A transaction was not applied: the store's rate limit is used up.
+    WriteLimited {
+        /// The write.
+        request_id: RequestId,
+        /// No write is to be sent for so long.
+        pause: TimeSpan,
+    },
+    /// A transaction was refused for what it is, and would be each time: it has too many operations, or a value
+    /// is too large.
+    WriteRejected {
+        /// The write.
+        request_id: RequestId,
+    },
+    /// Preconditions of a transaction failed, or its outcome is unclear: its keys must be read again.
+    WriteUnclear {
+        /// The write.
+        request_id: RequestId,
+        /// The keys of the preconditions that failed, if the store said which.
+        failed: Vec<String>,
+    },
+    /// Answers [`super::Effect::Reread`].
     Reread {
-        seq: u64,
-        items: Vec<(String, Option<KeyValue>)>,
+        /// The read.
+        request_id: RequestId,
+        /// Each key with what it holds.
+        items: Vec<KeyReread>,
     },
 }
--- a/src/coordination/jobs/lifecycle.rs
+++ b/src/coordination/jobs/lifecycle.rs
@@ -7,7 +7,7 @@
 
 use crate::coordination::jobs::graph::{Changes, JobTraits, Release};
 use crate::coordination::jobs::job::Job;
-use crate::coordination::{Effect, OpenJob, Scheduler};
+use crate::coordination::{Effect, OpenJob, Scheduler, TerminalRecordRead};
 use crate::ids::{JobId, MachineId};
 use crate::protocol::users::JobPhase;
 use crate::storage::records::TerminalRecord;
@@ -185,14 +185,10 @@
     }
 
     /// Finish marks as they stand.
-    pub(crate) fn terminal_records_read(
-        &mut self,
-        now: Instant,
-        terminal_records: Vec<(JobId, Option<TerminalRecord>)>,
-    ) {
+    pub(crate) fn terminal_records_read(&mut self, now: Instant, records: Vec<TerminalRecordRead>) {
         self.jobs.terminal_record_reads.asked = None;
-        for (id, terminal_record) in terminal_records {
-            match terminal_record {
+        for TerminalRecordRead { job: id, record } in records {
+            match record {
                 Some(terminal_record) if terminal_record.phase == JobPhase::Done => {
                     let at = terminal_record
                         .at_ms
--- a/src/coordination/machines/machine.rs
+++ b/src/coordination/machines/machine.rs
@@ -2,6 +2,7 @@
 
 use super::reservation::Reservation;
 use crate::coordination::attempts::task_attempt::TaskAttempt;
+use crate::coordination::RequestId;
 use crate::ids::{
     AttemptKey, FencingToken, Image, JobId, MachineId, MachineType, PageNumber, Session, Tick, Zone,
 };
@@ -83,7 +84,7 @@
     pub failed_jobs: BTreeSet<JobId>,
     pub quarantined: bool,
     /// The direct command under way, and no further one before this time.
-    pub push_in_flight: Option<u64>,
+    pub push_in_flight: Option<RequestId>,
     pub push_not_before: Instant,
     /// No new work before this time (refused a start for want of room).
     pub unschedulable_until: Instant,
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -1,9 +1,22 @@
-//! The scheduler: a deterministic state machine. Events and a `now` go in, effects come out;
-//! there is no I/O, clock, thread or random number inside. The runtime around it carries the effects
-//! out, and checks the leader's authority again as each one leaves.
+//! The scheduler: a deterministic state machine. Events and a `now` go in, effects come out; there is no I/O,
+//! clock, thread or random number inside. The runtime around it carries the effects out, and checks the
+//! leader's authority again as each one leaves.
+//!
+//! This module has no rules of its own: it hands each event to the part that it concerns, and fixes the order
+//! of one step ([`Scheduler::step`]):
+//!
+//! 1. once a second, what changes with time alone: releases, suspected machines, aging, image locality;
+//! 2. reads of terminal records, on which blocked jobs wait;
+//! 3. stops of task attempts that are no longer wanted;
+//! 4. if a pass is due: the warm pool, placement of pending tasks, preemption, scale-out and scale-in;
+//! 5. one transaction to the state store;
+//! 6. pushes to workers.
+//!
+//! A launch leaves, in a push or in the response to a heartbeat, only after the event that its intent is written.
 
 pub mod attempts;
 pub mod autoscaler;
+mod counts;
 mod effect;
 mod event;
 pub mod jobs;
@@ -14,14 +27,15 @@
 mod policy;
 mod view;
 
-pub use effect::Effect;
-pub use event::{Event, OpenJob, ScaleOutAnswer};
+pub use counts::{AttemptCounts, JobTaskCounts, TaskCounts};
+pub use effect::{Effect, RequestId, StepDownReason};
+pub use event::{Event, KeyReread, OpenJob, ScaleOutAnswer, TerminalRecordRead};
 pub use policy::Policy;
 pub use view::ClusterView;
 
 use crate::ids::{AttemptId, FencingToken, JobId};
 use crate::resources::Resources;
-use crate::time::Instant;
+use crate::time::{Instant, TimeSpan};
 use attempts::Outbox;
 use autoscaler::Autoscaler;
 use jobs::aging::Aging;
@@ -29,14 +43,16 @@
 use jobs::lifecycle::Closure;
 use jobs::table::JobTable;
 use leadership::{Leadership, LeadershipTerm};
-use machines::machine::{Machine, MachineState};
 use machines::table::MachineTable;
 use persistence::Writer;
 use placement::PlacementState;
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// The state of one leadership: what each part owns, and what no part owns.
+/// What changes with time alone is looked at this often.
+const RECHECK_INTERVAL: TimeSpan = TimeSpan(1000);
+
+/// The state of one leadership term: what each part owns, and what no part owns.
 pub struct Scheduler {
     pub(crate) policy: Arc<Policy>,
     pub(crate) leadership: Leadership,
@@ -52,22 +68,10 @@
     pub(crate) writer: Writer,
     /// What the present step asks the runtime to do.
     pub(crate) effects: Vec<Effect>,
-    /// The last number given to a request of the scheduler.
-    pub(crate) last_seq: u64,
-    pub(crate) last_recheck_at: Instant,
-}
-
-/// How many starts the ledger lists, for the log.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct AttemptCounts {
-    pub all: usize,
-    /// Of jobs that are not open any more: they are to be stopped.
-    pub of_closed_jobs: usize,
+    last_request_id: RequestId,
+    last_recheck_at: Instant,
 }
 
-/// Counts of one job, for display.
-pub type JobCounts = (JobId, u32, u32);
-
 impl Scheduler {
     /// The scheduler of a leadership term that begins now, before anything is known of jobs and machines.
     fn new(
@@ -90,7 +94,7 @@
             writer: Writer::new(&policy.facts.state, now),
             policy,
             effects: Vec::new(),
-            last_seq: 0,
+            last_request_id: RequestId(0),
             last_recheck_at: now,
         }
     }
@@ -105,56 +109,35 @@
         self.leadership.initial_token()
     }
 
-    /// Machines whose workers should be reporting.
-    pub fn machines_up(&self) -> usize {
-        let up = |m: &&Machine| m.state == MachineState::Up;
-        self.machines.values().filter(up).count()
-    }
-
-    /// Starts that may be on machines, and those of them whose job is not open any more.
-    pub fn attempt_counts(&self) -> AttemptCounts {
-        let mut listed = AttemptCounts::default();
-        for attempt in self.machines.values().flat_map(|m| m.attempts.values()) {
-            let open = self
-                .jobs
-                .get(&attempt.task.job)
-                .is_some_and(|j| !j.is_closed());
-            listed.all += 1;
-            listed.of_closed_jobs += usize::from(!open);
-        }
-        listed
-    }
-
-    pub(crate) fn seq(&mut self) -> u64 {
-        self.last_seq += 1;
-        self.last_seq
+    /// An id for a request that this scheduler has not given to any other.
+    pub(crate) fn next_request_id(&mut self) -> RequestId {
+        self.last_request_id.0 += 1;
+        self.last_request_id
     }
 
-    /// An attempt id never used before.
+    /// An attempt id that no attempt of any term has had.
     pub fn fresh_attempt(&mut self) -> AttemptId {
         self.leadership.next_attempt_id()
     }
 
-    /// Takes in an event.
+    /// Takes in an event. Each belongs to one part; what it leaves to be decided waits for the next step.
     pub fn on(&mut self, now: Instant, event: Event) {
         match event {
             Event::JobOpened(open_job) => self.job_opened(now, *open_job),
             Event::JobClosed { id } => self.job_closed(now, &id, Closure::Unknown),
             Event::JobCancelled { id } => self.job_closed(now, &id, Closure::Cancelled),
-            Event::TerminalRecordsRead { terminal_records } => {
-                self.terminal_records_read(now, terminal_records)
-            }
+            Event::TerminalRecordsRead(records) => self.terminal_records_read(now, records),
             Event::OpenJobs(open_jobs) => self.open_jobs_listed(now, open_jobs),
             Event::PushAnswered {
                 machine_id,
-                seq,
+                request_id,
                 status,
-            } => self.push_answered(now, &machine_id, seq, &status),
+            } => self.push_answered(now, &machine_id, request_id, &status),
             Event::PushFailed {
                 machine_id,
-                seq,
+                request_id,
                 sent,
-            } => self.push_failed(now, &machine_id, seq, sent),
+            } => self.push_failed(now, &machine_id, request_id, sent),
             Event::MachineTypes(machine_types) => {
                 self.machines.set_types(machine_types);
                 self.placement.request_pass();
@@ -172,58 +155,55 @@
             }
             Event::ScaleInFailed { machine_ids } => self.scale_in_failed(now, &machine_ids),
             Event::Written {
-                seq,
+                request_id,
                 store_revision,
-            } => self.written(now, seq, store_revision),
-            Event::NotWritten { seq } => self.not_written(now, seq),
-            Event::WriteLimited { seq, pause } => self.write_limited(now, seq, pause),
-            Event::WriteRejected { seq } => self.write_rejected(now, seq),
-            Event::WriteUnclear { seq, failed } => self.write_unclear(now, seq, &failed),
-            Event::Reread { seq, items } => self.reread(now, seq, items),
+            } => self.written(now, request_id, store_revision),
+            Event::NotWritten { request_id } => self.not_written(now, request_id),
+            Event::WriteLimited { request_id, pause } => self.write_limited(now, request_id, pause),
+            Event::WriteRejected { request_id } => self.write_rejected(now, request_id),
+            Event::WriteUnclear { request_id, failed } => {
+                self.write_unclear(now, request_id, &failed)
+            }
+            Event::Reread { request_id, items } => self.reread(now, request_id, items),
         }
     }
 
-    /// Decides: called soon after events, and at least once a second.
+    /// Decides what is to be done. Called soon after events, and at least once a second.
     pub fn step(&mut self, now: Instant) -> Vec<Effect> {
-        if (now - self.last_recheck_at).0 >= 1000 {
+        if now - self.last_recheck_at >= RECHECK_INTERVAL {
             self.last_recheck_at = now;
-            self.jobs.graph.recheck();
-            self.apply_graph_changes(now);
-            self.recheck_machines(now);
-            self.recheck_aging(now);
-            self.recheck_images();
-            self.forget_closed_jobs();
-            self.log_cluster_state(now);
-            self.placement.request_pass();
+            self.recheck(now);
         }
         self.read_terminal_records(now);
         self.stop_unwanted(now);
         if self.placement.start_pass_if_due(now) {
-            self.jobs.graph.refresh();
-            self.update_warm_pool(now);
-            let unplaced = self.place(now);
-            self.preempt(now, &unplaced);
-            self.autoscale(now, &unplaced);
+            self.place_and_scale(now);
         }
         self.write(now);
         self.send_pushes(now);
         std::mem::take(&mut self.effects)
     }
 
-    /// Counts of open jobs, for display only.
-    pub fn counts(&self) -> Vec<JobCounts> {
-        self.jobs
-            .iter()
-            .filter(|(_, j)| !j.is_closed())
-            .map(|(id, j)| (id.clone(), j.completed().count(), j.running_count()))
-            .filter(|(_, done, running)| *done + *running > 0)
-            .collect()
+    /// What changes with time alone, or is too costly to be kept in step with every event.
+    fn recheck(&mut self, now: Instant) {
+        self.jobs.graph.recheck();
+        self.apply_graph_changes(now);
+        self.recheck_machines(now);
+        self.recheck_aging(now);
+        self.recheck_images();
+        self.forget_closed_jobs();
+        self.log_cluster_state(now);
+        self.placement.request_pass();
     }
 
-    /// Counts of one job, for display only.
-    pub fn counts_of(&self, id: &JobId) -> (u32, u32) {
-        let job = self.jobs.get(id);
-        job.map_or((0, 0), |j| (j.completed().count(), j.running_count()))
+    /// One pass over the pending tasks, and then over the machines that it has left without work or found
+    /// missing.
+    fn place_and_scale(&mut self, now: Instant) {
+        self.jobs.graph.refresh();
+        self.update_warm_pool(now);
+        let unplaced = self.place(now);
+        self.preempt(now, &unplaced);
+        self.autoscale(now, &unplaced);
     }
 
     /// The whole list of open jobs: one that is missing from it is no longer open.
@@ -233,7 +213,7 @@
         let closed: Vec<JobId> = self
             .jobs
             .iter()
-            .filter(|(id, j)| !j.is_closed() && !listed.contains(*id))
+            .filter(|(id, job)| !job.is_closed() && !listed.contains(*id))
             .map(|(id, _)| id.clone())
             .collect();
         for id in closed {
--- a/src/coordination/persistence/limits.rs
+++ b/src/coordination/persistence/limits.rs
@@ -4,7 +4,7 @@
 use super::draft::FINISH_OPS;
 use super::{Flight, REFUSED};
 use crate::config::StateStoreLimits;
-use crate::coordination::Scheduler;
+use crate::coordination::{RequestId, Scheduler};
 use crate::protocol::state::{Change, Transaction};
 use crate::time::Instant;
 
@@ -59,13 +59,13 @@
     /// The service refuses a transaction for what it is, and would each time. Guards against a leader that
     /// sends it again and again while nothing else is written: its limits may be lower than the settings
     /// say.
-    pub(crate) fn write_rejected(&mut self, now: Instant, seq: u64) {
+    pub(crate) fn write_rejected(&mut self, now: Instant, request_id: RequestId) {
         let transaction = match &self.writer.flight {
             Flight::Writing {
-                seq: s,
+                request_id: in_flight,
                 transaction,
                 ..
-            } if *s == seq => transaction.clone(),
+            } if *in_flight == request_id => transaction.clone(),
             _ => return,
         };
         self.writer.flight = Flight::None;
--- a/src/coordination/persistence/mod.rs
+++ b/src/coordination/persistence/mod.rs
@@ -17,7 +17,7 @@
 use crate::coordination::attempts::task_attempt::{PushDelivery, TaskAttempt};
 use crate::coordination::jobs::job::Job;
 use crate::coordination::machines::machine::Machine;
-use crate::coordination::{Effect, Scheduler};
+use crate::coordination::{Effect, RequestId, Scheduler};
 use crate::ids::{FencingToken, JobId, KeyRevision, MachineId, PageNumber};
 use crate::protocol::state::{Change, Precondition, Transaction};
 use crate::storage::records::{
@@ -70,13 +70,13 @@
 enum Flight {
     None,
     Writing {
-        seq: u64,
+        request_id: RequestId,
         transaction: Transaction,
         works: Vec<Work>,
         at: Instant,
     },
     Reading {
-        seq: u64,
+        request_id: RequestId,
         keys: Vec<String>,
         at: Instant,
     },
@@ -177,9 +177,9 @@
     pub(crate) fn write(&mut self, now: Instant) {
         match &self.writer.flight {
             Flight::None => {}
-            Flight::Writing { seq, at, .. } if now - *at > LOST => {
-                let seq = *seq;
-                self.write_unclear(now, seq, &[]);
+            Flight::Writing { request_id, at, .. } if now - *at > LOST => {
+                let request_id = *request_id;
+                self.write_unclear(now, request_id, &[]);
                 return;
             }
             Flight::Reading { keys, at, .. } if now - *at > LOST => {
@@ -229,15 +229,18 @@
                 .collect(),
             changes: draft.changes,
         };
-        let seq = self.seq();
+        let request_id = self.next_request_id();
         self.writer.last = now;
         self.writer.flight = Flight::Writing {
-            seq,
+            request_id,
             transaction: transaction.clone(),
             works: draft.works,
             at: now,
         };
-        self.effects.push(Effect::Write { seq, transaction });
+        self.effects.push(Effect::Write {
+            request_id,
+            transaction,
+        });
     }
 
     /// A leader raises its own token from time to time, so that tombstones of direct launches can be
--- a/src/coordination/persistence/outcomes.rs
+++ b/src/coordination/persistence/outcomes.rs
@@ -3,7 +3,7 @@
 use super::{Flight, Work, REFUSED};
 use crate::coordination::jobs::lifecycle::Closure;
 use crate::coordination::leadership::LeaderKeyOwner;
-use crate::coordination::{Effect, Scheduler};
+use crate::coordination::{Effect, KeyReread, RequestId, Scheduler, StepDownReason};
 use crate::ids::{JobId, KeyRevision, PageNumber, StoreRevision};
 use crate::protocol::state::KeyValue;
 use crate::storage::records::{LaunchIntent, ProgressKey, RecordKey, LEADER_KEY};
@@ -11,8 +11,14 @@
 use std::collections::BTreeSet;
 
 impl Scheduler {
-    pub(crate) fn written(&mut self, now: Instant, seq: u64, store_revision: StoreRevision) {
-        if !matches!(&self.writer.flight, Flight::Writing { seq: s, .. } if *s == seq) {
+    pub(crate) fn written(
+        &mut self,
+        now: Instant,
+        request_id: RequestId,
+        store_revision: StoreRevision,
+    ) {
+        if !matches!(&self.writer.flight, Flight::Writing { request_id: in_flight, .. } if *in_flight == request_id)
+        {
             return;
         }
         let Flight::Writing { works, .. } =
@@ -123,8 +129,9 @@
         }
     }
 
-    pub(crate) fn not_written(&mut self, now: Instant, seq: u64) {
-        if matches!(&self.writer.flight, Flight::Writing { seq: s, .. } if *s == seq) {
+    pub(crate) fn not_written(&mut self, now: Instant, request_id: RequestId) {
+        if matches!(&self.writer.flight, Flight::Writing { request_id: in_flight, .. } if *in_flight == request_id)
+        {
             self.writer.flight = Flight::None;
             self.writer.not_before = now + REFUSED;
         }
@@ -132,8 +139,9 @@
 
     /// The service takes no more changes for now. What may wait does so until the rate allowed to this
     /// leader has come up again: leases, launches and ends of jobs go first.
-    pub(crate) fn write_limited(&mut self, now: Instant, seq: u64, pause: TimeSpan) {
-        if matches!(&self.writer.flight, Flight::Writing { seq: s, .. } if *s == seq) {
+    pub(crate) fn write_limited(&mut self, now: Instant, request_id: RequestId, pause: TimeSpan) {
+        if matches!(&self.writer.flight, Flight::Writing { request_id: in_flight, .. } if *in_flight == request_id)
+        {
             self.writer.flight = Flight::None;
             self.writer.not_before = now + pause;
             self.writer.budget.empty(now);
@@ -141,16 +149,16 @@
     }
 
     /// A write whose guards failed (these, if it is known which), or of which nothing is known.
-    pub(crate) fn write_unclear(&mut self, now: Instant, seq: u64, failed: &[String]) {
+    pub(crate) fn write_unclear(&mut self, now: Instant, request_id: RequestId, failed: &[String]) {
         let Flight::Writing {
-            seq: s,
+            request_id: in_flight,
             transaction,
             ..
         } = &self.writer.flight
         else {
             return;
         };
-        if *s != seq {
+        if *in_flight != request_id {
             return;
         }
         let mut keys: BTreeSet<String> = transaction
@@ -170,29 +178,25 @@
     }
 
     pub(crate) fn read_again(&mut self, now: Instant, keys: Vec<String>) {
-        let seq = self.seq();
+        let request_id = self.next_request_id();
         self.writer.flight = Flight::Reading {
-            seq,
+            request_id,
             keys: keys.clone(),
             at: now,
         };
-        self.effects.push(Effect::Reread { seq, keys });
+        self.effects.push(Effect::Reread { request_id, keys });
     }
 
     /// The keys as they stand: versions are taken over, and what still differs is written again.
     /// A transaction that may yet be applied late carries the old versions: if it is, our next one
     /// fails and we come here again; if ours is first, the late one does nothing.
-    pub(crate) fn reread(
-        &mut self,
-        now: Instant,
-        seq: u64,
-        items: Vec<(String, Option<KeyValue>)>,
-    ) {
-        if !matches!(&self.writer.flight, Flight::Reading { seq: s, .. } if *s == seq) {
+    pub(crate) fn reread(&mut self, now: Instant, request_id: RequestId, items: Vec<KeyReread>) {
+        if !matches!(&self.writer.flight, Flight::Reading { request_id: in_flight, .. } if *in_flight == request_id)
+        {
             return;
         }
         self.writer.flight = Flight::None;
-        for (key, item) in items {
+        for KeyReread { key, item } in items {
             let revision = item.as_ref().map_or(KeyRevision(0), |i| i.revision);
             match RecordKey::parse(&key) {
                 Some(RecordKey::Leader) => self.lead_reread(now, item),
@@ -241,7 +245,7 @@
             LeaderKeyOwner::Us => {}
             LeaderKeyOwner::UsWithRaisedToken => self.writer.raised_at = now,
             LeaderKeyOwner::Other => self.effects.push(Effect::StepDown {
-                why: "the leader key is no longer ours",
+                reason: StepDownReason::LeaderKeyLost,
             }),
         }
     }
--- a/src/runtime/api/peers.rs
+++ b/src/runtime/api/peers.rs
@@ -3,9 +3,9 @@
 use super::request::{Origin, UserRequest};
 use super::response::ApiResponse;
 use super::users;
+use crate::coordination::TaskCounts;
 use crate::ids::JobId;
 use crate::protocol::peers::{PeerReply, PeerRequest};
-use crate::runtime::leader::TaskCounts;
 use crate::runtime::Node;
 use crate::transport::peer;
 use std::sync::Arc;
--- a/src/runtime/api/status.rs
+++ b/src/runtime/api/status.rs
@@ -3,11 +3,11 @@
 use super::error::ApiError;
 use super::response::ApiResponse;
 use super::users::POLL_TIMEOUT;
+use crate::coordination::TaskCounts;
 use crate::ids::JobId;
 use crate::protocol::users::{JobPhase, Status};
 use crate::runtime::clients::job_lookup::{find_job, JobState, TerminalState};
 use crate::runtime::clients::open_job_cache::OpenJob;
-use crate::runtime::leader::TaskCounts;
 use crate::runtime::Node;
 use warp::http::StatusCode;
 
--- a/src/runtime/leader/count_broadcast.rs
+++ b/src/runtime/leader/count_broadcast.rs
@@ -1,6 +1,8 @@
 //! Sending the task counts to peers, for display in their responses to polls.
 
 use super::term::Term;
+use crate::coordination::JobTaskCounts;
+use crate::ids::JobId;
 use crate::protocol::peers::PeerRequest;
 use crate::runtime::clients::peers::PEER_TIMEOUT;
 use std::time::Duration;
@@ -17,7 +19,10 @@
             _ = term.end.cancelled() => return,
             _ = tokio::time::sleep(BROADCAST_INTERVAL) => {}
         }
-        let jobs = node.leadership.all_task_counts();
+        let all = node.leadership.all_task_counts().into_iter();
+        let jobs: Vec<(JobId, u32, u32)> = all
+            .map(|JobTaskCounts { job, tasks }| (job, tasks.completed, tasks.running))
+            .collect();
         if jobs == last_sent {
             continue;
         }
--- a/src/runtime/leader/effects.rs
+++ b/src/runtime/leader/effects.rs
@@ -4,7 +4,9 @@
 //! Nothing is decided here. A failure is reported as what is known of it: not executed, refused, or unknown.
 
 use crate::coordination::leadership::authority::Authority;
-use crate::coordination::{Effect, Event, ScaleOutAnswer};
+use crate::coordination::{
+    Effect, Event, KeyReread, RequestId, ScaleOutAnswer, TerminalRecordRead,
+};
 use crate::ids::{JobId, MachineId};
 use crate::protocol::cloud::{RentRequest, ReturnRequest};
 use crate::protocol::state::{KeyValue, Transaction};
@@ -32,13 +34,16 @@
 /// Carries out an effect. The event says what came of it; None if the leader's authority has lapsed meanwhile.
 pub async fn carry_out(node: &Node, authority: &Authority, effect: Effect) -> Option<Event> {
     match effect {
-        Effect::Write { seq, transaction } => Some(write(node, seq, &transaction).await),
-        Effect::Reread { seq, keys } => reread(node, authority, seq, keys).await,
+        Effect::Write {
+            request_id,
+            transaction,
+        } => Some(write(node, request_id, &transaction).await),
+        Effect::Reread { request_id, keys } => reread(node, authority, request_id, keys).await,
         Effect::ReadTerminalRecords { ids } => read_terminal_records(node, authority, ids).await,
         Effect::Push {
             machine_id,
             endpoint,
-            seq,
+            request_id,
             token,
             session,
             commands,
@@ -48,7 +53,7 @@
                 session,
                 commands,
             };
-            Some(push(node, machine_id, &endpoint, seq, &batch).await)
+            Some(push(node, machine_id, &endpoint, request_id, &batch).await)
         }
         Effect::ScaleOut {
             idempotency_key,
@@ -69,40 +74,45 @@
     }
 }
 
-async fn write(node: &Node, seq: u64, transaction: &Transaction) -> Event {
+async fn write(node: &Node, request_id: RequestId, transaction: &Transaction) -> Event {
     match node.state_store.transaction(transaction).await {
         Ok(TransactionOutcome::Applied(store_revision)) => Event::Written {
-            seq,
+            request_id,
             store_revision,
         },
-        Ok(TransactionOutcome::Conflict(failed)) => Event::WriteUnclear { seq, failed },
-        Err(StateStoreError::NotExecuted) => Event::NotWritten { seq },
+        Ok(TransactionOutcome::Conflict(failed)) => Event::WriteUnclear { request_id, failed },
+        Err(StateStoreError::NotExecuted) => Event::NotWritten { request_id },
         Err(StateStoreError::RateLimited) => {
             let pause_ms = rand::rng().random_range(RATE_LIMITED_PAUSE_MS);
             Event::WriteLimited {
-                seq,
+                request_id,
                 pause: TimeSpan(pause_ms),
             }
         }
-        Err(StateStoreError::Invalid) => Event::WriteRejected { seq },
+        Err(StateStoreError::Invalid) => Event::WriteRejected { request_id },
         Err(
             StateStoreError::OutcomeUnknown
             | StateStoreError::RevisionCompacted
             | StateStoreError::LeaseExpired,
         ) => Event::WriteUnclear {
-            seq,
+            request_id,
             failed: Vec::new(),
         },
     }
 }
 
-async fn reread(node: &Node, authority: &Authority, seq: u64, keys: Vec<String>) -> Option<Event> {
+async fn reread(
+    node: &Node,
+    authority: &Authority,
+    request_id: RequestId,
+    keys: Vec<String>,
+) -> Option<Event> {
     let mut items = Vec::new();
     for key in keys {
         let item = read_until_served(node, authority, &key).await?;
-        items.push((key, item));
+        items.push(KeyReread { key, item });
     }
-    Some(Event::Reread { seq, items })
+    Some(Event::Reread { request_id, items })
 }
 
 async fn read_terminal_records(
@@ -110,14 +120,14 @@
     authority: &Authority,
     ids: Vec<JobId>,
 ) -> Option<Event> {
-    let mut terminal_records = Vec::new();
-    for id in ids {
-        let item = read_until_served(node, authority, &terminal_key(&id)).await?;
+    let mut records = Vec::new();
+    for job in ids {
+        let item = read_until_served(node, authority, &terminal_key(&job)).await?;
         let record = item.and_then(|item| serde_json::from_value(item.data).ok());
-        terminal_records.push((id, record));
+        records.push(TerminalRecordRead { job, record });
         tokio::time::sleep(TERMINAL_READ_SPACING).await;
     }
-    Some(Event::TerminalRecordsRead { terminal_records })
+    Some(Event::TerminalRecordsRead(records))
 }
 
 /// Reads a key, again and again until the state store serves the read; None if the authority lapses first.
@@ -142,7 +152,7 @@
     node: &Node,
     machine_id: MachineId,
     endpoint: &str,
-    seq: u64,
+    request_id: RequestId,
     batch: &CommandBatch,
 ) -> Event {
     let body = serde_json::to_vec(batch).unwrap_or_default();
@@ -166,12 +176,12 @@
     match status {
         Some(status) => Event::PushAnswered {
             machine_id,
-            seq,
+            request_id,
             status: Box::new(status),
         },
         None => Event::PushFailed {
             machine_id,
-            seq,
+            request_id,
             sent: !matches!(response, Err(NoAnswer::NotSent)),
         },
     }
--- a/src/runtime/leader/mod.rs
+++ b/src/runtime/leader/mod.rs
@@ -23,7 +23,7 @@
 mod term;
 mod transfer;
 
-pub use state::{HeartbeatReply, LeadershipState, TaskCounts};
+pub use state::{HeartbeatReply, LeadershipState};
 
 use crate::runtime::Node;
 use rand::Rng;
--- a/src/runtime/leader/state.rs
+++ b/src/runtime/leader/state.rs
@@ -3,7 +3,7 @@
 use super::activity::Activity;
 use crate::coordination::attempts::reconciliation::HeartbeatOutcome;
 use crate::coordination::leadership::authority::Authority;
-use crate::coordination::{Effect, Event, Scheduler};
+use crate::coordination::{Effect, Event, JobTaskCounts, Scheduler, TaskCounts};
 use crate::ids::{FencingToken, JobId, MachineId};
 use crate::protocol::workers::{Command, WorkerStatus};
 use crate::runtime::lock;
@@ -21,15 +21,6 @@
 /// It campaigns after this long all the same if nobody else has become the leader.
 const MIN_COOL_DOWN: TimeSpan = TimeSpan(4_000);
 
-/// How many tasks of a job are completed and how many run, for display only.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct TaskCounts {
-    /// Completed tasks.
-    pub completed: u32,
-    /// Running tasks.
-    pub running: u32,
-}
-
 /// The reply to a worker's heartbeat.
 pub enum HeartbeatReply {
     /// The worker is to carry out these commands, which may be none. It renews the worker's lease.
@@ -214,15 +205,14 @@
         let leader = active
             .as_ref()
             .filter(|leader| leader.authority.is_held(now))?;
-        let (completed, running) = leader.scheduler.counts_of(id);
-        Some(TaskCounts { completed, running })
+        Some(leader.scheduler.task_counts_of(id))
     }
 
-    /// The task counts of all open jobs that have any: job, completed, running. Empty without a leader.
-    pub fn all_task_counts(&self) -> Vec<(JobId, u32, u32)> {
+    /// The task counts of all open jobs that have any. Empty without a leader.
+    pub fn all_task_counts(&self) -> Vec<JobTaskCounts> {
         lock(&self.active)
             .as_ref()
-            .map_or(Vec::new(), |leader| leader.scheduler.counts())
+            .map_or(Vec::new(), |leader| leader.scheduler.task_counts())
     }
 
     /// How many machines the scheduler knows to be up; 0 without a leader.
--- a/src/runtime/leader/step_loop.rs
+++ b/src/runtime/leader/step_loop.rs
@@ -33,8 +33,8 @@
         activity.step_finished(&effects, node.now() - now, now - due);
         activity.log_if_due(now);
         for effect in effects {
-            if let Effect::StepDown { why } = effect {
-                tracing::info!(reason = why, "leader steps down");
+            if let Effect::StepDown { reason } = effect {
+                tracing::info!(%reason, "leader steps down");
                 term.resign();
                 return;
             }
--- a/src/runtime/node.rs
+++ b/src/runtime/node.rs
@@ -17,6 +17,7 @@
 
 use crate::config::Config;
 use crate::coordination::Policy;
+use crate::coordination::TaskCounts;
 use crate::ids::JobId;
 use crate::runtime::clients::catalog::Catalog;
 use crate::runtime::clients::cloud::CloudClient;
@@ -24,7 +25,7 @@
 use crate::runtime::clients::open_job_cache::OpenJobCache;
 use crate::runtime::clients::peers::Peers;
 use crate::runtime::clients::state_store::StateStoreClient;
-use crate::runtime::leader::{LeadershipState, TaskCounts};
+use crate::runtime::leader::LeadershipState;
 use crate::time::{Instant, TimeSpan};
 use crate::transport::client::Client;
 use crate::transport::peer::PeerClient;
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -13,7 +13,7 @@
 use chalklug::coordination::attempts::reconciliation::HeartbeatOutcome;
 use chalklug::coordination::jobs::pending::PendingReason;
 use chalklug::coordination::leadership::recovery::RecoveredState;
-use chalklug::coordination::{Effect, Event, OpenJob, Policy};
+use chalklug::coordination::{Effect, Event, OpenJob, Policy, TerminalRecordRead};
 use chalklug::ids::*;
 use chalklug::protocol::state::{Change, KeyValue};
 use chalklug::protocol::users::{parse_submission, JobPhase};
@@ -179,12 +179,12 @@
                 let effects = core.step(now);
                 asked += effects.len();
                 for e in effects {
-                    if let Effect::Write { seq, .. } = e {
-                        let store_revision = StoreRevision(100 + seq);
+                    if let Effect::Write { request_id, .. } = e {
+                        let store_revision = StoreRevision(100 + request_id.0);
                         core.on(
                             now,
                             Event::Written {
-                                seq,
+                                request_id,
                                 store_revision,
                             },
                         );
@@ -219,14 +219,18 @@
         let effects = core.step(now);
         changes += writes(&effects);
         for e in effects {
-            if let Effect::Write { seq, transaction } = e {
+            if let Effect::Write {
+                request_id,
+                transaction,
+            } = e
+            {
                 let finish = |c: &&Change| matches!(c, Change::Put { put, .. } if put.starts_with(TERMINAL_PREFIX));
                 finished += transaction.changes.iter().filter(finish).count();
-                let store_revision = StoreRevision(1000 + seq);
+                let store_revision = StoreRevision(1000 + request_id.0);
                 core.on(
                     now,
                     Event::Written {
-                        seq,
+                        request_id,
                         store_revision,
                     },
                 );
@@ -280,7 +284,11 @@
     while *now < until {
         *now += TimeSpan(50);
         for e in core.step(*now) {
-            let Effect::Write { seq, transaction } = e else {
+            let Effect::Write {
+                request_id,
+                transaction,
+            } = e
+            else {
                 continue;
             };
             for change in transaction.changes {
@@ -295,11 +303,11 @@
                     }
                 }
             }
-            let store_revision = StoreRevision(1000 + seq);
+            let store_revision = StoreRevision(1000 + request_id.0);
             core.on(
                 *now,
                 Event::Written {
-                    seq,
+                    request_id,
                     store_revision,
                 },
             );
@@ -409,20 +417,26 @@
                 Effect::ReadTerminalRecords { ids } => {
                     assert_eq!(ids, std::slice::from_ref(&producer));
                     reads += 1;
-                    let terminal_records = vec![(producer.clone(), Some(terminal_record.clone()))];
-                    core.on(now, Event::TerminalRecordsRead { terminal_records });
+                    let read = TerminalRecordRead {
+                        job: producer.clone(),
+                        record: Some(terminal_record.clone()),
+                    };
+                    core.on(now, Event::TerminalRecordsRead(vec![read]));
                 }
-                Effect::Write { seq, transaction } => {
+                Effect::Write {
+                    request_id,
+                    transaction,
+                } => {
                     assert!(transaction.changes.len() <= 8);
                     let terminal_record = |c: &&Change| matches!(c, Change::Put { put, .. } if put.starts_with(TERMINAL_PREFIX));
                     let open = |c: &&Change| matches!(c, Change::Delete { delete } if delete.starts_with(OPEN_JOB_PREFIX));
                     terminal_records += transaction.changes.iter().filter(terminal_record).count();
                     deletes += transaction.changes.iter().filter(open).count();
-                    let store_revision = StoreRevision(1000 + seq);
+                    let store_revision = StoreRevision(1000 + request_id.0);
                     core.on(
                         now,
                         Event::Written {
-                            seq,
+                            request_id,
                             store_revision,
                         },
                     );
@@ -454,10 +468,11 @@
         at_ms,
     };
     let [first, second] = [Some(60_000), Some(80_000)].map(done);
-    let terminal_records = producers.into_iter().zip([Some(first), Some(second)]);
-    let mut terminal_records: Vec<_> = terminal_records.collect();
-    terminal_records.push((JobId::from("wk-800003"), Some(done(None))));
-    core.on(now, Event::TerminalRecordsRead { terminal_records });
+    let read = |(job, record)| TerminalRecordRead { job, record };
+    let records = producers.into_iter().zip([Some(first), Some(second)]);
+    let mut records: Vec<_> = records.map(read).collect();
+    records.push(read((JobId::from("wk-800003"), Some(done(None)))));
+    core.on(now, Event::TerminalRecordsRead(records));
     let waiting = core.pending_jobs(now);
     let limited = &waiting[&PendingReason::TeamLimit];
     assert_eq!((limited.jobs, limited.since), (2, Instant(80_000)));
--- a/tests/simulation/effects.rs
+++ b/tests/simulation/effects.rs
@@ -3,7 +3,7 @@
 use super::network::{unclear_write, Message, Push, LATENCY};
 use super::Simulation;
 use chalklug::coordination::autoscaler::MachineOffer;
-use chalklug::coordination::{Effect, Event};
+use chalklug::coordination::{Effect, Event, KeyReread, RequestId, TerminalRecordRead};
 use chalklug::ids::*;
 use chalklug::protocol::state::Transaction;
 use chalklug::storage::records::terminal_key;
@@ -30,12 +30,15 @@
             return;
         };
         match effect {
-            Effect::Write { seq, transaction } => self.write(leader, seq, transaction),
-            Effect::Reread { seq, keys } => self.reread(leader, seq, &keys),
+            Effect::Write {
+                request_id,
+                transaction,
+            } => self.write(leader, request_id, transaction),
+            Effect::Reread { request_id, keys } => self.reread(leader, request_id, &keys),
             Effect::ReadTerminalRecords { ids } => self.read_terminal_records(leader, &ids),
             Effect::Push {
                 machine_id,
-                seq,
+                request_id,
                 token,
                 session,
                 commands,
@@ -44,7 +47,7 @@
                 leader,
                 token,
                 machine_id,
-                seq,
+                request_id,
                 session,
                 commands,
             }),
@@ -59,7 +62,7 @@
     }
 
     /// Sends a transaction; one that is late, or whose response is lost, has an unclear outcome.
-    fn write(&mut self, leader: FencingToken, seq: u64, transaction: Transaction) {
+    fn write(&mut self, leader: FencingToken, request_id: RequestId, transaction: Transaction) {
         let now = self.now;
         let mut delay = LATENCY;
         if now < self.faults.transactions_late_until {
@@ -70,24 +73,28 @@
         }
         let respond = delay == LATENCY && now >= self.faults.store_responses_lost_until;
         if !respond {
-            self.send_to_leader(WRITE_TIMEOUT, leader, unclear_write(seq));
+            self.send_to_leader(WRITE_TIMEOUT, leader, unclear_write(request_id));
         }
         if now < self.faults.store_slow_until {
             delay = delay + SLOW_STORE_DELAY;
         }
         let message = Message::Transaction {
             leader,
-            seq,
+            request_id,
             transaction,
             respond,
         };
         self.send(delay, message);
     }
 
-    fn reread(&mut self, leader: FencingToken, seq: u64, keys: &[String]) {
+    fn reread(&mut self, leader: FencingToken, request_id: RequestId, keys: &[String]) {
         let keys = keys.iter();
-        let items = keys.map(|key| (key.clone(), self.store.get(key))).collect();
-        self.respond_to_read(leader, Event::Reread { seq, items });
+        let reread = |key: &String| KeyReread {
+            key: key.clone(),
+            item: self.store.get(key),
+        };
+        let items = keys.map(reread).collect();
+        self.respond_to_read(leader, Event::Reread { request_id, items });
     }
 
     fn read_terminal_records(&mut self, leader: FencingToken, ids: &[JobId]) {
@@ -95,11 +102,12 @@
             let item = self.store.get(&terminal_key(id))?;
             Some(serde_json::from_value(item.data).expect("a terminal record"))
         };
-        let terminal_records = ids
-            .iter()
-            .map(|id| (id.clone(), terminal_record(id)))
-            .collect();
-        self.respond_to_read(leader, Event::TerminalRecordsRead { terminal_records });
+        let read = |id: &JobId| TerminalRecordRead {
+            job: id.clone(),
+            record: terminal_record(id),
+        };
+        let records = ids.iter().map(read).collect();
+        self.respond_to_read(leader, Event::TerminalRecordsRead(records));
     }
 
     /// A read is repeated until the state store serves the leader.
@@ -119,7 +127,7 @@
         let machine_id = push.machine_id.clone();
         let timed_out = Event::PushFailed {
             machine_id: machine_id.clone(),
-            seq: push.seq,
+            request_id: push.request_id,
             sent: true,
         };
         self.send_to_leader(PUSH_TIMEOUT, push.leader, timed_out);
--- a/tests/simulation/network.rs
+++ b/tests/simulation/network.rs
@@ -2,7 +2,7 @@
 
 use super::{Simulation, TICK};
 use chalklug::coordination::attempts::reconciliation::HeartbeatOutcome;
-use chalklug::coordination::Event;
+use chalklug::coordination::{Event, RequestId};
 use chalklug::ids::*;
 use chalklug::protocol::state::Transaction;
 use chalklug::protocol::workers::{Command, WorkerStatus};
@@ -43,7 +43,7 @@
     },
     Transaction {
         leader: FencingToken,
-        seq: u64,
+        request_id: RequestId,
         transaction: Transaction,
         respond: bool,
     },
@@ -59,7 +59,7 @@
     pub leader: FencingToken,
     pub token: FencingToken,
     pub machine_id: MachineId,
-    pub seq: u64,
+    pub request_id: RequestId,
     pub session: Session,
     pub commands: Vec<Command>,
 }
@@ -89,8 +89,8 @@
     /// Whether the event settles no push that is settled already.
     fn is_first_outcome(&mut self, leader: FencingToken, event: &Event) -> bool {
         match event {
-            Event::PushAnswered { seq, .. } | Event::PushFailed { seq, .. } => {
-                self.settled_pushes.insert((leader, *seq))
+            Event::PushAnswered { request_id, .. } | Event::PushFailed { request_id, .. } => {
+                self.settled_pushes.insert((leader, *request_id))
             }
             _ => true,
         }
@@ -153,10 +153,10 @@
             Message::ToLeader { leader, event } => self.deliver_to_leader(leader, event),
             Message::Transaction {
                 leader,
-                seq,
+                request_id,
                 transaction,
                 respond,
-            } => self.apply_transaction(leader, seq, &transaction, respond),
+            } => self.apply_transaction(leader, request_id, &transaction, respond),
             Message::TerminateMachines {
                 leader,
                 machine_ids,
@@ -231,7 +231,7 @@
         }
         let event = Event::PushAnswered {
             machine_id: push.machine_id.clone(),
-            seq: push.seq,
+            request_id: push.request_id,
             status: Box::new(worker.status()),
         };
         let leader = push.leader;
@@ -250,7 +250,7 @@
     fn apply_transaction(
         &mut self,
         leader: FencingToken,
-        seq: u64,
+        request_id: RequestId,
         transaction: &Transaction,
         respond: bool,
     ) {
@@ -259,14 +259,14 @@
             || (self.leadership.token() == Some(leader)
                 && now < self.faults.store_refuses_leader_until);
         let event = if refused {
-            Event::NotWritten { seq }
+            Event::NotWritten { request_id }
         } else {
             match self.store.apply(transaction) {
                 Some(store_revision) => Event::Written {
-                    seq,
+                    request_id,
                     store_revision,
                 },
-                None => unclear_write(seq),
+                None => unclear_write(request_id),
             }
         };
         if respond {
@@ -283,9 +283,9 @@
 }
 
 /// The leader can't tell whether the transaction was carried out.
-pub(super) fn unclear_write(seq: u64) -> Event {
+pub(super) fn unclear_write(request_id: RequestId) -> Event {
     Event::WriteUnclear {
-        seq,
+        request_id,
         failed: Vec::new(),
     }
 }
--- a/tests/stale_knowledge.rs
+++ b/tests/stale_knowledge.rs
@@ -12,7 +12,7 @@
 
 use chalklug::coordination::attempts::reconciliation::HeartbeatOutcome;
 use chalklug::coordination::leadership::recovery::RecoveredState;
-use chalklug::coordination::{Effect, Event, OpenJob};
+use chalklug::coordination::{Effect, Event, OpenJob, RequestId};
 use chalklug::ids::*;
 use chalklug::protocol::state::{Change, KeyValue};
 use chalklug::protocol::users::parse_submission;
@@ -142,13 +142,17 @@
     for ms in (0..for_ms).step_by(100) {
         let now = from + TimeSpan(ms);
         for effect in core.step(now) {
-            if let Effect::Write { seq, transaction } = effect {
+            if let Effect::Write {
+                request_id,
+                transaction,
+            } = effect
+            {
                 written.extend(transaction.changes);
-                let store_revision = StoreRevision(100 + seq);
+                let store_revision = StoreRevision(100 + request_id.0);
                 core.on(
                     now,
                     Event::Written {
-                        seq,
+                        request_id,
                         store_revision,
                     },
                 );
@@ -182,7 +186,7 @@
     // One that a direct answer has overtaken renews the lease all the same.
     let direct_answer = Event::PushAnswered {
         machine_id: machine_id(),
-        seq: 0,
+        request_id: RequestId(0),
         status: Box::new(report(4, CURRENT_TOKEN, Some(TaskPhase::Running))),
     };
     core.on(now, direct_answer);
@@ -200,12 +204,12 @@
         let now = BEGAN + TimeSpan(ms);
         for effect in core.step(now) {
             match effect {
-                Effect::Write { seq, .. } => {
-                    let store_revision = StoreRevision(100 + seq);
+                Effect::Write { request_id, .. } => {
+                    let store_revision = StoreRevision(100 + request_id.0);
                     core.on(
                         now,
                         Event::Written {
-                            seq,
+                            request_id,
                             store_revision,
                         },
                     );
--- a/tests/upgrade/page_splitting.rs
+++ b/tests/upgrade/page_splitting.rs
@@ -7,7 +7,7 @@
 use chalklug::config::OperatorConfig;
 use chalklug::coordination::leadership::recovery::RecoveredState;
 use chalklug::coordination::leadership::LeadershipTerm;
-use chalklug::coordination::{Effect, Event, OpenJob, Policy};
+use chalklug::coordination::{Effect, Event, OpenJob, Policy, TerminalRecordRead};
 use chalklug::ids::*;
 use chalklug::protocol::state::{Change, Transaction};
 use chalklug::protocol::users::parse_submission;
@@ -137,19 +137,23 @@
     while *now < end {
         *now += TimeSpan(100);
         for effect in core.step(*now) {
-            let Effect::Write { seq, transaction } = effect else {
+            let Effect::Write {
+                request_id,
+                transaction,
+            } = effect
+            else {
                 continue;
             };
             if !taken(&transaction) {
                 rejected += 1;
-                core.on(*now, Event::WriteRejected { seq });
+                core.on(*now, Event::WriteRejected { request_id });
                 continue;
             }
             let store_revision = store.apply(&transaction).expect("nobody else writes");
             core.on(
                 *now,
                 Event::Written {
-                    seq,
+                    request_id,
                     store_revision,
                 },
             );
@@ -229,8 +233,11 @@
     // Jobs enough for transactions of many operations.
     open_consumers(&mut core, now, 40);
     // All of them are to be cancelled with the one that they need.
-    let terminal_records = vec![(JobId::from("wk-900"), Some(TerminalRecord::cancelled(1)))];
-    core.on(now, Event::TerminalRecordsRead { terminal_records });
+    let read = TerminalRecordRead {
+        job: JobId::from("wk-900"),
+        record: Some(TerminalRecord::cancelled(1)),
+    };
+    core.on(now, Event::TerminalRecordsRead(vec![read]));
     let rejected = write_for(&mut core, &mut store, &mut now, TimeSpan(120_000));
     assert!((1..=12).contains(&rejected), "{rejected} refused");
     assert_eq!(
@@ -248,8 +255,11 @@
     let mut now = Instant(1_000);
     let mut core = recover(&store, now, 5, ANNOUNCED);
     open_consumers(&mut core, now, 1);
-    let terminal_records = vec![(JobId::from("wk-900"), Some(TerminalRecord::cancelled(1)))];
-    core.on(now, Event::TerminalRecordsRead { terminal_records });
+    let read = TerminalRecordRead {
+        job: JobId::from("wk-900"),
+        record: Some(TerminalRecord::cancelled(1)),
+    };
+    core.on(now, Event::TerminalRecordsRead(vec![read]));
     let pause = TimeSpan(250);
     let mut refused_at = Vec::new();
     let first = loop {
@@ -259,10 +269,13 @@
             .step(now)
             .into_iter()
             .filter_map(|effect| match effect {
-                Effect::Write { seq, transaction } => Some((seq, transaction)),
+                Effect::Write {
+                    request_id,
+                    transaction,
+                } => Some((request_id, transaction)),
                 _ => None,
             });
-        let Some((seq, transaction)) = writes.last() else {
+        let Some((request_id, transaction)) = writes.last() else {
             continue;
         };
         if refused_at.last().is_some_and(|t| now - *t < pause) {
@@ -275,7 +288,7 @@
             break transaction;
         }
         refused_at.push(now);
-        core.on(now, Event::WriteLimited { seq, pause });
+        core.on(now, Event::WriteLimited { request_id, pause });
     };
     let of = |prefix: &str| {
         first
