--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -13,7 +13,7 @@
 pub use operator::{operator_schema, OperatorConfig};
 pub use platform::{
     CloudLimits, Endpoints, Facts, NextStateStoreLimits, PeerConfig, PlatformConfig, ProcessLimits,
-    Slo, StateStoreLimits, Team, WorkerTimes,
+    Slo, SloKind, StateStoreLimits, Team, WorkerTimes,
 };
 
 use serde::de::DeserializeOwned;
--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -93,11 +93,28 @@
     pub gpus_max: f64,
 }
 
+/// What a service-level objective measures.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
+pub enum SloKind {
+    /// The time until a task has started.
+    #[serde(rename = "wait")]
+    StartDelay,
+    /// The time until a job is completed.
+    #[serde(rename = "finished")]
+    Completion,
+    /// Completion within a multiple of the time that a job allows itself.
+    #[serde(rename = "deadline")]
+    Deadline,
+    /// Another, which the scheduler has no use for.
+    #[serde(other)]
+    Other,
+}
+
 /// A service-level objective, as the platform repeats it.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Slo {
     /// What is measured.
-    pub kind: String,
+    pub kind: SloKind,
     /// The job class that it holds for; None: all.
     #[serde(default)]
     pub class: Option<String>,
--- a/src/coordination/attempts/reconciliation.rs
+++ b/src/coordination/attempts/reconciliation.rs
@@ -432,7 +432,7 @@
             tracing::info!(machine = %machine_id, task = %key.task, "lease over: the task is gone");
             self.remove_attempt(now, &machine_id, &key);
         }
-        let patience = self.policy.silence();
+        let patience = self.policy.heartbeat_timeout();
         let mut given_up = Vec::new();
         for m in self.machines.values_mut() {
             let unaccounted = |s: &TaskAttempt| {
--- a/src/coordination/attempts/stops.rs
+++ b/src/coordination/attempts/stops.rs
@@ -26,7 +26,7 @@
     /// between a cancellation and its next step; then nothing reached the machines any more, and the tasks
     /// outlived `cancel_s` (docs/incidents/production-size.md). So each check-in is answered after a review.
     pub(crate) fn review(&mut self, now: Instant, machine_id: &MachineId) {
-        let silence = self.policy.silence();
+        let silence = self.policy.heartbeat_timeout();
         let Some(m) = self.machines.get_mut(machine_id) else {
             return;
         };
@@ -161,7 +161,7 @@
     /// too, but from a machine that reaches no controller none comes. One that was not heard of at all
     /// lately is left alone: a zone beyond a cut would take the connections of all others.
     pub(crate) fn stop_again(&mut self, now: Instant, machine_id: &MachineId) {
-        let silence = self.policy.silence();
+        let silence = self.policy.heartbeat_timeout();
         let near = |m: &&mut Machine| m.last_message_at.is_some_and(|h| now - h <= silence);
         if let Some(m) = self.machines.get_mut(machine_id).filter(near) {
             for w in m.attempts.values_mut().filter_map(|s| s.stop.as_mut()) {
--- a/src/coordination/autoscaler/scale_in.rs
+++ b/src/coordination/autoscaler/scale_in.rs
@@ -62,7 +62,7 @@
 impl Scheduler {
     /// Gives back machines that are lost, of no use or drained.
     pub(super) fn scale_in(&mut self, now: Instant) {
-        let max_silence = self.policy.silence();
+        let max_silence = self.policy.heartbeat_timeout();
         let can_tell_silence = self.leadership.age(now) > max_silence;
         if can_tell_silence {
             let zones = mostly_silent_zones(&self.view(now));
--- a/src/coordination/autoscaler/scale_out.rs
+++ b/src/coordination/autoscaler/scale_out.rs
@@ -28,7 +28,7 @@
 impl Scheduler {
     /// Rents what makes waiting tasks start sooner, as the forecast says.
     pub(super) fn scale_out(&mut self, now: Instant, unplaced: &[UnplacedTasks]) {
-        let is_new_leader = self.leadership.age(now) <= self.policy.first_reports();
+        let is_new_leader = self.leadership.age(now) <= self.policy.first_heartbeats_bound();
         if !self.autoscaler.is_forecast_due(now, self.machines.len())
             || (is_new_leader && awaits_first_heartbeats(&self.machines))
         {
--- a/src/coordination/autoscaler/warm_pool.rs
+++ b/src/coordination/autoscaler/warm_pool.rs
@@ -105,7 +105,7 @@
 fn demand(view: &AutoscalerView<'_>) -> Vec<WarmPoolDemand> {
     let classes = view.autoscaler().arrivals.iter();
     let demand = classes.filter_map(|(class, rate)| {
-        let max_wait_s = view.policy().started_within(class)?;
+        let max_wait_s = view.policy().max_start_delay_s(class)?;
         let spec = rate.last_job()?;
         let rental_s = shortest_rental_s(view, spec);
         if !rental_s.is_finite() || rental_s <= max_wait_s || !view.is_large_task(spec) {
--- a/src/coordination/jobs/lifecycle.rs
+++ b/src/coordination/jobs/lifecycle.rs
@@ -84,7 +84,7 @@
     /// one counts from the release, so it says nothing for a job that waits for others.
     fn traits_of(&self, job: &Job, after: &[JobId]) -> JobTraits {
         let spec = job.spec();
-        let objective = || self.policy.finished_within(&spec.class);
+        let objective = || self.policy.max_completion_s(&spec.class);
         let fallback = || objective().filter(|_| after.is_empty());
         let due_s = spec.due_s.or_else(fallback);
         // Without machine types nothing is known of the fetch.
--- a/src/coordination/placement/preemption.rs
+++ b/src/coordination/placement/preemption.rs
@@ -188,7 +188,7 @@
         let waited_s = (self.now() - job.ready_at()).secs();
         let misses_objective = self
             .policy()
-            .started_within(&spec.class)
+            .max_start_delay_s(&spec.class)
             .is_some_and(|within_s| waited_s + self.shortest_boot_s(spec) > within_s);
         misses_objective || !self.may_scale_out_for(spec)
     }
--- a/src/coordination/placement/queue.rs
+++ b/src/coordination/placement/queue.rs
@@ -3,6 +3,7 @@
 //! that share a prefix, for which images stand here).
 
 use super::view::PlacementView;
+use crate::config::SloKind;
 use crate::coordination::jobs::graph::Label;
 use crate::coordination::jobs::job::Job;
 use crate::ids::{JobId, TeamIndex};
@@ -145,13 +146,13 @@
         let run_time = TimeSpan::from_secs(self.longest_run_time_s(job));
         let mut latest_starts: Vec<Instant> = self
             .policy()
-            .of_class("wait", class)
+            .objectives(SloKind::StartDelay, class)
             .filter_map(|objective| objective.within_s)
             .map(after_ready)
             .collect();
         latest_starts.extend(
             self.policy()
-                .of_class("finished", class)
+                .objectives(SloKind::Completion, class)
                 .filter_map(|objective| objective.within_s)
                 .map(|seconds| after_ready(seconds) - run_time),
         );
@@ -171,7 +172,9 @@
         let submitted = job.submitted_at();
         let mut multiples = Vec::new();
         if job.spec().due_s.is_some() {
-            let objectives = self.policy().of_class("deadline", &job.spec().class);
+            let objectives = self
+                .policy()
+                .objectives(SloKind::Deadline, &job.spec().class);
             multiples.extend(objectives.filter_map(|objective| objective.times));
         }
         if multiples.is_empty() {
--- a/src/coordination/placement/view.rs
+++ b/src/coordination/placement/view.rs
@@ -59,7 +59,7 @@
 
     /// Whether a machine may be given new work at all.
     pub(super) fn is_usable(&self, machine: &Machine) -> bool {
-        machine.is_schedulable(self.now, self.policy().silence())
+        machine.is_schedulable(self.now, self.policy().heartbeat_timeout())
     }
 
     /// What a machine offers when it is empty.
--- a/src/coordination/policy.rs
+++ b/src/coordination/policy.rs
@@ -1,80 +1,101 @@
-//! The settings that the scheduler goes by.
+//! The settings that the scheduler goes by, and the bounds in time that follow from them.
 
-use crate::config::{Config, Facts, OperatorConfig, Slo, Team};
+use crate::config::{Config, Facts, OperatorConfig, Slo, SloKind, Team};
 use crate::ids::TeamIndex;
 use crate::time::TimeSpan;
 use crate::transport::sockets::Sockets;
 
-/// The settings the core goes by.
+/// Two steady clocks may each drift by 0.05%: 0.2% covers both, with room.
+const CLOCK_DRIFT_FACTOR: f64 = 1.002;
+/// What a worker needs to act on the expiry of its lease.
+const LEASE_EXPIRY_REACTION_SECS: f64 = 0.5;
+/// Heartbeats are sent at their interval, give or take a quarter.
+const MAX_HEARTBEAT_JITTER_FACTOR: f64 = 1.25;
+/// For the way of a heartbeat.
+const HEARTBEAT_DELIVERY_SECS: f64 = 1.0;
+/// A worker whose heartbeat was under way to the former leader gives it up after 4 s, and tries the next
+/// controller a second later.
+const HEARTBEAT_RETRY_SECS: f64 = 5.0;
+
+/// The settings that the scheduler goes by. They don't change while it lives.
 #[derive(Debug, Clone)]
 pub struct Policy {
+    /// What is known of the deployment.
     pub facts: Facts,
+    /// What the operator chose.
     pub operator: OperatorConfig,
-    /// Direct commands that may be awaited at once.
+    /// Pushes that may await their answers at once.
     pub max_pushes: usize,
 }
 
 impl Policy {
-    /// Takes what the core needs.
-    pub fn new(s: &Config) -> Policy {
-        let most = s.platform.facts.process_limits.max_sockets;
-        let users = s.operator.max_user_requests;
+    /// The part of the settings that the scheduler needs.
+    pub fn new(config: &Config) -> Policy {
+        let platform = &config.platform;
+        let max_sockets = platform.facts.process_limits.max_sockets;
+        let max_user_requests = config.operator.max_user_requests;
+        let sockets = Sockets::divide(max_sockets, platform.peers.len(), max_user_requests);
         Policy {
-            facts: s.platform.facts.clone(),
-            operator: s.operator.clone(),
-            max_pushes: Sockets::divide(most, s.platform.peers.len(), users).pushes,
+            facts: platform.facts.clone(),
+            operator: config.operator.clone(),
+            max_pushes: sockets.pushes,
         }
     }
-    /// A team's number.
+
+    /// The place of a team in the settings, by its name.
     pub fn team_index(&self, name: &str) -> Option<TeamIndex> {
-        let at = self.facts.teams.iter().position(|t| t.name == name);
-        at.map(TeamIndex)
-    }
-    /// A team's guarantee and limit.
-    pub fn team(&self, no: Option<TeamIndex>) -> Option<&Team> {
-        no.and_then(|n| self.facts.teams.get(n.0))
+        let index = self.facts.teams.iter().position(|team| team.name == name);
+        index.map(TeamIndex)
     }
-    /// The time by which most tasks of a class should have started, if the settings name one.
-    pub fn started_within(&self, class: &str) -> Option<f64> {
-        self.least("wait", class)
+
+    /// A team's guaranteed shares and limits.
+    pub fn team(&self, index: Option<TeamIndex>) -> Option<&Team> {
+        index.and_then(|index| self.facts.teams.get(index.0))
     }
-    /// The time by which most jobs of a class should be finished, if the settings name one.
-    pub fn finished_within(&self, class: &str) -> Option<f64> {
-        self.least("finished", class)
+
+    /// Seconds within which most tasks of a job class should have started, if the settings name any.
+    pub fn max_start_delay_s(&self, class: &str) -> Option<f64> {
+        self.strictest_s(SloKind::StartDelay, class)
     }
-    /// The time by which work within a guarantee should have started.
-    pub fn guarantee_within(&self) -> Option<f64> {
-        self.facts
-            .objectives
-            .iter()
-            .filter(|o| o.kind == "guarantee")
-            .filter_map(|o| o.within_s)
-            .min_by(f64::total_cmp)
+
+    /// Seconds within which most jobs of a class should be completed, if the settings name any.
+    pub fn max_completion_s(&self, class: &str) -> Option<f64> {
+        self.strictest_s(SloKind::Completion, class)
     }
-    fn least(&self, kind: &str, class: &str) -> Option<f64> {
-        self.of_class(kind, class)
-            .filter_map(|o| o.within_s)
+
+    fn strictest_s(&self, kind: SloKind, class: &str) -> Option<f64> {
+        self.objectives(kind, class)
+            .filter_map(|objective| objective.within_s)
             .min_by(f64::total_cmp)
     }
-    /// The objectives of one kind for a class.
-    pub fn of_class<'a>(&'a self, kind: &'a str, class: &'a str) -> impl Iterator<Item = &'a Slo> {
+
+    /// The objectives of one kind for a job class.
+    pub fn objectives<'a>(
+        &'a self,
+        kind: SloKind,
+        class: &'a str,
+    ) -> impl Iterator<Item = &'a Slo> {
+        let is_of_class = |objective: &Slo, class| objective.class.as_deref() == Some(class);
         let all = self.facts.objectives.iter();
-        all.filter(move |o| o.kind == kind && o.class.as_deref() == Some(class))
+        all.filter(move |objective| objective.kind == kind && is_of_class(objective, class))
     }
-    /// How long after its last answer a worker certainly has no lease: drift of both clocks, and a
-    /// little for what the worker needs to act on it.
+
+    /// How long after a worker was last answered its lease has certainly expired, by its own clock.
     pub fn lease_expiry_bound(&self) -> TimeSpan {
-        TimeSpan::from_secs(self.facts.workers.lease_s * 1.002 + 0.5)
+        let lease_s = self.facts.workers.lease_s;
+        TimeSpan::from_secs(lease_s * CLOCK_DRIFT_FACTOR + LEASE_EXPIRY_REACTION_SECS)
     }
-    /// The time in which every worker that can reach a new leader has reported to it: one whose report was
-    /// under way to the former one gives that up after 4 s and tries the next controller a second later.
-    pub fn first_reports(&self) -> TimeSpan {
-        TimeSpan::from_secs(self.facts.workers.report_s * 1.25 + 5.0)
+
+    /// The time after a failover in which every worker that can reach the new leader has sent it a heartbeat.
+    pub fn first_heartbeats_bound(&self) -> TimeSpan {
+        let max_interval_s = self.facts.workers.report_s * MAX_HEARTBEAT_JITTER_FACTOR;
+        TimeSpan::from_secs(max_interval_s + HEARTBEAT_RETRY_SECS)
     }
-    /// How long a worker may keep silent before it counts as silent.
-    pub fn silence(&self) -> TimeSpan {
-        // Reports go out every `report_s`, give or take a quarter; a second for the way.
-        let s = self.facts.workers.report_s * 1.25 * self.operator.silent_reports;
-        TimeSpan::from_secs(s + 1.0)
+
+    /// A machine from which no heartbeat came for longer than this is suspected.
+    pub fn heartbeat_timeout(&self) -> TimeSpan {
+        let max_interval_s = self.facts.workers.report_s * MAX_HEARTBEAT_JITTER_FACTOR;
+        let missed_s = max_interval_s * self.operator.silent_reports;
+        TimeSpan::from_secs(missed_s + HEARTBEAT_DELIVERY_SECS)
     }
 }
--- a/src/coordination/view.rs
+++ b/src/coordination/view.rs
@@ -28,7 +28,7 @@
 impl ClusterView<'_> {
     /// Whether a machine may be given new work.
     pub(crate) fn is_schedulable(&self, machine: &Machine) -> bool {
-        machine.is_schedulable(self.now, self.policy.silence())
+        machine.is_schedulable(self.now, self.policy.heartbeat_timeout())
     }
 }
 
--- a/tests/scenario_language/setup.rs
+++ b/tests/scenario_language/setup.rs
@@ -132,7 +132,12 @@
 
 fn objective(rest: &[&str]) -> Slo {
     Slo {
-        kind: rest[0].into(),
+        kind: match rest[0] {
+            "wait" => SloKind::StartDelay,
+            "finished" => SloKind::Completion,
+            "deadline" => SloKind::Deadline,
+            _ => SloKind::Other,
+        },
         class: Some(rest[1].into()),
         within_s: Some(Words(rest).number("within", 60.0)),
         times: None,
