--- a/src/coordination/persistence/outcomes.rs
+++ b/src/coordination/persistence/outcomes.rs
@@ -144,7 +144,7 @@
         {
             self.writer.flight = Flight::None;
             self.writer.not_before = now + pause;
-            self.writer.budget.empty(now);
+            self.writer.budget.drain(now);
         }
     }
 
--- a/src/coordination/policy.rs
+++ b/src/coordination/policy.rs
@@ -3,7 +3,7 @@
 use crate::config::{Config, Facts, OperatorConfig, Slo, SloKind, Team};
 use crate::ids::TeamIndex;
 use crate::time::TimeSpan;
-use crate::transport::sockets::Sockets;
+use crate::transport::sockets::SocketAllocation;
 
 /// Two steady clocks may each drift by 0.05%: 0.2% covers both, with room.
 const CLOCK_DRIFT_FACTOR: f64 = 1.002;
@@ -34,7 +34,7 @@
         let platform = &config.platform;
         let max_sockets = platform.facts.process_limits.max_sockets;
         let max_user_requests = config.operator.max_user_requests;
-        let sockets = Sockets::divide(max_sockets, platform.peers.len(), max_user_requests);
+        let sockets = SocketAllocation::new(max_sockets, platform.peers.len(), max_user_requests);
         Policy {
             facts: platform.facts.clone(),
             operator: config.operator.clone(),
--- a/src/runtime/leader/effects.rs
+++ b/src/runtime/leader/effects.rs
@@ -16,7 +16,7 @@
 use crate::runtime::Node;
 use crate::storage::records::terminal_key;
 use crate::time::TimeSpan;
-use crate::transport::client::NoAnswer;
+use crate::transport::client::RequestError;
 use hyper::Method;
 use rand::Rng;
 use std::time::Duration;
@@ -182,7 +182,7 @@
         None => Event::PushFailed {
             machine_id,
             request_id,
-            sent: !matches!(response, Err(NoAnswer::NotSent)),
+            sent: !matches!(response, Err(RequestError::NotSent)),
         },
     }
 }
