--- a/src/coordination/autoscaler/forecast/simulated_cluster.rs
+++ b/src/coordination/autoscaler/forecast/simulated_cluster.rs
@@ -141,7 +141,11 @@
         releases: attempts
             .filter_map(|attempt| release_of(view, machine, attempt))
             .collect(),
-        cached_images: machine.images.iter().map(|(i, _)| i.clone()).collect(),
+        cached_images: machine
+            .images
+            .iter()
+            .map(|cached| cached.image.clone())
+            .collect(),
         warm_pool_class: warm_pool.class_of(&machine.id).cloned(),
     })
 }
--- a/src/coordination/autoscaler/inventory.rs
+++ b/src/coordination/autoscaler/inventory.rs
@@ -51,8 +51,7 @@
     pub(crate) fn verify_machine(&mut self, id: &MachineId) {
         let machine = self.machines.get_mut(id);
         if let Some(machine) = machine.filter(|machine| !machine.verified) {
-            machine.verified = true;
-            machine.page = Some(self.writer.machine_pages.enter(id));
+            machine.verify(self.writer.machine_pages.enter(id));
             self.placement.request_pass();
         }
     }
@@ -103,8 +102,7 @@
         if machine.endpoint.is_empty() {
             machine.endpoint = listed.endpoint;
         }
-        machine.listed_as_failed = listed.phase == CloudPhase::Failed;
-        machine.unlisted_since = None;
+        machine.listed_by_cloud(listed.phase == CloudPhase::Failed);
     }
 
     /// Drains machines that have been missing from the list, and silent, for longer than it lags.
@@ -116,12 +114,11 @@
                 continue;
             }
             let known_long = now - machine.since.max(self.leadership.began_at()) > lag;
-            let missing_since = *machine.unlisted_since.get_or_insert(now);
+            let missing_since = machine.missing_from_cloud_list(now);
             let silent = machine.last_message_at.is_none_or(|at| now - at > lag);
             if known_long && silent && now - missing_since > lag {
                 tracing::debug!(machine = %machine.id, "machine no longer listed by the cloud, and silent");
-                machine.draining = true;
-                machine.draining_since.get_or_insert(now - DRAIN_TIMEOUT);
+                machine.start_draining(now - DRAIN_TIMEOUT);
             }
         }
     }
--- a/src/coordination/autoscaler/report.rs
+++ b/src/coordination/autoscaler/report.rs
@@ -30,7 +30,7 @@
         for machine in cluster.machines.values() {
             counts.booting += u32::from(machine.state == MachineState::Booting);
             counts.spot += u32::from(machine.spot);
-            counts.draining += u32::from(machine.draining || machine.reclaim_at.is_some());
+            counts.draining += u32::from(machine.is_leaving());
             if machine.state != MachineState::Up {
                 continue;
             }
--- a/src/coordination/autoscaler/scale_in.rs
+++ b/src/coordination/autoscaler/scale_in.rs
@@ -177,7 +177,7 @@
             Some(ScaleInReason::Silent)
         } else if self.is_boot_overdue(machine) {
             Some(ScaleInReason::BootTimeout)
-        } else if machine.listed_as_failed {
+        } else if machine.is_listed_as_failed() {
             Some(ScaleInReason::FailedInCloud)
         } else if self.is_drained(machine) {
             Some(ScaleInReason::Drained)
@@ -235,8 +235,7 @@
     /// Seconds that it would take to have such a machine again: to boot it and fetch its largest image.
     /// Keeping it idle for as long costs at most twice what the best choice in hindsight would have.
     fn replacement_s(&self, machine: &Machine) -> f64 {
-        let image_sizes_gb = machine.images.iter().map(|(_, gb)| *gb);
-        let largest_image_gb = image_sizes_gb.fold(0.0, f64::max);
+        let largest_image_gb = machine.images.sizes_gb().fold(0.0, f64::max);
         let machine_type = &machine.machine_type;
         let boot_s = self.view.boot_s(machine_type);
         boot_s + self.view.fetch_s(machine_type, largest_image_gb)
--- a/src/coordination/leadership/recovery/machine_pages.rs
+++ b/src/coordination/leadership/recovery/machine_pages.rs
@@ -2,6 +2,7 @@
 
 use super::{parse_record, Recovery, UnreadableCause, UnreadableRecord};
 use crate::coordination::machines::machine::{Machine, MachineState};
+use crate::coordination::machines::CachedImage;
 use crate::ids::{KeyRevision, MachineId, PageNumber};
 use crate::protocol::state::KeyValue;
 use crate::storage::records::{MachineEntry, MachineKind, MachinePage, RecordKey};
@@ -85,8 +86,11 @@
         if entry.has_reported {
             machine.state = MachineState::Up;
         }
-        let image = |index: &usize| record.images.get(*index).cloned();
-        machine.images = entry.images.iter().filter_map(image).collect();
+        let cached_image = |index: &usize| {
+            let (image, size_gb) = record.images.get(*index).cloned()?;
+            Some(CachedImage { image, size_gb })
+        };
+        machine.images = entry.images.iter().filter_map(cached_image).collect();
         Some(machine)
     }
 
--- a/src/coordination/machines/images.rs
+++ b/src/coordination/machines/images.rs
@@ -2,6 +2,7 @@
 //!
 //! Workers report no caches: what is in them is inferred from what ran where.
 
+use super::image_cache::CachedImage;
 use super::machine::{Machine, MachineState};
 use super::table::MachineTable;
 use crate::coordination::Scheduler;
@@ -65,12 +66,11 @@
     pub(crate) fn recheck_cached_images(&mut self) {
         let mut gpus_by_image: BTreeMap<Image, f64> = BTreeMap::new();
         for machine in self.values() {
-            if machine.state != MachineState::Up || machine.draining || machine.reclaim_at.is_some()
-            {
+            if machine.state != MachineState::Up || machine.is_leaving() {
                 continue;
             }
             let gpus = self.capacity(&machine.machine_type).gpus;
-            for (image, _) in &machine.images {
+            for CachedImage { image, .. } in machine.images.iter() {
                 match gpus_by_image.get_mut(image) {
                     Some(sum) => *sum += gpus,
                     None => drop(gpus_by_image.insert(image.clone(), gpus)),
--- a/src/coordination/machines/machine.rs
+++ b/src/coordination/machines/machine.rs
@@ -1,5 +1,6 @@
 //! A machine as the leader holds it.
 
+use super::image_cache::ImageCache;
 use super::reservation::Reservation;
 use crate::coordination::attempts::task_attempt::TaskAttempt;
 use crate::coordination::RequestId;
@@ -76,8 +77,8 @@
     pub draining_since: Option<Instant>,
     /// The job that it is kept for.
     pub(super) reservation: Option<Reservation>,
-    /// Images that should be in its cache, least recently used first.
-    pub images: Vec<(Image, f64)>,
+    /// Images that should be in its cache.
+    pub(crate) images: ImageCache,
     /// Idle since.
     pub idle_since: Option<Instant>,
     /// Jobs whose tasks failed here with no success between, and whether it is emptied for that.
@@ -89,8 +90,8 @@
     /// No new work before this time (refused a start for want of room).
     pub unschedulable_until: Instant,
     /// Listed by the cloud as failed; missing from its lists since.
-    pub listed_as_failed: bool,
-    pub unlisted_since: Option<Instant>,
+    listed_as_failed: bool,
+    unlisted_since: Option<Instant>,
 }
 
 impl Machine {
@@ -134,7 +135,7 @@
             draining: false,
             draining_since: None,
             reservation: None,
-            images: Vec::new(),
+            images: ImageCache::default(),
             idle_since: None,
             failed_jobs: BTreeSet::new(),
             quarantined: false,
@@ -146,6 +147,34 @@
         }
     }
 
+    /// The machine exists, as its rental or the cloud's list shows: it is on a page of the state store from now
+    /// on, and may be given work.
+    pub fn verify(&mut self, page: PageNumber) {
+        self.verified = true;
+        self.page = Some(page);
+    }
+
+    /// The cloud's list names it, perhaps as failed.
+    pub fn listed_by_cloud(&mut self, is_failed: bool) {
+        self.listed_as_failed = is_failed;
+        self.unlisted_since = None;
+    }
+
+    /// The cloud's list does not name it; returns since when.
+    pub fn missing_from_cloud_list(&mut self, now: Instant) -> Instant {
+        *self.unlisted_since.get_or_insert(now)
+    }
+
+    /// Whether the cloud's list named it as failed when it last named it.
+    pub fn is_listed_as_failed(&self) -> bool {
+        self.listed_as_failed
+    }
+
+    /// Whether no new work is for it because it is drained or will be reclaimed.
+    pub fn is_leaving(&self) -> bool {
+        self.draining || self.reclaim_at.is_some()
+    }
+
     /// What is free of `whole` beside the attempts that have not ended.
     pub fn free_of(&self, whole: Resources) -> Resources {
         let mut free = whole;
@@ -177,16 +206,16 @@
         self.state == MachineState::Up
             && self.verified
             && !self.is_unreachable()
-            && !self.draining
-            && self.reclaim_at.is_none()
+            && !self.is_leaving()
             && self.unschedulable_until <= now
             && !self.silent(now, silence)
     }
 
-    /// Takes it out of use.
-    pub fn start_draining(&mut self, now: Instant) {
+    /// Takes it out of use: it is given no new work, and returned once it is empty. A machine that is drained
+    /// already keeps the time from which its drain timeout counts.
+    pub fn start_draining(&mut self, since: Instant) {
         self.draining = true;
-        self.draining_since.get_or_insert(now);
+        self.draining_since.get_or_insert(since);
     }
 
     /// Whether no check-in of it has come for longer than the given time. Answers to direct commands
@@ -226,16 +255,11 @@
 
     /// Whether the image should be in the cache.
     pub fn has_image(&self, image: &Image) -> bool {
-        self.images.iter().any(|(i, _)| i == image)
+        self.images.contains(image)
     }
 
     /// Notes the use of an image; the least recently used make room.
     pub fn use_image(&mut self, image: &Image, gb: f64, cache_gb: f64) {
-        self.images.retain(|(i, _)| i != image);
-        self.images.push((image.clone(), gb));
-        let mut held: f64 = self.images.iter().map(|(_, g)| g).sum();
-        while held > cache_gb && self.images.len() > 1 {
-            held -= self.images.remove(0).1;
-        }
+        self.images.record_use(image, gb, cache_gb);
     }
 }
--- a/src/coordination/persistence/machine_pages.rs
+++ b/src/coordination/persistence/machine_pages.rs
@@ -3,6 +3,7 @@
 use super::draft::Draft;
 use super::Work;
 use crate::coordination::machines::machine::MachineState;
+use crate::coordination::machines::CachedImage;
 use crate::coordination::Scheduler;
 use crate::ids::{Image, MachineId};
 use crate::protocol::state::Change;
@@ -60,9 +61,9 @@
             });
             let held = m.images.iter().rev().take(most_images).rev();
             let held = held
-                .map(|(image, gb)| {
+                .map(|CachedImage { image, size_gb }| {
                     *images.entry(image.clone()).or_insert_with(|| {
-                        page.images.push((image.clone(), *gb));
+                        page.images.push((image.clone(), *size_gb));
                         page.images.len() - 1
                     })
                 })
