--- a/src/coordination/jobs/lifecycle.rs
+++ b/src/coordination/jobs/lifecycle.rs
@@ -7,10 +7,9 @@
 
 use crate::coordination::jobs::graph::{Changes, JobTraits, Release};
 use crate::coordination::jobs::job::Job;
-use crate::coordination::{Effect, OpenJob, Scheduler};
+use crate::coordination::{Effect, OpenJob, Scheduler, TerminalRecordRead};
 use crate::ids::{JobId, MachineId};
 use crate::protocol::users::JobPhase;
-use crate::storage::records::TerminalRecord;
 use crate::time::{Instant, TimeSpan};
 use std::collections::BTreeSet;
 
@@ -84,7 +83,7 @@
     /// one counts from the release, so it says nothing for a job that waits for others.
     fn traits_of(&self, job: &Job, after: &[JobId]) -> JobTraits {
         let spec = job.spec();
-        let objective = || self.policy.finished_within(&spec.class);
+        let objective = || self.policy.max_completion_s(&spec.class);
         let fallback = || objective().filter(|_| after.is_empty());
         let due_s = spec.due_s.or_else(fallback);
         // Without machine types nothing is known of the fetch.
@@ -185,14 +184,10 @@
     }
 
     /// Finish marks as they stand.
-    pub(crate) fn terminal_records_read(
-        &mut self,
-        now: Instant,
-        terminal_records: Vec<(JobId, Option<TerminalRecord>)>,
-    ) {
+    pub(crate) fn terminal_records_read(&mut self, now: Instant, records: Vec<TerminalRecordRead>) {
         self.jobs.terminal_record_reads.asked = None;
-        for (id, terminal_record) in terminal_records {
-            match terminal_record {
+        for TerminalRecordRead { job: id, record } in records {
+            match record {
                 Some(terminal_record) if terminal_record.phase == JobPhase::Done => {
                     let at = terminal_record
                         .at_ms
--- a/src/coordination/machines/machine.rs
+++ b/src/coordination/machines/machine.rs
@@ -1,7 +1,9 @@
 //! A machine as the leader holds it.
 
+use super::image_cache::ImageCache;
 use super::reservation::Reservation;
 use crate::coordination::attempts::ledger::{MachineAttempts, TaskAttempt};
+use crate::coordination::RequestId;
 use crate::ids::{
     FencingToken, Image, JobId, MachineId, MachineType, PageNumber, Session, Tick, Zone,
 };
@@ -72,21 +74,21 @@
     pub draining_since: Option<Instant>,
     /// The job that it is kept for.
     pub(super) reservation: Option<Reservation>,
-    /// Images that should be in its cache, least recently used first.
-    pub images: Vec<(Image, f64)>,
+    /// Images that should be in its cache.
+    pub(crate) images: ImageCache,
     /// Idle since.
     pub idle_since: Option<Instant>,
     /// Jobs whose tasks failed here with no success between, and whether it is emptied for that.
     pub failed_jobs: BTreeSet<JobId>,
     pub quarantined: bool,
     /// The direct command under way, and no further one before this time.
-    pub push_in_flight: Option<u64>,
+    pub push_in_flight: Option<RequestId>,
     pub push_not_before: Instant,
     /// No new work before this time (refused a start for want of room).
     pub unschedulable_until: Instant,
     /// Listed by the cloud as failed; missing from its lists since.
-    pub listed_as_failed: bool,
-    pub unlisted_since: Option<Instant>,
+    listed_as_failed: bool,
+    unlisted_since: Option<Instant>,
 }
 
 impl Machine {
@@ -128,7 +130,7 @@
             draining: false,
             draining_since: None,
             reservation: None,
-            images: Vec::new(),
+            images: ImageCache::default(),
             idle_since: None,
             failed_jobs: BTreeSet::new(),
             quarantined: false,
@@ -140,6 +142,34 @@
         }
     }
 
+    /// The machine exists, as its rental or the cloud's list shows: it is on a page of the state store from now
+    /// on, and may be given work.
+    pub fn verify(&mut self, page: PageNumber) {
+        self.verified = true;
+        self.page = Some(page);
+    }
+
+    /// The cloud's list names it, perhaps as failed.
+    pub fn listed_by_cloud(&mut self, is_failed: bool) {
+        self.listed_as_failed = is_failed;
+        self.unlisted_since = None;
+    }
+
+    /// The cloud's list does not name it; returns since when.
+    pub fn missing_from_cloud_list(&mut self, now: Instant) -> Instant {
+        *self.unlisted_since.get_or_insert(now)
+    }
+
+    /// Whether the cloud's list named it as failed when it last named it.
+    pub fn is_listed_as_failed(&self) -> bool {
+        self.listed_as_failed
+    }
+
+    /// Whether no new work is for it because it is drained or will be reclaimed.
+    pub fn is_leaving(&self) -> bool {
+        self.draining || self.reclaim_at.is_some()
+    }
+
     /// What live task attempts leave free of it.
     pub fn free(&self) -> &Resources {
         self.attempts.free()
@@ -176,16 +206,16 @@
         self.state == MachineState::Up
             && self.verified
             && !self.is_unreachable()
-            && !self.draining
-            && self.reclaim_at.is_none()
+            && !self.is_leaving()
             && self.unschedulable_until <= now
             && !self.silent(now, silence)
     }
 
-    /// Takes it out of use.
-    pub fn start_draining(&mut self, now: Instant) {
+    /// Takes it out of use: it is given no new work, and returned once it is empty. A machine that is drained
+    /// already keeps the time from which its drain timeout counts.
+    pub fn start_draining(&mut self, since: Instant) {
         self.draining = true;
-        self.draining_since.get_or_insert(now);
+        self.draining_since.get_or_insert(since);
     }
 
     /// Whether no check-in of it has come for longer than the given time. Answers to direct commands
@@ -209,16 +239,11 @@
 
     /// Whether the image should be in the cache.
     pub fn has_image(&self, image: &Image) -> bool {
-        self.images.iter().any(|(i, _)| i == image)
+        self.images.contains(image)
     }
 
     /// Notes the use of an image; the least recently used make room.
     pub fn use_image(&mut self, image: &Image, gb: f64, cache_gb: f64) {
-        self.images.retain(|(i, _)| i != image);
-        self.images.push((image.clone(), gb));
-        let mut held: f64 = self.images.iter().map(|(_, g)| g).sum();
-        while held > cache_gb && self.images.len() > 1 {
-            held -= self.images.remove(0).1;
-        }
+        self.images.record_use(image, gb, cache_gb);
     }
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -13,7 +13,7 @@
 use chalklug::coordination::attempts::reconciliation::HeartbeatOutcome;
 use chalklug::coordination::jobs::pending::PendingReason;
 use chalklug::coordination::leadership::recovery::RecoveredState;
-use chalklug::coordination::{Effect, Event, OpenJob, Policy};
+use chalklug::coordination::{Effect, Event, OpenJob, Policy, TerminalRecordRead};
 use chalklug::ids::*;
 use chalklug::protocol::state::{Change, KeyValue};
 use chalklug::protocol::users::{parse_submission, JobPhase};
@@ -192,8 +192,8 @@
                 let effects = scheduler.step(now);
                 asked += effects.len();
                 for effect in effects {
-                    if let Effect::Write { seq, .. } = effect {
-                        scheduler.write_applied(now, seq, StoreRevision(100 + seq));
+                    if let Effect::Write { request_id, .. } = effect {
+                        scheduler.write_applied(now, request_id, StoreRevision(100 + request_id.0));
                     }
                 }
             }
@@ -225,10 +225,14 @@
         let effects = scheduler.step(now);
         changes += count_changes(&effects);
         for effect in effects {
-            if let Effect::Write { seq, transaction } = effect {
+            if let Effect::Write {
+                request_id,
+                transaction,
+            } = effect
+            {
                 let finish = |c: &&Change| matches!(c, Change::Put { put, .. } if put.starts_with(TERMINAL_PREFIX));
                 finished += transaction.changes.iter().filter(finish).count();
-                scheduler.write_applied(now, seq, StoreRevision(1000 + seq));
+                scheduler.write_applied(now, request_id, StoreRevision(1000 + request_id.0));
             }
         }
     }
@@ -278,7 +282,11 @@
     while *now < until {
         *now += TimeSpan(50);
         for effect in scheduler.step(*now) {
-            let Effect::Write { seq, transaction } = effect else {
+            let Effect::Write {
+                request_id,
+                transaction,
+            } = effect
+            else {
                 continue;
             };
             for change in transaction.changes {
@@ -293,7 +301,7 @@
                     }
                 }
             }
-            scheduler.write_applied(*now, seq, StoreRevision(1000 + seq));
+            scheduler.write_applied(*now, request_id, StoreRevision(1000 + request_id.0));
         }
     }
     let tasks = tasks.into_iter();
@@ -402,16 +410,22 @@
                 Effect::ReadTerminalRecords { ids } => {
                     assert_eq!(ids, std::slice::from_ref(&upstream));
                     reads += 1;
-                    let terminal_records = vec![(upstream.clone(), Some(terminal_record.clone()))];
-                    scheduler.on(now, Event::TerminalRecordsRead { terminal_records });
+                    let read = TerminalRecordRead {
+                        job: upstream.clone(),
+                        record: Some(terminal_record.clone()),
+                    };
+                    scheduler.on(now, Event::TerminalRecordsRead(vec![read]));
                 }
-                Effect::Write { seq, transaction } => {
+                Effect::Write {
+                    request_id,
+                    transaction,
+                } => {
                     assert!(transaction.changes.len() <= 8);
                     let terminal_record = |c: &&Change| matches!(c, Change::Put { put, .. } if put.starts_with(TERMINAL_PREFIX));
                     let open = |c: &&Change| matches!(c, Change::Delete { delete } if delete.starts_with(OPEN_JOB_PREFIX));
                     terminal_records += transaction.changes.iter().filter(terminal_record).count();
                     deletes += transaction.changes.iter().filter(open).count();
-                    scheduler.write_applied(now, seq, StoreRevision(1000 + seq));
+                    scheduler.write_applied(now, request_id, StoreRevision(1000 + request_id.0));
                 }
                 Effect::ScaleOut { .. } => panic!("scaled out for blocked jobs"),
                 _ => {}
@@ -443,10 +457,11 @@
         at_ms,
     };
     let [first, second] = [Some(60_000), Some(80_000)].map(done);
-    let terminal_records = upstream.into_iter().zip([Some(first), Some(second)]);
-    let mut terminal_records: Vec<_> = terminal_records.collect();
-    terminal_records.push((JobId::from("wk-800003"), Some(done(None))));
-    scheduler.on(now, Event::TerminalRecordsRead { terminal_records });
+    let read = |(job, record)| TerminalRecordRead { job, record };
+    let records = upstream.into_iter().zip([Some(first), Some(second)]);
+    let mut records: Vec<_> = records.map(read).collect();
+    records.push(read((JobId::from("wk-800003"), Some(done(None)))));
+    scheduler.on(now, Event::TerminalRecordsRead(records));
     let waiting = scheduler.pending_jobs(now);
     let limited = &waiting[&PendingReason::TeamLimit];
     assert_eq!((limited.jobs, limited.since), (2, Instant(80_000)));
