--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,6 +1,6 @@
 //! Settings: what is ignored, what is refused, and that an error names file, field and reason.
 
-use chalklug::config::StateStoreLimits;
+use chalklug::config::{Slo, SloKind, StateStoreLimits};
 use std::process::Command;
 
 const GOOD: &str = r#"
@@ -177,3 +177,18 @@
         "{text}"
     );
 }
+
+/// The platform may name objectives that the scheduler has no use for; they are no reason to refuse its settings.
+#[test]
+fn objectives_of_every_kind_are_read() {
+    let kind_of = |word: &str| {
+        let text = format!("kind = \"{word}\"\nclass = \"hot\"\nwithin_s = 6.0");
+        toml::from_str::<Slo>(&text).unwrap().kind
+    };
+    assert_eq!(kind_of("wait"), SloKind::StartDelay);
+    assert_eq!(kind_of("finished"), SloKind::Completion);
+    assert_eq!(kind_of("deadline"), SloKind::Deadline);
+    assert_eq!(kind_of("guarantee"), SloKind::Other);
+    let unnamed = toml::from_str::<Slo>("class = \"hot\"");
+    assert!(unnamed.is_err(), "an objective without a kind");
+}
