--- a/src/coordination/attempts/reconciliation.rs
+++ b/src/coordination/attempts/reconciliation.rs
@@ -174,7 +174,7 @@
         if m.state == MachineState::Booting {
             m.state = MachineState::Up;
             m.idle_since = Some(now);
-            tracing::debug!(machine = %m.id, boot_ms = (now - m.since).0, "machine is up");
+            tracing::debug!(machine = %m.id, boot_ms = (now - m.first_known_at).0, "machine is up");
             self.placement.request_pass();
             let page = m.page;
             self.machines.reindex(machine_id);
--- a/src/coordination/attempts/stops.rs
+++ b/src/coordination/attempts/stops.rs
@@ -32,7 +32,7 @@
         };
         let recall = m.reclaim_at;
         let draining = m.draining;
-        let silent = m.silent(now, silence) || m.is_unreachable();
+        let silent = m.is_silent(now, silence) || m.is_unreachable();
         let mut dropped = Vec::new();
         let mut stopped = false;
         for s in m.attempts.iter_mut() {
--- a/src/coordination/autoscaler/forecast/simulated_cluster.rs
+++ b/src/coordination/autoscaler/forecast/simulated_cluster.rs
@@ -115,7 +115,7 @@
 }
 
 fn slot_of_booting(view: &AutoscalerView<'_>, machine: &Machine) -> Option<MachineSlot> {
-    let age_s = (view.now() - machine.since).secs();
+    let age_s = (view.now() - machine.first_known_at).secs();
     let boot_s = view.boot_s(&machine.machine_type);
     if age_s >= boot_s * MAX_BOOT_TIMES {
         return None;
--- a/src/coordination/autoscaler/inventory.rs
+++ b/src/coordination/autoscaler/inventory.rs
@@ -113,7 +113,7 @@
             if listed_ids.contains(&machine.id) || machine.state == MachineState::Returning {
                 continue;
             }
-            let known_long = now - machine.since.max(self.leadership.began_at()) > lag;
+            let known_long = now - machine.first_known_at.max(self.leadership.began_at()) > lag;
             let missing_since = machine.missing_from_cloud_list(now);
             let silent = machine.last_message_at.is_none_or(|at| now - at > lag);
             if known_long && silent && now - missing_since > lag {
--- a/src/coordination/autoscaler/scale_in.rs
+++ b/src/coordination/autoscaler/scale_in.rs
@@ -190,7 +190,7 @@
     fn is_silent_for_too_long(&self, machine: &Machine) -> bool {
         let suspected = &self.view.autoscaler().suspected_zones;
         self.max_silence
-            .is_some_and(|max_silence| machine.silent(self.view.now(), max_silence))
+            .is_some_and(|max_silence| machine.is_silent(self.view.now(), max_silence))
             && !suspected.contains(&machine.zone)
     }
 
@@ -198,7 +198,7 @@
         let boot_s = self.view.boot_s(&machine.machine_type);
         let timeout_s = boot_s * MAX_BOOT_TIMES + BOOT_TIMEOUT_MARGIN_SECS;
         machine.state == MachineState::Booting
-            && (self.view.now() - machine.since).secs() > timeout_s
+            && (self.view.now() - machine.first_known_at).secs() > timeout_s
     }
 
     fn is_drained(&self, machine: &Machine) -> bool {
--- a/src/coordination/autoscaler/suspected_zones.rs
+++ b/src/coordination/autoscaler/suspected_zones.rs
@@ -70,7 +70,7 @@
         let is_lost = machine.state == MachineState::Returning
             && machine.last_message_at.is_none_or(|at| now - at > bound);
         if machine.state == MachineState::Up || is_lost {
-            let is_silent = is_lost || machine.silent(now, bound);
+            let is_silent = is_lost || machine.is_silent(now, bound);
             let zone = zones.entry(machine.zone.clone()).or_default();
             zone.machines += 1.0;
             zone.silent += f64::from(u8::from(is_silent));
--- a/src/coordination/machines/machine.rs
+++ b/src/coordination/machines/machine.rs
@@ -1,4 +1,7 @@
-//! A machine as the leader holds it.
+//! A machine as the leader knows it: what it is, what its worker has said of itself, and why it may or may not
+//! be given work.
+//!
+//! Its task attempts change through the ledger only.
 
 use super::image_cache::ImageCache;
 use super::reservation::Reservation;
@@ -11,39 +14,48 @@
 use crate::time::{Instant, TimeSpan};
 use std::collections::BTreeSet;
 
-/// Check-ins in a row that show nothing of what we answered before: the machine counts as deaf.
+/// Heartbeats in a row that show nothing of what we answered before: the machine counts as unreachable, though we
+/// hear it.
 pub const MAX_UNACKNOWLEDGED_RESPONSES: u32 = 2;
 
-/// Where a machine is in its life, as far as the leader knows.
+/// Where a machine is in its lifecycle, as far as the leader knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MachineState {
-    /// Rented, its worker hasn't reported yet.
+    /// Rented; its worker has sent no heartbeat yet.
     Booting,
-    /// Reports.
+    /// Its worker has sent a heartbeat.
     Up,
-    /// Being given back; never used again.
+    /// The cloud is asked to terminate it; never used again.
     Returning,
 }
 
 /// A machine.
 #[derive(Debug)]
 pub struct Machine {
+    /// Its id, from the cloud.
     pub id: MachineId,
+    /// Where its worker listens for pushes; empty if that is not known yet.
     pub endpoint: String,
+    /// Its type.
     pub machine_type: MachineType,
+    /// Its zone.
     pub zone: Zone,
+    /// Whether it is a spot instance.
     pub spot: bool,
+    /// Where it is in its lifecycle.
     pub state: MachineState,
-    /// When we first knew of it.
-    pub since: Instant,
+    /// When it was rented, or the first we knew of it.
+    pub first_known_at: Instant,
+    /// Its worker's session, as last seen.
     pub session: Session,
+    /// The tick of the newest message of that session.
     pub tick: Tick,
-    /// The last check-in: any with a place not above it is a copy.
+    /// The session and tick of the last heartbeat: any that is not above it is a duplicate.
     pub last_heartbeat: (Session, Tick),
-    /// Known from our records, from a rental of ours, from the cloud, or by having shown our token: a
-    /// late copy of a report alone proves nothing.
+    /// Known from our records, from a scale-out request of ours, from the cloud, or by having acknowledged our
+    /// fencing token: a delayed duplicate of a status alone proves nothing.
     pub verified: bool,
-    /// A report with a token of this leadership has been seen.
+    /// A status with a fencing token of this leadership term has been seen.
     pub confirmed: bool,
     /// The highest token that we answered it with, and that it has shown.
     pub token_sent: FencingToken,
@@ -64,35 +76,40 @@
     pub session_first_seen_at: Instant,
     /// Every task attempt that may be on it, and what they leave free of it.
     pub attempts: MachineAttempts,
-    /// The page on the state service that lists it, and whether that is written.
+    /// The page of the state store that lists it.
     pub page: Option<PageNumber>,
+    /// Whether that page is written: only then may launch intents name the machine.
     pub is_recorded: bool,
-    /// The cloud takes it away at this time.
+    /// A preemption notice: the cloud reclaims it at this time.
     pub reclaim_at: Option<Instant>,
-    /// No new work (sick, silent too often, or to be returned).
+    /// Given no new work: quarantined, silent for too long, or to be terminated.
     pub draining: bool,
+    /// From when its drain timeout counts.
     pub draining_since: Option<Instant>,
     /// The job that it is kept for.
     pub(super) reservation: Option<Reservation>,
     /// Images that should be in its cache.
     pub(crate) images: ImageCache,
-    /// Idle since.
+    /// Since when it has had no live task attempt; None if it has some.
     pub idle_since: Option<Instant>,
-    /// Jobs whose tasks failed here with no success between, and whether it is emptied for that.
+    /// Jobs whose tasks failed here with no success between.
     pub failed_jobs: BTreeSet<JobId>,
+    /// Whether it is drained because of those failures.
     pub quarantined: bool,
     /// The direct command under way, and no further one before this time.
     pub push_in_flight: Option<RequestId>,
     pub push_not_before: Instant,
-    /// No new work before this time (refused a start for want of room).
+    /// Given no new work before this time: it refused a launch, or a task failed on it.
     pub unschedulable_until: Instant,
-    /// Listed by the cloud as failed; missing from its lists since.
+    /// The cloud's list named it as failed when it last named it.
     listed_as_failed: bool,
+    /// Since when the cloud's list has not named it.
     unlisted_since: Option<Instant>,
 }
 
 impl Machine {
-    /// A machine of which nothing is known but its name and kind, and what such a machine offers.
+    /// A machine of which nothing is known but its id, its type, zone and spot flag, and what a machine of that type
+    /// offers; known, or rented, at that moment.
     pub fn new(
         id: MachineId,
         machine_type: MachineType,
@@ -108,7 +125,7 @@
             zone,
             spot,
             state: MachineState::Booting,
-            since: now,
+            first_known_at: now,
             session: Session(0),
             tick: Tick(0),
             last_heartbeat: (Session(0), Tick(0)),
@@ -208,7 +225,7 @@
             && !self.is_unreachable()
             && !self.is_leaving()
             && self.unschedulable_until <= now
-            && !self.silent(now, silence)
+            && !self.is_silent(now, silence)
     }
 
     /// Takes it out of use: it is given no new work, and returned once it is empty. A machine that is drained
@@ -218,10 +235,9 @@
         self.draining_since.get_or_insert(since);
     }
 
-    /// Whether no check-in of it has come for longer than the given time. Answers to direct commands
-    /// don't count: they renew no lease, so that a machine from which only they come is about to lose
-    /// its tasks.
-    pub fn silent(&self, now: Instant, bound: TimeSpan) -> bool {
+    /// Whether no heartbeat of it has come for longer than the given time. Responses to pushes don't count: they
+    /// renew no lease, so that a machine from which only they come is about to lose its tasks.
+    pub fn is_silent(&self, now: Instant, bound: TimeSpan) -> bool {
         self.state == MachineState::Up && self.last_heartbeat_at.is_none_or(|h| now - h > bound)
     }
 
--- a/src/coordination/persistence/machine_pages.rs
+++ b/src/coordination/persistence/machine_pages.rs
@@ -68,7 +68,7 @@
                     })
                 })
                 .collect();
-            let rented_s = self.leadership.time_of_day_ms(m.since) / 1000;
+            let rented_s = self.leadership.time_of_day_ms(m.first_known_at) / 1000;
             let entry = MachineEntry {
                 kind,
                 rented_s,
