--- a/src/coordination/machines/mod.rs
+++ b/src/coordination/machines/mod.rs
@@ -6,6 +6,7 @@
 mod image_cache;
 pub mod images;
 pub mod machine;
+mod reachability;
 mod reservation;
 pub mod table;
 
