--- a/src/coordination/machines/mod.rs
+++ b/src/coordination/machines/mod.rs
@@ -9,5 +9,6 @@
 mod reachability;
 mod reservation;
 pub mod table;
+mod type_fit;
 
 pub use image_cache::{CachedImage, ImageCache};
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -90,7 +90,7 @@
             placement: PlacementState::new(policy.facts.process_limits.cores),
             autoscaler: Autoscaler::new(policy.facts.cloud.rps),
             estimates: Estimates::default(),
-            aging: Aging::default(),
+            aging: Aging::new(policy.operator.begin_within_s),
             writer: Writer::new(&policy.facts.state, now),
             policy,
             effects: Vec::new(),
@@ -186,10 +186,10 @@
 
     /// What changes with time alone, or is too costly to be kept in step with every event.
     fn recheck(&mut self, now: Instant) {
-        self.jobs.graph.recheck();
-        self.apply_graph_changes(now);
+        self.recheck_releases(now);
         self.recheck_machines(now);
-        self.recheck_aging(now);
+        self.aging
+            .recheck(now, self.jobs.pending().map(|(_, job)| job));
         self.machines.recheck_cached_images();
         self.forget_closed_jobs();
         self.log_cluster_state(now);
@@ -199,7 +199,7 @@
     /// One pass over the pending tasks, and then over the machines that it has left without work or found
     /// missing.
     fn place_and_scale(&mut self, now: Instant) {
-        self.jobs.graph.refresh();
+        self.jobs.refresh_graph();
         self.update_warm_pool(now);
         let unplaced = self.place(now);
         self.preempt(now, &unplaced);
