--- a/src/coordination/attempts/ledger/task_attempt.rs
+++ b/src/coordination/attempts/ledger/task_attempt.rs
@@ -65,7 +65,17 @@
     pub pushed: bool,
 }
 
-/// One start (task and try) that may be on a machine.
+impl StopRequest {
+    /// A request that no command has carried yet.
+    pub fn new(grace_s: f64) -> StopRequest {
+        StopRequest {
+            grace_s,
+            pushed: false,
+        }
+    }
+}
+
+/// One attempt of a task that may be on a machine.
 #[derive(Clone, Debug)]
 pub struct TaskAttempt {
     pub task: TaskId,
--- a/src/coordination/attempts/mod.rs
+++ b/src/coordination/attempts/mod.rs
@@ -2,6 +2,7 @@
 //! the commands that workers are sent.
 
 mod commands;
+mod gang_stops;
 mod leases;
 pub mod ledger;
 mod pushes;
