--- a/src/coordination/attempts/reconciliation/listed.rs
+++ b/src/coordination/attempts/reconciliation/listed.rs
@@ -119,8 +119,8 @@
         let is_first = self
             .ledger()
             .record_status(machine_id, key, status, running_since);
-        if is_first {
-            self.note_begun(now, &key.task.job);
+        if let Some(job) = self.jobs.get(&key.task.job).filter(|_| is_first) {
+            self.aging.job_began(now, job);
         }
     }
 
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -86,7 +86,7 @@
             placement: PlacementState::new(policy.facts.process_limits.cores),
             autoscaler: Autoscaler::new(policy.facts.cloud.rps),
             estimates: Estimates::default(),
-            aging: Aging::default(),
+            aging: Aging::new(policy.operator.begin_within_s),
             writer: Writer::new(&policy.facts.state, now),
             policy,
             effects: Vec::new(),
@@ -187,10 +187,10 @@
     pub fn step(&mut self, now: Instant) -> Vec<Effect> {
         if (now - self.last_recheck_at).0 >= 1000 {
             self.last_recheck_at = now;
-            self.jobs.graph.recheck();
-            self.apply_graph_changes(now);
+            self.recheck_releases(now);
             self.recheck_machines(now);
-            self.recheck_aging(now);
+            self.aging
+                .recheck(now, self.jobs.pending().map(|(_, job)| job));
             self.machines.recheck_cached_images();
             self.forget_closed_jobs();
             self.log_cluster_state(now);
@@ -199,7 +199,7 @@
         self.read_terminal_records(now);
         self.stop_unwanted(now);
         if self.placement.start_pass_if_due(now) {
-            self.jobs.graph.refresh();
+            self.jobs.refresh_graph();
             self.update_warm_pool(now);
             let unplaced = self.place(now);
             self.preempt(now, &unplaced);
--- a/tests/dependency_graph.rs
+++ b/tests/dependency_graph.rs
@@ -10,17 +10,17 @@
 }
 
 /// A job of low priority that runs for a second, with a deadline if one is given.
-fn traits(due: Option<Instant>) -> JobTraits {
+fn traits(deadline: Option<Instant>) -> JobTraits {
     JobTraits {
-        due,
-        run: TimeSpan(1000),
+        deadline,
+        run_time: TimeSpan(1000),
         priority: Priority::Low,
     }
 }
 
 const ROUTINE: JobTraits = JobTraits {
-    due: None,
-    run: TimeSpan(1000),
+    deadline: None,
+    run_time: TimeSpan(1000),
     priority: Priority::Low,
 };
 
@@ -30,14 +30,20 @@
     graph.add(&id(3), &[id(1), id(2)], ROUTINE);
     graph.add(&id(1), &[], ROUTINE);
     graph.add(&id(2), &[], ROUTINE);
-    assert!(graph.released(&id(1)) && !graph.released(&id(3)));
+    assert!(graph.is_released(&id(1)) && !graph.is_released(&id(3)));
     graph.finished(&id(1), Instant(10));
-    assert!(!graph.released(&id(3)));
+    assert!(!graph.is_released(&id(3)));
     graph.take_changes();
     graph.finished(&id(2), Instant(20));
-    assert!(graph.released(&id(3)));
+    assert!(graph.is_released(&id(3)));
     let at = Some(Instant(20));
-    assert_eq!(graph.take_changes().released, [Release { id: id(3), at }]);
+    assert_eq!(
+        graph.take_changes().released,
+        [Release {
+            id: id(3),
+            last_upstream_finish: at
+        }]
+    );
     graph.add(&id(4), &[id(3)], ROUTINE);
     graph.add(&id(5), &[id(4)], ROUTINE);
     graph.cancelled(&id(3));
@@ -45,7 +51,7 @@
     let changes = graph.take_changes();
     assert_eq!(changes.cancelled, [id(4), id(5)]);
     assert!(changes.released.is_empty());
-    assert!(!graph.released(&id(4)) && !graph.released(&id(3)));
+    assert!(!graph.is_released(&id(4)) && !graph.is_released(&id(3)));
     graph.add(&id(6), &[id(5)], ROUTINE);
     assert_eq!(graph.take_changes().cancelled, [id(6)]);
 }
@@ -58,19 +64,22 @@
     graph.add(&id(1), &[], ROUTINE);
     graph.add(&id(2), &[id(1), id(9)], ROUTINE);
     graph.take_changes();
-    assert_eq!(graph.unknown_after(None, 9), [id(9)]);
+    assert_eq!(graph.unresolved_after(None, 9), [id(9)]);
     graph.closed(&id(1));
-    assert_eq!(graph.unknown_after(None, 9), [id(1), id(9)]);
-    assert_eq!(graph.unknown_after(Some(&id(1)), 9), [id(9), id(1)]);
+    assert_eq!(graph.unresolved_after(None, 9), [id(1), id(9)]);
+    assert_eq!(graph.unresolved_after(Some(&id(1)), 9), [id(9), id(1)]);
     graph.forget(&id(1));
     graph.finished(&id(9), Instant(5));
-    assert!(!graph.released(&id(2)));
-    assert_eq!(graph.unknown_after(None, 9), [id(1)]);
+    assert!(!graph.is_released(&id(2)));
+    assert_eq!(graph.unresolved_after(None, 9), [id(1)]);
     graph.finished(&id(1), Instant(3));
-    assert!(graph.released(&id(2)));
+    assert!(graph.is_released(&id(2)));
     // It was released when the later of the two was done.
-    assert_eq!(graph.take_changes().released[0].at, Some(Instant(5)));
-    assert!(graph.unknown_after(None, 9).is_empty());
+    assert_eq!(
+        graph.take_changes().released[0].last_upstream_finish,
+        Some(Instant(5))
+    );
+    assert!(graph.unresolved_after(None, 9).is_empty());
 }
 
 /// Deadlines, less the run times of the jobs in between, and priorities propagate to all upstream jobs, and
@@ -81,13 +90,13 @@
     graph.add(&id(1), &[], ROUTINE);
     graph.add(&id(2), &[id(1)], ROUTINE);
     let last = JobTraits {
-        due: Some(Instant(9000)),
-        run: TimeSpan(500),
+        deadline: Some(Instant(9000)),
+        run_time: TimeSpan(500),
         priority: Priority::Urgent,
     };
     graph.add(&id(3), &[id(2)], last);
     graph.refresh();
-    let seen = |graph: &Graph, n| (graph.due(&id(n)), graph.priority(&id(n)));
+    let seen = |graph: &Graph, n| (graph.deadline(&id(n)), graph.priority(&id(n)));
     assert_eq!(
         seen(&graph, 2),
         (Some(Instant(8500)), Some(Priority::Urgent))
@@ -114,7 +123,7 @@
     graph.add(&id(9999), &all, traits(Some(Instant(9_000_000))));
     graph.refresh();
     assert_eq!(graph.depth(&id(9999)), 5000);
-    assert_eq!(graph.due(&id(0)), Some(Instant(9_000_000 - 5_000_000)));
+    assert_eq!(graph.deadline(&id(0)), Some(Instant(9_000_000 - 5_000_000)));
     graph.take_changes();
     graph.cancelled(&id(0));
     assert_eq!(graph.take_changes().cancelled.len(), 5000);
@@ -137,9 +146,9 @@
     assert_eq!(labels, [T, L, L, L, L]);
     assert_eq!(graph.label(&id(9)), T);
     // Three jobs of a second each lie downstream of it.
-    assert_eq!(graph.due(&id(1)), Some(Instant(6000)));
-    assert_eq!(graph.group(&id(3)), [id(3), id(4)]);
-    assert_eq!(graph.group(&id(9)), [id(9)]);
+    assert_eq!(graph.deadline(&id(1)), Some(Instant(6000)));
+    assert_eq!(graph.task_group(&id(3)), [id(3), id(4)]);
+    assert_eq!(graph.task_group(&id(9)), [id(9)]);
     assert_eq!(graph.depth(&id(5)), 3);
 }
 
@@ -151,5 +160,5 @@
     graph.add(&id(3), &[], ROUTINE);
     graph.recheck();
     graph.refresh();
-    assert!(!graph.released(&id(1)) && !graph.released(&id(2)) && graph.released(&id(3)));
+    assert!(!graph.is_released(&id(1)) && !graph.is_released(&id(2)) && graph.is_released(&id(3)));
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -236,9 +236,9 @@
     let oldest = |reason| waiting.get(&reason).map(|w| (w.jobs, w.oldest.clone()));
     assert_eq!(oldest(PendingReason::TeamLimit), Some((1, small)));
     let blocked = JobId::from("wk-900002");
-    assert_eq!(oldest(PendingReason::Producers), Some((1, blocked)));
+    assert_eq!(oldest(PendingReason::UpstreamJobs), Some((1, blocked)));
     let cpu_only = JobId::from("wk-900003");
-    assert_eq!(oldest(PendingReason::Room), Some((1, cpu_only)));
+    assert_eq!(oldest(PendingReason::FreeCapacity), Some((1, cpu_only)));
     assert_eq!(waiting.len(), 3);
 }
 
