--- a/src/coordination/attempts/commands.rs
+++ b/src/coordination/attempts/commands.rs
@@ -1,4 +1,4 @@
-//! What is sent to workers: launches, stops and clears, in answers to check-ins and as direct commands.
+//! What is sent to workers: launches, stops and clears, in answers to heartbeats and as pushes.
 
 use crate::coordination::attempts::ledger::{PushDelivery, TaskAttempt};
 use crate::coordination::machines::machine::{Machine, MachineState};
@@ -14,11 +14,11 @@
 pub(super) const MAX_COMMANDS: usize = 400;
 
 impl Scheduler {
-    /// Whether an ended start may be cleared: its outcome is durable (or of no interest), and no
-    /// launch of the same try can arrive any more and start it afresh.
+    /// Whether an ended attempt may be cleared: its outcome is durable (or of no interest), and no
+    /// launch of the same attempt can arrive any more and start it afresh.
     ///
-    /// Guards against a copy of a direct command that is executed again: once cleared, the worker
-    /// would not know the try any more. The command that clears carries a higher token than any that
+    /// Guards against a copy of a push that is executed again: once cleared, the worker
+    /// would not know the attempt any more. The command that clears carries a higher token than any that
     /// launched, and a worker refuses lower ones from then on.
     fn may_clear(&self, s: &TaskAttempt) -> bool {
         if !s.ended()
@@ -80,7 +80,7 @@
             .any(fetches)
     }
 
-    /// The orders that answer a check-in: all that the worker should know now.
+    /// The commands that answer a heartbeat: all that the worker should know now.
     pub(crate) fn heartbeat_commands(
         &mut self,
         now: Instant,
@@ -126,7 +126,7 @@
         commands
     }
 
-    /// The orders of a direct command with what is known as it leaves: launches of tasks that are no longer
+    /// The commands of a push with what is known as it leaves: launches of tasks that are no longer
     /// wanted are left out.
     ///
     /// Guards against a command that waits for its turn on a busy processor while its job is cancelled. The
--- a/src/coordination/attempts/ledger/task_attempt.rs
+++ b/src/coordination/attempts/ledger/task_attempt.rs
@@ -21,7 +21,7 @@
     Lost(Session, FencingToken),
 }
 
-/// What a report said of a start.
+/// What a status said of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LastStatus {
     pub phase: TaskPhase,
@@ -57,11 +57,11 @@
     }
 }
 
-/// A wish that a start end.
+/// A wish that an attempt end.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct StopRequest {
     pub grace_s: f64,
-    /// Whether a direct command has carried it.
+    /// Whether a push has carried it.
     pub pushed: bool,
 }
 
@@ -91,14 +91,14 @@
     pub latency: bool,
     /// The page on the state service that holds the intent: only then may it be launched.
     pub page: Option<PageNumber>,
-    /// The tick of the check-in whose answer carried the launch, until settled.
+    /// The tick of the heartbeat whose answer carried the launch, until settled.
     pub heartbeat_carrier: Option<Tick>,
     pub push: PushDelivery,
     /// The session in which we launched it. None: never launched by us.
     pub launched_in: Option<Session>,
-    /// The highest token of a direct command that launched it.
+    /// The highest token of a push that launched it.
     pub launched_with: Option<FencingToken>,
-    /// Left by a former leader and not yet resolved by a report that carries our token.
+    /// Left by a former leader and not yet resolved by a status that carries our token.
     pub recovered: bool,
     pub last_status: Option<LastStatus>,
     pub stop: Option<StopRequest>,
@@ -109,7 +109,7 @@
 }
 
 impl TaskAttempt {
-    /// A start that is only planned. Without a job (over and forgotten) `request` stands for all that
+    /// An attempt that is only planned. Without a job (over and forgotten) `request` stands for all that
     /// it might take.
     pub fn planned(
         key: AttemptKey,
--- a/src/coordination/attempts/mod.rs
+++ b/src/coordination/attempts/mod.rs
@@ -1,5 +1,12 @@
-//! Task attempts: the ledger of all that may be on machines, the proofs by which an attempt leaves it, and
-//! the commands that workers are sent.
+//! Task attempts: the ledger of all that may be on machines, and what follows from it.
+//!
+//! - `ledger`: which attempts there are, and the proofs by which one leaves it. Whether a task can be started
+//!   twice is to be judged there.
+//! - `reconciliation`: what a worker's status means for the ledger.
+//! - `leases`: what the passing of time means for it.
+//! - `stops`, `gang_stops`: which attempts are to be stopped.
+//! - `commands`, `pushes`: what workers are sent, with heartbeats and without.
+//! - `task_ends`: what follows when a task has ended.
 
 mod commands;
 mod gang_stops;
--- a/src/coordination/attempts/pushes.rs
+++ b/src/coordination/attempts/pushes.rs
@@ -13,7 +13,7 @@
 const PUSH_RETRY_DELAY: TimeSpan = TimeSpan(3000);
 
 impl Scheduler {
-    /// Launches and stops that needn't wait for the next check-in go straight to the worker: one
+    /// Launches and stops that needn't wait for the next heartbeat go straight to the worker: one
     /// command at a time on each machine, and a bounded number of them at once.
     pub(crate) fn send_pushes(&mut self, now: Instant) {
         let mut later = BTreeSet::new();
@@ -48,7 +48,7 @@
                 break;
             }
             if let Some(w) = s.stop.filter(|_| !s.ended()) {
-                // Repeats are left to the check-ins.
+                // Repeats are left to the heartbeats.
                 if !w.pushed {
                     commands.extend(Self::stop_command(s, now));
                     stops.push(s.key());
--- a/src/coordination/attempts/stops.rs
+++ b/src/coordination/attempts/stops.rs
@@ -138,7 +138,7 @@
         }
     }
 
-    /// A direct command went unanswered: what it should have stopped is told again. Check-ins tell it
+    /// A push went unanswered: what it should have stopped is told again. Heartbeats tell it
     /// too, but from a machine that reaches no controller none comes. One that was not heard of at all
     /// lately is left alone: a zone beyond a cut would take the connections of all others.
     pub(crate) fn stop_again(&mut self, now: Instant, machine_id: &MachineId) {
--- a/src/coordination/attempts/task_ends.rs
+++ b/src/coordination/attempts/task_ends.rs
@@ -7,7 +7,7 @@
 use crate::time::{Instant, TimeSpan};
 
 impl Scheduler {
-    /// A start ended on its machine. It stays there as a tombstone until cleared.
+    /// An attempt ended on its machine. It stays there as a tombstone until cleared.
     pub(crate) fn ended(
         &mut self,
         now: Instant,
@@ -43,7 +43,7 @@
                 self.jobs.update(&task.job, |job| job.postpone(until));
             }
             Cause::Busy => {
-                // Another try of this task is on the machine although we held it for empty: leave
+                // Another attempt of this task is on the machine although we held it for empty: leave
                 // the machine to its next reports, which list that try.
                 if let Some(m) = self.machines.get_mut(machine_id) {
                     m.unschedulable_until = now + TimeSpan(6000);
