--- a/src/coordination/attempts/leases.rs
+++ b/src/coordination/attempts/leases.rs
@@ -49,7 +49,7 @@
     }
 
     fn give_up_machines(&mut self, now: Instant) {
-        let patience = self.policy.silence();
+        let patience = self.policy.heartbeat_timeout();
         let mut given_up = Vec::new();
         for machine in self.machines.values_mut() {
             if !machine.draining && has_lost_launch(machine, now) {
--- a/src/coordination/attempts/reconciliation/mod.rs
+++ b/src/coordination/attempts/reconciliation/mod.rs
@@ -7,7 +7,7 @@
 mod listed;
 mod session;
 
-use crate::coordination::{Effect, Scheduler};
+use crate::coordination::{Effect, RequestId, Scheduler, StepDownReason};
 use crate::ids::{FencingToken, MachineId};
 use crate::protocol::workers::{Command, WorkerStatus};
 use crate::time::Instant;
@@ -70,7 +70,7 @@
         &mut self,
         now: Instant,
         machine_id: &MachineId,
-        seq: u64,
+        request_id: RequestId,
         status: &WorkerStatus,
     ) {
         if self.is_superseded(status.token)
@@ -79,7 +79,7 @@
         {
             return;
         }
-        self.settle_push(machine_id, seq, PushDelivery::None);
+        self.settle_push(machine_id, request_id, PushDelivery::None);
         self.take_status(now, status, StatusSource::PushResponse);
         if let Some(machine) = self.machines.get_mut(machine_id) {
             machine.mark_reachable();
@@ -92,7 +92,7 @@
         let is_superseded = token > self.leadership.token();
         if is_superseded {
             self.effects.push(Effect::StepDown {
-                why: "a worker has seen a higher token",
+                reason: StepDownReason::HigherFencingTokenSeen,
             });
         }
         is_superseded
--- a/src/coordination/attempts/reconciliation/session.rs
+++ b/src/coordination/attempts/reconciliation/session.rs
@@ -74,7 +74,7 @@
         };
         machine.state = MachineState::Up;
         machine.idle_since = Some(now);
-        tracing::debug!(machine = %machine_id, boot_ms = (now - machine.since).0, "machine is up");
+        tracing::debug!(machine = %machine_id, boot_ms = (now - machine.first_known_at).0, "machine is up");
         let page = machine.page;
         self.placement.request_pass();
         self.machines.reindex(machine_id);
--- a/src/coordination/autoscaler/scale_in.rs
+++ b/src/coordination/autoscaler/scale_in.rs
@@ -68,7 +68,7 @@
 impl Scheduler {
     /// Gives back machines that are lost, of no use or drained.
     pub(super) fn scale_in(&mut self, now: Instant) {
-        let max_silence = self.policy.silence();
+        let max_silence = self.policy.heartbeat_timeout();
         let is_silence_conclusive = self.leadership.age(now) > max_silence;
         if is_silence_conclusive {
             let zones = mostly_silent_zones(&self.view(now));
@@ -176,7 +176,7 @@
             Some(ScaleInReason::Silent)
         } else if self.is_boot_overdue(machine) {
             Some(ScaleInReason::BootTimeout)
-        } else if machine.listed_as_failed {
+        } else if machine.is_listed_as_failed() {
             Some(ScaleInReason::FailedInCloud)
         } else if self.is_drained(machine) {
             Some(ScaleInReason::Drained)
@@ -190,7 +190,7 @@
     fn is_silent_for_too_long(&self, machine: &Machine) -> bool {
         let suspected = &self.view.autoscaler().suspected_zones;
         self.max_silence
-            .is_some_and(|max_silence| machine.silent(self.view.now(), max_silence))
+            .is_some_and(|max_silence| machine.is_silent(self.view.now(), max_silence))
             && !suspected.contains(&machine.zone)
     }
 
@@ -198,7 +198,7 @@
         let boot_s = self.view.boot_s(&machine.machine_type);
         let timeout_s = boot_s * MAX_BOOT_TIMES + BOOT_TIMEOUT_MARGIN_SECS;
         machine.state == MachineState::Booting
-            && (self.view.now() - machine.since).secs() > timeout_s
+            && (self.view.now() - machine.first_known_at).secs() > timeout_s
     }
 
     fn is_drained(&self, machine: &Machine) -> bool {
@@ -234,8 +234,7 @@
     /// Seconds that it would take to have such a machine again: to boot it and fetch its largest image.
     /// Keeping it idle for as long costs at most twice what the best choice in hindsight would have.
     fn replacement_s(&self, machine: &Machine) -> f64 {
-        let image_sizes_gb = machine.images.iter().map(|(_, gb)| *gb);
-        let largest_image_gb = image_sizes_gb.fold(0.0, f64::max);
+        let largest_image_gb = machine.images.sizes_gb().fold(0.0, f64::max);
         let machine_type = &machine.machine_type;
         let boot_s = self.view.boot_s(machine_type);
         boot_s + self.view.fetch_s(machine_type, largest_image_gb)
--- a/src/coordination/jobs/lifecycle.rs
+++ b/src/coordination/jobs/lifecycle.rs
@@ -7,10 +7,9 @@
 use crate::coordination::jobs::graph::{Changes, JobTraits, Release};
 use crate::coordination::jobs::job::Job;
 use crate::coordination::jobs::table::JobTable;
-use crate::coordination::{Effect, OpenJob, Scheduler};
+use crate::coordination::{Effect, OpenJob, Scheduler, TerminalRecordRead};
 use crate::ids::{JobId, MachineId};
 use crate::protocol::users::JobPhase;
-use crate::storage::records::TerminalRecord;
 use crate::time::{Instant, TimeSpan};
 use std::collections::BTreeSet;
 
@@ -91,7 +90,7 @@
     /// one counts from the release, so it says nothing for a job that waits for others.
     fn traits_of(&self, job: &Job, upstream: &[JobId]) -> JobTraits {
         let spec = job.spec();
-        let objective = || self.policy.finished_within(&spec.class);
+        let objective = || self.policy.max_completion_s(&spec.class);
         let fallback = || objective().filter(|_| upstream.is_empty());
         let deadline_s = spec.due_s.or_else(fallback);
         // Without machine types nothing is known of the image pull.
@@ -171,13 +170,9 @@
     }
 
     /// Terminal records as they stand, with `None` for a job that has none.
-    pub(crate) fn terminal_records_read(
-        &mut self,
-        now: Instant,
-        terminal_records: Vec<(JobId, Option<TerminalRecord>)>,
-    ) {
+    pub(crate) fn terminal_records_read(&mut self, now: Instant, records: Vec<TerminalRecordRead>) {
         let mut any_missing = false;
-        for (id, record) in terminal_records {
+        for TerminalRecordRead { job: id, record } in records {
             match record {
                 Some(record) if record.phase == JobPhase::Done => {
                     let at = record.at_ms;
--- a/src/coordination/persistence/draft/machines.rs
+++ b/src/coordination/persistence/draft/machines.rs
@@ -2,6 +2,7 @@
 
 use super::{Draft, DraftContext, RecordUpdate};
 use crate::coordination::machines::machine::{Machine, MachineState};
+use crate::coordination::machines::CachedImage;
 use crate::coordination::persistence::machine_pages::WriteUrgency;
 use crate::ids::{Image, MachineId};
 use crate::protocol::state::Change;
@@ -54,7 +55,7 @@
         let mut builder = MachinePageBuilder::default();
         let machines = machine_ids.iter();
         for machine in machines.filter_map(|id| self.cluster.machines.get(id)) {
-            let rented_s = self.leadership.time_of_day_ms(machine.since) / 1000;
+            let rented_s = self.leadership.time_of_day_ms(machine.first_known_at) / 1000;
             builder.add(machine, rented_s, max_images);
         }
         serde_json::to_value(&builder.page).unwrap_or_default()
@@ -72,14 +73,13 @@
 impl MachinePageBuilder {
     /// Adds a machine with the images that were used last, at most so many.
     fn add(&mut self, machine: &Machine, rented_s: u64, max_images: usize) {
-        let first_image = machine.images.len().saturating_sub(max_images);
-        let images = machine.images.iter().skip(first_image);
+        let images = machine.images.iter().rev().take(max_images).rev();
         let entry = MachineEntry {
             kind: self.kind_number(machine),
             rented_s,
             has_reported: machine.state != MachineState::Booting,
             images: images
-                .map(|(image, gb)| self.image_number(image, *gb))
+                .map(|CachedImage { image, size_gb }| self.image_number(image, *size_gb))
                 .collect(),
         };
         self.page.machines.insert(machine.id.clone(), entry);
--- a/src/coordination/persistence/mod.rs
+++ b/src/coordination/persistence/mod.rs
@@ -48,10 +48,13 @@
             return;
         }
         let (transaction, updates) = draft.into_transaction();
-        let seq = self.seq();
+        let request_id = self.next_request_id();
         self.writer
-            .begin_writing(now, seq, transaction.clone(), updates);
-        self.effects.push(Effect::Write { seq, transaction });
+            .begin_writing(now, request_id, transaction.clone(), updates);
+        self.effects.push(Effect::Write {
+            request_id,
+            transaction,
+        });
     }
 
     /// All that is ready to be written and fits into one transaction, the most urgent first.
--- a/src/coordination/persistence/outcomes.rs
+++ b/src/coordination/persistence/outcomes.rs
@@ -4,7 +4,7 @@
 
 use super::draft::RecordUpdate;
 use crate::coordination::jobs::lifecycle::Closure;
-use crate::coordination::{Effect, Scheduler};
+use crate::coordination::{Effect, RequestId, Scheduler};
 use crate::ids::{FencingToken, JobId, KeyRevision, MachineId, PageNumber, StoreRevision};
 use crate::storage::records::{LaunchIntent, ProgressKey};
 use crate::time::{Instant, TimeSpan};
@@ -12,8 +12,13 @@
 
 impl Scheduler {
     /// A transaction has been applied at that revision of the store.
-    pub(crate) fn written(&mut self, now: Instant, seq: u64, store_revision: StoreRevision) {
-        let Some(settled) = self.writer.settle(seq) else {
+    pub(crate) fn written(
+        &mut self,
+        now: Instant,
+        request_id: RequestId,
+        store_revision: StoreRevision,
+    ) {
+        let Some(settled) = self.writer.settle(request_id) else {
             return;
         };
         let revision = KeyRevision(store_revision.0);
@@ -121,24 +126,24 @@
     }
 
     /// A transaction was certainly not executed, nor will it be.
-    pub(crate) fn not_written(&mut self, now: Instant, seq: u64) {
-        if self.writer.settle(seq).is_some() {
+    pub(crate) fn not_written(&mut self, now: Instant, request_id: RequestId) {
+        if self.writer.settle(request_id).is_some() {
             self.writer.back_off(now);
         }
     }
 
     /// A transaction was not executed since the state store takes no more changes for now. What may wait does so
     /// until the rate allowed to this leader has come up again: leases, launches and ends of jobs go first.
-    pub(crate) fn write_limited(&mut self, now: Instant, seq: u64, pause: TimeSpan) {
-        if self.writer.settle(seq).is_some() {
+    pub(crate) fn write_limited(&mut self, now: Instant, request_id: RequestId, pause: TimeSpan) {
+        if self.writer.settle(request_id).is_some() {
             self.writer.rate_limited(now, pause);
         }
     }
 
     /// The state store rejects a transaction for what it is, and would each time. Guards against a leader that
     /// sends it again and again while nothing else is written: the limits may be lower than the settings say.
-    pub(crate) fn write_rejected(&mut self, now: Instant, seq: u64) {
-        let Some(settled) = self.writer.settle(seq) else {
+    pub(crate) fn write_rejected(&mut self, now: Instant, request_id: RequestId) {
+        let Some(settled) = self.writer.settle(request_id) else {
             return;
         };
         self.writer.back_off(now);
@@ -152,17 +157,17 @@
     }
 
     /// Preconditions of a transaction failed (these, if it is known which), or nothing is known of it.
-    pub(crate) fn write_unclear(&mut self, now: Instant, seq: u64, failed: &[String]) {
-        if let Some(keys) = self.writer.unclear_keys(seq, failed) {
+    pub(crate) fn write_unclear(&mut self, now: Instant, request_id: RequestId, failed: &[String]) {
+        if let Some(keys) = self.writer.unclear_keys(request_id, failed) {
             self.begin_reread(now, keys);
         }
     }
 
     /// Asks for keys to be read again.
     pub(super) fn begin_reread(&mut self, now: Instant, keys: Vec<String>) {
-        let seq = self.seq();
-        self.writer.begin_reading(now, seq, keys.clone());
-        self.effects.push(Effect::Reread { seq, keys });
+        let request_id = self.next_request_id();
+        self.writer.begin_reading(now, request_id, keys.clone());
+        self.effects.push(Effect::Reread { request_id, keys });
     }
 
     /// A job is found to be open no longer, without its end being known.
--- a/src/coordination/persistence/reread.rs
+++ b/src/coordination/persistence/reread.rs
@@ -5,7 +5,7 @@
 //! first, the late one does nothing.
 
 use crate::coordination::leadership::LeaderKeyOwner;
-use crate::coordination::{Effect, Scheduler};
+use crate::coordination::{Effect, KeyReread, RequestId, Scheduler, StepDownReason};
 use crate::ids::{JobId, KeyRevision};
 use crate::protocol::state::KeyValue;
 use crate::storage::records::{ProgressKey, RecordKey};
@@ -13,16 +13,11 @@
 
 impl Scheduler {
     /// The keys as they stand; `None`: absent.
-    pub(crate) fn reread(
-        &mut self,
-        now: Instant,
-        seq: u64,
-        items: Vec<(String, Option<KeyValue>)>,
-    ) {
-        if !self.writer.end_reading(seq) {
+    pub(crate) fn reread(&mut self, now: Instant, request_id: RequestId, items: Vec<KeyReread>) {
+        if !self.writer.end_reading(request_id) {
             return;
         }
-        for (key, item) in items {
+        for KeyReread { key, item } in items {
             self.key_reread(now, &key, item);
         }
         self.placement.request_pass();
@@ -68,7 +63,7 @@
             LeaderKeyOwner::Us => {}
             LeaderKeyOwner::UsWithRaisedToken => self.writer.token_raised(now),
             LeaderKeyOwner::Other => self.effects.push(Effect::StepDown {
-                why: "the leader key is no longer ours",
+                reason: StepDownReason::LeaderKeyLost,
             }),
         }
     }
--- a/src/coordination/persistence/writer.rs
+++ b/src/coordination/persistence/writer.rs
@@ -10,6 +10,7 @@
 use super::orphans::OrphanedRecords;
 use super::progress::ProgressRecords;
 use crate::config::StateStoreLimits;
+use crate::coordination::RequestId;
 use crate::ids::{JobId, KeyRevision, MachineId, PageNumber};
 use crate::protocol::state::Transaction;
 use crate::storage::records::{LaunchIntent, ProgressKey, LEADER_KEY};
@@ -36,14 +37,14 @@
     Idle,
     /// A transaction whose outcome isn't known yet.
     Writing {
-        seq: u64,
+        request_id: RequestId,
         transaction: Transaction,
         updates: Vec<RecordUpdate>,
         sent_at: Instant,
     },
     /// Keys are read again after an outcome that was unclear.
     Reading {
-        seq: u64,
+        request_id: RequestId,
         keys: Vec<String>,
         sent_at: Instant,
     },
@@ -271,13 +272,13 @@
     pub(super) fn begin_writing(
         &mut self,
         now: Instant,
-        seq: u64,
+        request_id: RequestId,
         transaction: Transaction,
         updates: Vec<RecordUpdate>,
     ) {
         self.last_begun_at = now;
         self.in_flight = InFlight::Writing {
-            seq,
+            request_id,
             transaction,
             updates,
             sent_at: now,
@@ -285,23 +286,23 @@
     }
 
     /// Keys are read again.
-    pub(super) fn begin_reading(&mut self, now: Instant, seq: u64, keys: Vec<String>) {
+    pub(super) fn begin_reading(&mut self, now: Instant, request_id: RequestId, keys: Vec<String>) {
         self.in_flight = InFlight::Reading {
-            seq,
+            request_id,
             keys,
             sent_at: now,
         };
     }
 
     /// The outcome of a transaction is known; `None` if another request is under way.
-    pub(super) fn settle(&mut self, seq: u64) -> Option<SettledTransaction> {
+    pub(super) fn settle(&mut self, request_id: RequestId) -> Option<SettledTransaction> {
         match std::mem::replace(&mut self.in_flight, InFlight::Idle) {
             InFlight::Writing {
-                seq: writing,
+                request_id: writing,
                 transaction,
                 updates,
                 ..
-            } if writing == seq => Some(SettledTransaction {
+            } if writing == request_id => Some(SettledTransaction {
                 transaction,
                 updates,
             }),
@@ -314,22 +315,25 @@
 
     /// The keys to be read again, now that the outcome of a transaction is unclear; `None` if another request is
     /// under way. `failed`: the preconditions that failed, if the state store said which.
-    pub(super) fn unclear_keys(&self, seq: u64, failed: &[String]) -> Option<Vec<String>> {
+    pub(super) fn unclear_keys(
+        &self,
+        request_id: RequestId,
+        failed: &[String],
+    ) -> Option<Vec<String>> {
         match &self.in_flight {
             InFlight::Writing {
-                seq: writing,
+                request_id: writing,
                 transaction,
                 ..
-            } if *writing == seq => Some(keys_to_reread(transaction, failed)),
+            } if *writing == request_id => Some(keys_to_reread(transaction, failed)),
             _ => None,
         }
     }
 
     /// Keys have been read again; false if another request is under way.
     #[must_use]
-    pub(super) fn end_reading(&mut self, seq: u64) -> bool {
-        let is_ours =
-            matches!(&self.in_flight, InFlight::Reading { seq: reading, .. } if *reading == seq);
+    pub(super) fn end_reading(&mut self, request_id: RequestId) -> bool {
+        let is_ours = matches!(&self.in_flight, InFlight::Reading { request_id: reading, .. } if *reading == request_id);
         if is_ours {
             self.in_flight = InFlight::Idle;
         }
--- a/tests/support/recorded_scheduler.rs
+++ b/tests/support/recorded_scheduler.rs
@@ -4,7 +4,7 @@
 use chalklug::coordination::attempts::reconciliation::HeartbeatOutcome;
 use chalklug::coordination::leadership::recovery::{RecoveredState, UnreadableRecord};
 use chalklug::coordination::leadership::LeadershipTerm;
-use chalklug::coordination::{Effect, Event, Policy, Scheduler};
+use chalklug::coordination::{Effect, Event, Policy, RequestId, Scheduler};
 use chalklug::ids::StoreRevision;
 use chalklug::protocol::workers::WorkerStatus;
 use chalklug::time::Instant;
@@ -51,9 +51,14 @@
 
 impl RecordedScheduler {
     /// The state store has applied the transaction of that number.
-    pub fn write_applied(&mut self, now: Instant, seq: u64, store_revision: StoreRevision) {
+    pub fn write_applied(
+        &mut self,
+        now: Instant,
+        request_id: RequestId,
+        store_revision: StoreRevision,
+    ) {
         let event = Event::Written {
-            seq,
+            request_id,
             store_revision,
         };
         self.scheduler.on(now, event);
