--- a/src/coordination/autoscaler/view.rs
+++ b/src/coordination/autoscaler/view.rs
@@ -83,7 +83,7 @@
 
     /// Whether a task takes most of a machine.
     pub(super) fn is_large_task(&self, spec: &JobSpec) -> bool {
-        self.scheduler.is_large_task(spec)
+        self.scheduler.machines.is_large_task(spec)
     }
 
     /// Seconds that a task of a job like this should run.
--- a/src/coordination/machines/type_fit.rs
+++ b/src/coordination/machines/type_fit.rs
@@ -4,7 +4,16 @@
 use crate::protocol::cloud::MachineTypeInfo;
 use crate::protocol::users::JobSpec;
 
+/// A task that takes more than this fraction of a machine takes most of it.
+const LARGE_TASK_FRACTION: f64 = 0.5;
+
 impl MachineTable {
+    /// Whether each task of a job takes most of a machine: large ones are placed first, small ones fill what
+    /// is left.
+    pub(crate) fn is_large_task(&self, spec: &JobSpec) -> bool {
+        self.smallest_fraction_taken(spec) > LARGE_TASK_FRACTION
+    }
+
     /// The largest fraction of GPUs or CPUs that a task takes of a machine, of the allowed type of which it
     /// takes least; infinite if it fits on none.
     pub(crate) fn smallest_fraction_taken(&self, spec: &JobSpec) -> f64 {
--- a/src/coordination/placement/view.rs
+++ b/src/coordination/placement/view.rs
@@ -1,66 +1,61 @@
 //! What placement and preemption read: the cluster, and what the other parts know of jobs and machines.
 
 use crate::coordination::attempts::ledger::TeamUsage;
+use crate::coordination::autoscaler::Autoscaler;
+use crate::coordination::jobs::aging::Aging;
 use crate::coordination::jobs::job::Job;
 use crate::coordination::jobs::table::JobTable;
 use crate::coordination::machines::machine::Machine;
 use crate::coordination::machines::table::MachineTable;
-use crate::coordination::{Policy, Scheduler};
+use crate::coordination::{ClusterView, Policy, Scheduler};
 use crate::ids::{JobId, MachineId};
 use crate::protocol::users::{JobSpec, Priority};
 use crate::resources::Resources;
 use crate::time::Instant;
 
-/// A task that takes more than this part of a machine takes most of it.
-const LARGE_TASK_FRACTION: f64 = 0.5;
-
 /// The cluster as placement sees it at one moment. Nothing can be changed through it.
 #[derive(Clone, Copy)]
 pub(crate) struct PlacementView<'a> {
-    scheduler: &'a Scheduler,
-    now: Instant,
+    cluster: ClusterView<'a>,
+    aging: &'a Aging,
+    autoscaler: &'a Autoscaler,
 }
 
 impl Scheduler {
     /// The cluster at that moment, for placement and preemption to read.
-    pub(crate) fn placement_view(&self, now: Instant) -> PlacementView<'_> {
+    pub(super) fn placement_view(&self, now: Instant) -> PlacementView<'_> {
         PlacementView {
-            scheduler: self,
-            now,
+            cluster: self.view(now),
+            aging: &self.aging,
+            autoscaler: &self.autoscaler,
         }
     }
-
-    /// Whether a task takes most of a machine: large ones are placed first, small ones fill what is
-    /// left.
-    pub(crate) fn is_large_task(&self, spec: &JobSpec) -> bool {
-        self.machines.smallest_fraction_taken(spec) > LARGE_TASK_FRACTION
-    }
 }
 
 impl<'a> PlacementView<'a> {
     /// The moment of the decision.
     pub(super) fn now(&self) -> Instant {
-        self.now
+        self.cluster.now
     }
 
     /// The settings.
     pub(super) fn policy(&self) -> &'a Policy {
-        &self.scheduler.policy
+        self.cluster.policy
     }
 
     /// All jobs.
     pub(super) fn jobs(&self) -> &'a JobTable {
-        &self.scheduler.jobs
+        self.cluster.jobs
     }
 
     /// All machines, with the task attempts on them.
     pub(super) fn machines(&self) -> &'a MachineTable {
-        &self.scheduler.machines
+        self.cluster.machines
     }
 
     /// Whether a machine may be given new work at all.
     pub(super) fn is_usable(&self, machine: &Machine) -> bool {
-        machine.is_schedulable(self.now, self.policy().silence())
+        self.cluster.is_schedulable(machine)
     }
 
     /// What a machine offers when it is empty.
@@ -70,18 +65,17 @@
 
     /// The class for which a machine is held ready, if it belongs to the warm pool.
     pub(super) fn warm_pool_class(&self, machine_id: &MachineId) -> Option<&'a String> {
-        self.scheduler.autoscaler.warm_pool().class_of(machine_id)
+        self.autoscaler.warm_pool().class_of(machine_id)
     }
 
     /// Whether a machine for the job is booting, or may yet be had by scaling out.
     pub(super) fn may_scale_out_for(&self, spec: &JobSpec) -> bool {
-        let autoscaler = &self.scheduler.autoscaler;
-        autoscaler.may_scale_out_for(&self.scheduler.view(self.now), spec)
+        self.autoscaler.may_scale_out_for(&self.cluster, spec)
     }
 
     /// Whether a job goes ahead of all others, lest it or its kind starve.
     pub(super) fn is_aged(&self, job: &Job) -> bool {
-        self.scheduler.aging.is_aged(self.now, job)
+        self.aging.is_aged(self.now(), job)
     }
 
     /// The priority that a job is treated with: the highest of its own and of all downstream jobs.
@@ -100,37 +94,37 @@
 
     /// Whether a task of the job takes most of a machine.
     pub(super) fn is_large_task(&self, spec: &JobSpec) -> bool {
-        self.scheduler.is_large_task(spec)
+        self.machines().is_large_task(spec)
     }
 
     /// What the job's team uses: everything that may be on a machine.
     pub(super) fn usage_of_team(&self, job: &Job) -> Resources {
-        self.scheduler.team_usage.of(job.team())
+        self.cluster.team_usage.of(job.team())
     }
 
     /// How many more tasks of the job its team's limit lets start, when the teams use so much.
     pub(super) fn quota_headroom(&self, job: &Job, team_usage: &TeamUsage) -> u32 {
-        team_usage.headroom(&self.scheduler.policy, job.team(), job.spec())
+        team_usage.headroom(self.policy(), job.team(), job.spec())
     }
 
     /// Seconds that a task of the job should run.
     pub(super) fn estimated_run_time_s(&self, job: &Job) -> f64 {
-        self.scheduler.estimates.run_time_of_job_s(job)
+        self.cluster.estimates.run_time_of_job_s(job)
     }
 
     /// Seconds that the longest task of the job should run.
     pub(super) fn longest_run_time_s(&self, job: &Job) -> f64 {
-        self.scheduler.estimates.longest_run_time_s(job)
+        self.cluster.estimates.longest_run_time_s(job)
     }
 
     /// What is left to be placed of a job, in machine-seconds.
     pub(super) fn pending_work_s(&self, job: &Job) -> f64 {
-        self.scheduler.view(self.now).pending_work_s(job)
+        self.cluster.pending_work_s(job)
     }
 
     /// Seconds until the job's image would be on the machine: 0 if it is cached there.
     pub(super) fn image_wait_s(&self, machine: &Machine, spec: &JobSpec) -> f64 {
-        self.machines().image_wait_s(self.now, machine, spec)
+        self.machines().image_wait_s(self.now(), machine, spec)
     }
 
     /// Seconds that a pull of the job's image takes on the machine type that is quickest at it.
