--- a/src/coordination/machines/mod.rs
+++ b/src/coordination/machines/mod.rs
@@ -2,6 +2,7 @@
 
 pub mod images;
 pub mod machine;
+mod reachability;
 mod reservation;
 pub mod table;
 mod type_fit;
