--- a/src/coordination/attempts/ledger/task_attempt.rs
+++ b/src/coordination/attempts/ledger/task_attempt.rs
@@ -2,6 +2,7 @@
 
 use super::StatusEvidence;
 use crate::coordination::jobs::job::Job;
+use crate::coordination::RequestId;
 use crate::ids::{
     AttemptId, AttemptKey, FencingToken, Image, PageNumber, Session, TaskId, TeamIndex, Tick,
 };
@@ -15,7 +16,7 @@
     /// None under way.
     None,
     /// Sent, the answer is awaited.
-    InFlight(u64),
+    InFlight(RequestId),
     /// No answer came: it may execute at any time in this session, until the worker has seen a higher
     /// token than this.
     Lost(Session, FencingToken),
--- a/src/coordination/attempts/stops.rs
+++ b/src/coordination/attempts/stops.rs
@@ -101,11 +101,11 @@
     /// between a cancellation and its next step; then nothing reached the machines any more, and the tasks
     /// outlived `cancel_s` (docs/incidents/production-size.md). So each heartbeat is answered after a review.
     pub(crate) fn review(&mut self, now: Instant, machine_id: &MachineId) {
-        let max_silence = self.policy.silence();
+        let max_silence = self.policy.heartbeat_timeout();
         let Some(machine) = self.machines.get_mut(machine_id) else {
             return;
         };
-        let review = Review::of(machine, now, machine.silent(now, max_silence));
+        let review = Review::of(machine, now, machine.is_silent(now, max_silence));
         let mut never_launched = Vec::new();
         let mut has_stops_to_push = false;
         for attempt in machine.attempts.iter_mut() {
@@ -142,7 +142,7 @@
     /// too, but from a machine that reaches no controller none comes. One that was not heard of at all
     /// lately is left alone: a zone beyond a cut would take the connections of all others.
     pub(crate) fn stop_again(&mut self, now: Instant, machine_id: &MachineId) {
-        let silence = self.policy.silence();
+        let silence = self.policy.heartbeat_timeout();
         let near = |m: &&mut Machine| m.last_message_at.is_some_and(|h| now - h <= silence);
         if let Some(m) = self.machines.get_mut(machine_id).filter(near) {
             for w in m.attempts.iter_mut().filter_map(|s| s.stop.as_mut()) {
--- a/tests/upgrade/page_splitting.rs
+++ b/tests/upgrade/page_splitting.rs
@@ -7,7 +7,7 @@
 use chalklug::config::OperatorConfig;
 use chalklug::coordination::leadership::recovery::RecoveredState;
 use chalklug::coordination::leadership::LeadershipTerm;
-use chalklug::coordination::{Effect, Event, OpenJob, Policy};
+use chalklug::coordination::{Effect, Event, OpenJob, Policy, RequestId, TerminalRecordRead};
 use chalklug::ids::*;
 use chalklug::protocol::state::{Change, Transaction};
 use chalklug::protocol::users::parse_submission;
@@ -141,16 +141,20 @@
     while *now < end {
         *now += TimeSpan(100);
         for effect in scheduler.step(*now) {
-            let Effect::Write { seq, transaction } = effect else {
+            let Effect::Write {
+                request_id,
+                transaction,
+            } = effect
+            else {
                 continue;
             };
             if !is_accepted(&transaction) {
                 rejected += 1;
-                scheduler.on(*now, Event::WriteRejected { seq });
+                scheduler.on(*now, Event::WriteRejected { request_id });
                 continue;
             }
             let store_revision = store.apply(&transaction).expect("nobody else writes");
-            scheduler.write_applied(*now, seq, store_revision);
+            scheduler.write_applied(*now, request_id, store_revision);
             let on_some_page: BTreeSet<MachineId> = listed(store).into_iter().collect();
             assert_eq!(on_some_page, all, "a machine is on no page");
         }
@@ -224,8 +228,11 @@
     // Jobs enough for transactions of many operations.
     open_downstream_jobs(&mut scheduler, now, 40);
     // All of them are to be cancelled with their upstream job.
-    let terminal_records = vec![(JobId::from("wk-900"), Some(TerminalRecord::cancelled(1)))];
-    scheduler.on(now, Event::TerminalRecordsRead { terminal_records });
+    let read = TerminalRecordRead {
+        job: JobId::from("wk-900"),
+        record: Some(TerminalRecord::cancelled(1)),
+    };
+    scheduler.on(now, Event::TerminalRecordsRead(vec![read]));
     let rejected = write_for(&mut scheduler, &mut store, &mut now, TimeSpan(120_000));
     assert!((1..=12).contains(&rejected), "{rejected} rejected");
     assert_eq!(
@@ -243,14 +250,17 @@
     let mut now = Instant(1_000);
     let mut scheduler = recover(&store, now, 5, ANNOUNCED);
     open_downstream_jobs(&mut scheduler, now, 1);
-    let terminal_records = vec![(JobId::from("wk-900"), Some(TerminalRecord::cancelled(1)))];
-    scheduler.on(now, Event::TerminalRecordsRead { terminal_records });
+    let read = TerminalRecordRead {
+        job: JobId::from("wk-900"),
+        record: Some(TerminalRecord::cancelled(1)),
+    };
+    scheduler.on(now, Event::TerminalRecordsRead(vec![read]));
     let pause = TimeSpan(250);
     let mut limited_at: Vec<Instant> = Vec::new();
     let first_applied = loop {
         now += TimeSpan(50);
         assert!(now < Instant(20_000), "it never writes again");
-        let Some((seq, transaction)) = last_write(&mut scheduler, now) else {
+        let Some((request_id, transaction)) = last_write(&mut scheduler, now) else {
             continue;
         };
         if let Some(last) = limited_at.last() {
@@ -261,7 +271,7 @@
             break transaction;
         }
         limited_at.push(now);
-        scheduler.on(now, Event::WriteLimited { seq, pause });
+        scheduler.on(now, Event::WriteLimited { request_id, pause });
     };
     let changes_of = |prefix: &str| {
         let changes = first_applied.changes.iter();
@@ -272,10 +282,13 @@
 }
 
 /// The last transaction that a step asks for.
-fn last_write(scheduler: &mut RecordedScheduler, now: Instant) -> Option<(u64, Transaction)> {
+fn last_write(scheduler: &mut RecordedScheduler, now: Instant) -> Option<(RequestId, Transaction)> {
     let effects = scheduler.step(now).into_iter();
     let writes = effects.filter_map(|effect| match effect {
-        Effect::Write { seq, transaction } => Some((seq, transaction)),
+        Effect::Write {
+            request_id,
+            transaction,
+        } => Some((request_id, transaction)),
         _ => None,
     });
     writes.last()
