--- a/src/coordination/autoscaler/view.rs
+++ b/src/coordination/autoscaler/view.rs
@@ -16,16 +16,16 @@
 /// The cluster as the autoscaler sees it at one moment. Nothing can be changed through it.
 #[derive(Clone, Copy)]
 pub(super) struct AutoscalerView<'a> {
-    scheduler: &'a Scheduler,
-    now: Instant,
+    cluster: ClusterView<'a>,
+    autoscaler: &'a Autoscaler,
 }
 
 impl Scheduler {
     /// The cluster at that moment, for the autoscaler to read.
     pub(super) fn autoscaler_view(&self, now: Instant) -> AutoscalerView<'_> {
         AutoscalerView {
-            scheduler: self,
-            now,
+            cluster: self.view(now),
+            autoscaler: &self.autoscaler,
         }
     }
 }
@@ -33,37 +33,37 @@
 impl<'a> AutoscalerView<'a> {
     /// The moment of the decision.
     pub(super) fn now(&self) -> Instant {
-        self.now
+        self.cluster.now
     }
 
     /// The cluster without the autoscaler's own state.
     pub(super) fn cluster(&self) -> ClusterView<'a> {
-        self.scheduler.view(self.now)
+        self.cluster
     }
 
     /// The autoscaler's own state.
     pub(super) fn autoscaler(&self) -> &'a Autoscaler {
-        &self.scheduler.autoscaler
+        self.autoscaler
     }
 
     /// The settings.
     pub(super) fn policy(&self) -> &'a Policy {
-        &self.scheduler.policy
+        self.cluster.policy
     }
 
     /// All jobs.
     pub(super) fn jobs(&self) -> &'a JobTable {
-        &self.scheduler.jobs
+        self.cluster.jobs
     }
 
     /// All machines, with the task attempts on them.
     pub(super) fn machines(&self) -> &'a MachineTable {
-        &self.scheduler.machines
+        self.cluster.machines
     }
 
     /// What each team uses.
     pub(super) fn team_usage(&self) -> &'a TeamUsage {
-        &self.scheduler.team_usage
+        self.cluster.team_usage
     }
 
     /// How many more tasks of a job its team's limit lets start, when the teams use so much.
@@ -73,32 +73,32 @@
         team: Option<TeamIndex>,
         team_usage: &TeamUsage,
     ) -> u32 {
-        team_usage.headroom(&self.scheduler.policy, team, spec)
+        team_usage.headroom(self.cluster.policy, team, spec)
     }
 
     /// Whether a machine may be given new work at all.
     pub(super) fn is_schedulable(&self, machine: &Machine) -> bool {
-        self.cluster().is_schedulable(machine)
+        self.cluster.is_schedulable(machine)
     }
 
     /// Whether a task takes most of a machine.
     pub(super) fn is_large_task(&self, spec: &JobSpec) -> bool {
-        self.scheduler.is_large_task(spec)
+        self.cluster.is_large_task(spec)
     }
 
     /// Seconds that a task of a job like this should run.
     pub(super) fn run_time_s(&self, spec: &JobSpec) -> f64 {
-        self.scheduler.estimates.run_time_s(spec)
+        self.cluster.estimates.run_time_s(spec)
     }
 
     /// Seconds that a task of the job should run, by those that are completed too.
     pub(super) fn run_time_of_job_s(&self, job: &Job) -> f64 {
-        self.scheduler.estimates.run_time_of_job_s(job)
+        self.cluster.estimates.run_time_of_job_s(job)
     }
 
     /// Seconds that a task of the job which has run for so long should still run.
     pub(super) fn remaining_run_time_s(&self, job: &Job, ran_s: f64) -> f64 {
-        self.scheduler.estimates.remaining_run_time_s(job, ran_s)
+        self.cluster.estimates.remaining_run_time_s(job, ran_s)
     }
 
     /// Seconds that a machine of the type takes to boot.
@@ -108,7 +108,7 @@
 
     /// Seconds that a machine of the type takes to fetch an image of so many gigabytes.
     pub(super) fn fetch_s(&self, machine_type: &MachineType, image_gb: f64) -> f64 {
-        self.scheduler.machines.image_pull_s(machine_type, image_gb)
+        self.cluster.machines.image_pull_s(machine_type, image_gb)
     }
 
     /// What one machine of the type offers.
--- a/src/coordination/placement/view.rs
+++ b/src/coordination/placement/view.rs
@@ -5,7 +5,7 @@
 use crate::coordination::jobs::table::JobTable;
 use crate::coordination::machines::machine::Machine;
 use crate::coordination::machines::table::MachineTable;
-use crate::coordination::{Policy, Scheduler};
+use crate::coordination::{ClusterView, Policy, Scheduler};
 use crate::ids::{JobId, MachineId};
 use crate::protocol::users::{JobSpec, Priority};
 use crate::resources::Resources;
@@ -29,7 +29,9 @@
             now,
         }
     }
+}
 
+impl ClusterView<'_> {
     /// Whether a task takes most of a machine: large ones are placed first, small ones fill what is
     /// left.
     pub(crate) fn is_large_task(&self, spec: &JobSpec) -> bool {
@@ -100,7 +102,7 @@
 
     /// Whether a task of the job takes most of a machine.
     pub(super) fn is_large_task(&self, spec: &JobSpec) -> bool {
-        self.scheduler.is_large_task(spec)
+        self.scheduler.view(self.now).is_large_task(spec)
     }
 
     /// What the job's team uses: everything that may be on a machine.
