--- a/src/coordination/attempts/pushes.rs
+++ b/src/coordination/attempts/pushes.rs
@@ -3,7 +3,7 @@
 use crate::coordination::attempts::commands::MAX_COMMANDS;
 use crate::coordination::attempts::ledger::PushDelivery;
 use crate::coordination::machines::machine::MachineState;
-use crate::coordination::{Effect, Scheduler};
+use crate::coordination::{Effect, RequestId, Scheduler};
 use crate::ids::{MachineId, Session};
 use crate::protocol::workers::Command;
 use crate::time::{Instant, TimeSpan};
@@ -13,7 +13,7 @@
 const PUSH_RETRY_DELAY: TimeSpan = TimeSpan(3000);
 
 impl Scheduler {
-    /// Launches and stops that needn't wait for the next check-in go straight to the worker: one
+    /// Launches and stops that needn't wait for the next heartbeat go straight to the worker: one
     /// command at a time on each machine, and a bounded number of them at once.
     pub(crate) fn send_pushes(&mut self, now: Instant) {
         let mut later = BTreeSet::new();
@@ -48,7 +48,7 @@
                 break;
             }
             if let Some(w) = s.stop.filter(|_| !s.ended()) {
-                // Repeats are left to the check-ins.
+                // Repeats are left to the heartbeats.
                 if !w.pushed {
                     commands.extend(Self::stop_command(s, now));
                     stops.push(s.key());
@@ -66,14 +66,14 @@
             return;
         }
         let (endpoint, session) = (m.endpoint.clone(), m.session);
-        let seq = self.seq();
+        let request_id = self.next_request_id();
         let token = self.leadership.token();
         self.outbox.pushes_in_flight += 1;
         if let Some(m) = self.machines.get_mut(machine_id) {
-            m.push_in_flight = Some(seq);
+            m.push_in_flight = Some(request_id);
             for key in carried {
                 if let Some(s) = m.attempts.get_mut(&key) {
-                    s.push = PushDelivery::InFlight(seq);
+                    s.push = PushDelivery::InFlight(request_id);
                     s.launched_in = Some(session);
                     s.launched_with = Some(token);
                 }
@@ -87,7 +87,7 @@
         self.effects.push(Effect::Push {
             machine_id: machine_id.clone(),
             endpoint,
-            seq,
+            request_id,
             token,
             session,
             commands,
@@ -99,7 +99,7 @@
         &mut self,
         now: Instant,
         machine_id: &MachineId,
-        seq: u64,
+        request_id: RequestId,
         sent: bool,
     ) {
         let token = self.leadership.token();
@@ -116,22 +116,27 @@
             PushDelivery::None
         };
         tracing::debug!(machine = %machine_id, sent, "push unanswered");
-        self.settle_push(machine_id, seq, end);
+        self.settle_push(machine_id, request_id, end);
         self.stop_again(now, machine_id);
         self.outbox.pushes_due.insert(machine_id.clone());
     }
 
     /// A push is no longer in flight; its launches are left as `end` says.
-    pub(super) fn settle_push(&mut self, machine_id: &MachineId, seq: u64, end: PushDelivery) {
+    pub(super) fn settle_push(
+        &mut self,
+        machine_id: &MachineId,
+        request_id: RequestId,
+        end: PushDelivery,
+    ) {
         let Some(m) = self.machines.get_mut(machine_id) else {
             return;
         };
-        if m.push_in_flight == Some(seq) {
+        if m.push_in_flight == Some(request_id) {
             m.push_in_flight = None;
             self.outbox.pushes_in_flight = self.outbox.pushes_in_flight.saturating_sub(1);
         }
         for s in m.attempts.iter_mut() {
-            if s.push == PushDelivery::InFlight(seq) {
+            if s.push == PushDelivery::InFlight(request_id) {
                 s.push = end;
             }
         }
--- a/src/coordination/autoscaler/forecast/simulated_cluster.rs
+++ b/src/coordination/autoscaler/forecast/simulated_cluster.rs
@@ -115,7 +115,7 @@
 }
 
 fn slot_of_booting(view: &AutoscalerView<'_>, machine: &Machine) -> Option<MachineSlot> {
-    let age_s = (view.now() - machine.since).secs();
+    let age_s = (view.now() - machine.first_known_at).secs();
     let boot_s = view.boot_s(&machine.machine_type);
     if age_s >= boot_s * MAX_BOOT_TIMES {
         return None;
@@ -141,7 +141,11 @@
         releases: attempts
             .filter_map(|attempt| release_of(view, machine, attempt))
             .collect(),
-        cached_images: machine.images.iter().map(|(i, _)| i.clone()).collect(),
+        cached_images: machine
+            .images
+            .iter()
+            .map(|cached| cached.image.clone())
+            .collect(),
         warm_pool_class: warm_pool.class_of(&machine.id).cloned(),
     })
 }
--- a/tests/stale_knowledge.rs
+++ b/tests/stale_knowledge.rs
@@ -12,7 +12,7 @@
 
 use chalklug::coordination::attempts::reconciliation::HeartbeatOutcome;
 use chalklug::coordination::leadership::recovery::RecoveredState;
-use chalklug::coordination::{Effect, Event, OpenJob};
+use chalklug::coordination::{Effect, Event, OpenJob, RequestId};
 use chalklug::ids::*;
 use chalklug::protocol::state::{Change, KeyValue};
 use chalklug::protocol::users::parse_submission;
@@ -142,9 +142,13 @@
     for ms in (0..for_ms).step_by(100) {
         let now = from + TimeSpan(ms);
         for effect in scheduler.step(now) {
-            if let Effect::Write { seq, transaction } = effect {
+            if let Effect::Write {
+                request_id,
+                transaction,
+            } = effect
+            {
                 written.extend(transaction.changes);
-                scheduler.write_applied(now, seq, StoreRevision(100 + seq));
+                scheduler.write_applied(now, request_id, StoreRevision(100 + request_id.0));
             }
         }
     }
@@ -175,7 +179,7 @@
     // A heartbeat that the response to a push has overtaken renews the lease all the same.
     let push_response = Event::PushAnswered {
         machine_id: machine_id(),
-        seq: 0,
+        request_id: RequestId(0),
         status: Box::new(status(4, CURRENT_TOKEN, Some(TaskPhase::Running))),
     };
     scheduler.on(now, push_response);
@@ -193,8 +197,8 @@
         let now = START + TimeSpan(ms);
         for effect in scheduler.step(now) {
             match effect {
-                Effect::Write { seq, .. } => {
-                    scheduler.write_applied(now, seq, StoreRevision(100 + seq));
+                Effect::Write { request_id, .. } => {
+                    scheduler.write_applied(now, request_id, StoreRevision(100 + request_id.0));
                 }
                 Effect::Push {
                     commands: pushed, ..
