--- a/src/coordination/attempts/pushes.rs
+++ b/src/coordination/attempts/pushes.rs
@@ -2,9 +2,9 @@
 
 use crate::coordination::attempts::commands::MAX_COMMANDS;
 use crate::coordination::attempts::ledger::PushDelivery;
-use crate::coordination::machines::machine::MachineState;
+use crate::coordination::machines::machine::{Machine, MachineState};
 use crate::coordination::{Effect, RequestId, Scheduler};
-use crate::ids::{MachineId, Session};
+use crate::ids::{AttemptKey, MachineId, Session};
 use crate::protocol::workers::Command;
 use crate::time::{Instant, TimeSpan};
 use std::collections::BTreeSet;
@@ -12,22 +12,33 @@
 /// How long a machine that does not answer a push is sent no further one.
 const PUSH_RETRY_DELAY: TimeSpan = TimeSpan(3000);
 
+/// The commands of a push, and the attempts that they are about.
+#[derive(Default)]
+struct PushDraft {
+    commands: Vec<Command>,
+    launches: Vec<AttemptKey>,
+    stops: Vec<AttemptKey>,
+}
+
 impl Scheduler {
     /// Launches and stops that needn't wait for the next heartbeat go straight to the worker: one
     /// command at a time on each machine, and a bounded number of them at once.
     pub(crate) fn send_pushes(&mut self, now: Instant) {
         let mut later = BTreeSet::new();
         while let Some(machine_id) = self.outbox.pushes_due.pop_first() {
-            let Some(m) = self.machines.get(&machine_id) else {
+            let Some(machine) = self.machines.get(&machine_id) else {
                 continue;
             };
-            // An answer that is awaited brings it back here; so does the worker's first report.
-            let never =
-                m.push_in_flight.is_some() || m.endpoint.is_empty() || m.session == Session(0);
-            if never || m.state != MachineState::Up {
+            // An answer that is awaited brings it back here; so does the worker's first heartbeat.
+            let is_waiting = machine.push_in_flight.is_some()
+                || machine.endpoint.is_empty()
+                || machine.session == Session(0);
+            if is_waiting || machine.state != MachineState::Up {
                 continue;
             }
-            if m.push_not_before > now || self.outbox.pushes_in_flight >= self.policy.max_pushes {
+            if machine.push_not_before > now
+                || self.outbox.pushes_in_flight >= self.policy.max_pushes
+            {
                 later.insert(machine_id);
                 continue;
             }
@@ -37,61 +48,78 @@
     }
 
     fn push_to(&mut self, now: Instant, machine_id: &MachineId) {
-        let Some(m) = self.machines.get(machine_id) else {
+        let Some(machine) = self.machines.get(machine_id) else {
             return;
         };
-        let mut commands = Vec::new();
-        let mut carried = Vec::new();
-        let mut stops = Vec::new();
-        for s in m.attempts.iter() {
-            if commands.len() >= MAX_COMMANDS {
+        let draft = self.draft_push(now, machine);
+        // Whether a machine that seems unreachable hears us after all is seen by asking it.
+        if draft.commands.is_empty() && !machine.is_unreachable() {
+            return;
+        }
+        let (endpoint, session) = (machine.endpoint.clone(), machine.session);
+        let request_id = self.next_request_id();
+        self.push_leaves(machine_id, request_id, session, &draft);
+        self.effects.push(Effect::Push {
+            machine_id: machine_id.clone(),
+            endpoint,
+            request_id,
+            token: self.leadership.token(),
+            session,
+            commands: draft.commands,
+        });
+    }
+
+    /// The launches and stops that a machine has not been sent yet.
+    fn draft_push(&self, now: Instant, machine: &Machine) -> PushDraft {
+        let mut draft = PushDraft::default();
+        for attempt in machine.attempts.iter() {
+            if draft.commands.len() >= MAX_COMMANDS {
                 break;
             }
-            if let Some(w) = s.stop.filter(|_| !s.ended()) {
+            if let Some(request) = attempt.stop.filter(|_| !attempt.ended()) {
                 // Repeats are left to the heartbeats.
-                if !w.pushed {
-                    commands.extend(Self::stop_command(s, now));
-                    stops.push(s.key());
+                if !request.pushed {
+                    draft.commands.extend(Self::stop_command(attempt, now));
+                    draft.stops.push(attempt.key());
                 }
-            } else if self.wants_launch(m, s) && !s.in_flight() {
-                commands.push(Command::Launch {
-                    task: s.task.clone(),
-                    attempt_id: s.attempt_id,
+            } else if self.wants_launch(machine, attempt) && !attempt.in_flight() {
+                draft.commands.push(Command::Launch {
+                    task: attempt.task.clone(),
+                    attempt_id: attempt.attempt_id,
                 });
-                carried.push(s.key());
+                draft.launches.push(attempt.key());
             }
         }
-        // Whether a machine that seems deaf hears us after all is seen by asking it.
-        if commands.is_empty() && !m.is_unreachable() {
-            return;
-        }
-        let (endpoint, session) = (m.endpoint.clone(), m.session);
-        let request_id = self.next_request_id();
+        draft
+    }
+
+    /// Notes on the machine and its attempts that a push is in flight.
+    fn push_leaves(
+        &mut self,
+        machine_id: &MachineId,
+        request_id: RequestId,
+        session: Session,
+        draft: &PushDraft,
+    ) {
         let token = self.leadership.token();
         self.outbox.pushes_in_flight += 1;
-        if let Some(m) = self.machines.get_mut(machine_id) {
-            m.push_in_flight = Some(request_id);
-            for key in carried {
-                if let Some(s) = m.attempts.get_mut(&key) {
-                    s.push = PushDelivery::InFlight(request_id);
-                    s.launched_in = Some(session);
-                    s.launched_with = Some(token);
-                }
+        let Some(machine) = self.machines.get_mut(machine_id) else {
+            return;
+        };
+        machine.push_in_flight = Some(request_id);
+        for key in &draft.launches {
+            if let Some(attempt) = machine.attempts.get_mut(key) {
+                attempt.push = PushDelivery::InFlight(request_id);
+                attempt.launched_in = Some(session);
+                attempt.launched_with = Some(token);
             }
-            for key in stops {
-                if let Some(w) = m.attempts.get_mut(&key).and_then(|s| s.stop.as_mut()) {
-                    w.pushed = true;
-                }
+        }
+        for key in &draft.stops {
+            let attempt = machine.attempts.get_mut(key);
+            if let Some(request) = attempt.and_then(|attempt| attempt.stop.as_mut()) {
+                request.pushed = true;
             }
         }
-        self.effects.push(Effect::Push {
-            machine_id: machine_id.clone(),
-            endpoint,
-            request_id,
-            token,
-            session,
-            commands,
-        });
     }
 
     /// A push was not answered. `sent` is false if it certainly never left.
@@ -103,15 +131,15 @@
         sent: bool,
     ) {
         let token = self.leadership.token();
-        let Some(m) = self.machines.get_mut(machine_id) else {
+        let Some(machine) = self.machines.get_mut(machine_id) else {
             return;
         };
-        m.push_not_before = now + PUSH_RETRY_DELAY;
-        // Guards against a command that a cut or a hang held back: it may execute at any later
+        machine.push_not_before = now + PUSH_RETRY_DELAY;
+        // Guards against a command that a partition or a hang held back: it may execute at any later
         // time in this session, until the worker has seen a higher token, so the launch stays in
         // flight until then.
         let end = if sent {
-            PushDelivery::Lost(m.session, token)
+            PushDelivery::Lost(machine.session, token)
         } else {
             PushDelivery::None
         };
@@ -128,16 +156,16 @@
         request_id: RequestId,
         end: PushDelivery,
     ) {
-        let Some(m) = self.machines.get_mut(machine_id) else {
+        let Some(machine) = self.machines.get_mut(machine_id) else {
             return;
         };
-        if m.push_in_flight == Some(request_id) {
-            m.push_in_flight = None;
+        if machine.push_in_flight == Some(request_id) {
+            machine.push_in_flight = None;
             self.outbox.pushes_in_flight = self.outbox.pushes_in_flight.saturating_sub(1);
         }
-        for s in m.attempts.iter_mut() {
-            if s.push == PushDelivery::InFlight(request_id) {
-                s.push = end;
+        for attempt in machine.attempts.iter_mut() {
+            if attempt.push == PushDelivery::InFlight(request_id) {
+                attempt.push = end;
             }
         }
         self.outbox.pushes_due.insert(machine_id.clone());
--- a/src/coordination/attempts/reconciliation/listed.rs
+++ b/src/coordination/attempts/reconciliation/listed.rs
@@ -93,7 +93,7 @@
             }
             TaskPhase::Ended => {
                 let cause = task.cause.unwrap_or(Cause::Error);
-                self.ended(now, machine_id, key, cause);
+                self.attempt_ended(now, machine_id, key, cause);
             }
             TaskPhase::Fetching | TaskPhase::Saving => {}
         }
--- a/src/coordination/attempts/task_ends.rs
+++ b/src/coordination/attempts/task_ends.rs
@@ -2,13 +2,24 @@
 
 use crate::coordination::jobs::job::Job;
 use crate::coordination::Scheduler;
-use crate::ids::{AttemptKey, MachineId, TaskId};
+use crate::ids::{AttemptKey, JobId, MachineId, TaskId};
 use crate::protocol::workers::Cause;
 use crate::time::{Instant, TimeSpan};
 
+/// A machine that refused an attempt for want of room is given no work for this long: its next heartbeats
+/// show what is on it.
+const FULL_MACHINE_DELAY: TimeSpan = TimeSpan(3_000);
+/// A machine that turned out to run another attempt of the same task is given no work for this long: its
+/// next heartbeats list that attempt.
+const BUSY_MACHINE_DELAY: TimeSpan = TimeSpan(6_000);
+/// A machine on which a task failed is given no work for this long.
+const FAILED_MACHINE_DELAY: TimeSpan = TimeSpan(2_000);
+/// A job whose description the worker could not fetch yet is tried again after this.
+const UNKNOWN_JOB_DELAY: TimeSpan = TimeSpan(2_000);
+
 impl Scheduler {
     /// An attempt ended on its machine. It stays there as a tombstone until cleared.
-    pub(crate) fn ended(
+    pub(crate) fn attempt_ended(
         &mut self,
         now: Instant,
         machine_id: &MachineId,
@@ -16,53 +27,56 @@
         cause: Cause,
     ) {
         let task = &key.task;
-        let lease = TimeSpan::from_secs(self.policy.facts.workers.lease_s);
-        tracing::debug!(task = %task, machine = %machine_id, cause = ?cause, "ended");
+        tracing::debug!(task = %task, machine = %machine_id, cause = ?cause, "task ended");
         if let Some(machine) = self.machines.get_mut(machine_id) {
             machine.note_idle(now);
         }
         if cause == Cause::Done {
-            self.note_run_time(now, machine_id, key);
-            self.jobs
-                .update(&task.job, |job| job.task_completed(task.index));
-            if let Some(m) = self.machines.get_mut(machine_id) {
-                m.failed_jobs.clear();
-            }
+            self.task_completed(now, machine_id, key);
         }
         self.ledger().attempt_ended(machine_id, task);
         match cause {
-            Cause::Error => self.failed(now, machine_id, task),
-            Cause::Full => {
-                if let Some(m) = self.machines.get_mut(machine_id) {
-                    m.unschedulable_until = now + TimeSpan(3000);
-                }
-            }
+            Cause::Error => self.task_failed(now, machine_id, task),
+            Cause::Full => self.rest_machine(machine_id, now + FULL_MACHINE_DELAY),
+            Cause::Busy => self.rest_machine(machine_id, now + BUSY_MACHINE_DELAY),
             Cause::Unknown => {
-                // The description isn't there yet; try again a little later.
-                let until = now + TimeSpan(2000);
+                let until = now + UNKNOWN_JOB_DELAY;
                 self.jobs.update(&task.job, |job| job.postpone(until));
             }
-            Cause::Busy => {
-                // Another attempt of this task is on the machine although we held it for empty: leave
-                // the machine to its next reports, which list that try.
-                if let Some(m) = self.machines.get_mut(machine_id) {
-                    m.unschedulable_until = now + TimeSpan(6000);
-                }
-            }
-            Cause::Incomplete => {
-                // Its image is there: the machine is kept for when the others have theirs.
-                if let Some(m) = self.machines.get_mut(machine_id) {
-                    m.reserve_for(task.job.clone(), now + lease);
-                }
-                self.jobs.update(&task.job, Job::gang_member_gave_up);
-            }
+            Cause::Incomplete => self.gang_member_gave_up(now, machine_id, &task.job),
             Cause::Done | Cause::Stopped | Cause::MatesGone => {}
         }
     }
 
+    fn task_completed(&mut self, now: Instant, machine_id: &MachineId, key: &AttemptKey) {
+        let task = &key.task;
+        self.note_run_time(now, machine_id, key);
+        self.jobs
+            .update(&task.job, |job| job.task_completed(task.index));
+        if let Some(machine) = self.machines.get_mut(machine_id) {
+            machine.failed_jobs.clear();
+        }
+    }
+
+    /// The machine is given no new work until then.
+    fn rest_machine(&mut self, machine_id: &MachineId, until: Instant) {
+        if let Some(machine) = self.machines.get_mut(machine_id) {
+            machine.unschedulable_until = until;
+        }
+    }
+
+    /// A member of a gang waited for the others in vain. Its image is there: the machine is reserved for
+    /// when the others have theirs.
+    fn gang_member_gave_up(&mut self, now: Instant, machine_id: &MachineId, job: &JobId) {
+        let lease = TimeSpan::from_secs(self.policy.facts.workers.lease_s);
+        if let Some(machine) = self.machines.get_mut(machine_id) {
+            machine.reserve_for(job.clone(), now + lease);
+        }
+        self.jobs.update(job, Job::gang_member_gave_up);
+    }
+
     /// A task failed: mostly the machine is faulty, but a job may be.
-    pub(crate) fn failed(&mut self, now: Instant, machine_id: &MachineId, task: &TaskId) {
-        let most = self.policy.operator.sick_errors as usize;
+    fn task_failed(&mut self, now: Instant, machine_id: &MachineId, task: &TaskId) {
         self.jobs
             .update(&task.job, |job| job.task_failed(now, machine_id));
         let Some(job) = self.jobs.get(&task.job) else {
@@ -71,25 +85,43 @@
         // A job that failed on several machines backs off and condemns none of them.
         let fails_everywhere = job.fails_everywhere();
         if fails_everywhere {
-            // Guards against jobs submitted with a mistake that take machines down with them: the marks
-            // of the first machines that it failed on are taken back.
-            for machine_id in job.retry().failed_on() {
-                if let Some(m) = self.machines.get_mut(machine_id) {
-                    m.forget_failures_of(&task.job, most);
-                }
-                self.machines.reindex(machine_id);
-            }
+            self.forgive_failures_of(&task.job);
         }
-        if let Some(m) = self.machines.get_mut(machine_id) {
+        self.rest_machine(machine_id, now + FAILED_MACHINE_DELAY);
+        if let Some(machine) = self.machines.get_mut(machine_id) {
             if !fails_everywhere {
-                m.failed_jobs.insert(task.job.clone());
+                machine.failed_jobs.insert(task.job.clone());
             }
-            m.unschedulable_until = now + TimeSpan(2000);
-            if m.failed_jobs.len() >= most && !m.draining {
-                tracing::info!(machine = %machine_id, "sick: tasks of different jobs fail here");
-                m.start_draining(now);
-                m.quarantined = true;
+        }
+        self.quarantine_if_faulty(now, machine_id);
+    }
+
+    /// Takes a job that fails everywhere back from the failures of the machines that it failed on.
+    ///
+    /// Guards against jobs submitted with a mistake that take machines down with them.
+    fn forgive_failures_of(&mut self, job_id: &JobId) {
+        let max_failed_jobs = self.policy.operator.sick_errors as usize;
+        let Some(job) = self.jobs.get(job_id) else {
+            return;
+        };
+        for machine_id in job.retry().failed_on() {
+            if let Some(machine) = self.machines.get_mut(machine_id) {
+                machine.forget_failures_of(job_id, max_failed_jobs);
             }
+            self.machines.reindex(machine_id);
+        }
+    }
+
+    /// Quarantines a machine on which tasks of too many different jobs failed with no success between.
+    fn quarantine_if_faulty(&mut self, now: Instant, machine_id: &MachineId) {
+        let max_failed_jobs = self.policy.operator.sick_errors as usize;
+        let Some(machine) = self.machines.get_mut(machine_id) else {
+            return;
+        };
+        if machine.failed_jobs.len() >= max_failed_jobs && !machine.draining {
+            tracing::info!(machine = %machine_id, "machine quarantined");
+            machine.start_draining(now);
+            machine.quarantined = true;
         }
     }
 }
