--- a/src/coordination/persistence/mod.rs
+++ b/src/coordination/persistence/mod.rs
@@ -4,7 +4,7 @@
 //! Every transaction requires the leader key's revision and those of the records that it changes: applied late, it
 //! can do nothing. After an unclear outcome the keys are read again before anything else is written.
 //!
-//! Drafting reads the cluster and returns a [`draft::Draft`]; it changes nothing. What was drafted takes effect in
+//! Drafting reads the cluster and returns a `draft::Draft`; it changes nothing. What was drafted takes effect in
 //! memory only in `outcomes.rs`, once the transaction is known to be applied.
 
 mod draft;
