--- a/src/config/leader_times.rs
+++ b/src/config/leader_times.rs
@@ -18,7 +18,7 @@
     /// two that are as late as they may be.
     pub watch_hold: TimeSpan,
     /// How much longer than that its response may take.
-    pub watch_patience: TimeSpan,
+    pub watch_timeout: TimeSpan,
 }
 
 /// Two steady clocks may differ by 0.05% each way: 0.2% covers them with room.
@@ -33,9 +33,9 @@
 const MIN_WATCH_HOLD_SECS: f64 = 0.25;
 const MAX_WATCH_HOLD_SECS: f64 = 8.0;
 /// The part of the staleness for a late response, and its bounds in seconds.
-const WATCH_PATIENCE_SHARE: f64 = 0.375;
-const MIN_WATCH_PATIENCE_SECS: f64 = 0.5;
-const MAX_WATCH_PATIENCE_SECS: f64 = 10.0;
+const WATCH_TIMEOUT_SHARE: f64 = 0.375;
+const MIN_WATCH_TIMEOUT_SECS: f64 = 0.5;
+const MAX_WATCH_TIMEOUT_SECS: f64 = 10.0;
 
 impl LeaderTimes {
     /// The times that keep `cancel_s`; None if it is too close to `lease_s` for any leader.
@@ -52,7 +52,7 @@
         let lease_duration = TimeSpan(operator.leader_life_ms as i64).min(max_staleness);
         let authority_margin = TimeSpan(operator.authority_margin_ms as i64);
         let watch_hold_secs = staleness_secs * WATCH_HOLD_SHARE;
-        let watch_patience_secs = staleness_secs * WATCH_PATIENCE_SHARE;
+        let watch_timeout_secs = staleness_secs * WATCH_TIMEOUT_SHARE;
         Some(LeaderTimes {
             lease_duration,
             authority_margin: authority_margin.min(TimeSpan(lease_duration.0 / 3)),
@@ -60,8 +60,8 @@
             watch_hold: TimeSpan::from_secs(
                 watch_hold_secs.clamp(MIN_WATCH_HOLD_SECS, MAX_WATCH_HOLD_SECS),
             ),
-            watch_patience: TimeSpan::from_secs(
-                watch_patience_secs.clamp(MIN_WATCH_PATIENCE_SECS, MAX_WATCH_PATIENCE_SECS),
+            watch_timeout: TimeSpan::from_secs(
+                watch_timeout_secs.clamp(MIN_WATCH_TIMEOUT_SECS, MAX_WATCH_TIMEOUT_SECS),
             ),
         })
     }
--- a/src/coordination/attempts/commands.rs
+++ b/src/coordination/attempts/commands.rs
@@ -1,16 +1,16 @@
 //! What is sent to workers: launches, stops and clears, in answers to heartbeats and as pushes.
 
-use crate::coordination::attempts::ledger::{PushDelivery, TaskAttempt};
+use crate::coordination::attempts::ledger::{LastStatus, PushDelivery, TaskAttempt};
 use crate::coordination::machines::machine::{Machine, MachineState};
 use crate::coordination::Scheduler;
 use crate::ids::MachineId;
 use crate::protocol::workers::{Cause, Command, TaskPhase};
 use crate::time::Instant;
 
-/// The part of the wait for a gang by which fetches may differ, as estimated: they take up to half as
-/// long again.
-const PATIENT: f64 = 0.4;
-/// Orders in one message: keeps its line well under 64 KiB.
+/// The share of the wait for a gang by which its members' estimated fetches may differ: they take up to
+/// half as long again.
+const MAX_FETCH_SPREAD_SHARE: f64 = 0.4;
+/// Commands in one message: keeps its line well under 64 KiB.
 pub(super) const MAX_COMMANDS: usize = 400;
 
 impl Scheduler {
@@ -20,122 +20,134 @@
     /// Guards against a copy of a push that is executed again: once cleared, the worker
     /// would not know the attempt any more. The command that clears carries a higher token than any that
     /// launched, and a worker refuses lower ones from then on.
-    fn may_clear(&self, s: &TaskAttempt) -> bool {
-        if !s.ended()
-            || s.in_flight()
-            || s.launched_with
-                .is_some_and(|b| b >= self.leadership.token())
-        {
+    fn may_clear(&self, attempt: &TaskAttempt) -> bool {
+        let token = self.leadership.token();
+        let launched_with_this_token = attempt.launched_with.is_some_and(|t| t >= token);
+        if !attempt.has_ended() || attempt.has_launch_in_flight() || launched_with_this_token {
             return false;
         }
-        let done = s.last_status.is_some_and(|x| x.cause == Some(Cause::Done));
-        match self.jobs.get(&s.task.job) {
-            Some(j) if done && !j.is_closed() => {
-                j.completed().has(s.task.index) && !j.unpersisted().contains(&s.task.index)
+        let status = attempt.last_status;
+        let is_done = status.is_some_and(|status| status.cause == Some(Cause::Done));
+        let index = attempt.task.index;
+        match self.jobs.get(&attempt.task.job) {
+            Some(job) if is_done && !job.is_closed() => {
+                job.completed().has(index) && !job.unpersisted().contains(&index)
             }
             _ => true,
         }
     }
 
-    pub(super) fn wants_launch(&self, m: &Machine, s: &TaskAttempt) -> bool {
-        s.page.is_some()
-            && !self.waits_for_mates(s)
-            && s.stop.is_none()
-            && s.last_status.is_none()
-            && !s.recovered
-            && !m.draining
-            && m.reclaim_at.is_none()
-            && m.state == MachineState::Up
-            && self
-                .jobs
-                .get(&s.task.job)
-                .is_some_and(|j| j.needs_run(s.task.index))
+    /// Whether a planned attempt may be launched now: its intent is durable, its job still needs it, and
+    /// its machine is in use.
+    pub(super) fn wants_launch(&self, machine: &Machine, attempt: &TaskAttempt) -> bool {
+        let job = || self.jobs.get(&attempt.task.job);
+        attempt.page.is_some()
+            && !self.waits_for_gang_members(attempt)
+            && attempt.stop.is_none()
+            && attempt.last_status.is_none()
+            && !attempt.recovered
+            && !machine.is_leaving()
+            && machine.state == MachineState::Up
+            && job().is_some_and(|job| job.needs_run(attempt.task.index))
     }
 
     /// Whether a member of a gang has its image so much sooner than another that it would give up
     /// before the other has it: it is launched once all of those have theirs.
     ///
-    /// Guards against a gang that never stands: on a calm day of the fleet one member had a large
-    /// image already, the other's fetch took longer than the wait for a gang; both ended, the fetch
-    /// was given up, and the same began anew, four times.
-    fn waits_for_mates(&self, s: &TaskAttempt) -> bool {
-        let Some(soon) = s.image_s else {
+    /// Guards against a gang that never starts: on a calm day one member had a large image already, the
+    /// other's fetch took longer than the wait for a gang; both ended, the fetch was given up, and the
+    /// same began anew, four times.
+    fn waits_for_gang_members(&self, attempt: &TaskAttempt) -> bool {
+        let Some(own_wait_s) = attempt.image_wait_s else {
             return false;
         };
-        let Some(job) = self.jobs.get(&s.task.job) else {
+        let Some(job) = self.jobs.get(&attempt.task.job) else {
             return false;
         };
-        let patience = self.policy.facts.workers.gang_wait_s * PATIENT;
-        let fetches = |m: &TaskAttempt| {
-            m.task.job == s.task.job
-                && m.attempt_id == s.attempt_id
-                && m.image_s.is_some_and(|later| later > soon + patience)
-                && m.last_status.is_none_or(|x| x.phase == TaskPhase::Fetching)
+        let max_spread_s = self.policy.facts.workers.gang_wait_s * MAX_FETCH_SPREAD_SHARE;
+        let is_fetching_much_longer = |other: &TaskAttempt| {
+            let is_fetching = |status: LastStatus| status.phase == TaskPhase::Fetching;
+            other.task.job == attempt.task.job
+                && other.attempt_id == attempt.attempt_id
+                && other
+                    .image_wait_s
+                    .is_some_and(|wait_s| wait_s > own_wait_s + max_spread_s)
+                && other.last_status.is_none_or(is_fetching)
         };
         job.placements()
             .values()
             .flatten()
-            .filter_map(|h| self.machines.get(h))
+            .filter_map(|machine_id| self.machines.get(machine_id))
             .flat_map(Machine::live_attempts)
-            .any(fetches)
+            .any(is_fetching_much_longer)
     }
 
-    /// The commands that answer a heartbeat: all that the worker should know now.
+    /// The commands that answer a heartbeat: all that the worker should know now. Launches go only with
+    /// the response to a status that is news.
     pub(crate) fn heartbeat_commands(
         &mut self,
         now: Instant,
         machine_id: &MachineId,
-        fresh: bool,
+        is_news: bool,
     ) -> Vec<Command> {
-        let Some(m) = self.machines.get(machine_id) else {
+        let Some(machine) = self.machines.get(machine_id) else {
             return Vec::new();
         };
+        let (session, tick) = (machine.session, machine.tick);
         let mut commands = Vec::new();
         let mut launched = Vec::new();
-        for s in m.attempts.iter() {
+        for attempt in machine.attempts.iter() {
             if commands.len() >= MAX_COMMANDS {
                 break;
             }
-            if s.ended() {
-                if self.may_clear(s) {
-                    commands.push(Command::Clear {
-                        task: s.task.clone(),
-                        attempt_id: s.attempt_id,
-                    });
-                }
-            } else if s.stop.is_some() {
-                commands.extend(Self::stop_command(s, now));
-            } else if fresh
-                && self.wants_launch(m, s)
-                && !matches!(s.push, PushDelivery::InFlight(_))
-            {
-                commands.push(Command::Launch {
-                    task: s.task.clone(),
-                    attempt_id: s.attempt_id,
-                });
-                launched.push(s.key());
+            let Some(command) = self.heartbeat_command(now, machine, attempt, is_news) else {
+                continue;
+            };
+            if matches!(command, Command::Launch { .. }) {
+                launched.push(attempt.key());
             }
+            commands.push(command);
         }
-        let (session, tick) = (m.session, m.tick);
         for key in launched {
-            if let Some(s) = self.ledger().get_mut(machine_id, &key) {
-                s.heartbeat_carrier = Some(tick);
-                s.launched_in = Some(session);
+            if let Some(attempt) = self.ledger().get_mut(machine_id, &key) {
+                attempt.heartbeat_carrier = Some(tick);
+                attempt.launched_in = Some(session);
             }
         }
         commands
     }
 
+    /// What a worker should be told of one attempt in the response to its heartbeat.
+    fn heartbeat_command(
+        &self,
+        now: Instant,
+        machine: &Machine,
+        attempt: &TaskAttempt,
+        is_news: bool,
+    ) -> Option<Command> {
+        let (task, attempt_id) = (attempt.task.clone(), attempt.attempt_id);
+        if attempt.has_ended() {
+            let clear = Command::Clear { task, attempt_id };
+            return self.may_clear(attempt).then_some(clear);
+        }
+        if attempt.stop.is_some() {
+            return Self::stop_command(attempt, now);
+        }
+        let push_in_flight = matches!(attempt.push, PushDelivery::InFlight(_));
+        let may_launch = is_news && self.wants_launch(machine, attempt) && !push_in_flight;
+        may_launch.then_some(Command::Launch { task, attempt_id })
+    }
+
     /// The commands of a push with what is known as it leaves: launches of tasks that are no longer
     /// wanted are left out.
     ///
     /// Guards against a command that waits for its turn on a busy processor while its job is cancelled. The
-    /// answer to it lists no such task, so the start is dropped as one that was never launched.
+    /// answer to it lists no such task, so the attempt is dropped as one that was never launched.
     pub fn still_wanted(&self, mut commands: Vec<Command>) -> Vec<Command> {
         commands.retain(|command| match command {
             Command::Launch { task, .. } => {
                 let job = self.jobs.get(&task.job);
-                job.is_some_and(|j| j.needs_run(task.index))
+                job.is_some_and(|job| job.needs_run(task.index))
             }
             Command::Stop { .. } | Command::Clear { .. } => true,
         });
--- a/src/coordination/attempts/gang_stops.rs
+++ b/src/coordination/attempts/gang_stops.rs
@@ -101,7 +101,7 @@
                 machine.reserve_for(job_id.clone(), now + lease);
             }
             for attempt in machine.attempts.iter_mut() {
-                if attempt.task.job == *job_id && !attempt.ended() && attempt.stop.is_none() {
+                if attempt.task.job == *job_id && !attempt.has_ended() && attempt.stop.is_none() {
                     attempt.stop = Some(StopRequest::new(stop.grace_s));
                 }
             }
--- a/src/coordination/attempts/leases.rs
+++ b/src/coordination/attempts/leases.rs
@@ -49,7 +49,7 @@
     }
 
     fn give_up_machines(&mut self, now: Instant) {
-        let patience = self.policy.heartbeat_timeout();
+        let timeout = self.policy.heartbeat_timeout();
         let mut given_up = Vec::new();
         for machine in self.machines.values_mut() {
             if !machine.draining && has_lost_launch(machine, now) {
@@ -61,7 +61,7 @@
             // would renew the clock of its lease for us, though not for it, and a task that may be on it
             // would be held for ever. So it is answered no more.
             let unreachable_since = machine.reachability.unreachable_since();
-            if !machine.lease_withheld && unreachable_since.is_some_and(|t| now - t > patience) {
+            if !machine.lease_withheld && unreachable_since.is_some_and(|t| now - t > timeout) {
                 tracing::info!(machine = %machine.id, reason = "unreachable", "machine given up, lease withheld");
                 machine.lease_withheld = true;
                 machine.start_draining(now);
--- a/src/coordination/attempts/ledger/audit.rs
+++ b/src/coordination/attempts/ledger/audit.rs
@@ -135,7 +135,7 @@
         let (mut counted, mut running) = (0, 0);
         for attempt in attempts.filter(|attempt| attempt.task.job == *id) {
             counted += 1;
-            running += u32::from(attempt.runs());
+            running += u32::from(attempt.is_running());
         }
         if (job.attempt_count(), job.running_count()) == (counted, running) {
             return Ok(());
--- a/src/coordination/attempts/ledger/machine_attempts.rs
+++ b/src/coordination/attempts/ledger/machine_attempts.rs
@@ -52,7 +52,7 @@
 
     /// Attempts that have not ended, in the order of keys.
     pub fn live(&self) -> impl Iterator<Item = &TaskAttempt> {
-        self.iter().filter(|attempt| !attempt.ended())
+        self.iter().filter(|attempt| !attempt.has_ended())
     }
 
     /// Whether any attempt of that task, other than a tombstone, may be on this machine.
@@ -63,7 +63,7 @@
         };
         let keys = key(AttemptId(0))..=key(AttemptId(u64::MAX));
         let mut attempts = self.attempts.range(keys);
-        attempts.any(|(_, attempt)| !attempt.ended())
+        attempts.any(|(_, attempt)| !attempt.has_ended())
     }
 
     /// How many attempts there are, tombstones included.
@@ -121,7 +121,7 @@
     }
 
     pub(super) fn insert(&mut self, attempt: TaskAttempt) {
-        if !attempt.ended() {
+        if !attempt.has_ended() {
             self.charge(&attempt.request);
         }
         let before = self.attempts.insert(attempt.key(), attempt);
@@ -130,7 +130,7 @@
 
     pub(super) fn remove(&mut self, key: &AttemptKey) -> Option<TaskAttempt> {
         let attempt = self.attempts.remove(key)?;
-        if !attempt.ended() {
+        if !attempt.has_ended() {
             self.release(&attempt.request);
         }
         Some(attempt)
@@ -145,7 +145,7 @@
         running_since: Instant,
     ) -> Option<StatusChange> {
         let attempt = self.attempts.get_mut(key)?;
-        let (was_live, was_running) = (!attempt.ended(), attempt.runs());
+        let (was_live, was_running) = (!attempt.has_ended(), attempt.is_running());
         attempt.last_status = Some(status);
         if status.phase == TaskPhase::Running {
             attempt.running_since.get_or_insert(running_since);
@@ -154,9 +154,9 @@
             request: attempt.request,
             team: attempt.team,
             was_live,
-            is_live: !attempt.ended(),
+            is_live: !attempt.has_ended(),
             was_running,
-            is_running: attempt.runs(),
+            is_running: attempt.is_running(),
         };
         if change.has_ended() {
             self.release(&change.request);
--- a/src/coordination/attempts/ledger/mod.rs
+++ b/src/coordination/attempts/ledger/mod.rs
@@ -70,10 +70,10 @@
             return;
         };
         let job_id = attempt.task.job.clone();
-        if !attempt.ended() {
+        if !attempt.has_ended() {
             self.team_usage.charge(attempt.team, &attempt.request);
         }
-        let runs = attempt.runs();
+        let runs = attempt.is_running();
         machine.attempts.insert(attempt);
         self.jobs.update(&job_id, |job| job.attempt_added(runs));
         self.machines.reindex(machine_id);
@@ -121,7 +121,7 @@
         page: PageNumber,
     ) -> Option<bool> {
         let attempt = self.get_mut(machine_id, key)?;
-        if attempt.ended() {
+        if attempt.has_ended() {
             return None;
         }
         let before = attempt.page.replace(page);
@@ -142,7 +142,7 @@
         if let Some(machine) = self.machines.get_mut(machine_id) {
             machine.note_idle(now);
         }
-        if !attempt.ended() {
+        if !attempt.has_ended() {
             tracing::debug!(task = %key.task, attempt = %key.attempt_id, machine = %machine_id, proof = ?proof.reason(), "attempt removed");
             self.drop_place(machine_id, &key.task);
         }
@@ -156,11 +156,12 @@
     ) -> Option<TaskAttempt> {
         let machine = self.machines.get_mut(machine_id)?;
         let attempt = machine.attempts.remove(key)?;
-        if !attempt.ended() {
+        if !attempt.has_ended() {
             self.team_usage.release(attempt.team, &attempt.request);
         }
-        self.jobs
-            .update(&key.task.job, |job| job.attempt_removed(attempt.runs()));
+        self.jobs.update(&key.task.job, |job| {
+            job.attempt_removed(attempt.is_running())
+        });
         if let Some(page) = attempt.page {
             let removed = LaunchIntent::new(machine_id, key);
             self.writer.intent_obsolete(now, page, &removed);
--- a/src/coordination/attempts/ledger/proof.rs
+++ b/src/coordination/attempts/ledger/proof.rs
@@ -38,14 +38,14 @@
     /// The attempt is only planned. An intent of it that is being written errs on the safe side.
     pub fn never_launched(attempt: &TaskAttempt) -> Option<RemovalProof> {
         attempt
-            .untouched()
+            .was_never_launched()
             .then_some(RemovalProof(RemovalReason::NeverLaunched))
     }
 
     /// Proofs 1 and 2: what a worker's status proves of an attempt, once what the status says of the
     /// launches under way has been taken in.
     pub fn from_status(attempt: &TaskAttempt, status: &StatusEvidence) -> Option<RemovalProof> {
-        if status.lists(attempt) || attempt.untouched() {
+        if status.lists(attempt) || attempt.was_never_launched() {
             return None;
         }
         if status.starts_session && !attempt.recovered {
@@ -59,7 +59,7 @@
         }
         // For an attempt of a former leader our token in the status is enough: commands with a lower one are
         // no longer accepted by this worker.
-        (attempt.recovered || !attempt.in_flight())
+        (attempt.recovered || !attempt.has_launch_in_flight())
             .then_some(RemovalProof(RemovalReason::AbsentFromStatus))
     }
 
--- a/src/coordination/attempts/ledger/task_attempt.rs
+++ b/src/coordination/attempts/ledger/task_attempt.rs
@@ -10,7 +10,7 @@
 use crate::resources::Resources;
 use crate::time::Instant;
 
-/// A launch sent to `/commands`.
+/// What became of the last push that launched an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PushDelivery {
     /// None under way.
@@ -25,8 +25,11 @@
 /// What a status said of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LastStatus {
+    /// How far the attempt was.
     pub phase: TaskPhase,
+    /// Why it ended, if it has.
     pub cause: Option<Cause>,
+    /// Whether its progress was saved when it was stopped.
     pub stored: bool,
     /// Since when it has been in this phase, as far as we know.
     pub since: Instant,
@@ -58,9 +61,10 @@
     }
 }
 
-/// A wish that an attempt end.
+/// A request that an attempt end.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct StopRequest {
+    /// Seconds that the task has to save a checkpoint; 0: it exits at once.
     pub grace_s: f64,
     /// Whether a push has carried it.
     pub pushed: bool,
@@ -79,21 +83,25 @@
 /// One attempt of a task that may be on a machine.
 #[derive(Clone, Debug)]
 pub struct TaskAttempt {
+    /// The task.
     pub task: TaskId,
+    /// Tells this attempt from others of the same task.
     pub attempt_id: AttemptId,
-    /// What it takes of its machine and of its team, and the image it needs: kept here so that
-    /// sums need no look at the job.
+    /// What it takes of its machine and of its team: kept here so that sums need no look at the job.
     pub request: Resources,
+    /// The team that it is charged to, if the settings know it.
     pub team: Option<TeamIndex>,
+    /// The image that it needs, if its job is known.
     pub image: Option<Image>,
     /// A member of a gang: seconds until its image was to be there when it was placed.
-    pub image_s: Option<f64>,
+    pub image_wait_s: Option<f64>,
     /// Whether its job was a latency job when it was placed.
-    pub latency: bool,
-    /// The page on the state service that holds the intent: only then may it be launched.
+    pub is_latency_task: bool,
+    /// The page on the state store that holds the intent: only then may it be launched.
     pub page: Option<PageNumber>,
-    /// The tick of the heartbeat whose answer carried the launch, until settled.
+    /// The tick of the heartbeat whose response carried the launch, until settled.
     pub heartbeat_carrier: Option<Tick>,
+    /// What became of the last push that launched it.
     pub push: PushDelivery,
     /// The session in which we launched it. None: never launched by us.
     pub launched_in: Option<Session>,
@@ -101,16 +109,18 @@
     pub launched_with: Option<FencingToken>,
     /// Left by a former leader and not yet resolved by a status that carries our token.
     pub recovered: bool,
+    /// What its worker last said of it.
     pub last_status: Option<LastStatus>,
+    /// The request that it end, if there is one.
     pub stop: Option<StopRequest>,
-    /// Placed at.
+    /// When it was placed.
     pub since: Instant,
-    /// First seen running.
+    /// When it was first seen running.
     pub running_since: Option<Instant>,
 }
 
 impl TaskAttempt {
-    /// An attempt that is only planned. Without a job (over and forgotten) `request` stands for all that
+    /// An attempt that is only planned. Without a job (closed and forgotten) `request` stands for all that
     /// it might take.
     pub fn planned(
         key: AttemptKey,
@@ -124,8 +134,8 @@
             request: job.map_or(request, |j| Resources::of(j.spec())),
             team: job.and_then(|j| j.team()),
             image: job.map(|j| j.spec().image.clone()),
-            image_s: None,
-            latency: false,
+            image_wait_s: None,
+            is_latency_task: false,
             page: None,
             heartbeat_carrier: None,
             push: PushDelivery::None,
@@ -146,8 +156,8 @@
         }
     }
     /// Seen ended, and still listed by the worker: a tombstone, on which a late launch of the same
-    /// try has no effect.
-    pub fn ended(&self) -> bool {
+    /// attempt has no effect.
+    pub fn has_ended(&self) -> bool {
         self.last_status
             .is_some_and(|s| s.phase == TaskPhase::Ended)
     }
@@ -172,15 +182,15 @@
         is_settled
     }
     /// Whether a launch of it can still arrive.
-    pub fn in_flight(&self) -> bool {
+    pub fn has_launch_in_flight(&self) -> bool {
         self.heartbeat_carrier.is_some() || self.push != PushDelivery::None
     }
     /// Never launched by anybody: may be dropped at will.
-    pub fn untouched(&self) -> bool {
+    pub fn was_never_launched(&self) -> bool {
         !self.recovered && self.launched_in.is_none() && self.last_status.is_none()
     }
     /// Seen running, and not ended since.
-    pub fn runs(&self) -> bool {
-        self.running_since.is_some() && !self.ended()
+    pub fn is_running(&self) -> bool {
+        self.running_since.is_some() && !self.has_ended()
     }
 }
--- a/src/coordination/attempts/pushes.rs
+++ b/src/coordination/attempts/pushes.rs
@@ -76,13 +76,13 @@
             if draft.commands.len() >= MAX_COMMANDS {
                 break;
             }
-            if let Some(request) = attempt.stop.filter(|_| !attempt.ended()) {
+            if let Some(request) = attempt.stop.filter(|_| !attempt.has_ended()) {
                 // Repeats are left to the heartbeats.
                 if !request.pushed {
                     draft.commands.extend(Self::stop_command(attempt, now));
                     draft.stops.push(attempt.key());
                 }
-            } else if self.wants_launch(machine, attempt) && !attempt.in_flight() {
+            } else if self.wants_launch(machine, attempt) && !attempt.has_launch_in_flight() {
                 draft.commands.push(Command::Launch {
                     task: attempt.task.clone(),
                     attempt_id: attempt.attempt_id,
--- a/src/coordination/attempts/reconciliation/absent.rs
+++ b/src/coordination/attempts/reconciliation/absent.rs
@@ -20,7 +20,7 @@
         let mut proven_gone = Vec::new();
         for attempt in machine.attempts.iter_mut() {
             let response_settled = attempt.settle_launches(evidence);
-            if evidence.lists(attempt) || attempt.untouched() {
+            if evidence.lists(attempt) || attempt.was_never_launched() {
                 continue;
             }
             // The response that carried the launch was dropped: the launch shows nowhere.
--- a/src/coordination/attempts/stops.rs
+++ b/src/coordination/attempts/stops.rs
@@ -109,7 +109,7 @@
         let mut never_launched = Vec::new();
         let mut has_stops_to_push = false;
         for attempt in machine.attempts.iter_mut() {
-            if attempt.ended() {
+            if attempt.has_ended() {
                 continue;
             }
             let job = self.jobs.get(&attempt.task.job);
--- a/src/coordination/machines/machine.rs
+++ b/src/coordination/machines/machine.rs
@@ -56,10 +56,11 @@
     pub reachability: Reachability,
     /// Deliberately not answered any more, so that its lease runs out.
     pub lease_withheld: bool,
-    /// When its last message arrived, of any kind, and its last check-in.
+    /// When its last message arrived, of any kind.
     pub last_message_at: Option<Instant>,
+    /// When its last heartbeat arrived.
     pub last_heartbeat_at: Option<Instant>,
-    /// When an entitled controller may last have answered it (our takeover, for former leaders).
+    /// When an entitled controller may last have answered it (our own failover, for former leaders).
     pub last_response_at: Instant,
     /// When its present session was first seen: its lease counts from no later than this, or than its
     /// last answer.
@@ -86,8 +87,9 @@
     pub failed_jobs: BTreeSet<JobId>,
     /// Whether it is drained because of those failures.
     pub quarantined: bool,
-    /// The direct command under way, and no further one before this time.
+    /// The push whose answer is awaited.
     pub push_in_flight: Option<RequestId>,
+    /// No further push, or request to terminate it, before this time.
     pub push_not_before: Instant,
     /// Given no new work before this time: it refused a launch, or a task failed on it.
     pub unschedulable_until: Instant,
--- a/src/coordination/persistence/draft/launches.rs
+++ b/src/coordination/persistence/draft/launches.rs
@@ -17,7 +17,7 @@
     intent: &LaunchIntent,
 ) -> bool {
     let attempt = attempt_of(machines, intent);
-    attempt.is_some_and(|attempt| attempt.page.is_none() && attempt.untouched())
+    attempt.is_some_and(|attempt| attempt.page.is_none() && attempt.was_never_launched())
 }
 
 fn attempt_of<'a>(machines: &'a MachineTable, intent: &LaunchIntent) -> Option<&'a TaskAttempt> {
--- a/src/coordination/persistence/draft/token.rs
+++ b/src/coordination/persistence/draft/token.rs
@@ -62,7 +62,7 @@
     /// Whether a machine has a launch without a response, or a tombstone launched with the token in force.
     fn waits_for_higher_token(&self, machine: &Machine) -> bool {
         let is_blocked = |attempt: &TaskAttempt| {
-            attempt.ended() && attempt.launched_with == Some(self.leadership.token())
+            attempt.has_ended() && attempt.launched_with == Some(self.leadership.token())
         };
         let is_lost = |attempt: &TaskAttempt| matches!(attempt.push, PushDelivery::Lost(..));
         machine.attempts.iter().any(is_lost)
--- a/src/coordination/placement/candidates.rs
+++ b/src/coordination/placement/candidates.rs
@@ -186,7 +186,7 @@
         let is_latency = label == Label::Latency;
         let runs_other_label = machine
             .live_attempts()
-            .any(|attempt| attempt.latency != is_latency);
+            .any(|attempt| attempt.is_latency_task != is_latency);
         FixedCosts {
             image_wait_s: self.view.image_wait_s(machine, job.spec()),
             on_demand_s: cost_if(job.spec().spot && !machine.spot, ON_DEMAND_COST_S),
--- a/src/coordination/placement/mod.rs
+++ b/src/coordination/placement/mod.rs
@@ -197,8 +197,8 @@
             let key = AttemptKey { task, attempt_id };
             let intent = LaunchIntent::new(&machine, &key);
             let mut attempt = self.new_attempt(&machine, key, now);
-            attempt.image_s = is_gang.then_some(image_wait_s);
-            attempt.latency = is_latency;
+            attempt.image_wait_s = is_gang.then_some(image_wait_s);
+            attempt.is_latency_task = is_latency;
             self.ledger().insert(&machine, attempt);
             self.writer.enqueue_intent(intent);
         }
--- a/src/runtime/clients/state_store.rs
+++ b/src/runtime/clients/state_store.rs
@@ -52,7 +52,7 @@
 /// Deadline of one page of a listing.
 const LIST_PAGE_TIMEOUT: Duration = Duration::from_millis(2500);
 /// A watch that returns at once may take this much longer than its hold time of zero.
-const CHANGES_PATIENCE: TimeSpan = TimeSpan(2000);
+const CHANGES_TIMEOUT: TimeSpan = TimeSpan(2000);
 /// Time allowed to establish a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(600);
 /// Keys on one page of a listing.
@@ -194,21 +194,21 @@
         prefix: &str,
         since: StoreRevision,
     ) -> Result<WatchResponse, StateStoreError> {
-        self.watch(prefix, since, TimeSpan::ZERO, CHANGES_PATIENCE)
+        self.watch(prefix, since, TimeSpan::ZERO, CHANGES_TIMEOUT)
             .await
     }
 
-    /// Waits up to `hold` for changes under the prefix after the revision; the response may take `patience`
+    /// Waits up to `hold` for changes under the prefix after the revision; the response may take `grace`
     /// longer.
     pub async fn watch(
         &self,
         prefix: &str,
         since: StoreRevision,
         hold: TimeSpan,
-        patience: TimeSpan,
+        grace: TimeSpan,
     ) -> Result<WatchResponse, StateStoreError> {
         let path = format!("/watch?prefix={prefix}&since={since}&holdMs={}", hold.0);
-        let deadline = Duration::from_millis((hold + patience).0 as u64);
+        let deadline = Duration::from_millis((hold + grace).0 as u64);
         let response = self.call(Method::GET, &path, None, deadline).await?;
         match response.status {
             200 => parse_body(&response),
--- a/src/runtime/leader/job_watch.rs
+++ b/src/runtime/leader/job_watch.rs
@@ -84,12 +84,12 @@
 pub async fn run(term: Term, mut since: StoreRevision) {
     let node = &term.node;
     let hold = node.config.leader.watch_hold;
-    let patience = node.config.leader.watch_patience;
+    let timeout = node.config.leader.watch_timeout;
     while !term.end.is_cancelled() {
         let asked_at = node.now();
         let response = tokio::select! {
             _ = term.end.cancelled() => return,
-            response = node.state_store.watch(OPEN_JOB_PREFIX, since, hold, patience) => response,
+            response = node.state_store.watch(OPEN_JOB_PREFIX, since, hold, timeout) => response,
         };
         match take_in(node, response).await {
             Ok(page) => {
--- a/tests/leadership.rs
+++ b/tests/leadership.rs
@@ -11,7 +11,7 @@
         authority_margin: TimeSpan(300),
         max_staleness: TimeSpan(20_000),
         watch_hold: TimeSpan(2500),
-        watch_patience: TimeSpan(5000),
+        watch_timeout: TimeSpan(5000),
     }
 }
 
@@ -102,7 +102,7 @@
                     t.lease_duration <= t.max_staleness
                         && t.authority_margin.0 * 2 < t.lease_duration.0
                 );
-                let (once, pause) = (t.watch_hold + t.watch_patience, 300);
+                let (once, pause) = (t.watch_hold + t.watch_timeout, 300);
                 let next = t.watch_hold.0 * 2 + pause;
                 assert!(once.0 * 2 <= t.max_staleness.0, "{t:?}");
                 assert!(once.0 + next < t.max_staleness.0, "{t:?}");
