--- a/src/config/leader_times.rs
+++ b/src/config/leader_times.rs
@@ -54,7 +54,7 @@
             return None;
         }
         let max_staleness = TimeSpan::from_secs(staleness_secs);
-        let lease_duration = TimeSpan(operator.leader_life_ms as i64).min(max_staleness);
+        let lease_duration = TimeSpan(operator.leader_lease_ms as i64).min(max_staleness);
         let authority_margin = TimeSpan(operator.authority_margin_ms as i64);
         let watch_hold_secs = staleness_secs * WATCH_HOLD_SHARE;
         let watch_timeout_secs = staleness_secs * WATCH_TIMEOUT_SHARE;
@@ -74,7 +74,7 @@
     /// The smallest `lease_s`, in seconds, with which tasks outlive the end of a leader: a worker's last answer is a
     /// heartbeat old by then, the leader's lease has to run out, and the next leader to be elected and recovered.
     pub fn min_worker_lease_secs(&self, workers: &WorkerTimes) -> f64 {
-        let longest_heartbeat_gap_secs = workers.report_s * HEARTBEAT_JITTER;
+        let longest_heartbeat_gap_secs = workers.heartbeat_interval_s * HEARTBEAT_JITTER;
         self.lease_duration.secs() + longest_heartbeat_gap_secs + FAILOVER_SECS
     }
 
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -12,8 +12,8 @@
 pub use leader_times::LeaderTimes;
 pub use operator::{operator_schema, OperatorConfig};
 pub use platform::{
-    CloudLimits, Endpoints, Facts, NextStateStoreLimits, PeerConfig, PlatformConfig, ProcessLimits,
-    Slo, SloKind, StateStoreLimits, Team, WorkerTimes,
+    CloudLimits, DeploymentFacts, Endpoints, NextStateStoreLimits, PeerConfig, PlatformConfig,
+    ProcessLimits, Slo, SloKind, StateStoreLimits, Team, WorkerTimes,
 };
 
 use serde::de::DeserializeOwned;
@@ -43,7 +43,7 @@
     },
     /// The file isn't of the right form.
     #[error("{file}: {message}")]
-    Form {
+    Parse {
         /// The file.
         file: PathBuf,
         /// What the parser says, which names the field.
@@ -51,7 +51,7 @@
     },
     /// A value is not one that the field can have.
     #[error("{file}: field `{field}` is {value}: {requirement}")]
-    Value {
+    InvalidValue {
         /// The file.
         file: PathBuf,
         /// The field, with the tables it is in.
@@ -69,7 +69,7 @@
         toml::from_str(text).map_err(|error| error.to_string().trim().to_string())
     })?;
     validation::check_platform(platform_file, &platform)?;
-    platform.facts.state = platform.facts.state.lowest();
+    platform.facts.state = platform.facts.state.effective();
     let operator = match operator_file {
         None => OperatorConfig::default(),
         Some(file) => load_operator(file)?,
@@ -107,7 +107,7 @@
         file: file.into(),
         source,
     })?;
-    parser(&text).map_err(|message| ConfigError::Form {
+    parser(&text).map_err(|message| ConfigError::Parse {
         file: file.into(),
         message,
     })
--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -26,7 +26,7 @@
     /// Where the state store and the cloud are.
     pub endpoints: Endpoints,
     /// What is known of the deployment.
-    pub facts: Facts,
+    pub facts: DeploymentFacts,
 }
 
 /// Another controller.
@@ -54,7 +54,7 @@
 
 /// What is known of the deployment.
 #[derive(Debug, Clone, Deserialize)]
-pub struct Facts {
+pub struct DeploymentFacts {
     /// By how much clocks of different machines may differ, in milliseconds.
     #[serde(default)]
     pub clock_error_ms: f64,
@@ -122,21 +122,24 @@
     #[serde(default)]
     pub within_s: Option<f64>,
     /// For a deadline: how many times the time that the job allows itself.
-    #[serde(default)]
-    pub times: Option<f64>,
+    #[serde(rename = "times", default)]
+    pub deadline_factor: Option<f64>,
 }
 
 /// What workers go by, in seconds.
 #[derive(Debug, Clone, Copy, Deserialize)]
 pub struct WorkerTimes {
     /// Between two heartbeats of a worker.
-    pub report_s: f64,
+    #[serde(rename = "report_s")]
+    pub heartbeat_interval_s: f64,
     /// A worker that gets no response to a heartbeat for this long stops its tasks: its lease has expired.
     pub lease_s: f64,
     /// How long a gang member waits for the others.
-    pub gang_wait_s: f64,
+    #[serde(rename = "gang_wait_s")]
+    pub gang_wait_timeout_s: f64,
     /// After how long without contact a gang member gives another up.
-    pub gang_peer_s: f64,
+    #[serde(rename = "gang_peer_s")]
+    pub gang_peer_timeout_s: f64,
     /// Within this time of a confirmed cancellation no task of the job may run any more.
     pub cancel_s: f64,
 }
@@ -177,7 +180,7 @@
 impl StateStoreLimits {
     /// The limits to keep to: the lower ones of those in force and those to come, since nobody says when
     /// they change and what is refused for its size would be refused for ever.
-    pub fn lowest(&self) -> StateStoreLimits {
+    pub fn effective(&self) -> StateStoreLimits {
         let next = self.next.unwrap_or_default();
         let lower = |now: f64, next: Option<f64>| next.map_or(now, |n| n.min(now));
         StateStoreLimits {
--- a/src/config/validation.rs
+++ b/src/config/validation.rs
@@ -10,7 +10,7 @@
 /// A transaction that finishes a job has this many changes.
 const MIN_TXN_OPS: usize = 3;
 /// What the leader's lease may last, in milliseconds.
-const LEADER_LIFE_MS: std::ops::RangeInclusive<u64> = 2000..=60_000;
+const LEADER_LEASE_MS: std::ops::RangeInclusive<u64> = 2000..=60_000;
 
 /// Checks one file, and names it in errors.
 struct Checker<'a> {
@@ -19,7 +19,7 @@
 
 impl Checker<'_> {
     fn error(&self, field: &str, value: impl Display, requirement: &str) -> ConfigError {
-        ConfigError::Value {
+        ConfigError::InvalidValue {
             file: self.file.into(),
             field: field.into(),
             value: value.to_string(),
@@ -46,7 +46,7 @@
         self.require(valid, field, value, "must be a number above 0")
     }
 
-    fn not_negative(&self, field: &str, value: f64) -> Result<(), ConfigError> {
+    fn non_negative(&self, field: &str, value: f64) -> Result<(), ConfigError> {
         let valid = value.is_finite() && value >= 0.0;
         self.require(valid, field, value, "must be 0 or more")
     }
@@ -63,7 +63,7 @@
             ("gpus", team.gpus),
             ("gpus_max", team.gpus_max),
         ] {
-            self.not_negative(&format!("facts.teams.{}.{name}", team.name), value)?;
+            self.non_negative(&format!("facts.teams.{}.{name}", team.name), value)?;
         }
         Ok(())
     }
@@ -100,10 +100,16 @@
         checker.team(team)?;
     }
     for (field, value) in [
-        ("facts.workers.report_s", facts.workers.report_s),
+        ("facts.workers.report_s", facts.workers.heartbeat_interval_s),
         ("facts.workers.lease_s", facts.workers.lease_s),
-        ("facts.workers.gang_wait_s", facts.workers.gang_wait_s),
-        ("facts.workers.gang_peer_s", facts.workers.gang_peer_s),
+        (
+            "facts.workers.gang_wait_s",
+            facts.workers.gang_wait_timeout_s,
+        ),
+        (
+            "facts.workers.gang_peer_s",
+            facts.workers.gang_peer_timeout_s,
+        ),
         ("facts.workers.cancel_s", facts.workers.cancel_s),
         ("facts.state.rps", facts.state.rps),
         ("facts.state.write_rps", facts.state.write_rps),
@@ -148,27 +154,27 @@
 /// Checks the operators' settings.
 pub fn check_operator(file: &Path, operator: &OperatorConfig) -> Result<(), ConfigError> {
     let checker = Checker { file };
-    let life_ms = operator.leader_life_ms;
+    let lease_ms = operator.leader_lease_ms;
     checker.require(
-        LEADER_LIFE_MS.contains(&life_ms),
+        LEADER_LEASE_MS.contains(&lease_ms),
         "leader_life_ms",
-        life_ms,
+        lease_ms,
         "must be 2000 to 60000",
     )?;
     let margin_ms = operator.authority_margin_ms;
     checker.require(
-        margin_ms.saturating_mul(2) < life_ms,
+        margin_ms.saturating_mul(2) < lease_ms,
         "authority_margin_ms",
         margin_ms,
         "must be under half of leader_life_ms",
     )?;
-    checker.not_negative("idle_boots", operator.idle_boots)?;
-    checker.positive("silent_reports", operator.silent_reports)?;
-    checker.positive("begin_within_s", operator.begin_within_s)?;
-    let share = operator.give_up_share;
+    checker.non_negative("idle_boots", operator.idle_timeout_factor)?;
+    checker.positive("silent_reports", operator.max_missed_heartbeats)?;
+    checker.positive("begin_within_s", operator.start_target_s)?;
+    let share = operator.max_silent_share;
     let valid_share = (0.0..=1.0).contains(&share);
     checker.require(valid_share, "give_up_share", share, "must be 0 to 1")?;
-    let errors = operator.sick_errors;
+    let errors = operator.quarantine_threshold;
     checker.require(errors > 0, "sick_errors", errors, "must be 1 or more")?;
     let requests = operator.max_user_requests;
     checker.require(
--- a/src/coordination/attempts/commands.rs
+++ b/src/coordination/attempts/commands.rs
@@ -73,7 +73,7 @@
         let Some(job) = self.jobs.get(&attempt.task.job) else {
             return false;
         };
-        let max_spread_s = self.policy.facts.workers.gang_wait_s * MAX_FETCH_SPREAD_SHARE;
+        let max_spread_s = self.policy.facts.workers.gang_wait_timeout_s * MAX_FETCH_SPREAD_SHARE;
         let is_fetching_much_longer = |other: &TaskAttempt| {
             let is_fetching = |status: LastStatus| status.phase == TaskPhase::Fetching;
             other.task.job == attempt.task.job
--- a/src/coordination/attempts/task_ends.rs
+++ b/src/coordination/attempts/task_ends.rs
@@ -100,7 +100,7 @@
     ///
     /// Guards against jobs submitted with a mistake that take machines down with them.
     fn forgive_failures_of(&mut self, job_id: &JobId) {
-        let max_failed_jobs = self.policy.operator.sick_errors as usize;
+        let max_failed_jobs = self.policy.operator.quarantine_threshold as usize;
         let Some(job) = self.jobs.get(job_id) else {
             return;
         };
@@ -114,7 +114,7 @@
 
     /// Quarantines a machine on which tasks of too many different jobs failed with no success between.
     fn quarantine_if_faulty(&mut self, now: Instant, machine_id: &MachineId) {
-        let max_failed_jobs = self.policy.operator.sick_errors as usize;
+        let max_failed_jobs = self.policy.operator.quarantine_threshold as usize;
         let Some(machine) = self.machines.get_mut(machine_id) else {
             return;
         };
--- a/src/coordination/autoscaler/arrivals.rs
+++ b/src/coordination/autoscaler/arrivals.rs
@@ -65,7 +65,7 @@
     }
 
     /// A job of the class has arrived.
-    pub fn note(&mut self, spec: &JobSpec, at: Instant) {
+    pub fn record(&mut self, spec: &JobSpec, at: Instant) {
         self.count_job(interval_number(at));
         self.tasks_per_job += (f64::from(spec.tasks) - self.tasks_per_job) * LAST_JOB_WEIGHT;
         self.recent_jobs.push_back(spec.clone());
@@ -227,8 +227,8 @@
 
 impl ArrivalRates {
     /// A job has arrived.
-    pub(super) fn note(&mut self, spec: &JobSpec, at: Instant) {
-        self.rate_of(spec.class.clone(), spec).note(spec, at);
+    pub(super) fn record(&mut self, spec: &JobSpec, at: Instant) {
+        self.rate_of(spec.class.clone(), spec).record(spec, at);
     }
 
     /// The rate of a class; if the class is new, it begins with a job of it.
--- a/src/coordination/autoscaler/hints.rs
+++ b/src/coordination/autoscaler/hints.rs
@@ -46,8 +46,8 @@
     }
 
     /// Notes the arrival of a job.
-    pub(crate) fn note_arrival(&mut self, spec: &JobSpec, at: Instant) {
-        self.autoscaler.arrivals.note(spec, at);
+    pub(crate) fn record_arrival(&mut self, spec: &JobSpec, at: Instant) {
+        self.autoscaler.arrivals.record(spec, at);
         self.writer.hints_changed();
     }
 }
--- a/src/coordination/autoscaler/scale_in.rs
+++ b/src/coordination/autoscaler/scale_in.rs
@@ -228,7 +228,7 @@
         } else {
             KEEP_FACTOR_IN_FORECAST
         };
-        self.replacement_s(machine) * self.view.policy().operator.idle_boots * factor
+        self.replacement_s(machine) * self.view.policy().operator.idle_timeout_factor * factor
     }
 
     /// Seconds that it would take to have such a machine again: to boot it and fetch its largest image.
--- a/src/coordination/autoscaler/scale_out.rs
+++ b/src/coordination/autoscaler/scale_out.rs
@@ -145,7 +145,7 @@
     }
 
     /// Whether the cloud executed a scale-out request is not known.
-    pub(crate) fn scale_out_unclear(&mut self, now: Instant, key: &IdempotencyKey) {
+    pub(crate) fn scale_out_unconfirmed(&mut self, now: Instant, key: &IdempotencyKey) {
         self.requests.retry_later(now, key);
     }
 
--- a/src/coordination/autoscaler/suspected_zones.rs
+++ b/src/coordination/autoscaler/suspected_zones.rs
@@ -41,7 +41,7 @@
 
 /// The silence after which a machine counts towards the suspicion of its zone.
 pub(super) fn zone_silence_bound(policy: &Policy) -> TimeSpan {
-    TimeSpan::from_secs(policy.facts.workers.report_s * SILENT_HEARTBEATS)
+    TimeSpan::from_secs(policy.facts.workers.heartbeat_interval_s * SILENT_HEARTBEATS)
 }
 
 /// How many machines of a zone should send heartbeats, and how many of them are silent.
@@ -53,7 +53,7 @@
 
 /// The zones of which too many machines are silent.
 pub(super) fn mostly_silent_zones(cluster: &ClusterView<'_>) -> Vec<Zone> {
-    let max_share = cluster.policy.operator.give_up_share;
+    let max_share = cluster.policy.operator.max_silent_share;
     silence_by_zone(cluster)
         .into_iter()
         .filter(|(_, zone)| zone.silent > (zone.machines * max_share).max(MAX_LOST_MACHINES))
--- a/src/coordination/jobs/lifecycle.rs
+++ b/src/coordination/jobs/lifecycle.rs
@@ -150,7 +150,7 @@
             }
             let (spec, ready_at) = (job.spec().clone(), job.ready_at());
             self.aging.job_released(&spec);
-            self.note_arrival(&spec, ready_at);
+            self.record_arrival(&spec, ready_at);
             self.placement.request_pass();
         }
     }
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -92,7 +92,7 @@
             placement: PlacementState::new(policy.facts.process_limits.cores),
             autoscaler: Autoscaler::new(policy.facts.cloud.rps),
             estimates: Estimates::default(),
-            aging: Aging::new(policy.operator.begin_within_s),
+            aging: Aging::new(policy.operator.start_target_s),
             writer: Writer::new(&policy.facts.state, now),
             policy,
             denied_launch_count: 0,
@@ -151,7 +151,7 @@
                 answer,
             } => self.scale_out_answered(now, &idempotency_key, answer),
             Event::ScaleOutUnclear { idempotency_key } => {
-                self.autoscaler.scale_out_unclear(now, &idempotency_key)
+                self.autoscaler.scale_out_unconfirmed(now, &idempotency_key)
             }
             Event::MachinesTerminated { machine_ids } => {
                 self.machines_terminated(now, &machine_ids)
--- a/src/coordination/placement/queue.rs
+++ b/src/coordination/placement/queue.rs
@@ -175,7 +175,7 @@
             let objectives = self
                 .policy()
                 .objectives(SloKind::Deadline, &job.spec().class);
-            multiples.extend(objectives.filter_map(|objective| objective.times));
+            multiples.extend(objectives.filter_map(|objective| objective.deadline_factor));
         }
         if multiples.is_empty() {
             multiples.push(1.0);
--- a/src/coordination/policy.rs
+++ b/src/coordination/policy.rs
@@ -1,6 +1,6 @@
 //! The settings that the scheduler goes by, and the bounds in time that follow from them.
 
-use crate::config::{Config, Facts, OperatorConfig, Slo, SloKind, Team};
+use crate::config::{Config, DeploymentFacts, OperatorConfig, Slo, SloKind, Team};
 use crate::ids::TeamIndex;
 use crate::time::TimeSpan;
 use crate::transport::sockets::SocketAllocation;
@@ -21,7 +21,7 @@
 #[derive(Debug, Clone)]
 pub struct Policy {
     /// What is known of the deployment.
-    pub facts: Facts,
+    pub facts: DeploymentFacts,
     /// What the operator chose.
     pub operator: OperatorConfig,
     /// Pushes that may await their answers at once.
@@ -88,14 +88,14 @@
 
     /// The time after a failover in which every worker that can reach the new leader has sent it a heartbeat.
     pub fn first_heartbeats_bound(&self) -> TimeSpan {
-        let max_interval_s = self.facts.workers.report_s * MAX_HEARTBEAT_JITTER_FACTOR;
+        let max_interval_s = self.facts.workers.heartbeat_interval_s * MAX_HEARTBEAT_JITTER_FACTOR;
         TimeSpan::from_secs(max_interval_s + HEARTBEAT_RETRY_SECS)
     }
 
     /// A machine from which no heartbeat came for longer than this is suspected.
     pub fn heartbeat_timeout(&self) -> TimeSpan {
-        let max_interval_s = self.facts.workers.report_s * MAX_HEARTBEAT_JITTER_FACTOR;
-        let missed_s = max_interval_s * self.operator.silent_reports;
+        let max_interval_s = self.facts.workers.heartbeat_interval_s * MAX_HEARTBEAT_JITTER_FACTOR;
+        let missed_s = max_interval_s * self.operator.max_missed_heartbeats;
         TimeSpan::from_secs(missed_s + HEARTBEAT_DELIVERY_SECS)
     }
 }
--- a/src/runtime/api/routes.rs
+++ b/src/runtime/api/routes.rs
@@ -34,7 +34,7 @@
 pub async fn serve(node: Arc<Node>, listener: tokio::net::TcpListener) {
     let stop = node.stop.clone();
     let connections = Arc::new(ConnectionTable::new(node.sockets.http_connections));
-    let idle = idle_timeout(node.policy.facts.workers.report_s);
+    let idle = idle_timeout(node.policy.facts.workers.heartbeat_interval_s);
     let routes = warp::method()
         .and(warp::path::full())
         .and(warp::ext::optional::<ConnectionHandle>())
--- a/src/runtime/leader/transfer.rs
+++ b/src/runtime/leader/transfer.rs
@@ -23,7 +23,7 @@
             _ = tokio::time::sleep(CHECK_INTERVAL) => {}
         }
         let machines_up = node.leadership.machines_up();
-        let bound = silence_bound(machines_up, node.policy.facts.workers.report_s);
+        let bound = silence_bound(machines_up, node.policy.facts.workers.heartbeat_interval_s);
         if silence(node, started_at) <= bound {
             continue;
         }
--- a/tests/arrival_rate.rs
+++ b/tests/arrival_rate.rs
@@ -15,7 +15,7 @@
 fn backlog_is_no_arrival_rate_but_a_burst_is() {
     let mut rate = ArrivalRate::new(&spec(10));
     for _ in 0..100 {
-        rate.note(&spec(10), Instant(500));
+        rate.record(&spec(10), Instant(500));
     }
     assert_eq!(
         rate.jobs_per_s(Instant(12_000)),
@@ -23,18 +23,18 @@
         "one backlog says nothing"
     );
     for i in 0..110 {
-        rate.note(&spec(10), Instant(10_000 + i * 1000));
+        rate.record(&spec(10), Instant(10_000 + i * 1000));
     }
     let usual = rate.jobs_per_s(Instant(120_000));
     assert!((usual - 1.0).abs() < 0.15, "{usual}");
     for i in 0..80 {
-        rate.note(&spec(10), Instant(120_000 + i * 250));
+        rate.record(&spec(10), Instant(120_000 + i * 250));
     }
     let burst = rate.jobs_per_s(Instant(140_000));
     assert!((burst - 4.0).abs() < 0.2, "{burst}");
     let mut subsided = ArrivalRate::new(&spec(10));
     for i in 0..100 {
-        subsided.note(&spec(10), Instant(i * 1000));
+        subsided.record(&spec(10), Instant(i * 1000));
     }
     assert!(
         subsided.jobs_per_s(Instant(110_000)) > 0.5,
--- a/tests/leadership.rs
+++ b/tests/leadership.rs
@@ -17,10 +17,10 @@
 
 fn workers(lease_s: f64, cancel_s: f64) -> WorkerTimes {
     WorkerTimes {
-        report_s: 3.0,
+        heartbeat_interval_s: 3.0,
         lease_s,
-        gang_wait_s: 40.0,
-        gang_peer_s: 4.0,
+        gang_wait_timeout_s: 40.0,
+        gang_peer_timeout_s: 4.0,
         cancel_s,
     }
 }
@@ -83,7 +83,7 @@
 #[test]
 fn derived_times_end_cancelled_tasks_within_the_limit() {
     let operators = [2000, 4000, 60_000].map(|life| OperatorConfig {
-        leader_life_ms: life,
+        leader_lease_ms: life,
         ..OperatorConfig::default()
     });
     let mut derived = 0;
--- a/tests/scenario_language/setup.rs
+++ b/tests/scenario_language/setup.rs
@@ -12,7 +12,7 @@
 
 /// What a scenario starts with.
 pub struct Setup {
-    pub facts: Facts,
+    pub facts: DeploymentFacts,
     pub machine_types: Vec<MachineTypeInfo>,
     /// The cloud lets so many machines run.
     pub machines: u32,
@@ -25,15 +25,15 @@
     /// What holds unless a scenario says otherwise.
     fn default() -> Setup {
         Setup {
-            facts: Facts {
+            facts: DeploymentFacts {
                 clock_error_ms: 0.0,
                 teams: Vec::new(),
                 objectives: Vec::new(),
                 workers: WorkerTimes {
-                    report_s: 3.0,
+                    heartbeat_interval_s: 3.0,
                     lease_s: 20.0,
-                    gang_wait_s: 30.0,
-                    gang_peer_s: 4.0,
+                    gang_wait_timeout_s: 30.0,
+                    gang_peer_timeout_s: 4.0,
                     cancel_s: 40.0,
                 },
                 state: StateStoreLimits {
@@ -140,6 +140,6 @@
         },
         class: Some(rest[1].into()),
         within_s: Some(Words(rest).number("within", 60.0)),
-        times: None,
+        deadline_factor: None,
     }
 }
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -131,7 +131,7 @@
 fn lower_of_current_and_announced_store_limits_holds() {
     let limits = |text: &str| -> StateStoreLimits {
         let limits: StateStoreLimits = toml::from_str(text).unwrap();
-        limits.lowest()
+        limits.effective()
     };
     let now = "rps = 100.0\nwrite_rps = 25.0\nvalue_kb = 4.0\ntxn_ops = 8\n";
     let same = limits(now);
--- a/tests/simulation/attempt.rs
+++ b/tests/simulation/attempt.rs
@@ -118,7 +118,7 @@
                     self.end(Cause::Done);
                 } else if workload.spec(&task.job).shape == Shape::Gang {
                     self.phase = TaskPhase::Waiting;
-                    self.phase_ends_at = now + TimeSpan::from_secs(times.gang_wait_s);
+                    self.phase_ends_at = now + TimeSpan::from_secs(times.gang_wait_timeout_s);
                 } else {
                     self.run(now);
                 }
--- a/tests/simulation/checker/mod.rs
+++ b/tests/simulation/checker/mod.rs
@@ -7,7 +7,7 @@
 
 use super::state_store::StateStore;
 use super::worker::Worker;
-use chalklug::config::{Facts, Team};
+use chalklug::config::{DeploymentFacts, Team};
 use chalklug::ids::*;
 use chalklug::protocol::cloud::MachineTypeInfo;
 use chalklug::protocol::users::{JobPhase, JobSpec, Shape};
@@ -24,7 +24,7 @@
 
 /// What the checker has seen, and the rules broken by it.
 pub struct Checker {
-    facts: Facts,
+    facts: DeploymentFacts,
     machine_types: Vec<MachineTypeInfo>,
     jobs: BTreeMap<JobId, JobSpec>,
     /// Jobs that a job depends on.
@@ -50,7 +50,7 @@
 }
 
 impl Checker {
-    pub fn new(facts: Facts, machine_types: Vec<MachineTypeInfo>) -> Checker {
+    pub fn new(facts: DeploymentFacts, machine_types: Vec<MachineTypeInfo>) -> Checker {
         Checker {
             facts,
             machine_types,
--- a/tests/simulation/gang.rs
+++ b/tests/simulation/gang.rs
@@ -52,7 +52,7 @@
     times: &WorkerTimes,
 ) {
     let members = GangMembers::of(now, workers, workload);
-    let peer_timeout = TimeSpan::from_secs(times.gang_peer_s);
+    let peer_timeout = TimeSpan::from_secs(times.gang_peer_timeout_s);
     for worker in workers.values_mut().filter(|w| w.is_responsive(now)) {
         let mut changed = false;
         for ((task, attempt_id), attempt) in worker.attempts.iter_mut() {
--- a/tests/simulation/worker.rs
+++ b/tests/simulation/worker.rs
@@ -212,13 +212,13 @@
         if !self.is_responsive(now) {
             return None;
         }
-        let earliest = times.report_s * HEARTBEAT_JITTER.start - NEWS_MARGIN_SECS;
+        let earliest = times.heartbeat_interval_s * HEARTBEAT_JITTER.start - NEWS_MARGIN_SECS;
         let early = self.has_news && self.next_heartbeat - now < TimeSpan::from_secs(earliest);
         if now < self.next_heartbeat && !early {
             return None;
         }
         self.has_news = false;
-        let interval = times.report_s * rng.random_range(HEARTBEAT_JITTER);
+        let interval = times.heartbeat_interval_s * rng.random_range(HEARTBEAT_JITTER);
         self.next_heartbeat = now + TimeSpan::from_secs(interval);
         Some(self.status())
     }
--- a/tests/upgrade/page_splitting.rs
+++ b/tests/upgrade/page_splitting.rs
@@ -37,8 +37,8 @@
         quota = { cores = 0.1, memory_mb = 150.0, max_sockets = 3000 }
     "#;
     let text = text.replace("NEXT", announced);
-    let mut facts: chalklug::config::Facts = toml::from_str(&text).expect("facts");
-    facts.state = facts.state.lowest();
+    let mut facts: chalklug::config::DeploymentFacts = toml::from_str(&text).expect("facts");
+    facts.state = facts.state.effective();
     Arc::new(Policy {
         facts,
         operator: OperatorConfig::default(),
