--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,8 +1,7 @@
-//! The settings of a controller: the platform's file, the operators' file, their checks, and what is derived
+//! The settings of a controller: the platform's file, the operators' file, their validation, and the times derived
 //! from both.
 //!
-//! A controller starts only with settings that have passed every check; an error names the file, the field, its
-//! value and what would be right.
+//! A controller starts only with valid settings. An error names the file, the field, its value and the requirement.
 
 mod leader_times;
 mod operator;
@@ -19,18 +18,18 @@
 use serde::de::DeserializeOwned;
 use std::path::{Path, PathBuf};
 
-/// Everything a controller is started with.
+/// The settings that a controller is started with.
 #[derive(Debug, Clone)]
 pub struct Config {
-    /// The platform's settings. The state store's limits are the lower ones of those in force and those to come.
+    /// The platform's settings. Each limit of the state store is the lower of its current and its next value.
     pub platform: PlatformConfig,
     /// The operators' settings.
     pub operator: OperatorConfig,
-    /// What bounds a leader's right to act, derived from both.
+    /// Time bounds of the leader's authority, derived from both.
     pub leader: LeaderTimes,
 }
 
-/// Why the settings can't be used.
+/// Why the settings were rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
     /// The file can't be read.
@@ -38,32 +37,32 @@
     Read {
         /// The file.
         file: PathBuf,
-        /// What the operating system says.
+        /// The operating system's error.
         source: std::io::Error,
     },
-    /// The file isn't of the right form.
+    /// The file can't be parsed.
     #[error("{file}: {message}")]
     Parse {
         /// The file.
         file: PathBuf,
-        /// What the parser says, which names the field.
+        /// The parser's message, which names the field.
         message: String,
     },
-    /// A value is not one that the field can have.
+    /// A field has an invalid value.
     #[error("{file}: field `{field}` is {value}: {requirement}")]
     InvalidValue {
         /// The file.
         file: PathBuf,
-        /// The field, with the tables it is in.
+        /// The path of the field, such as `facts.workers.lease_s`.
         field: String,
-        /// Its value.
+        /// The field's value.
         value: String,
-        /// What would be right.
+        /// The requirement that the value doesn't meet.
         requirement: String,
     },
 }
 
-/// Reads and checks both files. Without the operators' file, their defaults hold.
+/// Reads and validates both files. Without an operators' file, the defaults apply.
 pub fn load(platform_file: &Path, operator_file: Option<&Path>) -> Result<Config, ConfigError> {
     let mut platform: PlatformConfig = parse(platform_file, |text| {
         toml::from_str(text).map_err(|error| error.to_string().trim().to_string())
@@ -83,8 +82,8 @@
     })
 }
 
-/// Reads and checks both files as [`load`] does, and checks what a controller could start with but should not be
-/// deployed with.
+/// Reads and validates both files as [`load`] does, and also rejects settings with which a controller starts but
+/// should not be deployed.
 pub fn check(platform_file: &Path, operator_file: Option<&Path>) -> Result<(), ConfigError> {
     let config = load(platform_file, operator_file)?;
     validation::check_worker_lease(platform_file, &config)
@@ -98,7 +97,7 @@
     Ok(operator)
 }
 
-/// Reads a file and parses its text; the parser's error is a message.
+/// Reads and parses a file; `parser` returns a message as its error.
 fn parse<T: DeserializeOwned>(
     file: &Path,
     parser: impl Fn(&str) -> Result<T, String>,
--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -1,12 +1,12 @@
-//! The platform's settings file, in TOML: what the platform that starts a controller tells it of itself, its
-//! peers and the deployment. Unknown fields are ignored.
+//! The platform's settings file, in TOML, which describes the controller, its peers and the deployment. Unknown
+//! fields are ignored.
 //!
-//! Field names in the file are the platform's; where the code uses another word, serde maps it here.
+//! The platform defines the field names in the file; where the code uses another name, a serde attribute maps it.
 
 use serde::Deserialize;
 use std::net::SocketAddr;
 
-/// The file that the platform hands over.
+/// The contents of the platform's settings file.
 #[derive(Debug, Clone, Deserialize)]
 pub struct PlatformConfig {
     /// The name of this controller's host, unique among controllers.
@@ -14,35 +14,35 @@
     /// The zone that this controller runs in.
     #[serde(rename = "location")]
     pub zone: String,
-    /// Where users, workers and health checks connect to.
+    /// Listen address for users, workers and health checks.
     #[serde(rename = "front")]
     pub http_address: SocketAddr,
-    /// Where other controllers connect to.
+    /// Listen address for the other controllers.
     #[serde(rename = "peer_bind")]
     pub peer_address: SocketAddr,
     /// The other controllers.
     #[serde(rename = "siblings", default)]
     pub peers: Vec<PeerConfig>,
-    /// Where the state store and the cloud are.
+    /// Addresses of the state store and the cloud.
     pub endpoints: Endpoints,
-    /// What is known of the deployment.
+    /// The deployment's teams, objectives, timeouts and limits.
     pub facts: DeploymentFacts,
 }
 
 /// Another controller.
 #[derive(Debug, Clone, Deserialize)]
 pub struct PeerConfig {
-    /// The name of its host.
+    /// The name of the peer's host.
     pub host_name: String,
-    /// The zone that it runs in.
+    /// The zone that the peer runs in.
     #[serde(rename = "location")]
     pub zone: String,
-    /// Where it accepts connections from controllers.
+    /// Address at which the peer accepts connections from controllers.
     #[serde(rename = "addr")]
     pub address: SocketAddr,
 }
 
-/// Where the outside services are.
+/// Addresses of the external services.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Endpoints {
     /// The cloud.
@@ -52,10 +52,10 @@
     pub state_store: SocketAddr,
 }
 
-/// What is known of the deployment.
+/// The deployment's teams, objectives, timeouts and limits.
 #[derive(Debug, Clone, Deserialize)]
 pub struct DeploymentFacts {
-    /// By how much clocks of different machines may differ, in milliseconds.
+    /// Largest difference between the clocks of two machines, in milliseconds.
     #[serde(default)]
     pub clock_error_ms: f64,
     /// The teams that may submit jobs.
@@ -63,13 +63,13 @@
     /// Service-level objectives.
     #[serde(default)]
     pub objectives: Vec<Slo>,
-    /// What workers go by.
+    /// Intervals and timeouts of the workers.
     pub workers: WorkerTimes,
-    /// What the state store allows.
+    /// Limits of the state store.
     pub state: StateStoreLimits,
-    /// What the cloud allows.
+    /// Limits of the cloud.
     pub cloud: CloudLimits,
-    /// What this process may use.
+    /// Resource limits of this process.
     #[serde(rename = "quota")]
     pub process_limits: ProcessLimits,
 }
@@ -77,7 +77,7 @@
 /// A team's quota: guaranteed shares and limits. 0 means none.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Team {
-    /// The team's name, as submissions give it.
+    /// The team's name, as given in submissions.
     pub name: String,
     /// Guaranteed share of CPUs.
     #[serde(default)]
@@ -102,84 +102,84 @@
     /// The time until a job is completed.
     #[serde(rename = "finished")]
     Completion,
-    /// Completion within a multiple of the time that a job allows itself.
+    /// Completion within a multiple of the time from a job's submission to its deadline.
     #[serde(rename = "deadline")]
     Deadline,
-    /// Another, which the scheduler has no use for.
+    /// A kind that the scheduler ignores.
     #[serde(other)]
     Other,
 }
 
-/// A service-level objective, as the platform repeats it.
+/// A service-level objective.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Slo {
     /// What is measured.
     pub kind: SloKind,
-    /// The job class that it holds for; None: all.
+    /// The job class that the objective applies to. An objective without a class is ignored.
     #[serde(default)]
     pub class: Option<String>,
     /// The time allowed, in seconds.
     #[serde(default)]
     pub within_s: Option<f64>,
-    /// For a deadline: how many times the time that the job allows itself.
+    /// For a deadline: the factor by which the time from submission to deadline is multiplied.
     #[serde(rename = "times", default)]
     pub deadline_factor: Option<f64>,
 }
 
-/// What workers go by, in seconds.
+/// Intervals and timeouts of the workers, in seconds.
 #[derive(Debug, Clone, Copy, Deserialize)]
 pub struct WorkerTimes {
-    /// Between two heartbeats of a worker.
+    /// Interval between two heartbeats of a worker.
     #[serde(rename = "report_s")]
     pub heartbeat_interval_s: f64,
-    /// A worker that gets no response to a heartbeat for this long stops its tasks: its lease has expired.
+    /// Duration of a worker's lease: a worker that gets no response to a heartbeat for this long stops its tasks.
     pub lease_s: f64,
-    /// How long a gang member waits for the others.
+    /// How long a gang member waits for the other members.
     #[serde(rename = "gang_wait_s")]
     pub gang_wait_timeout_s: f64,
-    /// After how long without contact a gang member gives another up.
+    /// Time without contact after which a gang member considers another member failed.
     #[serde(rename = "gang_peer_s")]
     pub gang_peer_timeout_s: f64,
-    /// Within this time of a confirmed cancellation no task of the job may run any more.
+    /// Time after the confirmation of a cancellation by which all tasks of the job must have stopped.
     pub cancel_s: f64,
 }
 
-/// What the state store allows all controllers together.
+/// Limits of the state store, shared by all controllers.
 #[derive(Debug, Clone, Deserialize)]
 pub struct StateStoreLimits {
-    /// Requests a second.
+    /// Requests per second.
     pub rps: f64,
-    /// Changes a second.
+    /// Changes per second.
     pub write_rps: f64,
-    /// Size of a value, in KiB.
+    /// Largest size of a value, in KiB.
     pub value_kb: f64,
-    /// Changes in a transaction.
+    /// Changes per transaction.
     pub txn_ops: usize,
-    /// What it will allow from some moment on, without notice.
+    /// Limits that will apply from an unannounced time on.
     #[serde(default)]
     pub next: Option<NextStateStoreLimits>,
 }
 
-/// Limits that the state store will have; those that are absent stay as they are.
+/// Limits that the state store will change to; absent ones stay as they are.
 #[derive(Debug, Clone, Copy, Default, Deserialize)]
 pub struct NextStateStoreLimits {
-    /// Requests a second.
+    /// Requests per second.
     #[serde(default)]
     pub rps: Option<f64>,
-    /// Changes a second.
+    /// Changes per second.
     #[serde(default)]
     pub write_rps: Option<f64>,
-    /// Size of a value, in KiB.
+    /// Largest size of a value, in KiB.
     #[serde(default)]
     pub value_kb: Option<f64>,
-    /// Changes in a transaction.
+    /// Changes per transaction.
     #[serde(default)]
     pub txn_ops: Option<usize>,
 }
 
 impl StateStoreLimits {
-    /// The limits to keep to: the lower ones of those in force and those to come, since nobody says when
-    /// they change and what is refused for its size would be refused for ever.
+    /// Returns the limits to observe: the lower of the current and the next value of each, since the time of the
+    /// change is not announced, and a transaction rejected for its size would be rejected on every retry.
     pub fn effective(&self) -> StateStoreLimits {
         let next = self.next.unwrap_or_default();
         let lower = |now: f64, next: Option<f64>| next.map_or(now, |n| n.min(now));
@@ -193,16 +193,16 @@
     }
 }
 
-/// What the cloud allows.
+/// Limits of the cloud.
 #[derive(Debug, Clone, Deserialize)]
 pub struct CloudLimits {
-    /// Requests a second.
+    /// Requests per second.
     pub rps: f64,
-    /// How far the machine list may lag behind, in seconds.
+    /// Largest lag of the machine list, in seconds.
     pub list_lag_s: f64,
 }
 
-/// What this process may use.
+/// Resource limits of this process.
 #[derive(Debug, Clone, Deserialize)]
 pub struct ProcessLimits {
     /// Processor cores.
--- a/src/config/validation.rs
+++ b/src/config/validation.rs
@@ -1,4 +1,4 @@
-//! Checks of values that parse but make no sense.
+//! Validation of settings that parse but may have invalid values.
 
 use super::leader_times::LeaderTimes;
 use super::operator::OperatorConfig;
@@ -7,12 +7,12 @@
 use std::fmt::Display;
 use std::path::Path;
 
-/// A transaction that finishes a job has this many changes.
+/// Number of changes in the transaction that finishes a job.
 const MIN_TXN_OPS: usize = 3;
-/// What the leader's lease may last, in milliseconds.
-const LEADER_LEASE_MS: std::ops::RangeInclusive<u64> = 2000..=60_000;
+/// Valid durations of the leader's lease, in milliseconds.
+const LEADER_LEASE_RANGE_MS: std::ops::RangeInclusive<u64> = 2000..=60_000;
 
-/// Checks one file, and names it in errors.
+/// Checks the settings of one file, which its errors name.
 struct Checker<'a> {
     file: &'a Path,
 }
@@ -122,7 +122,7 @@
     checker.next_state_store_limits(&facts.state.next.unwrap_or_default())
 }
 
-/// The error for a `cancel_s` that leaves a leader no time to learn of a cancellation.
+/// Returns the error for a `cancel_s` that leaves a leader no time to learn of a cancellation.
 pub fn cancel_too_short(file: &Path, workers: &WorkerTimes) -> ConfigError {
     let requirement = format!(
         "must be at least {:.1}: `facts.workers.lease_s` has to run out within it, and a leader needs some \
@@ -132,8 +132,8 @@
     Checker { file }.error("facts.workers.cancel_s", workers.cancel_s, &requirement)
 }
 
-/// Checks that tasks outlive the end of a leader. A controller starts without it: the rules hold all the same, but
-/// each failover would end every task.
+/// Checks that tasks survive a failover. A controller starts without this check: its safety does not depend on it,
+/// but each failover would stop every task.
 pub fn check_worker_lease(file: &Path, config: &Config) -> Result<(), ConfigError> {
     let workers = &config.platform.facts.workers;
     let min_secs = config.leader.min_worker_lease_secs(workers);
@@ -156,7 +156,7 @@
     let checker = Checker { file };
     let lease_ms = operator.leader_lease_ms;
     checker.require(
-        LEADER_LEASE_MS.contains(&lease_ms),
+        LEADER_LEASE_RANGE_MS.contains(&lease_ms),
         "leader_life_ms",
         lease_ms,
         "must be 2000 to 60000",
