--- a/src/config/operator.rs
+++ b/src/config/operator.rs
@@ -1,7 +1,7 @@
-//! The operators' own settings, in JSON with a schema. Unknown fields are refused, and every field has a built-in
-//! default.
+//! The operators' own settings, in JSON with a schema. Unknown fields are rejected, and every field has a default.
 //!
-//! Doc comments of the fields go into the schema, `deploy/operator.schema.json`, which a test compares.
+//! Where a field's name in the file differs from the one in the code, a serde attribute maps it. The doc comments of
+//! the fields are part of the schema, `deploy/operator.schema.json`; a test compares the two.
 
 use schemars::JsonSchema;
 use serde::Deserialize;
@@ -11,30 +11,32 @@
 #[serde(deny_unknown_fields, default)]
 #[schemars(rename = "Operator")]
 pub struct OperatorConfig {
-    /// Life of the leader's lease on the state service, in milliseconds (2,000 to 60,000). Shortened
-    /// if `cancel_s` leaves less beyond `lease_s`.
+    /// Duration of the leader's lease on the state service, in milliseconds (2,000 to 60,000). Shortened
+    /// if `cancel_s` leaves less time beyond `lease_s`.
     #[serde(rename = "leader_life_ms")]
     pub leader_lease_ms: u64,
-    /// Taken off the leader's authority for pauses and drift, in milliseconds.
+    /// How long before the end of its lease the leader stops acting, in milliseconds; allows for process
+    /// pauses and clock drift.
     pub authority_margin_ms: u64,
-    /// How long an idle machine is kept, as a multiple of the time to boot such a machine again and
-    /// fetch an image.
+    /// How long an idle machine is kept, as a multiple of the time to boot such a machine and fetch an
+    /// image.
     #[serde(rename = "idle_boots")]
     pub idle_timeout_factor: f64,
-    /// Reports missed in a row before a worker counts as silent.
+    /// Consecutive heartbeats missed before a worker counts as silent.
     #[serde(rename = "silent_reports")]
     pub max_missed_heartbeats: f64,
-    /// Errors of different jobs on one machine, with no success between, that make it sick.
+    /// Errors of different jobs on one machine, without a success in between, after which the machine is
+    /// quarantined.
     #[serde(rename = "sick_errors")]
     pub quarantine_threshold: u32,
-    /// Largest part of a zone's machines that may be quiet at once for any of them to be given up
-    /// before its lease is over; beyond it, the network is suspected.
+    /// Largest share of a zone's machines that may be silent at once for any of them to be terminated
+    /// before its lease has expired; beyond it, a network failure is suspected.
     #[serde(rename = "give_up_share")]
     pub max_silent_share: f64,
-    /// User requests handled at once; more are told to come back.
+    /// User requests handled concurrently; beyond that, clients are asked to retry.
     pub max_user_requests: usize,
-    /// Most jobs of every kind should have begun within this many seconds: past two thirds of them,
-    /// jobs go ahead of all others if too many of their class, team or size are late.
+    /// Time in seconds within which most jobs of every class, team and size should start. A job that has
+    /// waited for two thirds of it goes ahead of all others if too many of its class, team or size are late.
     #[serde(rename = "begin_within_s")]
     pub start_target_s: f64,
 }
@@ -54,7 +56,7 @@
     }
 }
 
-/// The schema of the operators' file, as committed under `deploy/`.
+/// Returns the JSON schema of the operators' file, as committed under `deploy/`.
 pub fn operator_schema() -> String {
     let schema = schemars::schema_for!(OperatorConfig);
     serde_json::to_string_pretty(&schema).unwrap_or_default() + "\n"
