--- a/src/coordination/autoscaler/arrivals.rs
+++ b/src/coordination/autoscaler/arrivals.rs
@@ -1,52 +1,52 @@
-//! Arrival rates of the job classes: how many jobs, and of what kind, are to be expected next.
+//! Arrival rates of the job classes, from which the autoscaler derives the jobs to expect.
 
 use crate::protocol::users::JobSpec;
 use crate::time::{Instant, TimeSpan};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Arrivals are counted in intervals of this length.
+/// Length of the intervals in which arrivals are counted.
 const INTERVAL: TimeSpan = TimeSpan(10_000);
-/// How many intervals are remembered.
+/// Number of past intervals from which the rate is estimated.
 const MAX_INTERVALS: i64 = 12;
-/// A rate recovered from a former leader counts for so many intervals.
+/// Number of intervals for which a rate recovered from the previous leader applies.
 const MAX_INTERVALS_RECOVERED_RATE: i64 = MAX_INTERVALS / 2;
-/// How many of the last jobs are remembered.
+/// Number of recent jobs kept per class.
 const MAX_RECENT_JOBS: usize = 12;
-/// The weight of the last job in the average number of tasks.
+/// Weight of the newest job in the moving average of tasks per job.
 const LAST_JOB_WEIGHT: f64 = 0.06;
-/// A quiet period of up to so many of the last intervals may show that arrivals have subsided.
+/// Longest run of the last intervals that is examined as a quiet period, which shows that arrivals have subsided.
 const MAX_QUIET_INTERVALS: usize = 4;
-/// The shortest such period: one interval without arrivals may be chance.
+/// Shortest quiet period, in intervals: one interval without arrivals may be chance.
 const MIN_QUIET_INTERVALS: usize = 2;
-/// An interval with more than so many times the jobs of the others, and so many more, counts for nothing.
+/// A count is an outlier if it exceeds the mean of the others times this factor, plus this many jobs.
 const OUTLIER_FACTOR: f64 = 3.0;
-/// Two intervals in a row are a burst if they are so many standard deviations above the usual, and one job.
+/// Two consecutive counts are a burst if both exceed the baseline by this many standard deviations plus one job.
 const BURST_DEVIATIONS: f64 = 2.0;
-/// A period is quiet if it is so many standard deviations below the usual.
+/// A period is quiet if its count is more than this many standard deviations below the expected one.
 const QUIET_DEVIATIONS: f64 = 2.5;
 
-/// The jobs of one class that arrived.
+/// The observed arrivals of one job class.
 #[derive(Debug, Clone)]
 pub struct ArrivalRate {
-    /// The last intervals in which jobs arrived, the oldest first.
+    /// The last intervals in which jobs arrived, oldest first.
     intervals: VecDeque<Interval>,
-    /// What a former leader had seen.
+    /// The rate that the previous leader recorded.
     recovered: Option<RecoveredRate>,
-    /// Tasks of a job: a moving average.
+    /// Moving average of the number of tasks per job.
     tasks_per_job: f64,
-    /// The last jobs, the newest last: the next ones are taken to look like them.
+    /// The most recent jobs, newest last. Expected jobs are assumed to resemble them.
     recent_jobs: VecDeque<JobSpec>,
 }
 
-/// Arrivals in one interval.
+/// The number of arrivals in one interval.
 #[derive(Debug, Clone, Copy)]
 struct Interval {
-    /// How many intervals have passed since the clock's zero.
+    /// Index of the interval, counted from the clock's zero.
     number: i64,
     jobs: u32,
 }
 
-/// A rate that a former leader had seen.
+/// An arrival rate that the previous leader recorded.
 #[derive(Debug, Clone, Copy)]
 struct RecoveredRate {
     jobs_per_s: f64,
@@ -54,7 +54,7 @@
 }
 
 impl ArrivalRate {
-    /// A class of which one job is known, none of whose arrivals has been counted.
+    /// Creates the rate of a class from one of its jobs, which is not counted as an arrival.
     pub fn new(spec: &JobSpec) -> ArrivalRate {
         ArrivalRate {
             intervals: VecDeque::new(),
@@ -64,7 +64,7 @@
         }
     }
 
-    /// A job of the class has arrived.
+    /// Records the arrival of a job of the class.
     pub fn record(&mut self, spec: &JobSpec, at: Instant) {
         self.count_job(interval_number(at));
         self.tasks_per_job += (f64::from(spec.tasks) - self.tasks_per_job) * LAST_JOB_WEIGHT;
@@ -79,9 +79,9 @@
         match counted {
             Some(interval) => interval.jobs += 1,
             None => {
-                // Jobs from before a failover come in no order.
-                let place = self.intervals.partition_point(|i| i.number < number);
-                self.intervals.insert(place, Interval { number, jobs: 1 });
+                // After a failover, earlier jobs are recorded in any order.
+                let index = self.intervals.partition_point(|i| i.number < number);
+                self.intervals.insert(index, Interval { number, jobs: 1 });
             }
         }
         let newest = self.intervals.back().map_or(number, |i| i.number);
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Takes over what a former leader had seen.
+    /// Adopts the rate that the previous leader recorded.
     pub(super) fn recover(&mut self, now: Instant, jobs_per_s: f64, tasks_per_job: f64) {
         self.recovered = Some(RecoveredRate {
             jobs_per_s,
@@ -102,23 +102,23 @@
         self.tasks_per_job = tasks_per_job;
     }
 
-    /// The last jobs, the newest last. There is always one.
+    /// Returns the most recent jobs, newest last; there is always at least one.
     pub fn recent_jobs(&self) -> impl ExactSizeIterator<Item = &JobSpec> {
         self.recent_jobs.iter()
     }
 
-    /// The last job.
+    /// Returns the most recent job.
     pub fn last_job(&self) -> Option<&JobSpec> {
         self.recent_jobs.back()
     }
 
-    /// Tasks of a job, on average.
+    /// Returns the average number of tasks per job.
     pub fn tasks_per_job(&self) -> f64 {
         self.tasks_per_job
     }
 
-    /// Jobs to be expected each second. One interval that stands out counts for nothing by itself (at
-    /// the start of a day, all that had gathered arrives at once); two in a row are a burst.
+    /// Returns the expected number of jobs per second. A single outlier interval is ignored, since a backlog
+    /// may arrive at once; two in a row are a burst.
     pub fn jobs_per_s(&self, now: Instant) -> f64 {
         let current = interval_number(now);
         let observed = self.jobs_per_interval(current) / INTERVAL.secs();
@@ -132,21 +132,21 @@
         }
     }
 
-    /// Jobs to be expected in an interval, by those counted before the current one.
+    /// Returns the expected number of jobs per interval, estimated from the intervals before the current one.
     fn jobs_per_interval(&self, current: i64) -> f64 {
         let counts = self.counts_before(current);
         if counts.is_empty() {
             return 0.0;
         }
-        let usual = usual_count(&counts);
-        if let Some(burst) = burst_count(&counts, usual) {
+        let baseline = baseline_count(&counts);
+        if let Some(burst) = burst_count(&counts, baseline) {
             return burst;
         }
-        // Guards against machines kept for minutes for jobs that no longer come.
-        subsided_count(&counts, usual)
+        // Guards against keeping machines for minutes for jobs that no longer arrive.
+        subsided_count(&counts, baseline)
     }
 
-    /// Jobs in each of the intervals remembered, those without any included, the oldest first.
+    /// Returns the count of each interval before the current one, empty ones included, oldest first.
     fn counts_before(&self, current: i64) -> Vec<u32> {
         let Some(oldest) = self.intervals.front() else {
             return Vec::new();
@@ -160,7 +160,7 @@
         found.map_or(0, |interval| interval.jobs)
     }
 
-    /// Whether it has been observed for long enough to tell that arrivals have subsided.
+    /// Whether the class has been observed for long enough to tell that its arrivals have subsided.
     fn can_detect_quiet_period(&self) -> bool {
         self.intervals.len() > MAX_QUIET_INTERVALS
     }
@@ -170,8 +170,8 @@
     at.0.div_euclid(INTERVAL.0)
 }
 
-/// The mean of the counts, without the largest one if that stands out.
-fn usual_count(counts: &[u32]) -> f64 {
+/// Returns the mean of the counts, without the largest one if that is an outlier.
+fn baseline_count(counts: &[u32]) -> f64 {
     let mut sorted = counts.to_vec();
     sorted.sort_unstable();
     let intervals = sorted.len();
@@ -191,19 +191,19 @@
     }
 }
 
-/// The lesser of the last two counts, if both are well above what chance makes of the usual one.
-fn burst_count(counts: &[u32], usual: f64) -> Option<f64> {
+/// Returns the lower of the last two counts, if both exceed the baseline by more than chance explains.
+fn burst_count(counts: &[u32], baseline: f64) -> Option<f64> {
     let lesser_of_last_two = match counts {
         [.., before, last] => f64::from(*before.min(last)),
         _ => 0.0,
     };
-    let is_burst = lesser_of_last_two > usual + BURST_DEVIATIONS * usual.sqrt() + 1.0;
+    let is_burst = lesser_of_last_two > baseline + BURST_DEVIATIONS * baseline.sqrt() + 1.0;
     is_burst.then_some(lesser_of_last_two)
 }
 
-/// The usual count, or that of a quiet period: the last intervals, if they hold less than chance makes of
-/// the usual one.
-fn subsided_count(counts: &[u32], usual: f64) -> f64 {
+/// Returns the lowest mean count of the quiet periods that end with the last interval; without one, the
+/// baseline. A period is quiet if its count is lower than chance explains.
+fn subsided_count(counts: &[u32], baseline: f64) -> f64 {
     let longest = counts.len().min(MAX_QUIET_INTERVALS);
     (MIN_QUIET_INTERVALS..=longest)
         .map(|intervals| {
@@ -212,37 +212,37 @@
             (jobs, intervals as f64)
         })
         .filter(|(jobs, intervals)| {
-            let expected = usual * intervals;
+            let expected = baseline * intervals;
             *jobs < expected - QUIET_DEVIATIONS * expected.sqrt()
         })
         .map(|(jobs, intervals)| jobs / intervals)
-        .fold(usual, f64::min)
+        .fold(baseline, f64::min)
 }
 
-/// The arrival rates of all job classes seen.
+/// The arrival rates of all job classes observed.
 #[derive(Debug, Default)]
 pub(super) struct ArrivalRates {
     by_class: BTreeMap<String, ArrivalRate>,
 }
 
 impl ArrivalRates {
-    /// A job has arrived.
+    /// Records the arrival of a job.
     pub(super) fn record(&mut self, spec: &JobSpec, at: Instant) {
         self.rate_of(spec.class.clone(), spec).record(spec, at);
     }
 
-    /// The rate of a class; if the class is new, it begins with a job of it.
+    /// Returns the rate of a class, created from `job` if the class is new.
     pub(super) fn rate_of(&mut self, class: String, job: &JobSpec) -> &mut ArrivalRate {
         let rate = self.by_class.entry(class);
         rate.or_insert_with(|| ArrivalRate::new(job))
     }
 
-    /// Each class with its rate, in the order of the classes' names.
+    /// Returns each class with its rate, ordered by class name.
     pub(super) fn iter(&self) -> impl Iterator<Item = (&String, &ArrivalRate)> {
         self.by_class.iter()
     }
 
-    /// Whether arrivals have subsided, of every class; never while too little has been seen to tell.
+    /// Whether the arrivals of every class have subsided. False until some class has been observed for long enough.
     pub(super) fn have_subsided(&self, now: Instant) -> bool {
         self.by_class
             .values()
--- a/src/coordination/autoscaler/hints.rs
+++ b/src/coordination/autoscaler/hints.rs
@@ -1,5 +1,5 @@
-//! What a leader keeps on the state store of the arrivals and run times it has seen, so that the next one
-//! need not learn them again. Nothing rests on it: a record that can't be read is passed over.
+//! Arrival rates and run times that a leader records in the state store, so that the next leader need not learn
+//! them again. Nothing depends on the record: one that can't be read is ignored.
 
 use crate::coordination::jobs::estimates::ObservedRunTimes;
 use crate::coordination::Scheduler;
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The record, by job class.
+/// The recorded observations, by job class.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub struct Hints {
     #[serde(default)]
@@ -17,12 +17,12 @@
     arrivals: BTreeMap<String, RecordedArrivals>,
 }
 
-/// Arrivals of one class, recorded as an array: jobs a second, tasks a job, and the last job.
+/// Arrivals of one class, stored as an array of jobs per second, tasks per job, and the last job.
 #[derive(Debug, Serialize, Deserialize)]
 struct RecordedArrivals(f64, f64, JobSpec);
 
 impl Scheduler {
-    /// What is to be recorded now.
+    /// Returns the observations to record.
     pub(crate) fn hints(&self, now: Instant) -> Hints {
         let arrivals = self.autoscaler.arrivals.iter();
         let arrivals = arrivals.filter_map(|(class, rate)| {
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Takes over what a former leader recorded.
+    /// Adopts the observations that the previous leader recorded.
     pub(crate) fn load_hints(&mut self, now: Instant, hints: Hints) {
         self.estimates.load(hints.observed);
         for (class, RecordedArrivals(jobs_per_s, tasks_per_job, last_job)) in hints.arrivals {
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Notes the arrival of a job.
+    /// Records the arrival of a job.
     pub(crate) fn record_arrival(&mut self, spec: &JobSpec, at: Instant) {
         self.autoscaler.arrivals.record(spec, at);
         self.writer.hints_changed();
