--- a/src/coordination/autoscaler/inventory.rs
+++ b/src/coordination/autoscaler/inventory.rs
@@ -1,7 +1,7 @@
-//! The machines that the cloud lists, squared with those that are known.
+//! Reconciles the machine table with the cloud's machine list.
 //!
-//! The list lags, so it never proves a machine absent: one that was listed and no longer is, is asked
-//! to be terminated, and the answer to that is the proof.
+//! The list lags, so it never proves that a machine is absent. A machine that is missing from it for too long is
+//! terminated, and the cloud's confirmation of that is the proof.
 
 use super::scale_in::DRAIN_TIMEOUT;
 use super::MachineOffer;
@@ -12,14 +12,14 @@
 use crate::time::{Instant, TimeSpan};
 use std::collections::BTreeSet;
 
-/// A machine missing from the list counts as lost after so many times the lag of the list.
-const MISSING_LIST_LAGS: f64 = 2.0;
-/// Seconds added to that, for lists that hardly lag.
+/// A machine counts as lost when it has been missing from the list for this multiple of the list's lag.
+const MISSING_LAG_FACTOR: f64 = 2.0;
+/// Seconds added to that, for lists with little lag.
 const MISSING_MARGIN_SECS: f64 = 2.0;
 
 impl Scheduler {
-    /// Takes a machine into the machine table, unless it is there. `verified` if more than a heartbeat
-    /// speaks for its existence.
+    /// Inserts a machine into the machine table, unless it is there. `verified` means that its existence is
+    /// known from more than a heartbeat.
     pub(crate) fn add_machine(
         &mut self,
         now: Instant,
@@ -47,7 +47,7 @@
         }
     }
 
-    /// The machine exists: it is put on record, and may be given work.
+    /// Marks a machine as known to exist: it is recorded in the state store, and tasks may be placed on it.
     pub(crate) fn verify_machine(&mut self, id: &MachineId) {
         let machine = self.machines.get_mut(id);
         if let Some(machine) = machine.filter(|machine| !machine.verified) {
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Takes in the cloud's whole list, as requested at that moment.
+    /// Handles the cloud's complete machine list, which was requested at `requested_at`.
     pub(crate) fn machines_listed(
         &mut self,
         now: Instant,
@@ -69,14 +69,14 @@
             .collect();
         for listed in listed_machines {
             if !self.machines.terminated.contains(&listed.id) {
-                self.take_in_listed_machine(now, requested_at, listed);
+                self.upsert_listed_machine(now, requested_at, listed);
             }
         }
         self.drain_missing_machines(now, &listed_ids);
         self.placement.request_pass();
     }
 
-    fn take_in_listed_machine(
+    fn upsert_listed_machine(
         &mut self,
         now: Instant,
         requested_at: Instant,
@@ -105,18 +105,22 @@
         machine.listed_by_cloud(listed.phase == CloudPhase::Failed);
     }
 
-    /// Drains machines that have been missing from the list, and silent, for longer than it lags.
+    /// Drains machines that have been missing from the list, and silent, for longer than the list may lag.
     fn drain_missing_machines(&mut self, now: Instant, listed_ids: &BTreeSet<MachineId>) {
         let list_lag_s = self.policy.facts.cloud.list_lag_s;
-        let lag = TimeSpan::from_secs(list_lag_s * MISSING_LIST_LAGS + MISSING_MARGIN_SECS);
+        let missing_timeout =
+            TimeSpan::from_secs(list_lag_s * MISSING_LAG_FACTOR + MISSING_MARGIN_SECS);
         for machine in self.machines.values_mut() {
             if listed_ids.contains(&machine.id) || machine.state == MachineState::Returning {
                 continue;
             }
-            let known_long = now - machine.first_known_at.max(self.leadership.began_at()) > lag;
+            let known_long =
+                now - machine.first_known_at.max(self.leadership.began_at()) > missing_timeout;
             let missing_since = machine.missing_from_cloud_list(now);
-            let silent = machine.last_message_at.is_none_or(|at| now - at > lag);
-            if known_long && silent && now - missing_since > lag {
+            let silent = machine
+                .last_message_at
+                .is_none_or(|at| now - at > missing_timeout);
+            if known_long && silent && now - missing_since > missing_timeout {
                 tracing::debug!(machine = %machine.id, "machine no longer listed by the cloud, and silent");
                 machine.start_draining(now - DRAIN_TIMEOUT);
             }
--- a/src/coordination/autoscaler/report.rs
+++ b/src/coordination/autoscaler/report.rs
@@ -1,10 +1,10 @@
-//! A periodic log line about what the machines are doing: where the money goes.
+//! A periodic log line that shows how the rented machines are used.
 
 use crate::coordination::machines::machine::MachineState;
 use crate::coordination::{ClusterView, Scheduler};
 use crate::time::{Instant, TimeSpan};
 
-/// How often the line is logged.
+/// Interval between two log lines.
 const LOG_INTERVAL: TimeSpan = TimeSpan(10_000);
 
 /// Counts over all machines.
@@ -18,9 +18,9 @@
     /// GPUs of the machines that are up.
     gpus: f64,
     free_gpus: f64,
-    /// GPUs of task attempts that run.
+    /// GPUs of running task attempts.
     running_gpus: f64,
-    /// GPUs of task attempts that do not run yet.
+    /// GPUs of task attempts that are not running yet.
     starting_gpus: f64,
 }
 
@@ -56,7 +56,7 @@
 }
 
 impl Scheduler {
-    /// Logs the state of the cluster, and why jobs wait, if it is time to.
+    /// Logs the state of the cluster and why jobs are pending, once per [`LOG_INTERVAL`].
     pub(crate) fn log_cluster_state(&mut self, now: Instant) {
         if now - self.autoscaler.last_logged_at < LOG_INTERVAL {
             return;
--- a/src/coordination/autoscaler/view.rs
+++ b/src/coordination/autoscaler/view.rs
@@ -1,4 +1,4 @@
-//! What the autoscaler's decisions read: the cluster, and what other parts know of jobs and machines.
+//! Read-only view of the cluster for the autoscaler's decisions.
 
 use super::{Autoscaler, MachineOffer};
 use crate::coordination::attempts::ledger::TeamUsage;
@@ -13,7 +13,7 @@
 use crate::time::Instant;
 use std::collections::BTreeMap;
 
-/// The cluster as the autoscaler sees it at one moment. Nothing can be changed through it.
+/// A read-only view of the cluster and of the autoscaler's state at one moment.
 #[derive(Clone, Copy)]
 pub(super) struct AutoscalerView<'a> {
     cluster: ClusterView<'a>,
@@ -21,7 +21,7 @@
 }
 
 impl Scheduler {
-    /// The cluster at that moment, for the autoscaler to read.
+    /// Returns the autoscaler's view of the cluster at `now`.
     pub(super) fn autoscaler_view(&self, now: Instant) -> AutoscalerView<'_> {
         AutoscalerView {
             cluster: self.view(now),
@@ -31,42 +31,42 @@
 }
 
 impl<'a> AutoscalerView<'a> {
-    /// The moment of the decision.
+    /// Returns the time of the decision.
     pub(super) fn now(&self) -> Instant {
         self.cluster.now
     }
 
-    /// The cluster without the autoscaler's own state.
+    /// Returns the view of the cluster without the autoscaler's state.
     pub(super) fn cluster(&self) -> ClusterView<'a> {
         self.cluster
     }
 
-    /// The autoscaler's own state.
+    /// Returns the autoscaler's state.
     pub(super) fn autoscaler(&self) -> &'a Autoscaler {
         self.autoscaler
     }
 
-    /// The settings.
+    /// Returns the settings.
     pub(super) fn policy(&self) -> &'a Policy {
         self.cluster.policy
     }
 
-    /// All jobs.
+    /// Returns all jobs.
     pub(super) fn jobs(&self) -> &'a JobTable {
         self.cluster.jobs
     }
 
-    /// All machines, with the task attempts on them.
+    /// Returns all machines, with the task attempts on them.
     pub(super) fn machines(&self) -> &'a MachineTable {
         self.cluster.machines
     }
 
-    /// What each team uses.
+    /// Returns the resource usage of the teams.
     pub(super) fn team_usage(&self) -> &'a TeamUsage {
         self.cluster.team_usage
     }
 
-    /// How many more tasks of a job its team's limit lets start, when the teams use so much.
+    /// Returns how many more tasks of a job its team's limit allows, given the usage of the teams.
     pub(super) fn headroom(
         &self,
         spec: &JobSpec,
@@ -76,7 +76,7 @@
         team_usage.headroom(self.cluster.policy, team, spec)
     }
 
-    /// Whether a machine may be given new work at all.
+    /// Whether new tasks may be placed on a machine.
     pub(super) fn is_schedulable(&self, machine: &Machine) -> bool {
         self.cluster.is_schedulable(machine)
     }
@@ -86,37 +86,37 @@
         self.cluster.machines.is_large_task(spec)
     }
 
-    /// Seconds that a task of a job like this should run.
+    /// Returns the estimated run time, in seconds, of a task of a job with this specification.
     pub(super) fn run_time_s(&self, spec: &JobSpec) -> f64 {
         self.cluster.estimates.run_time_s(spec)
     }
 
-    /// Seconds that a task of the job should run, by those that are completed too.
+    /// Returns the estimated run time, in seconds, of a task of the job, which considers its completed tasks.
     pub(super) fn run_time_of_job_s(&self, job: &Job) -> f64 {
         self.cluster.estimates.run_time_of_job_s(job)
     }
 
-    /// Seconds that a task of the job which has run for so long should still run.
+    /// Returns the estimated remaining run time, in seconds, of a task of the job that has run for `ran_s` seconds.
     pub(super) fn remaining_run_time_s(&self, job: &Job, ran_s: f64) -> f64 {
         self.cluster.estimates.remaining_run_time_s(job, ran_s)
     }
 
-    /// Seconds that a machine of the type takes to boot.
+    /// Returns the boot time of a machine type, in seconds.
     pub(super) fn boot_s(&self, machine_type: &MachineType) -> f64 {
         self.machines().boot_s(machine_type)
     }
 
-    /// Seconds that a machine of the type takes to fetch an image of so many gigabytes.
+    /// Returns the time, in seconds, in which a machine of the type fetches an image of `image_gb` gigabytes.
     pub(super) fn fetch_s(&self, machine_type: &MachineType, image_gb: f64) -> f64 {
         self.cluster.machines.image_pull_s(machine_type, image_gb)
     }
 
-    /// What one machine of the type offers.
+    /// Returns the capacity of a machine of the type.
     pub(super) fn capacity(&self, machine_type: &MachineType) -> Resources {
         self.machines().capacity(machine_type)
     }
 
-    /// The cheapest offer for so many tasks of a job; see [`Autoscaler::cheapest_offer`].
+    /// Returns the cheapest offer for `tasks` tasks of a job; see [`Autoscaler::cheapest_offer`].
     pub(super) fn cheapest_offer(
         &self,
         spec: &JobSpec,
