--- a/src/coordination/autoscaler/warm_pool.rs
+++ b/src/coordination/autoscaler/warm_pool.rs
@@ -1,6 +1,6 @@
-//! The warm pool: machines held ready for classes whose tasks should start sooner than a machine can be
-//! rented and their image fetched. How many follows from the arrival rate: what comes in the time that
-//! a rental would take, and a little for chance.
+//! The warm pool: machines kept ready for job classes whose tasks should start sooner than a machine can be
+//! rented and their image fetched. Its size follows from the arrival rate: the jobs expected in the time that
+//! renting a machine takes, and a margin for random variation.
 
 use super::view::AutoscalerView;
 use crate::coordination::machines::machine::Machine;
@@ -12,60 +12,59 @@
 use crate::time::Instant;
 use std::collections::BTreeMap;
 
-/// Nothing is held ready for a class of which fewer jobs are expected in the time that a rental takes.
+/// No machine is kept ready for a class of which fewer jobs are expected in the time that renting one takes.
 const MIN_EXPECTED_JOBS: f64 = 0.2;
-/// By how many standard deviations of the expected number of jobs the pool is larger than it.
+/// Margin of the pool above the expected number of jobs, in standard deviations.
 const EXTRA_DEVIATIONS: f64 = 0.5;
-/// A machine type that does not say how quickly it fetches images is taken to do so at least.
+/// Lowest image fetch rate assumed, for machine types that state none.
 const MIN_FETCH_GB_PER_S: f64 = 0.01;
 
-/// The machines held ready.
+/// The machines kept ready.
 #[derive(Debug, Default)]
 pub(crate) struct WarmPool {
     class_by_machine: BTreeMap<MachineId, String>,
     missing: Vec<WarmPoolDemand>,
 }
 
-/// Room for tasks of a class that should be held ready.
+/// Capacity to keep ready for tasks of one class.
 #[derive(Debug)]
 pub(super) struct WarmPoolDemand {
     /// A job of the class.
     pub(super) spec: JobSpec,
-    /// How many of its tasks there should be room for at once.
+    /// The number of its tasks that should fit at the same time.
     pub(super) tasks: u32,
 }
 
 impl WarmPool {
-    /// The job class that the machine is held ready for, if it is.
+    /// Returns the job class that the machine is kept ready for, if any.
     pub(crate) fn class_of(&self, machine: &MachineId) -> Option<&String> {
         self.class_by_machine.get(machine)
     }
 
-    /// Whether the machine is held ready.
+    /// Whether the machine is in the pool.
     pub(super) fn contains(&self, machine: &MachineId) -> bool {
         self.class_by_machine.contains_key(machine)
     }
 
-    /// How many machines are held ready.
     pub(super) fn len(&self) -> usize {
         self.class_by_machine.len()
     }
 
-    /// Room that should be held ready, and for which there is no machine.
+    /// Returns the capacity to keep ready for which there is no machine.
     pub(super) fn missing(&self) -> &[WarmPoolDemand] {
         &self.missing
     }
 }
 
 impl Scheduler {
-    /// Chooses anew which machines are held ready.
+    /// Selects the machines of the warm pool anew.
     pub(crate) fn update_warm_pool(&mut self, now: Instant) {
-        self.autoscaler.warm_pool = choose(&self.autoscaler_view(now));
+        self.autoscaler.warm_pool = select_machines(&self.autoscaler_view(now));
     }
 }
 
-/// Chooses the machines to be held ready.
-fn choose(view: &AutoscalerView<'_>) -> WarmPool {
+/// Selects the machines of the warm pool, and determines the missing ones.
+fn select_machines(view: &AutoscalerView<'_>) -> WarmPool {
     let mut pool = WarmPool::default();
     for demand in demand(view) {
         let machines = candidates(view, &demand.spec, &pool);
@@ -84,7 +83,7 @@
     pool
 }
 
-/// Machines with room for a task now that are not in the pool, those with its image first.
+/// Returns the machines outside the pool with free capacity for a task now, those with its image first.
 fn candidates<'a>(
     view: &AutoscalerView<'a>,
     spec: &JobSpec,
@@ -101,17 +100,17 @@
     candidates.into_iter().map(|machine| &machine.id).collect()
 }
 
-/// For how many tasks of each class there should be room at once, beyond what runs.
+/// Returns for how many tasks of each class free capacity should be kept.
 fn demand(view: &AutoscalerView<'_>) -> Vec<WarmPoolDemand> {
     let classes = view.autoscaler().arrivals.iter();
     let demand = classes.filter_map(|(class, rate)| {
         let max_wait_s = view.policy().max_start_delay_s(class)?;
         let spec = rate.last_job()?;
-        let rental_s = shortest_rental_s(view, spec);
-        if !rental_s.is_finite() || rental_s <= max_wait_s || !view.is_large_task(spec) {
+        let lead_time_s = min_lead_time_s(view, spec);
+        if !lead_time_s.is_finite() || lead_time_s <= max_wait_s || !view.is_large_task(spec) {
             return None;
         }
-        let jobs = rate.jobs_per_s(view.now()) * rental_s;
+        let jobs = rate.jobs_per_s(view.now()) * lead_time_s;
         if jobs < MIN_EXPECTED_JOBS {
             return None;
         }
@@ -131,9 +130,9 @@
     demand.collect()
 }
 
-/// Seconds that it takes to have another machine with a job's image, of the type that is quickest at it;
-/// infinite if there is none.
-fn shortest_rental_s(view: &AutoscalerView<'_>, spec: &JobSpec) -> f64 {
+/// Returns the shortest time, in seconds, to boot a machine and fetch a job's image, over the machine types that
+/// fit the job; infinite if there is none.
+fn min_lead_time_s(view: &AutoscalerView<'_>, spec: &JobSpec) -> f64 {
     let request = Resources::of(spec);
     let types = view.machines().types.values();
     types
