--- a/src/coordination/autoscaler/scale_in.rs
+++ b/src/coordination/autoscaler/scale_in.rs
@@ -1,9 +1,9 @@
-//! Scale-in: which machines are given back to the cloud, and what becomes of the request.
+//! Scale-in: chooses the machines to terminate, and handles the outcomes of the requests.
 //!
-//! A machine that is being given back takes no work any more, and stays in the machine table until the
-//! cloud has confirmed that it is terminated: only then has everything on it certainly ended.
+//! A machine that is being terminated gets no new work. It stays in the machine table until the cloud has
+//! confirmed its termination, since only then has everything on it certainly ended.
 
-use super::suspected_zones::{mostly_silent_zones, zone_silence_bound};
+use super::suspected_zones::{mostly_silent_zones, zone_silence_timeout};
 use super::view::AutoscalerView;
 use super::Autoscaler;
 use crate::coordination::machines::machine::{Machine, MachineState};
@@ -11,74 +11,74 @@
 use crate::ids::MachineId;
 use crate::time::{Instant, TimeSpan};
 
-/// The most machines that one request may name, by the cloud's protocol.
+/// Most machines that one request may name, by the cloud's protocol.
 const MAX_MACHINES_PER_REQUEST: usize = 100;
-/// A booting machine is given up after this many boot times...
-const MAX_BOOT_TIMES: f64 = 4.0;
-/// ...and so many seconds, for types that boot in a moment.
+/// Boot timeout as a multiple of the machine type's boot time.
+const MAX_BOOT_TIME_FACTOR: f64 = 4.0;
+/// Seconds added to the boot timeout, for machine types that boot almost at once.
 const BOOT_TIMEOUT_MARGIN_SECS: f64 = 20.0;
-/// An idle machine is kept for so many times what it would take to replace it, if the forecast has no use
-/// for it.
-const KEEP_FACTOR_SPARE: f64 = 0.6;
-/// The same if the forecast has a use for it.
-const KEEP_FACTOR_IN_FORECAST: f64 = 3.0;
-/// The same when nothing waits and nothing is to be expected.
-const KEEP_FACTOR_SUBSIDED: f64 = 0.1;
-/// A draining machine is given back after this even if something on it does not end.
+/// Idle timeout of a machine to which the last forecast assigned no task, as a multiple of the time to
+/// replace the machine.
+const IDLE_TIMEOUT_FACTOR_SPARE: f64 = 0.6;
+/// Idle timeout of a machine to which the last forecast assigned tasks, as the same multiple.
+const IDLE_TIMEOUT_FACTOR_IN_FORECAST: f64 = 3.0;
+/// Idle timeout of any machine while no job is pending and none is expected, as the same multiple.
+const IDLE_TIMEOUT_FACTOR_SUBSIDED: f64 = 0.1;
+/// Time after which a draining machine is terminated even if task attempts on it have not ended.
 pub(super) const DRAIN_TIMEOUT: TimeSpan = TimeSpan(20_000);
-/// A request without an answer is repeated after this.
-const ANSWER_TIMEOUT: TimeSpan = TimeSpan(10_000);
-/// After a failed request none is sent for this long.
-const FAILURE_PAUSE: TimeSpan = TimeSpan(1_000);
-/// The machines of a failed request are named again after this.
+/// Time after which the termination of a machine is requested again if it was not confirmed.
+const CONFIRMATION_TIMEOUT: TimeSpan = TimeSpan(10_000);
+/// Delay after a failed request before another one is sent.
+const FAILURE_BACKOFF: TimeSpan = TimeSpan(1_000);
+/// Delay after a failed request before the termination of its machines is requested again.
 const FAILURE_RETRY_DELAY: TimeSpan = TimeSpan(2_000);
 
-/// Why a machine is given back.
+/// Why a machine is terminated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ScaleInReason {
-    /// It has been silent for too long, and its zone does not seem to be cut off.
+    /// The machine has been silent for too long, and its zone is not suspected of being cut off.
     Silent,
-    /// Its worker has not come up in time.
+    /// The machine's worker did not come up within the boot timeout.
     BootTimeout,
-    /// The cloud lists it as failed.
+    /// The cloud lists the machine as failed.
     FailedInCloud,
-    /// It has been idle for too long.
+    /// The machine has been idle for too long.
     Idle,
-    /// It was drained.
+    /// The machine was drained.
     Drained,
-    /// It was to be given back before, which was not confirmed.
+    /// The machine's termination was requested before, but not confirmed.
     Unconfirmed,
 }
 
-/// A machine that is to be given back.
+/// A machine to terminate.
 struct Termination {
     machine_id: MachineId,
     reason: ScaleInReason,
 }
 
-/// What a choice of machines to be given back goes by, beside the machine itself.
+/// What the choice of machines to terminate depends on, apart from the machine itself.
 struct ScaleInRules<'a> {
     view: AutoscalerView<'a>,
-    /// The silence after which a machine is given up; None while a new leader can't tell yet.
+    /// The silence after which a machine counts as lost; None while a new leader can't tell yet.
     max_silence: Option<TimeSpan>,
-    /// Nothing waits, and nothing is to be expected.
-    is_demand_subsided: bool,
+    /// Whether no job is pending and none is expected.
+    has_demand_subsided: bool,
 }
 
 impl Scheduler {
-    /// Gives back machines that are lost, of no use or drained.
+    /// Terminates machines that are lost, drained or have been idle for too long.
     pub(super) fn scale_in(&mut self, now: Instant) {
         let max_silence = self.policy.heartbeat_timeout();
         let is_silence_conclusive = self.leadership.age(now) > max_silence;
         if is_silence_conclusive {
             let zones = mostly_silent_zones(&self.view(now));
-            let until = now + zone_silence_bound(&self.policy);
+            let until = now + zone_silence_timeout(&self.policy);
             self.autoscaler.suspected_zones.update(now, zones, until);
         }
         let rules = ScaleInRules {
             view: self.autoscaler_view(now),
             max_silence: is_silence_conclusive.then_some(max_silence),
-            is_demand_subsided: !has_startable_pending_job(&self.view(now))
+            has_demand_subsided: !has_startable_pending_job(&self.view(now))
                 && self.autoscaler.arrivals.have_subsided(now),
         };
         let chosen = rules.choose();
@@ -99,7 +99,7 @@
                     "scale-in requested"
                 );
                 machine.state = MachineState::Returning;
-                machine.push_not_before = now + ANSWER_TIMEOUT;
+                machine.push_not_before = now + CONFIRMATION_TIMEOUT;
             }
             self.machines.reindex(&machine_id);
             machine_ids.push(machine_id);
@@ -107,7 +107,7 @@
         self.effects.push(Effect::ScaleIn { machine_ids });
     }
 
-    /// The cloud confirmed that machines are terminated: whatever was on them has ended.
+    /// Handles the confirmation that machines are terminated: everything on them has ended.
     pub(crate) fn machines_terminated(&mut self, now: Instant, machine_ids: &[MachineId]) {
         for id in machine_ids {
             self.ledger().machine_terminated(now, id);
@@ -125,9 +125,9 @@
         self.placement.request_pass();
     }
 
-    /// The cloud did not confirm a scale-in request.
+    /// Handles the failure of a scale-in request.
     pub(crate) fn scale_in_failed(&mut self, now: Instant, machine_ids: &[MachineId]) {
-        self.autoscaler.scale_in_not_before = now + FAILURE_PAUSE;
+        self.autoscaler.scale_in_not_before = now + FAILURE_BACKOFF;
         for id in machine_ids {
             if let Some(machine) = self.machines.get_mut(id) {
                 machine.push_not_before = now + FAILURE_RETRY_DELAY;
@@ -137,23 +137,23 @@
 }
 
 impl Autoscaler {
-    /// Whether a request may be sent now; it counts against the cloud's rate.
+    /// Whether a request may be sent now; if so, counts it against the cloud's rate limit.
     fn may_request_scale_in(&mut self, now: Instant) -> bool {
         now >= self.scale_in_not_before && self.api_calls.try_take(now, 1.0)
     }
 }
 
-/// Whether any job waits that idle machines may be kept for.
+/// Whether any job is pending that idle machines may be kept for.
 ///
-/// Guards against idle machines that are kept for jobs submitted with a mistake: on the recorded day
-/// a974 some 120 of them stayed for 100 s after the last arrival, until two such jobs were cancelled.
+/// Guards against keeping idle machines for jobs that fail on every machine: two such jobs kept about 120 machines
+/// for 100 s after the last arrival, until they were cancelled.
 fn has_startable_pending_job(cluster: &ClusterView<'_>) -> bool {
     let mut pending = cluster.jobs.pending();
     pending.any(|(_, job)| !job.fails_everywhere())
 }
 
 impl ScaleInRules<'_> {
-    /// The machines to be given back, in the order of their ids.
+    /// Returns the machines to terminate, ordered by id.
     fn choose(&self) -> Vec<Termination> {
         let machines = self.view.machines().values();
         machines
@@ -166,7 +166,7 @@
             .collect()
     }
 
-    /// Why a machine is to be given back; None if it is kept.
+    /// Returns why a machine is to be terminated; None if it is kept.
     fn reason(&self, machine: &Machine) -> Option<ScaleInReason> {
         if machine.state == MachineState::Returning {
             let is_due = machine.push_not_before <= self.view.now();
@@ -196,7 +196,7 @@
 
     fn is_boot_overdue(&self, machine: &Machine) -> bool {
         let boot_s = self.view.boot_s(&machine.machine_type);
-        let timeout_s = boot_s * MAX_BOOT_TIMES + BOOT_TIMEOUT_MARGIN_SECS;
+        let timeout_s = boot_s * MAX_BOOT_TIME_FACTOR + BOOT_TIMEOUT_MARGIN_SECS;
         machine.state == MachineState::Booting
             && (self.view.now() - machine.first_known_at).secs() > timeout_s
     }
@@ -215,24 +215,24 @@
             return false;
         };
         !autoscaler.warm_pool.contains(&machine.id)
-            && (self.view.now() - idle_since).secs() > self.keep_idle_s(machine)
+            && (self.view.now() - idle_since).secs() > self.idle_timeout_s(machine)
     }
 
-    /// Seconds for which an idle machine is kept: in proportion to what it would take to replace it.
-    fn keep_idle_s(&self, machine: &Machine) -> f64 {
+    /// Returns the idle timeout of a machine in seconds, in proportion to the time to replace the machine.
+    fn idle_timeout_s(&self, machine: &Machine) -> f64 {
         let spare_machines = &self.view.autoscaler().spare_machines;
-        let factor = if self.is_demand_subsided {
-            KEEP_FACTOR_SUBSIDED
+        let factor = if self.has_demand_subsided {
+            IDLE_TIMEOUT_FACTOR_SUBSIDED
         } else if spare_machines.contains(&machine.id) {
-            KEEP_FACTOR_SPARE
+            IDLE_TIMEOUT_FACTOR_SPARE
         } else {
-            KEEP_FACTOR_IN_FORECAST
+            IDLE_TIMEOUT_FACTOR_IN_FORECAST
         };
         self.replacement_s(machine) * self.view.policy().operator.idle_timeout_factor * factor
     }
 
-    /// Seconds that it would take to have such a machine again: to boot it and fetch its largest image.
-    /// Keeping it idle for as long costs at most twice what the best choice in hindsight would have.
+    /// Returns the time to replace a machine in seconds: to boot a new one and fetch the machine's largest image.
+    /// Keeping the machine idle for that long costs at most twice as much as the best choice in hindsight.
     fn replacement_s(&self, machine: &Machine) -> f64 {
         let largest_image_gb = machine.images.sizes_gb().fold(0.0, f64::max);
         let machine_type = &machine.machine_type;
