--- a/src/coordination/autoscaler/mod.rs
+++ b/src/coordination/autoscaler/mod.rs
@@ -1,9 +1,9 @@
-//! The autoscaler: how many machines there are, and of what kind.
+//! The autoscaler decides which machines to rent and which to terminate.
 //!
-//! It owns the scale-out requests under way, the offers that were refused, the arrival rates of the job
-//! classes, the warm pool and what the last forecast said. It decides what to rent and what to give back;
-//! the machines themselves, and what runs on them, belong to the machine table and the ledger of task
-//! attempts. A machine counts as gone only once the cloud has confirmed that it is terminated.
+//! It owns the scale-out requests in flight, the backoff of refused offers, the arrival rates of the job
+//! classes, the warm pool and the result of the last forecast. The machines themselves, and the task attempts
+//! on them, belong to the machine table and the ledger of task attempts. A machine counts as gone only once
+//! the cloud has confirmed its termination.
 
 pub mod arrivals;
 mod forecast;
@@ -32,11 +32,11 @@
 use suspected_zones::SuspectedZones;
 use warm_pool::WarmPool;
 
-/// The share of the cloud's rate that scale-out and scale-in requests use; the machine list takes the rest.
+/// Share of the cloud's rate limit for scale-out and scale-in requests; the rest is for the machine list.
 const API_RATE_SHARE: f64 = 0.7;
-/// The cloud allows bursts of so many seconds' worth of requests.
+/// Burst that the cloud's rate limit allows, in seconds' worth of requests.
 const API_BURST_SECS: f64 = 2.0;
-/// What to give back is looked for this often.
+/// Interval between two checks for machines to terminate.
 const SCALE_IN_INTERVAL: TimeSpan = TimeSpan(500);
 
 /// The state of the autoscaler.
@@ -44,30 +44,31 @@
 pub struct Autoscaler {
     /// Requests that the cloud has not answered yet.
     requests: ScaleOutRequests,
-    /// Offers that were refused for want of capacity.
+    /// Backoff of offers that were refused for lack of capacity.
     offer_backoff: OfferBackoff,
-    /// Idle machines that the last forecast had no use for.
+    /// Idle machines to which the last forecast assigned no task.
     spare_machines: BTreeSet<MachineId>,
-    /// A scale-in request failed: none is sent before.
+    /// No scale-in request is sent before this time; set when one fails.
     scale_in_not_before: Instant,
-    /// Zones that seem to be cut off by the network.
+    /// Zones that are suspected of being cut off by a network failure.
     suspected_zones: SuspectedZones,
-    /// Arrivals of each job class.
+    /// Arrival rates of the job classes.
     arrivals: ArrivalRates,
-    /// Machines held ready, each for a job class.
+    /// Machines kept ready, each for one job class.
     warm_pool: WarmPool,
     /// When the last forecast was made.
     last_forecast_at: Instant,
-    /// When it was last looked what to give back.
+    /// When machines were last checked for scale-in.
     last_scale_in_at: Instant,
     /// When the state of the cluster was last logged.
     last_logged_at: Instant,
-    /// The cloud's rate, as far as it may be used.
+    /// Rate limiter of scale-out and scale-in requests.
     api_calls: TokenBucket,
 }
 
 impl Autoscaler {
-    /// Nothing requested or seen yet; `cloud_rps` is the rate of requests that the cloud allows, per second.
+    /// Creates an autoscaler without requests or observations. `cloud_rps` is the cloud's rate limit, in requests
+    /// per second.
     pub fn new(cloud_rps: f64) -> Autoscaler {
         let rate = cloud_rps * API_RATE_SHARE;
         let burst = cloud_rps * API_BURST_SECS * API_RATE_SHARE;
@@ -86,17 +87,16 @@
         }
     }
 
-    /// The machines held ready.
     pub(crate) fn warm_pool(&self) -> &WarmPool {
         &self.warm_pool
     }
 }
 
 impl Scheduler {
-    /// Requests machines that are missing, and gives back those that are not needed or lost.
+    /// Rents missing machines, and terminates those that are lost or not needed.
     pub(crate) fn autoscale(&mut self, now: Instant, unplaced: &[UnplacedTasks]) {
-        let repeated = self.autoscaler.repeat_unclear_requests(now);
-        self.effects.extend(repeated);
+        let retries = self.autoscaler.retry_unconfirmed_requests(now);
+        self.effects.extend(retries);
         self.scale_out(now, unplaced);
         if now - self.autoscaler.last_scale_in_at >= SCALE_IN_INTERVAL {
             self.autoscaler.last_scale_in_at = now;
--- a/src/coordination/autoscaler/offers.rs
+++ b/src/coordination/autoscaler/offers.rs
@@ -1,4 +1,4 @@
-//! What the cloud offers to rent, and which of it was refused lately.
+//! Kinds of machines that the cloud offers, and the backoff of those that it refused.
 
 use crate::coordination::machines::machine::Machine;
 use crate::coordination::placement::request::allows_machine_kind;
@@ -7,25 +7,25 @@
 use crate::time::{Instant, TimeSpan};
 use std::collections::BTreeMap;
 
-/// How long an offer is left alone after its first refusal; each further one doubles it.
+/// Backoff after the first refusal of an offer; each further refusal doubles it.
 const MIN_REFUSAL_BACKOFF: TimeSpan = TimeSpan(8_000);
-/// The longest that an offer is left alone after a refusal.
+/// Longest backoff of an offer.
 const MAX_REFUSAL_BACKOFF: TimeSpan = TimeSpan(40_000);
 
-/// A kind of machine that can be rented. The order of the fields decides in which order offers are
-/// asked for.
+/// A kind of machine that can be rented. The derived order, by the fields in turn, is the order in which offers
+/// are requested.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct MachineOffer {
     /// The machine type.
     pub machine_type: MachineType,
-    /// Where the machine is.
+    /// The zone that the machine is in.
     pub zone: Zone,
-    /// Whether it is a spot instance, which the cloud may reclaim.
+    /// Whether the machine is a spot machine, which the cloud may reclaim.
     pub spot: bool,
 }
 
 impl MachineOffer {
-    /// What a machine was rented as.
+    /// Returns the offer that a machine was rented under.
     pub fn of(machine: &Machine) -> MachineOffer {
         MachineOffer {
             machine_type: machine.machine_type.clone(),
@@ -34,13 +34,13 @@
         }
     }
 
-    /// Whether the job's own constraints allow such a machine. Its size is not looked at.
+    /// Whether the job's constraints allow this kind of machine. The machine's size is not considered.
     pub fn is_allowed_by(&self, spec: &JobSpec) -> bool {
         allows_machine_kind(spec, &self.machine_type, &self.zone, self.spot)
     }
 }
 
-/// Offers refused for want of capacity, with exponential back-off.
+/// Offers refused for lack of capacity, with exponential backoff.
 #[derive(Debug, Default)]
 pub(super) struct OfferBackoff {
     refusals: BTreeMap<MachineOffer, Refusal>,
@@ -49,21 +49,21 @@
 /// The last refusal of an offer.
 #[derive(Clone, Copy, Debug)]
 struct Refusal {
-    /// The offer is not asked for before.
+    /// The offer is not requested before this time.
     retry_at: Instant,
-    /// The back-off that led there.
+    /// The backoff that ends at `retry_at`.
     backoff: TimeSpan,
 }
 
 impl OfferBackoff {
-    /// Whether the offer is left alone for now.
+    /// Whether the offer must not be requested yet.
     pub(super) fn is_backing_off(&self, offer: &MachineOffer, now: Instant) -> bool {
         let refusal = self.refusals.get(offer);
         refusal.is_some_and(|refusal| refusal.retry_at > now)
     }
 
-    /// The cloud had not all that was asked for.
-    pub(super) fn note_refused(&mut self, offer: &MachineOffer, now: Instant) {
+    /// Records that the cloud granted fewer machines than requested.
+    pub(super) fn record_refusal(&mut self, offer: &MachineOffer, now: Instant) {
         let backoff = self
             .refusals
             .get(offer)
@@ -75,8 +75,8 @@
             .insert(offer.clone(), Refusal { retry_at, backoff });
     }
 
-    /// The cloud had all that was asked for: the next refusal starts over.
-    pub(super) fn note_granted(&mut self, offer: &MachineOffer) {
+    /// Records that the cloud granted all machines requested, which resets the backoff.
+    pub(super) fn record_grant(&mut self, offer: &MachineOffer) {
         self.refusals.remove(offer);
     }
 }
--- a/src/coordination/autoscaler/requests.rs
+++ b/src/coordination/autoscaler/requests.rs
@@ -6,44 +6,44 @@
 use crate::time::{Instant, TimeSpan};
 use std::collections::BTreeMap;
 
-/// A request whose outcome is unclear is repeated after this.
+/// Delay before a request with an unconfirmed outcome is retried.
 const RETRY_DELAY: TimeSpan = TimeSpan(1_500);
-/// A request without a clear answer is abandoned after this: its machines, if any, show up in the
+/// Age at which an unanswered request is abandoned. If the cloud executed it, its machines show up in the
 /// cloud's list and by their heartbeats.
 const REQUEST_EXPIRY: TimeSpan = TimeSpan(90_000);
 
 /// A request for machines.
 #[derive(Debug, Clone)]
 pub(crate) struct ScaleOutRequest {
-    /// What kind of machine.
+    /// The kind of machine.
     pub(crate) offer: MachineOffer,
-    /// How many of them.
+    /// The number of machines.
     pub(crate) count: u32,
-    /// When it was first sent.
+    /// When the request was first sent.
     pub(crate) requested_at: Instant,
     state: RequestState,
 }
 
-/// What happens to a request next.
+/// Whether a request is in flight or waits for a retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum RequestState {
-    /// It was sent, and its answer is awaited.
-    AwaitingAnswer,
-    /// Its outcome is unclear: it is repeated then, under the same key.
+    /// The request was sent, and its response is awaited.
+    InFlight,
+    /// The outcome is unconfirmed: the request is retried at this time, with the same idempotency key.
     RetryAt(Instant),
 }
 
-/// All requests without a clear answer, by idempotency key. A key is never used for anything else.
+/// All requests in flight or unconfirmed, by idempotency key. A key is never reused for another request.
 #[derive(Debug, Default)]
 pub(super) struct ScaleOutRequests {
     by_key: BTreeMap<IdempotencyKey, ScaleOutRequest>,
-    /// The number of the last request in this leadership.
+    /// The number of the last request of this leadership term.
     last_number: u64,
 }
 
 impl ScaleOutRequests {
-    /// Opens a request under a new key; the effect sends it. `initial_token` is the fencing token that
-    /// this leadership began with.
+    /// Opens a request with a new idempotency key, and returns the effect that sends it. `initial_token` is
+    /// the first fencing token of the leadership term.
     pub(super) fn open(
         &mut self,
         now: Instant,
@@ -51,7 +51,7 @@
         offer: MachineOffer,
         count: u32,
     ) -> Effect {
-        // Unique for ever: tokens are, and so is the number within one leadership.
+        // Never reused: fencing tokens are unique, and so is the number within a leadership term.
         self.last_number += 1;
         let key = format!("r-{initial_token}-{}", self.last_number);
         let key = IdempotencyKey::from(key.as_str());
@@ -67,23 +67,23 @@
             offer,
             count,
             requested_at: now,
-            state: RequestState::AwaitingAnswer,
+            state: RequestState::InFlight,
         };
         let effect = request.effect(&key);
         self.by_key.insert(key, request);
         effect
     }
 
-    /// Drops requests that have had no clear answer for too long.
+    /// Drops requests that have been unanswered for [`REQUEST_EXPIRY`].
     pub(super) fn abandon_expired(&mut self, now: Instant) {
         self.by_key
             .retain(|_, request| now - request.requested_at < REQUEST_EXPIRY);
     }
 
-    /// The requests to be repeated now.
+    /// Returns the keys of the requests to retry now.
     pub(super) fn due(&self, now: Instant) -> Vec<IdempotencyKey> {
         let due = |request: &ScaleOutRequest| match request.state {
-            RequestState::AwaitingAnswer => false,
+            RequestState::InFlight => false,
             RequestState::RetryAt(at) => at <= now,
         };
         self.by_key
@@ -93,31 +93,30 @@
             .collect()
     }
 
-    /// Repeats a request; the effect sends it.
-    pub(super) fn repeat(&mut self, key: &IdempotencyKey) -> Option<Effect> {
+    /// Retries a request; returns the effect that sends it.
+    pub(super) fn retry(&mut self, key: &IdempotencyKey) -> Option<Effect> {
         let request = self.by_key.get_mut(key)?;
-        request.state = RequestState::AwaitingAnswer;
+        request.state = RequestState::InFlight;
         Some(request.effect(key))
     }
 
-    /// Whether the request was executed is not known: it is repeated a little later.
+    /// Schedules the retry of a request whose outcome is unconfirmed.
     pub(super) fn retry_later(&mut self, now: Instant, key: &IdempotencyKey) {
         if let Some(request) = self.by_key.get_mut(key) {
             request.state = RequestState::RetryAt(now + RETRY_DELAY);
         }
     }
 
-    /// The request was answered: it is taken out, unless it was abandoned before.
+    /// Removes and returns an answered request; None if it was abandoned before.
     pub(super) fn close(&mut self, key: &IdempotencyKey) -> Option<ScaleOutRequest> {
         self.by_key.remove(key)
     }
 
-    /// The requests, in the order of their keys.
+    /// Returns the requests in the order of their keys.
     pub(super) fn iter(&self) -> impl Iterator<Item = &ScaleOutRequest> {
         self.by_key.values()
     }
 
-    /// How many requests there are.
     pub(super) fn len(&self) -> usize {
         self.by_key.len()
     }
--- a/src/coordination/autoscaler/scale_out.rs
+++ b/src/coordination/autoscaler/scale_out.rs
@@ -1,4 +1,4 @@
-//! Scale-out: which machines are rented, how many, and what becomes of each request.
+//! Scale-out: chooses the machines to rent, and handles the responses to the requests.
 
 use super::forecast::{forecast, ForecastResult};
 use super::{Autoscaler, MachineOffer, API_RATE_SHARE};
@@ -13,20 +13,20 @@
 use crate::time::{Instant, TimeSpan};
 use std::collections::BTreeMap;
 
-/// The most machines that one request may ask for, by the cloud's protocol.
+/// Most machines that one request may ask for, by the cloud's protocol.
 const MAX_MACHINES_PER_REQUEST: u32 = 50;
-/// The forecast is made at most this often, and less often the more machines there are: it costs
-/// more than a placement does.
+/// Shortest interval between two forecasts. It grows with the number of machines, since a forecast costs more
+/// than a placement pass.
 const FORECAST_INTERVAL: TimeSpan = TimeSpan(400);
-/// Milliseconds by which each machine known lengthens the interval between forecasts.
+/// Milliseconds that each machine adds to the interval between two forecasts.
 const FORECAST_INTERVAL_MS_PER_MACHINE: i64 = 1;
-/// One forecast asks for no more than can be requested in so many seconds at the cloud's rate.
+/// One forecast rents no more machines than can be requested in this many seconds at the cloud's rate limit.
 const REQUEST_SECS_PER_FORECAST: f64 = 2.0;
-/// A new leader rents nothing while more than this share of the machines has yet to send it a heartbeat.
+/// A new leader rents no machines while more than this share of the machines has not sent it a heartbeat yet.
 const MAX_SHARE_WITHOUT_HEARTBEAT: f64 = 0.1;
 
 impl Scheduler {
-    /// Rents what makes waiting tasks start sooner, as the forecast says.
+    /// Makes a forecast, if one is due, and rents the machines with which tasks start sooner.
     pub(super) fn scale_out(&mut self, now: Instant, unplaced: &[UnplacedTasks]) {
         let is_new_leader = self.leadership.age(now) <= self.policy.first_heartbeats_bound();
         if !self.autoscaler.is_forecast_due(now, self.machines.len())
@@ -51,7 +51,7 @@
         self.effects.extend(requests);
     }
 
-    /// The cloud answered a scale-out request: the machines granted are known from now on.
+    /// Handles the response to a scale-out request: inserts the granted machines into the machine table.
     pub(crate) fn scale_out_answered(
         &mut self,
         now: Instant,
@@ -70,18 +70,18 @@
     }
 }
 
-/// How many machines can be requested between two forecasts, at the cloud's rate.
+/// Returns the most machines that one forecast may rent.
 fn max_machines_per_forecast(policy: &Policy) -> usize {
     let rate = policy.facts.cloud.rps * API_RATE_SHARE;
     let requests = (rate * REQUEST_SECS_PER_FORECAST).max(1.0);
     requests as usize * MAX_MACHINES_PER_REQUEST as usize
 }
 
-/// Whether a new leader still waits for the first heartbeats of some of its machines.
+/// Whether too many machines have not sent a new leader their first heartbeat.
 ///
-/// Guards against rentals for which there is no use a moment later: each change of leaders rented up to
-/// 180 machines on the recorded day a974. Until a machine has sent a heartbeat it can't be given work, and
-/// what ended on it while nobody led still seems to be there.
+/// Guards against renting machines that are not needed a moment later: each failover rented up to 180 machines.
+/// Until a machine has sent a heartbeat, no task can be placed on it, and task attempts on it that ended during the
+/// failover still seem to be running.
 fn awaits_first_heartbeats(machines: &MachineTable) -> bool {
     let up = machines
         .values()
@@ -93,22 +93,23 @@
     silent as f64 > all as f64 * MAX_SHARE_WITHOUT_HEARTBEAT
 }
 
-/// The machines that a request brought.
+/// The machines that the cloud granted to a request.
 struct GrantedMachines {
     machine_ids: Vec<MachineId>,
-    /// What they were rented as.
+    /// The offer that the machines were rented under.
     offer: MachineOffer,
-    /// When they were first requested.
+    /// When the machines were first requested.
     requested_at: Instant,
 }
 
 impl Autoscaler {
     fn is_forecast_due(&self, now: Instant, machines: usize) -> bool {
-        let for_machines = TimeSpan(FORECAST_INTERVAL_MS_PER_MACHINE * machines as i64);
-        now - self.last_forecast_at >= FORECAST_INTERVAL + for_machines
+        let cluster_size_delay = TimeSpan(FORECAST_INTERVAL_MS_PER_MACHINE * machines as i64);
+        now - self.last_forecast_at >= FORECAST_INTERVAL + cluster_size_delay
     }
 
-    /// Takes over what a forecast says; the effects request the machines, as far as the cloud's rate allows.
+    /// Applies a forecast: stores its spare machines, and returns the effects that request its new machines, as far
+    /// as the cloud's rate limit allows.
     #[must_use]
     fn apply_forecast(
         &mut self,
@@ -121,35 +122,35 @@
         let mut effects = Vec::new();
         for (offer, mut count) in forecast.scale_out {
             while count > 0 && self.api_calls.try_take(now, 1.0) {
-                let part = count.min(MAX_MACHINES_PER_REQUEST);
+                let batch_size = count.min(MAX_MACHINES_PER_REQUEST);
                 let offer = offer.clone();
-                effects.push(self.requests.open(now, initial_token, offer, part));
-                count -= part;
+                effects.push(self.requests.open(now, initial_token, offer, batch_size));
+                count -= batch_size;
             }
         }
         effects
     }
 
-    /// Repeats the requests whose outcome is unclear, as far as the cloud's rate allows.
+    /// Retries the requests whose outcome is unconfirmed, as far as the cloud's rate limit allows.
     #[must_use]
-    pub(super) fn repeat_unclear_requests(&mut self, now: Instant) -> Vec<Effect> {
+    pub(super) fn retry_unconfirmed_requests(&mut self, now: Instant) -> Vec<Effect> {
         self.requests.abandon_expired(now);
         let mut effects = Vec::new();
         for key in self.requests.due(now) {
             if !self.api_calls.try_take(now, 1.0) {
                 break;
             }
-            effects.extend(self.requests.repeat(&key));
+            effects.extend(self.requests.retry(&key));
         }
         effects
     }
 
-    /// Whether the cloud executed a scale-out request is not known.
+    /// Handles a scale-out request whose outcome is unconfirmed.
     pub(crate) fn scale_out_unconfirmed(&mut self, now: Instant, key: &IdempotencyKey) {
         self.requests.retry_later(now, key);
     }
 
-    /// Notes the answer to a request; None if the request was abandoned or answered before.
+    /// Closes a request with its answer; None if the request was abandoned or answered before.
     fn close_scale_out(
         &mut self,
         now: Instant,
@@ -169,9 +170,9 @@
                 requested = request.count,
                 "scale-out refused for want of capacity"
             );
-            self.offer_backoff.note_refused(&request.offer, now);
+            self.offer_backoff.record_refusal(&request.offer, now);
         } else {
-            self.offer_backoff.note_granted(&request.offer);
+            self.offer_backoff.record_grant(&request.offer);
         }
         Some(GrantedMachines {
             machine_ids,
@@ -180,8 +181,8 @@
         })
     }
 
-    /// The cheapest offer for so many tasks of a job, among those not refused lately; among equals in
-    /// the zone with the fewest machines.
+    /// Returns the offer with the lowest price per task for `tasks` tasks of a job, among those not backing off.
+    /// Ties go to the zone with the fewest machines.
     pub(crate) fn cheapest_offer(
         &self,
         cluster: &ClusterView<'_>,
@@ -216,7 +217,7 @@
         best.map(|(_, offer)| offer)
     }
 
-    /// Whether a machine for the job is coming or may yet be rented.
+    /// Whether a machine that can run the job's tasks is booting, requested or can be rented.
     pub(crate) fn may_scale_out_for(&self, cluster: &ClusterView<'_>, spec: &JobSpec) -> bool {
         let request = Resources::of(spec);
         let serves = |offer: &MachineOffer| {
@@ -232,16 +233,16 @@
     }
 }
 
-/// How good an offer is; the least one is taken.
+/// Rank of an offer; the lowest is preferred.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 struct OfferRank {
     /// The machine's price divided by the number of tasks that fit on it.
     price_per_task: f64,
-    /// Among equally cheap offers machines are spread over the zones.
+    /// Number of machines in the zone; spreads machines over the zones if prices are equal.
     machines_in_zone: usize,
 }
 
-/// What the cloud offers of a machine type: in each zone as a spot instance, then as an ordinary one.
+/// Returns the offers of a machine type: in each zone a spot machine, then an on-demand machine.
 fn offers_of(machine_type: &MachineTypeInfo) -> impl Iterator<Item = MachineOffer> + '_ {
     machine_type.zones.iter().flat_map(|zone| {
         [true, false].map(|spot| MachineOffer {
