--- a/src/coordination/autoscaler/forecast/assignment.rs
+++ b/src/coordination/autoscaler/forecast/assignment.rs
@@ -1,7 +1,7 @@
-//! Assigns like tasks, one by one, to the machine of the forecast on which each would start first.
+//! Assigns the tasks of a batch, one by one, to the simulated machine on which each would start first.
 
 use super::simulated_cluster::SimulatedCluster;
-use super::slot::MachineSlot;
+use super::simulated_machine::SimulatedMachine;
 use crate::coordination::autoscaler::view::AutoscalerView;
 use crate::coordination::autoscaler::MachineOffer;
 use crate::protocol::users::{JobSpec, Shape};
@@ -12,28 +12,29 @@
 /// No machine is rented for an expected task that would wait for less than this.
 const MAX_EXPECTED_WAIT_SECS: f64 = 3.0;
 
-/// Like tasks to be assigned to machines.
+/// Tasks with the same specification that are to be assigned to machines.
 pub(super) struct TaskBatch<'a> {
-    /// The job that they belong to, or that they are like.
+    /// The job that the tasks belong to, or that they are assumed to resemble.
     pub(super) spec: &'a JobSpec,
-    /// How many there are.
+    /// The number of tasks.
     pub(super) count: u32,
-    /// Where they come from.
+    /// Where the tasks come from.
     pub(super) origin: TaskOrigin,
 }
 
 /// Where the tasks of a batch come from.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum TaskOrigin {
-    /// They stand for room that the warm pool lacks: machines that will only come free some time won't do.
+    /// The tasks stand for capacity that the warm pool lacks, which only a machine with free capacity provides, not
+    /// one that frees it later.
     WarmPool,
-    /// They wait now.
+    /// The tasks are waiting.
     Waiting,
-    /// They are expected to arrive, so many seconds from now.
+    /// The tasks are expected to arrive in this many seconds.
     Expected { arrives_in_s: f64 },
 }
 
-/// A batch that is being assigned, with what is the same for each of its tasks.
+/// A batch that is being assigned, with the values that its tasks share.
 struct Assignment<'a> {
     view: &'a AutoscalerView<'a>,
     batch: &'a TaskBatch<'a>,
@@ -43,15 +44,15 @@
     is_large: bool,
 }
 
-/// A machine on which the next task could start. The order is that of preference, the best one first.
+/// A machine on which the next task could start. Candidates are ordered by preference, the best first.
 #[derive(Clone, Copy)]
 struct Candidate {
-    /// When the task would start.
+    /// When the task would start, in seconds from the forecast.
     start_s: f64,
-    /// Among equal times the fullest machine comes first.
+    /// Share of the machine that is free. If start times are equal, the fullest machine comes first.
     free_share: f64,
-    /// Its place in [`SimulatedCluster::slots`].
-    slot: usize,
+    /// Index of the machine in [`SimulatedCluster::machines`].
+    index: usize,
 }
 
 impl Ord for Candidate {
@@ -59,7 +60,7 @@
         self.start_s
             .total_cmp(&other.start_s)
             .then(self.free_share.total_cmp(&other.free_share))
-            .then(self.slot.cmp(&other.slot))
+            .then(self.index.cmp(&other.index))
     }
 }
 impl PartialOrd for Candidate {
@@ -74,19 +75,19 @@
     }
 }
 
-/// The candidates, soonest first.
+/// The candidates, earliest start first.
 type Candidates = BinaryHeap<Reverse<Candidate>>;
 
 /// Where a task would start first.
 enum Choice {
-    /// On a machine of the forecast.
-    Slot(Candidate),
-    /// On a machine to be rented, at that time.
+    /// On a machine of the simulated cluster.
+    Machine(Candidate),
+    /// On a machine to be rented, at `start_s`.
     NewMachine { start_s: f64, offer: MachineOffer },
 }
 
-/// Assigns a batch, one task after the other, each to the machine on which it starts first. A new
-/// machine joins the cluster where it would be sooner. Returns how many tasks were assigned.
+/// Assigns the tasks of a batch one after another, each to the machine on which it starts first. A new machine is
+/// added to the cluster if a task would start sooner on it. Returns the number of tasks assigned.
 pub(super) fn assign(
     view: &AutoscalerView<'_>,
     batch: &TaskBatch<'_>,
@@ -99,22 +100,22 @@
         if cluster.is_full() {
             offer = None;
         }
-        let (start_s, slot) = match assignment.choose(&mut candidates, &mut offer) {
-            Some(Choice::Slot(candidate)) => (candidate.start_s, candidate.slot),
+        let (start_s, index) = match assignment.choose(&mut candidates, &mut offer) {
+            Some(Choice::Machine(candidate)) => (candidate.start_s, candidate.index),
             Some(Choice::NewMachine {
                 start_s,
                 offer: chosen,
             }) => {
-                let slot = cluster.add(assignment.new_machine(chosen));
+                let index = cluster.add(assignment.new_machine(chosen));
                 offer = assignment.cheapest_offer(batch.count - assigned, cluster);
-                (start_s, slot)
+                (start_s, index)
             }
             None => return assigned,
         };
-        let machine = cluster.slot_mut(slot);
+        let machine = cluster.machine_mut(index);
         machine.add_image(&batch.spec.image);
         machine.allocate(start_s, &assignment.request, assignment.run_s);
-        candidates.extend(assignment.candidate(slot, machine).map(Reverse));
+        candidates.extend(assignment.candidate(index, machine).map(Reverse));
     }
     batch.count
 }
@@ -122,8 +123,9 @@
 impl<'a> Assignment<'a> {
     fn new(view: &'a AutoscalerView<'a>, batch: &'a TaskBatch<'a>) -> Assignment<'a> {
         let spec = batch.spec;
-        // Tasks of a gang run at once, and those of a service never end: none can follow another in the same place.
-        let run_at_once = match spec.shape {
+        // Gang members run at the same time and service replicas never end, so no task can follow another on the
+        // same capacity.
+        let runs_concurrently = match spec.shape {
             Shape::Gang => batch.count > 1,
             Shape::Service => true,
             Shape::Array => false,
@@ -132,7 +134,7 @@
             view,
             batch,
             request: Resources::of(spec),
-            run_s: if run_at_once {
+            run_s: if runs_concurrently {
                 f64::INFINITY
             } else {
                 view.run_time_s(spec)
@@ -142,33 +144,33 @@
     }
 
     fn candidates(&self, cluster: &SimulatedCluster) -> Candidates {
-        let slots = cluster.slots().iter().enumerate();
-        slots
-            .filter_map(|(slot, machine)| self.candidate(slot, machine))
+        let machines = cluster.machines().iter().enumerate();
+        machines
+            .filter_map(|(index, machine)| self.candidate(index, machine))
             .map(Reverse)
             .collect()
     }
 
-    /// The machine as a candidate for the next task; None if it can't be used.
-    fn candidate(&self, slot: usize, machine: &MachineSlot) -> Option<Candidate> {
+    /// Returns the machine as a candidate for the next task; None if it can't be used.
+    fn candidate(&self, index: usize, machine: &SimulatedMachine) -> Option<Candidate> {
         self.can_use(machine).then(|| Candidate {
             start_s: self.start_s(machine),
             free_share: machine.free_share(),
-            slot,
+            index,
         })
     }
 
-    fn can_use(&self, machine: &MachineSlot) -> bool {
+    fn can_use(&self, machine: &SimulatedMachine) -> bool {
         let must_be_free = self.batch.origin == TaskOrigin::WarmPool;
-        // Small tasks will fill the gaps of a machine shared by several: a large task can't count on
-        // all of them ending.
+        // Small tasks fill the capacity that is freed on a machine shared by several tasks, so a large task can't
+        // rely on the whole machine becoming free.
         machine.is_allowed_by(self.batch.spec)
-            && (!must_be_free || machine.has_free(&self.request))
+            && (!must_be_free || machine.has_capacity_for(&self.request))
             && !(self.is_large && machine.is_shared())
     }
 
-    /// When the next task would start there, its image fetched.
-    fn start_s(&self, machine: &MachineSlot) -> f64 {
+    /// Returns when the next task would start on the machine, with its image fetched.
+    fn start_s(&self, machine: &SimulatedMachine) -> f64 {
         let earliest_s = match self.batch.origin {
             TaskOrigin::Expected { arrives_in_s } => arrives_in_s,
             TaskOrigin::WarmPool | TaskOrigin::Waiting => 0.0,
@@ -187,8 +189,8 @@
             .fetch_s(&offer.machine_type, self.batch.spec.image_gb)
     }
 
-    /// When the next task would start on a machine rented now. For an expected task that is taken to be so
-    /// much later that none is rented to spare it a short wait.
+    /// Returns when the next task would start on a machine rented now. For an expected task, at least
+    /// [`MAX_EXPECTED_WAIT_SECS`] after its arrival, so that no machine is rented to save it a short wait.
     fn start_on_new_machine_s(&self, offer: &MachineOffer) -> f64 {
         let not_before_s = match self.batch.origin {
             TaskOrigin::Expected { arrives_in_s } => arrives_in_s + MAX_EXPECTED_WAIT_SECS,
@@ -198,8 +200,8 @@
         boot_s.max(not_before_s) + self.fetch_s(offer)
     }
 
-    /// Where the next task starts first: that candidate, or the offer, is taken. None if it can't start
-    /// anywhere.
+    /// Chooses where the next task starts first, and removes that candidate or takes the offer. None if the task
+    /// can't start anywhere.
     fn choose(
         &self,
         candidates: &mut Candidates,
@@ -212,11 +214,11 @@
         match (first, new_machine_s) {
             (Some(candidate), Some(new_s)) if candidate.start_s <= new_s => {
                 candidates.pop();
-                Some(Choice::Slot(candidate))
+                Some(Choice::Machine(candidate))
             }
             (Some(candidate), None) if candidate.start_s.is_finite() => {
                 candidates.pop();
-                Some(Choice::Slot(candidate))
+                Some(Choice::Machine(candidate))
             }
             (_, Some(start_s)) => {
                 let offer = offer.take()?;
@@ -232,10 +234,10 @@
         self.view.cheapest_offer(spec, tasks, machines_by_zone)
     }
 
-    /// A machine rented now. It will have the image of the task that it is rented for.
-    fn new_machine(&self, offer: MachineOffer) -> MachineSlot {
+    /// Returns a machine rented now, without images: [`assign`] adds the image of its first task.
+    fn new_machine(&self, offer: MachineOffer) -> SimulatedMachine {
         let boot_s = self.view.boot_s(&offer.machine_type);
         let capacity = self.view.capacity(&offer.machine_type);
-        MachineSlot::coming(offer, boot_s, capacity)
+        SimulatedMachine::starting(offer, boot_s, capacity)
     }
 }
--- a/src/coordination/autoscaler/forecast/expected_arrivals.rs
+++ b/src/coordination/autoscaler/forecast/expected_arrivals.rs
@@ -1,5 +1,5 @@
-//! Assigns tasks that have not arrived yet: what should arrive in the time that it takes to have another
-//! machine with an image.
+//! Assigns tasks that have not arrived yet: those expected within the lead time of a new machine, that is, the time
+//! to boot it and fetch an image.
 
 use super::assignment::{assign, TaskBatch, TaskOrigin};
 use super::simulated_cluster::SimulatedCluster;
@@ -7,13 +7,13 @@
 use crate::coordination::autoscaler::view::AutoscalerView;
 use crate::protocol::users::{JobSpec, Shape};
 
-/// Why expected tasks are looked at.
+/// The part of the expected load that is assigned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ExpectedLoad {
-    /// Machines are rented for what is to be expected on average.
-    Rent,
-    /// Idle machines are kept for a little more than that.
-    Keep,
+    /// The mean number of jobs, for which machines are rented.
+    Mean,
+    /// One standard deviation more, for which idle machines are kept but none rented.
+    Deviation,
 }
 
 /// Assigns expected tasks of every job class.
@@ -27,8 +27,8 @@
     }
 }
 
-/// Assigns expected tasks of one class: they are taken to be like its recent jobs, in equal parts, and
-/// to arrive evenly spread.
+/// Assigns the expected tasks of one class. They are assumed to resemble its recent jobs in equal shares, and to
+/// arrive at evenly spaced times.
 fn assign_expected_of_class(
     view: &AutoscalerView<'_>,
     arrivals: &ArrivalRate,
@@ -36,31 +36,31 @@
     cluster: &mut SimulatedCluster,
 ) {
     let jobs_per_s = arrivals.jobs_per_s(view.now());
-    let parts = arrivals.recent_jobs().len() as f64;
-    for (part, recent) in arrivals.recent_jobs().enumerate() {
+    let recent_count = arrivals.recent_jobs().len() as f64;
+    for (index, recent) in arrivals.recent_jobs().enumerate() {
         let Some(lead_time_s) = lead_time_s(view, recent, cluster) else {
             continue;
         };
         let mean_jobs = jobs_per_s * lead_time_s;
         let jobs = match load {
-            ExpectedLoad::Rent => mean_jobs,
-            // The standard deviation of arrivals by chance.
-            ExpectedLoad::Keep => mean_jobs.sqrt().min(mean_jobs),
+            ExpectedLoad::Mean => mean_jobs,
+            // The standard deviation of a Poisson process, at most its mean.
+            ExpectedLoad::Deviation => mean_jobs.sqrt().min(mean_jobs),
         };
-        let tasks = (jobs * arrivals.tasks_per_job() / parts).round() as u32;
-        let spec = single_tasks_like(recent);
+        let tasks = (jobs * arrivals.tasks_per_job() / recent_count).round() as u32;
+        let spec = as_independent_tasks(recent);
         let batch = TaskBatch {
             spec: &spec,
             count: tasks,
             origin: TaskOrigin::Expected {
-                arrives_in_s: lead_time_s * (part as f64 + 0.5) / parts,
+                arrives_in_s: lead_time_s * (index as f64 + 0.5) / recent_count,
             },
         };
         assign(view, &batch, cluster);
     }
 }
 
-/// Seconds that it takes to have another machine with a job's image; None if none can be rented.
+/// Returns the time, in seconds, to boot another machine and fetch a job's image; None if no machine can be rented.
 fn lead_time_s(
     view: &AutoscalerView<'_>,
     spec: &JobSpec,
@@ -71,8 +71,8 @@
     Some(view.boot_s(&offer.machine_type) + fetch_s)
 }
 
-/// A job whose tasks are like those of another, but need not run at once or in one zone.
-fn single_tasks_like(job: &JobSpec) -> JobSpec {
+/// Returns a job with the same tasks that need not run at the same time or in one zone.
+fn as_independent_tasks(job: &JobSpec) -> JobSpec {
     let mut spec = job.clone();
     if spec.shape == Shape::Gang {
         spec.shape = Shape::Array;
--- a/src/coordination/autoscaler/forecast/mod.rs
+++ b/src/coordination/autoscaler/forecast/mod.rs
@@ -1,17 +1,17 @@
-//! The forecast: on which machine each waiting task would start first, among the machines there are,
-//! those that are coming and those that might be rented; and the same for tasks that have not arrived
-//! yet, by the arrival rates. From it follows what to rent and which idle machines are of no use.
+//! The forecast determines on which machine each waiting task would start first: one that is up, one that is
+//! starting, or one that could be rented. It does the same for tasks that are expected to arrive, by the arrival
+//! rates. The result is which machines to rent and which idle machines are spare.
 //!
-//! It only reads, and changes nothing outside of its own [`SimulatedCluster`].
+//! It changes nothing but its own [`SimulatedCluster`].
 //!
-//! Guards against renting for tasks that the machines there are will have taken long before a new one
-//! is up (on a day of 58 rentals, 17 machines had never run a task), and against renting too late for
-//! a burst, each of whose tasks by itself would not wait longer than for a new machine.
+//! Guards against renting for tasks that existing machines will start long before a new one is up (17 of 58 rented
+//! machines never ran a task), and against renting too late for a burst in which no single task would wait longer
+//! than a new machine takes to start.
 
 mod assignment;
 mod expected_arrivals;
 mod simulated_cluster;
-mod slot;
+mod simulated_machine;
 mod waiting_tasks;
 
 use super::view::AutoscalerView;
@@ -22,17 +22,17 @@
 use simulated_cluster::SimulatedCluster;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What follows from a forecast.
+/// The result of a forecast.
 #[derive(Debug, Default)]
 pub(super) struct ForecastResult {
-    /// How many machines of each offer to rent.
+    /// The number of machines to rent, by offer.
     pub(super) scale_out: BTreeMap<MachineOffer, u32>,
     /// Idle machines to which no task was assigned.
     pub(super) spare: BTreeSet<MachineId>,
 }
 
-/// Forecasts where the unplaced tasks, given in queue order, and expected ones would start, if at most
-/// `max_new_machines` were rented.
+/// Forecasts where the unplaced tasks, given in queue order, and expected tasks would start if at most
+/// `max_new_machines` machines were rented.
 pub(super) fn forecast(
     view: &AutoscalerView<'_>,
     unplaced: &[UnplacedTasks],
@@ -41,8 +41,8 @@
     let mut cluster = SimulatedCluster::new(view, max_new_machines);
     waiting_tasks::assign_warm_pool(view, &mut cluster);
     waiting_tasks::assign_unplaced_tasks(view, unplaced, &mut cluster);
-    expected_arrivals::assign_expected_tasks(view, ExpectedLoad::Rent, &mut cluster);
+    expected_arrivals::assign_expected_tasks(view, ExpectedLoad::Mean, &mut cluster);
     cluster.forbid_new_machines();
-    expected_arrivals::assign_expected_tasks(view, ExpectedLoad::Keep, &mut cluster);
+    expected_arrivals::assign_expected_tasks(view, ExpectedLoad::Deviation, &mut cluster);
     cluster.into_result()
 }
--- a/src/coordination/autoscaler/forecast/simulated_cluster.rs
+++ b/src/coordination/autoscaler/forecast/simulated_cluster.rs
@@ -1,7 +1,7 @@
-//! The cluster as a forecast simulates it: machines that are up, booting or requested, and those that the
-//! forecast adds.
+//! The simulated cluster of a forecast: machines that are up, booting or requested, and those that the forecast
+//! adds.
 
-use super::slot::{MachineInUse, MachineSlot, Release};
+use super::simulated_machine::{Release, SimulatedMachine, UpMachine};
 use super::ForecastResult;
 use crate::coordination::attempts::ledger::TaskAttempt;
 use crate::coordination::autoscaler::requests::ScaleOutRequest;
@@ -13,90 +13,94 @@
 use crate::protocol::users::Shape;
 use std::collections::BTreeMap;
 
-/// A booting machine counts as coming for this many boot times.
-const MAX_BOOT_TIMES: f64 = 2.0;
-/// A booting machine needs at least this share of its boot time yet.
+/// A machine that has been booting for this multiple of its boot time is no longer counted on.
+const MAX_BOOT_TIME_FACTOR: f64 = 2.0;
+/// Least remaining boot time assumed for a booting machine, as a share of its boot time.
 const MIN_BOOT_SHARE_LEFT: f64 = 0.1;
-/// A machine that was requested needs at least so many seconds yet.
+/// Least remaining time, in seconds, assumed until a requested machine is up.
 const MIN_REQUESTED_BOOT_SECS: f64 = 1.0;
-/// By how much the estimated remaining run time of a task may be too short: in favour of a machine whose
-/// boot time is known.
+/// Factor by which estimated remaining run times are extended: they are less certain than the boot time of a new
+/// machine.
 const RUN_TIME_MARGIN: f64 = 1.25;
 
 /// The machines of a forecast.
 pub(super) struct SimulatedCluster {
-    /// First the machines that are there or coming, then those that the forecast adds.
-    slots: Vec<MachineSlot>,
-    /// How many of the slots the forecast did not add.
-    known_slots: usize,
-    /// While there are fewer slots than this, more may be added.
-    max_slots: usize,
-    /// How many machines there are in each zone.
+    /// First the machines that are up, booting or requested, then those that the forecast adds.
+    machines: Vec<SimulatedMachine>,
+    /// The number of machines that the forecast did not add.
+    existing_count: usize,
+    /// Machines may be added as long as there are fewer than this.
+    max_machines: usize,
+    /// The number of machines in each zone.
     machines_by_zone: BTreeMap<Zone, usize>,
 }
 
 impl SimulatedCluster {
-    /// The machines there are and that are coming; at most `max_new_machines` may be added.
+    /// Creates the cluster with the machines that are up, booting or requested; at most `max_new_machines` may be
+    /// added.
     pub(super) fn new(view: &AutoscalerView<'_>, max_new_machines: usize) -> SimulatedCluster {
         let mut machines_by_zone: BTreeMap<Zone, usize> = BTreeMap::new();
-        let mut slots = Vec::new();
+        let mut machines = Vec::new();
         for machine in view.machines().values() {
             *machines_by_zone.entry(machine.zone.clone()).or_default() += 1;
-            slots.extend(slot_of(view, machine));
+            machines.extend(simulated(view, machine));
         }
         for request in view.autoscaler().requests.iter() {
             for _ in 0..request.count {
-                slots.push(slot_of_request(view, request));
+                machines.push(simulated_requested(view, request));
             }
         }
         SimulatedCluster {
-            known_slots: slots.len(),
-            max_slots: slots.len() + max_new_machines,
-            slots,
+            existing_count: machines.len(),
+            max_machines: machines.len() + max_new_machines,
+            machines,
             machines_by_zone,
         }
     }
 
-    /// All machines of the forecast.
-    pub(super) fn slots(&self) -> &[MachineSlot] {
-        &self.slots
+    /// Returns all machines of the cluster.
+    pub(super) fn machines(&self) -> &[SimulatedMachine] {
+        &self.machines
     }
 
-    /// One machine of the forecast, by its place in [`SimulatedCluster::slots`].
-    pub(super) fn slot_mut(&mut self, index: usize) -> &mut MachineSlot {
-        &mut self.slots[index]
+    /// Returns a machine by its index in [`SimulatedCluster::machines`].
+    pub(super) fn machine_mut(&mut self, index: usize) -> &mut SimulatedMachine {
+        &mut self.machines[index]
     }
 
-    /// How many machines there are in each zone, those included that the forecast added.
+    /// Returns the number of machines in each zone, those that the forecast added included.
     pub(super) fn machines_by_zone(&self) -> &BTreeMap<Zone, usize> {
         &self.machines_by_zone
     }
 
-    /// Whether no machine may be added any more.
+    /// Whether no more machines may be added.
     pub(super) fn is_full(&self) -> bool {
-        self.slots.len() >= self.max_slots
+        self.machines.len() >= self.max_machines
     }
 
-    /// No machine may be added from now on.
+    /// Prevents the addition of further machines.
     pub(super) fn forbid_new_machines(&mut self) {
-        self.max_slots = 0;
+        self.max_machines = 0;
     }
 
-    /// Adds a machine to be rented, and returns its place in [`SimulatedCluster::slots`].
-    pub(super) fn add(&mut self, slot: MachineSlot) -> usize {
-        let zone = slot.offer.zone.clone();
+    /// Adds a machine to be rented, and returns its index in [`SimulatedCluster::machines`].
+    pub(super) fn add(&mut self, machine: SimulatedMachine) -> usize {
+        let zone = machine.offer.zone.clone();
         *self.machines_by_zone.entry(zone).or_default() += 1;
-        self.slots.push(slot);
-        self.slots.len() - 1
+        self.machines.push(machine);
+        self.machines.len() - 1
     }
 
-    /// What follows: the machines that were added are to be rented, idle ones that stayed so are spare.
+    /// Returns the result: the added machines are to be rented, and machines that stayed idle are spare.
     pub(super) fn into_result(mut self) -> ForecastResult {
         let mut scale_out: BTreeMap<MachineOffer, u32> = BTreeMap::new();
-        for added in self.slots.drain(self.known_slots..) {
+        for added in self.machines.drain(self.existing_count..) {
             *scale_out.entry(added.offer).or_default() += 1;
         }
-        let spare = self.slots.into_iter().filter_map(MachineSlot::into_spare);
+        let spare = self
+            .machines
+            .into_iter()
+            .filter_map(SimulatedMachine::into_spare);
         ForecastResult {
             scale_out,
             spare: spare.collect(),
@@ -104,37 +108,37 @@
     }
 }
 
-/// The machine as the forecast sees it; None if it can't be counted on.
-fn slot_of(view: &AutoscalerView<'_>, machine: &Machine) -> Option<MachineSlot> {
+/// Returns the simulation of a machine; None if the machine can't be counted on.
+fn simulated(view: &AutoscalerView<'_>, machine: &Machine) -> Option<SimulatedMachine> {
     match machine.state {
-        MachineState::Booting if !machine.draining => slot_of_booting(view, machine),
+        MachineState::Booting if !machine.draining => simulated_booting(view, machine),
         MachineState::Up if view.is_schedulable(machine) => {
-            Some(slot_of_schedulable(view, machine))
+            Some(simulated_schedulable(view, machine))
         }
         _ => None,
     }
 }
 
-fn slot_of_booting(view: &AutoscalerView<'_>, machine: &Machine) -> Option<MachineSlot> {
+fn simulated_booting(view: &AutoscalerView<'_>, machine: &Machine) -> Option<SimulatedMachine> {
     let age_s = (view.now() - machine.first_known_at).secs();
     let boot_s = view.boot_s(&machine.machine_type);
-    if age_s >= boot_s * MAX_BOOT_TIMES {
+    if age_s >= boot_s * MAX_BOOT_TIME_FACTOR {
         return None;
     }
-    let left_s = (boot_s - age_s).max(boot_s * MIN_BOOT_SHARE_LEFT);
+    let remaining_s = (boot_s - age_s).max(boot_s * MIN_BOOT_SHARE_LEFT);
     let capacity = view.capacity(&machine.machine_type);
-    Some(MachineSlot::coming(
+    Some(SimulatedMachine::starting(
         MachineOffer::of(machine),
-        left_s,
+        remaining_s,
         capacity,
     ))
 }
 
-fn slot_of_schedulable(view: &AutoscalerView<'_>, machine: &Machine) -> MachineSlot {
+fn simulated_schedulable(view: &AutoscalerView<'_>, machine: &Machine) -> SimulatedMachine {
     let capacity = view.capacity(&machine.machine_type);
     let warm_pool = &view.autoscaler().warm_pool;
     let attempts = machine.live_attempts();
-    MachineSlot::in_use(MachineInUse {
+    SimulatedMachine::up(UpMachine {
         offer: MachineOffer::of(machine),
         idle_machine: (machine.attempts.live_count() == 0).then(|| machine.id.clone()),
         free_share: free_fraction(machine.free(), &capacity),
@@ -151,7 +155,7 @@
     })
 }
 
-/// When a task attempt should free its capacity; None if nothing is known of its job, or if it is of a service,
+/// Returns when a task attempt is expected to release its capacity; None if its job is unknown, or is a service,
 /// which has no end.
 fn release_of(
     view: &AutoscalerView<'_>,
@@ -162,18 +166,18 @@
     if job.spec().shape == Shape::Service {
         return None;
     }
-    let left_s = match attempt.running_since {
+    let remaining_s = match attempt.running_since {
         Some(since) => view.remaining_run_time_s(job, (view.now() - since).secs()),
-        None => view.run_time_of_job_s(job) + fetch_left_s(view, machine, attempt),
+        None => view.run_time_of_job_s(job) + remaining_fetch_s(view, machine, attempt),
     };
     Some(Release {
-        at_s: left_s * RUN_TIME_MARGIN,
+        at_s: remaining_s * RUN_TIME_MARGIN,
         resources: attempt.request,
     })
 }
 
-/// Seconds until an attempt that doesn't run yet has its image.
-fn fetch_left_s(view: &AutoscalerView<'_>, machine: &Machine, attempt: &TaskAttempt) -> f64 {
+/// Returns the time, in seconds, until an attempt that is not running yet has its image.
+fn remaining_fetch_s(view: &AutoscalerView<'_>, machine: &Machine, attempt: &TaskAttempt) -> f64 {
     let Some(job) = view.jobs().get(&attempt.task.job) else {
         return 0.0;
     };
@@ -184,12 +188,12 @@
     (fetch_s - (view.now() - attempt.since).secs()).max(0.0)
 }
 
-fn slot_of_request(view: &AutoscalerView<'_>, request: &ScaleOutRequest) -> MachineSlot {
+fn simulated_requested(view: &AutoscalerView<'_>, request: &ScaleOutRequest) -> SimulatedMachine {
     let machine_type = &request.offer.machine_type;
-    let left_s = view.boot_s(machine_type) - (view.now() - request.requested_at).secs();
-    MachineSlot::coming(
+    let remaining_s = view.boot_s(machine_type) - (view.now() - request.requested_at).secs();
+    SimulatedMachine::starting(
         request.offer.clone(),
-        left_s.max(MIN_REQUESTED_BOOT_SECS),
+        remaining_s.max(MIN_REQUESTED_BOOT_SECS),
         view.capacity(machine_type),
     )
 }
--- a/src/coordination/autoscaler/forecast/slot.rs
+++ b/src/coordination/autoscaler/forecast/simulated_machine.rs
@@ -1,44 +1,44 @@
-//! A machine of the forecast, with its free capacity over time.
+//! A machine of the simulated cluster, with its free capacity over time.
 
 use crate::coordination::autoscaler::MachineOffer;
 use crate::ids::{Image, MachineId};
 use crate::protocol::users::JobSpec;
 use crate::resources::Resources;
 
-/// A machine in the forecast: there, coming, or one that might be rented. Times are seconds from the
-/// moment of the forecast.
-pub(super) struct MachineSlot {
-    /// What kind of machine it is.
+/// A machine of the simulated cluster: up, starting, or one that could be rented. Times are in seconds from the
+/// forecast.
+pub(super) struct SimulatedMachine {
+    /// The kind of machine.
     pub(super) offer: MachineOffer,
-    /// The machine, if it is there and idle and no task has been assigned to it.
+    /// The id of the machine, if it is up and idle and no task has been assigned to it.
     idle_machine: Option<MachineId>,
-    /// The share of it that was free when the forecast began: fuller ones are filled first.
+    /// Share of the machine that was free when the forecast started; fuller machines are filled first.
     free_share: f64,
-    /// When it can take work at all.
+    /// When the machine can start tasks.
     available_from_s: f64,
-    /// What is free once it can.
+    /// Capacity that is free from that time on.
     free: Resources,
-    /// Capacity that tasks free, soonest first.
+    /// Capacity that tasks release, earliest first.
     releases: Vec<Release>,
-    /// Images that are there, or will be.
+    /// Images that are cached, or will be.
     cached_images: Vec<Image>,
-    /// Kept in the warm pool for this job class only.
+    /// The job class for which the warm pool keeps the machine, if any.
     warm_pool_class: Option<String>,
 }
 
-/// Capacity that a task frees when it ends.
+/// Capacity that a task releases when it ends.
 #[derive(Clone, Copy)]
 pub(super) struct Release {
-    /// When, in seconds from the moment of the forecast.
+    /// When the task ends, in seconds from the forecast.
     pub(super) at_s: f64,
-    /// How much.
+    /// The capacity released.
     pub(super) resources: Resources,
 }
 
-/// What is known of a machine that is up, for the forecast.
-pub(super) struct MachineInUse {
+/// The state of a machine that is up, as the forecast needs it.
+pub(super) struct UpMachine {
     pub(super) offer: MachineOffer,
-    /// Its id, if nothing runs on it.
+    /// The id of the machine, if nothing runs on it.
     pub(super) idle_machine: Option<MachineId>,
     pub(super) free_share: f64,
     pub(super) free: Resources,
@@ -48,10 +48,14 @@
     pub(super) warm_pool_class: Option<String>,
 }
 
-impl MachineSlot {
-    /// A machine that is booting, requested or imagined: empty until then, without images.
-    pub(super) fn coming(offer: MachineOffer, available_from_s: f64, capacity: Resources) -> Self {
-        MachineSlot {
+impl SimulatedMachine {
+    /// Creates a machine that is booting, requested or could be rented: empty, and without images.
+    pub(super) fn starting(
+        offer: MachineOffer,
+        available_from_s: f64,
+        capacity: Resources,
+    ) -> Self {
+        SimulatedMachine {
             offer,
             idle_machine: None,
             free_share: 1.0,
@@ -63,11 +67,11 @@
         }
     }
 
-    /// A machine that is up.
-    pub(super) fn in_use(machine: MachineInUse) -> Self {
+    /// Creates a machine that is up.
+    pub(super) fn up(machine: UpMachine) -> Self {
         let mut releases = machine.releases;
         releases.sort_by(|a, b| a.at_s.total_cmp(&b.at_s));
-        MachineSlot {
+        SimulatedMachine {
             offer: machine.offer,
             idle_machine: machine.idle_machine,
             free_share: machine.free_share,
@@ -79,7 +83,7 @@
         }
     }
 
-    /// The soonest time by which so much is free; infinite if it never is.
+    /// Returns the earliest time, in seconds, at which the request fits; infinite if it never does.
     pub(super) fn earliest_fit_s(&self, request: &Resources) -> f64 {
         let mut free = self.free;
         if request.fits(&free) {
@@ -94,7 +98,7 @@
         f64::INFINITY
     }
 
-    /// Takes so much from then on, and frees it when the task has run.
+    /// Allocates the request from `at_s` on, and releases it after `run_s` seconds.
     pub(super) fn allocate(&mut self, at_s: f64, request: &Resources, run_s: f64) {
         let due = self.releases.partition_point(|r| r.at_s <= at_s);
         for release in self.releases.drain(..due) {
@@ -105,22 +109,22 @@
             at_s: at_s + run_s,
             resources: *request,
         };
-        let place = self.releases.partition_point(|r| r.at_s <= release.at_s);
-        self.releases.insert(place, release);
+        let index = self.releases.partition_point(|r| r.at_s <= release.at_s);
+        self.releases.insert(index, release);
         self.idle_machine = None;
     }
 
-    /// Whether so much is free as soon as it can take work.
-    pub(super) fn has_free(&self, request: &Resources) -> bool {
+    /// Whether the request fits as soon as the machine can start tasks.
+    pub(super) fn has_capacity_for(&self, request: &Resources) -> bool {
         request.fits(&self.free)
     }
 
-    /// How many tasks fit as soon as it can take work, at most `max`.
-    pub(super) fn free_for(&self, request: &Resources, max: u32) -> u32 {
+    /// Returns how many tasks fit as soon as the machine can start tasks, at most `max`.
+    pub(super) fn task_capacity(&self, request: &Resources, max: u32) -> u32 {
         request.count_in(&self.free, max)
     }
 
-    /// Whether several tasks share it.
+    /// Whether several tasks share the machine.
     pub(super) fn is_shared(&self) -> bool {
         self.releases.len() > 1
     }
@@ -131,24 +135,24 @@
         self.offer.is_allowed_by(spec) && pool_class.is_none_or(|class| *class == spec.class)
     }
 
-    /// Whether the image is there, or will be.
+    /// Whether the image is cached, or will be.
     pub(super) fn has_image(&self, image: &Image) -> bool {
         self.cached_images.contains(image)
     }
 
-    /// The image is fetched, unless it is there.
+    /// Adds an image that will be fetched, unless it is cached.
     pub(super) fn add_image(&mut self, image: &Image) {
         if !self.has_image(image) {
             self.cached_images.push(image.clone());
         }
     }
 
-    /// The share of it that was free when the forecast began.
+    /// Returns the share of the machine that was free when the forecast started.
     pub(super) fn free_share(&self) -> f64 {
         self.free_share
     }
 
-    /// The machine, if it is there and idle and no task was assigned to it.
+    /// Returns the id of the machine, if it is up and idle and no task was assigned to it.
     pub(super) fn into_spare(self) -> Option<MachineId> {
         self.idle_machine
     }
--- a/src/coordination/autoscaler/forecast/waiting_tasks.rs
+++ b/src/coordination/autoscaler/forecast/waiting_tasks.rs
@@ -1,4 +1,4 @@
-//! Assigns what waits now: room that the warm pool lacks, then unplaced tasks in queue order.
+//! Assigns the current demand: capacity that the warm pool lacks, then unplaced tasks in queue order.
 
 use super::assignment::{assign, TaskBatch, TaskOrigin};
 use super::simulated_cluster::SimulatedCluster;
@@ -10,7 +10,7 @@
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
 
-/// Assigns the tasks for which machines are missing in the warm pool.
+/// Assigns tasks that stand for the capacity that the warm pool lacks.
 pub(super) fn assign_warm_pool(view: &AutoscalerView<'_>, cluster: &mut SimulatedCluster) {
     for missing in view.autoscaler().warm_pool.missing() {
         let batch = TaskBatch {
@@ -22,7 +22,7 @@
     }
 }
 
-/// Assigns the unplaced tasks, as far as the limits of their teams let them start.
+/// Assigns the unplaced tasks, as far as the limits of their teams allow.
 pub(super) fn assign_unplaced_tasks(
     view: &AutoscalerView<'_>,
     unplaced: &[UnplacedTasks],
@@ -55,8 +55,8 @@
     }
 }
 
-/// The zone for a gang that must stay together: where most of it could start soon, if the rest
-/// can be rented there; among equals the one with the fewest machines.
+/// Returns the zone for a gang that has to run in one zone. Zones where the whole gang fits or another machine can be
+/// rented come first, then those with free capacity for more members, then those with fewer machines.
 fn zone_for_gang(
     view: &AutoscalerView<'_>,
     cluster: &SimulatedCluster,
@@ -65,7 +65,7 @@
     let types = view.machines().types.values();
     let zones: BTreeSet<&Zone> = types.flat_map(|info| &info.zones).collect();
     let rank = |zone: &Zone| {
-        let startable = startable_in(zone, cluster, spec);
+        let startable = startable_tasks(zone, cluster, spec);
         let can_start_all = startable >= spec.tasks || can_rent_in(view, zone, cluster, spec);
         let machines = cluster.machines_by_zone().get(zone).copied().unwrap_or(0);
         (can_start_all, startable, Reverse(machines))
@@ -73,14 +73,14 @@
     zones.into_iter().max_by_key(|zone| rank(zone)).cloned()
 }
 
-/// How many tasks of a job could start in a zone on what is free there.
-fn startable_in(zone: &Zone, cluster: &SimulatedCluster, spec: &JobSpec) -> u32 {
+/// Returns how many tasks of a job could start in a zone on the free capacity there.
+fn startable_tasks(zone: &Zone, cluster: &SimulatedCluster, spec: &JobSpec) -> u32 {
     let request = Resources::of(spec);
     cluster
-        .slots()
+        .machines()
         .iter()
-        .filter(|slot| slot.offer.zone == *zone && slot.is_allowed_by(spec))
-        .map(|slot| slot.free_for(&request, spec.tasks))
+        .filter(|machine| machine.offer.zone == *zone && machine.is_allowed_by(spec))
+        .map(|machine| machine.task_capacity(&request, spec.tasks))
         .sum::<u32>()
         .min(spec.tasks)
 }
