--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -35,7 +35,7 @@
     /// The file can't be read.
     #[error("{file}: cannot be read: {source}")]
     Read {
-        /// The file.
+        /// The settings file.
         file: PathBuf,
         /// The operating system's error.
         source: std::io::Error,
@@ -43,7 +43,7 @@
     /// The file can't be parsed.
     #[error("{file}: {message}")]
     Parse {
-        /// The file.
+        /// The settings file.
         file: PathBuf,
         /// The parser's message, which names the field.
         message: String,
@@ -51,7 +51,7 @@
     /// A field has an invalid value.
     #[error("{file}: field `{field}` is {value}: {requirement}")]
     InvalidValue {
-        /// The file.
+        /// The settings file.
         file: PathBuf,
         /// The path of the field, such as `facts.workers.lease_s`.
         field: String,
--- a/src/coordination/autoscaler/forecast/simulated_cluster.rs
+++ b/src/coordination/autoscaler/forecast/simulated_cluster.rs
@@ -13,7 +13,7 @@
 use crate::protocol::users::Shape;
 use std::collections::BTreeMap;
 
-/// A machine that has been booting for this multiple of its boot time is no longer counted on.
+/// A machine that has been booting for this multiple of its boot time is no longer expected to come up.
 const MAX_BOOT_TIME_FACTOR: f64 = 2.0;
 /// Least remaining boot time assumed for a booting machine, as a share of its boot time.
 const MIN_BOOT_SHARE_LEFT: f64 = 0.1;
@@ -23,7 +23,7 @@
 /// machine.
 const RUN_TIME_MARGIN: f64 = 1.25;
 
-/// The machines of a forecast.
+/// The machines that a forecast simulates.
 pub(super) struct SimulatedCluster {
     /// First the machines that are up, booting or requested, then those that the forecast adds.
     machines: Vec<SimulatedMachine>,
@@ -108,7 +108,7 @@
     }
 }
 
-/// Returns the simulation of a machine; None if the machine can't be counted on.
+/// Returns the simulation of a machine; None if the forecast can't rely on the machine.
 fn simulated(view: &AutoscalerView<'_>, machine: &Machine) -> Option<SimulatedMachine> {
     match machine.state {
         MachineState::Booting if !machine.draining => simulated_booting(view, machine),
--- a/src/coordination/autoscaler/scale_in.rs
+++ b/src/coordination/autoscaler/scale_in.rs
@@ -17,12 +17,12 @@
 const MAX_BOOT_TIME_FACTOR: f64 = 4.0;
 /// Seconds added to the boot timeout, for machine types that boot almost at once.
 const BOOT_TIMEOUT_MARGIN_SECS: f64 = 20.0;
-/// Idle timeout of a machine to which the last forecast assigned no task, as a multiple of the time to
-/// replace the machine.
+/// Factor of the idle timeout if the last forecast assigned no task to the machine. The timeout is the product of
+/// this factor, the setting `idle_boots` and the time to replace the machine.
 const IDLE_TIMEOUT_FACTOR_SPARE: f64 = 0.6;
-/// Idle timeout of a machine to which the last forecast assigned tasks, as the same multiple.
+/// Factor of the idle timeout if the last forecast assigned tasks to the machine.
 const IDLE_TIMEOUT_FACTOR_IN_FORECAST: f64 = 3.0;
-/// Idle timeout of any machine while no job is pending and none is expected, as the same multiple.
+/// Factor of the idle timeout while no job is pending and none is expected.
 const IDLE_TIMEOUT_FACTOR_SUBSIDED: f64 = 0.1;
 /// Time after which a draining machine is terminated even if task attempts on it have not ended.
 pub(super) const DRAIN_TIMEOUT: TimeSpan = TimeSpan(20_000);
--- a/src/coordination/autoscaler/view.rs
+++ b/src/coordination/autoscaler/view.rs
@@ -41,7 +41,6 @@
         self.cluster
     }
 
-    /// Returns the autoscaler's state.
     pub(super) fn autoscaler(&self) -> &'a Autoscaler {
         self.autoscaler
     }
@@ -51,7 +50,6 @@
         self.cluster.policy
     }
 
-    /// Returns all jobs.
     pub(super) fn jobs(&self) -> &'a JobTable {
         self.cluster.jobs
     }
