--- a/src/coordination/leadership/transfer.rs
+++ b/src/coordination/leadership/transfer.rs
@@ -20,7 +20,7 @@
 /// The more machines send heartbeats, the sooner silence tells. Guards against a standstill of 13 s each time
 /// that the leader of a thousand machines lost its workers (recorded days 8dda and 2589): two and a half
 /// heartbeat intervals of 5 s, in which 2,500 heartbeats had been missed.
-pub fn silence_bound(machines_up: usize, heartbeat_interval_s: f64) -> TimeSpan {
+pub fn silence_timeout(machines_up: usize, heartbeat_interval_s: f64) -> TimeSpan {
     let max = heartbeat_interval_s * MAX_SILENT_HEARTBEAT_INTERVALS + HEARTBEAT_DELIVERY_SECS;
     let missed = MISSED_HEARTBEATS * heartbeat_interval_s / machines_up.max(1) as f64;
     TimeSpan::from_secs(missed.max(MIN_SILENCE_SECS).min(max))
@@ -29,7 +29,7 @@
 /// Whether a leader that receives no heartbeats should hand over: it has machines that should send some, none
 /// has for longer than the bound, and some peer received one well within it. Without such a peer nobody would
 /// do better.
-pub fn should_hand_over(
+pub fn should_transfer_leadership(
     machines_up: usize,
     own_silence: TimeSpan,
     peers_silence: &[Option<TimeSpan>],
--- a/src/runtime/leader/transfer.rs
+++ b/src/runtime/leader/transfer.rs
@@ -1,7 +1,7 @@
 //! Leadership transfer: a leader that no worker reaches gives way to a peer that workers do reach.
 
 use super::term::Term;
-use crate::coordination::leadership::transfer::{should_hand_over, silence_bound};
+use crate::coordination::leadership::transfer::{should_transfer_leadership, silence_timeout};
 use crate::protocol::peers::{PeerReply, PeerRequest};
 use crate::runtime::clients::peers::PEER_TIMEOUT;
 use crate::runtime::Node;
@@ -23,14 +23,14 @@
             _ = tokio::time::sleep(CHECK_INTERVAL) => {}
         }
         let machines_up = node.leadership.machines_up();
-        let bound = silence_bound(machines_up, node.policy.facts.workers.report_s);
+        let bound = silence_timeout(machines_up, node.policy.facts.workers.report_s);
         if silence(node, started_at) <= bound {
             continue;
         }
         let peers_silence = ask_peers(node).await;
         // Measured again: a process that stood still has taken in by now what had come meanwhile.
         let own_silence = silence(node, started_at);
-        if should_hand_over(machines_up, own_silence, &peers_silence, bound) {
+        if should_transfer_leadership(machines_up, own_silence, &peers_silence, bound) {
             tracing::info!(
                 reason = "a peer receives heartbeats and this controller none",
                 machines = machines_up,
--- a/tests/leadership.rs
+++ b/tests/leadership.rs
@@ -2,7 +2,7 @@
 
 use chalklug::config::{LeaderTimes, OperatorConfig, WorkerTimes};
 use chalklug::coordination::leadership::authority::{Authority, AuthorityLoss};
-use chalklug::coordination::leadership::transfer::{should_hand_over, silence_bound};
+use chalklug::coordination::leadership::transfer::{should_transfer_leadership, silence_timeout};
 use chalklug::time::{Instant, TimeSpan};
 
 fn times() -> LeaderTimes {
@@ -29,7 +29,7 @@
 fn leader_that_alone_hears_no_workers_transfers_leadership() {
     let (long, short, bound) = (TimeSpan(9000), TimeSpan(100), TimeSpan(6000));
     let transfers = |machines, silence, peer_silences: &[Option<TimeSpan>]| {
-        should_hand_over(machines, silence, peer_silences, bound)
+        should_transfer_leadership(machines, silence, peer_silences, bound)
     };
     assert!(transfers(3, long, &[None, Some(short)]));
     let hears_workers = transfers(3, short, &[Some(short)]);
@@ -42,14 +42,14 @@
 
 #[test]
 fn silence_bound_shrinks_with_more_machines() {
-    let bound = |machines| silence_bound(machines, 5.0);
+    let bound = |machines| silence_timeout(machines, 5.0);
     assert_eq!(bound(0), TimeSpan(13_000));
     assert_eq!(bound(10), TimeSpan(13_000));
     assert_eq!(bound(40), TimeSpan(6_250));
     assert_eq!(bound(1_000), TimeSpan(3_000));
-    assert_eq!(silence_bound(1_000, 1.0), TimeSpan(3_000));
+    assert_eq!(silence_timeout(1_000, 1.0), TimeSpan(3_000));
     // Heartbeats so frequent that the longest interval is the shorter bound.
-    assert_eq!(silence_bound(1_000, 0.5), TimeSpan(1_750));
+    assert_eq!(silence_timeout(1_000, 0.5), TimeSpan(1_750));
 }
 
 #[test]
