--- a/src/coordination/attempts/leases.rs
+++ b/src/coordination/attempts/leases.rs
@@ -23,9 +23,10 @@
 
     fn remove_attempts_of_expired_leases(&mut self, now: Instant) {
         let lease_expiry_bound = self.policy.lease_expiry_bound();
-        let began_at = self.leadership.began_at();
-        let is_expired =
-            |machine: &&Machine| now - machine.last_response_at.max(began_at) > lease_expiry_bound;
+        let started_at = self.leadership.started_at();
+        let is_expired = |machine: &&Machine| {
+            now - machine.last_response_at.max(started_at) > lease_expiry_bound
+        };
         let occupied = self.machines.values().filter(|m| !m.attempts.is_empty());
         let expired: Vec<(MachineId, AttemptKey, RemovalProof)> = occupied
             .filter(is_expired)
@@ -34,7 +35,7 @@
                     let proof = RemovalProof::lease_expired(
                         machine,
                         attempt,
-                        began_at,
+                        started_at,
                         lease_expiry_bound,
                         now,
                     )?;
--- a/src/coordination/attempts/ledger/proof.rs
+++ b/src/coordination/attempts/ledger/proof.rs
@@ -69,11 +69,11 @@
     pub fn lease_expired(
         machine: &Machine,
         attempt: &TaskAttempt,
-        leadership_began_at: Instant,
+        leadership_started_at: Instant,
         lease_expiry_bound: TimeSpan,
         now: Instant,
     ) -> Option<RemovalProof> {
-        let lease_from = lease_valid_from(machine, attempt).max(leadership_began_at);
+        let lease_from = lease_valid_from(machine, attempt).max(leadership_started_at);
         (now - lease_from > lease_expiry_bound).then_some(RemovalProof(RemovalReason::LeaseExpired))
     }
 
--- a/src/coordination/autoscaler/inventory.rs
+++ b/src/coordination/autoscaler/inventory.rs
@@ -37,7 +37,7 @@
                 self.machines.capacity(&offer.machine_type),
                 rented_at,
             );
-            machine.last_response_at = self.leadership.began_at();
+            machine.last_response_at = self.leadership.started_at();
             machine.verified = false;
             machine.push_not_before = now;
             self.machines.insert(id.clone(), machine);
@@ -113,7 +113,7 @@
             if listed_ids.contains(&machine.id) || machine.state == MachineState::Returning {
                 continue;
             }
-            let known_long = now - machine.first_known_at.max(self.leadership.began_at()) > lag;
+            let known_long = now - machine.first_known_at.max(self.leadership.started_at()) > lag;
             let missing_since = machine.missing_from_cloud_list(now);
             let silent = machine.last_message_at.is_none_or(|at| now - at > lag);
             if known_long && silent && now - missing_since > lag {
--- a/src/coordination/jobs/lifecycle.rs
+++ b/src/coordination/jobs/lifecycle.rs
@@ -176,7 +176,7 @@
             match record {
                 Some(record) if record.phase == JobPhase::Done => {
                     let at = record.at_ms;
-                    let at = at.map(|ms| self.leadership.on_steady_clock(TimeSpan(ms as i64)));
+                    let at = at.map(|ms| self.leadership.monotonic_from_unix(TimeSpan(ms as i64)));
                     let at = at.map_or(now, |at| at.min(now));
                     self.jobs.graph.finished(&id, at);
                 }
--- a/src/coordination/leadership/recovery/machine_pages.rs
+++ b/src/coordination/leadership/recovery/machine_pages.rs
@@ -106,7 +106,7 @@
     pub(super) fn recorded_instant(&self, time_of_day_s: u64) -> Instant {
         let time_of_day = TimeSpan((time_of_day_s as i64).saturating_mul(1000));
         let leadership = &self.scheduler.leadership;
-        leadership.on_steady_clock(time_of_day).min(self.now)
+        leadership.monotonic_from_unix(time_of_day).min(self.now)
     }
 }
 
--- a/src/coordination/leadership/recovery/mod.rs
+++ b/src/coordination/leadership/recovery/mod.rs
@@ -33,7 +33,7 @@
     /// What former leaders observed of arrivals and run times.
     pub hints: Option<KeyValue>,
     /// The time of day at the steady clock's zero, in milliseconds since 1970.
-    pub time_of_day_at_zero_ms: u64,
+    pub unix_time_at_zero_ms: u64,
 }
 
 /// A record that stops a failover: whatever rests on it would be taken for never launched.
@@ -85,7 +85,7 @@
         now: Instant,
         recovered: RecoveredState,
     ) -> Result<Scheduler, UnreadableRecord> {
-        let mut scheduler = Scheduler::new(policy, term, now, recovered.time_of_day_at_zero_ms);
+        let mut scheduler = Scheduler::new(policy, term, now, recovered.unix_time_at_zero_ms);
         scheduler.machines.set_types(recovered.machine_types);
         let mut recovery = Recovery { scheduler, now };
         recovery.load_open_jobs(recovered.open_jobs);
--- a/src/coordination/leadership/term.rs
+++ b/src/coordination/leadership/term.rs
@@ -44,20 +44,20 @@
 #[derive(Debug)]
 pub struct Leadership {
     term: LeadershipTerm,
-    began_at: Instant,
+    started_at: Instant,
     /// The time of day at the steady clock's zero, in milliseconds since 1970.
-    time_of_day_at_zero_ms: u64,
+    unix_time_at_zero_ms: u64,
     attempt_ids_issued: u64,
 }
 
 impl Leadership {
     /// A leadership that begins at that moment. The time of day at the steady clock's zero, in milliseconds
     /// since 1970, serves hints about ages in records only: it may be off.
-    pub fn new(term: LeadershipTerm, began_at: Instant, time_of_day_at_zero_ms: u64) -> Leadership {
+    pub fn new(term: LeadershipTerm, started_at: Instant, unix_time_at_zero_ms: u64) -> Leadership {
         Leadership {
             term,
-            began_at,
-            time_of_day_at_zero_ms,
+            started_at,
+            unix_time_at_zero_ms,
             attempt_ids_issued: 0,
         }
     }
@@ -73,13 +73,13 @@
     }
 
     /// When the term began: no former leader has answered a worker since.
-    pub(crate) fn began_at(&self) -> Instant {
-        self.began_at
+    pub(crate) fn started_at(&self) -> Instant {
+        self.started_at
     }
 
     /// How long the term has lasted.
     pub(crate) fn age(&self, now: Instant) -> TimeSpan {
-        now - self.began_at
+        now - self.started_at
     }
 
     /// What is held on the state store.
@@ -131,12 +131,12 @@
 
     /// A time of day on record, given as the time since 1970, on this process's steady clock. Only hints rest
     /// on it.
-    pub(crate) fn on_steady_clock(&self, time_of_day: TimeSpan) -> Instant {
-        Instant(time_of_day.0) - TimeSpan(self.time_of_day_at_zero_ms as i64)
+    pub(crate) fn monotonic_from_unix(&self, time_of_day: TimeSpan) -> Instant {
+        Instant(time_of_day.0) - TimeSpan(self.unix_time_at_zero_ms as i64)
     }
 
     /// The time of day at a point on the steady clock, in milliseconds since 1970: a hint for records.
-    pub(crate) fn time_of_day_ms(&self, at: Instant) -> u64 {
-        self.time_of_day_at_zero_ms.saturating_add_signed(at.0)
+    pub(crate) fn unix_time_ms(&self, at: Instant) -> u64 {
+        self.unix_time_at_zero_ms.saturating_add_signed(at.0)
     }
 }
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -80,11 +80,11 @@
         policy: Arc<Policy>,
         term: LeadershipTerm,
         now: Instant,
-        time_of_day_at_zero_ms: u64,
+        unix_time_at_zero_ms: u64,
     ) -> Scheduler {
         let teams = policy.facts.teams.len();
         Scheduler {
-            leadership: Leadership::new(term, now, time_of_day_at_zero_ms),
+            leadership: Leadership::new(term, now, unix_time_at_zero_ms),
             jobs: JobTable::new(teams),
             machines: MachineTable::default(),
             team_usage: TeamUsage::new(teams),
--- a/src/coordination/persistence/draft/job_ends.rs
+++ b/src/coordination/persistence/draft/job_ends.rs
@@ -45,7 +45,7 @@
 
     fn draft_finish(&self, id: &JobId, job: &Job, draft: &mut Draft) -> bool {
         let now = self.cluster.now;
-        let time_of_day_ms = || self.leadership.time_of_day_ms(now);
+        let time_of_day_ms = || self.leadership.unix_time_ms(now);
         let record = TerminalRecord {
             phase: JobPhase::Done,
             tasks: job.spec().tasks,
--- a/src/coordination/persistence/draft/launches.rs
+++ b/src/coordination/persistence/draft/launches.rs
@@ -124,7 +124,7 @@
             let (task, attempt_id) = (&intent.attempt.task, intent.attempt.attempt_id);
             page.add(&intent.machine_id, task, attempt_id);
             if let Some(attempt) = attempt_of(self.cluster.machines, intent) {
-                let placed_s = self.leadership.time_of_day_ms(attempt.since) / 1000;
+                let placed_s = self.leadership.unix_time_ms(attempt.since) / 1000;
                 page.placed_s.entry(attempt_id).or_insert(placed_s);
             }
             if !page.jobs.contains_key(&task.job) {
--- a/src/coordination/persistence/draft/machines.rs
+++ b/src/coordination/persistence/draft/machines.rs
@@ -55,7 +55,7 @@
         let mut builder = MachinePageBuilder::default();
         let machines = machine_ids.iter();
         for machine in machines.filter_map(|id| self.cluster.machines.get(id)) {
-            let rented_s = self.leadership.time_of_day_ms(machine.first_known_at) / 1000;
+            let rented_s = self.leadership.unix_time_ms(machine.first_known_at) / 1000;
             builder.add(machine, rented_s, max_images);
         }
         serde_json::to_value(&builder.page).unwrap_or_default()
--- a/src/runtime/leader/job_watch.rs
+++ b/src/runtime/leader/job_watch.rs
@@ -47,7 +47,7 @@
         machine_pages,
         machine_types: node.catalog.machine_types(),
         hints,
-        time_of_day_at_zero_ms: time_of_day_ms().saturating_sub(node.now().0.max(0) as u64),
+        unix_time_at_zero_ms: time_of_day_ms().saturating_sub(node.now().0.max(0) as u64),
     };
     Some((recovered, store_revision))
 }
--- a/tests/simulation/leadership.rs
+++ b/tests/simulation/leadership.rs
@@ -196,7 +196,7 @@
             machine_pages: self.store.list(MACHINE_PAGE_PREFIX),
             machine_types: self.cloud.machine_types.clone(),
             hints: self.store.get(HINTS_KEY),
-            time_of_day_at_zero_ms: 0,
+            unix_time_at_zero_ms: 0,
         }
     }
 
--- a/tests/upgrade/page_splitting.rs
+++ b/tests/upgrade/page_splitting.rs
@@ -98,7 +98,7 @@
         machine_pages: store.list(MACHINE_PAGE_PREFIX),
         intent_pages: store.list(INTENT_PAGE_PREFIX),
         machine_types: vec![machine_type(8.0)],
-        time_of_day_at_zero_ms: 1_700_000_000_000,
+        unix_time_at_zero_ms: 1_700_000_000_000,
         ..RecoveredState::default()
     };
     RecordedScheduler::recover(policy(announced), term, now, recovered)
