--- a/src/coordination/attempts/commands.rs
+++ b/src/coordination/attempts/commands.rs
@@ -23,7 +23,7 @@
     /// launched, and a worker refuses lower ones from then on.
     fn may_clear(&self, attempt: &TaskAttempt) -> bool {
         let token = self.leadership.token();
-        let launched_with_this_token = attempt.launched_with.is_some_and(|t| t >= token);
+        let launched_with_this_token = attempt.launch_token.is_some_and(|t| t >= token);
         if !attempt.has_ended() || attempt.has_launch_in_flight() || launched_with_this_token {
             return false;
         }
@@ -41,7 +41,7 @@
     /// Whether a planned attempt may be launched now: its intent is durable, its job still needs it and allows
     /// it there, and its machine is in use.
     pub(super) fn wants_launch(&self, machine: &Machine, attempt: &TaskAttempt) -> bool {
-        attempt.page.is_some()
+        attempt.intent_page.is_some()
             && !self.waits_for_gang_members(attempt)
             && attempt.stop.is_none()
             && attempt.last_status.is_none()
@@ -119,8 +119,8 @@
         }
         for key in launched {
             if let Some(attempt) = self.ledger().get_mut(machine_id, &key) {
-                attempt.heartbeat_carrier = Some(tick);
-                attempt.launched_in = Some(session);
+                attempt.launch_heartbeat = Some(tick);
+                attempt.launch_session = Some(session);
             }
         }
         commands
@@ -142,7 +142,7 @@
         if attempt.stop.is_some() {
             return Self::stop_command(attempt, now);
         }
-        let push_in_flight = matches!(attempt.push, PushDelivery::InFlight(_));
+        let push_in_flight = matches!(attempt.last_push, PushDelivery::InFlight(_));
         let may_launch = is_news && self.wants_launch(machine, attempt) && !push_in_flight;
         may_launch.then_some(Command::Launch { task, attempt_id })
     }
--- a/src/coordination/attempts/leases.rs
+++ b/src/coordination/attempts/leases.rs
@@ -86,9 +86,9 @@
 /// Whether a launch on the machine has been unaccounted for for too long.
 fn has_lost_launch(machine: &Machine, now: Instant) -> bool {
     let is_lost = |attempt: &TaskAttempt| {
-        matches!(attempt.push, PushDelivery::Lost(..))
+        matches!(attempt.last_push, PushDelivery::Unconfirmed(..))
             && attempt.last_status.is_none()
-            && now - attempt.since > LOST_LAUNCH_TIMEOUT
+            && now - attempt.placed_at > LOST_LAUNCH_TIMEOUT
     };
     machine.attempts.iter().any(is_lost)
 }
--- a/src/coordination/attempts/ledger/mod.rs
+++ b/src/coordination/attempts/ledger/mod.rs
@@ -125,7 +125,7 @@
         if attempt.has_ended() {
             return None;
         }
-        let before = attempt.page.replace(page);
+        let before = attempt.intent_page.replace(page);
         Some(before.is_none())
     }
 
@@ -163,7 +163,7 @@
         self.jobs.update(&key.task.job, |job| {
             job.attempt_removed(attempt.is_running())
         });
-        if let Some(page) = attempt.page {
+        if let Some(page) = attempt.intent_page {
             let removed = LaunchIntent::new(machine_id, key);
             self.writer.intent_obsolete(now, page, &removed);
         }
--- a/src/coordination/attempts/ledger/proof.rs
+++ b/src/coordination/attempts/ledger/proof.rs
@@ -90,7 +90,7 @@
 /// and started elsewhere. What a former leader launched is in a session that had begun when we took over,
 /// unless it is seen in a later one.
 fn lease_valid_from(machine: &Machine, attempt: &TaskAttempt) -> Instant {
-    let in_present_session = attempt.launched_in == Some(machine.session)
+    let in_present_session = attempt.launch_session == Some(machine.session)
         || attempt
             .last_status
             .is_some_and(|status| status.at.0 == machine.session);
--- a/src/coordination/attempts/ledger/task_attempt.rs
+++ b/src/coordination/attempts/ledger/task_attempt.rs
@@ -19,7 +19,7 @@
     InFlight(RequestId),
     /// No answer came: it may execute at any time in this session, until the worker has seen a higher
     /// token than this.
-    Lost(Session, FencingToken),
+    Unconfirmed(Session, FencingToken),
 }
 
 /// What a status said of an attempt.
@@ -56,7 +56,10 @@
     }
 
     /// Whether another status says the same of the attempt.
-    pub(in crate::coordination::attempts) fn says_the_same_as(&self, other: &LastStatus) -> bool {
+    pub(in crate::coordination::attempts) fn reports_same_state_as(
+        &self,
+        other: &LastStatus,
+    ) -> bool {
         (self.phase, self.cause, self.stored) == (other.phase, other.cause, other.stored)
     }
 }
@@ -98,15 +101,15 @@
     /// Whether its job was a latency job when it was placed.
     pub is_latency_task: bool,
     /// The page on the state store that holds the intent: only then may it be launched.
-    pub page: Option<PageNumber>,
+    pub intent_page: Option<PageNumber>,
     /// The tick of the heartbeat whose response carried the launch, until settled.
-    pub heartbeat_carrier: Option<Tick>,
+    pub launch_heartbeat: Option<Tick>,
     /// What became of the last push that launched it.
-    pub push: PushDelivery,
+    pub last_push: PushDelivery,
     /// The session in which we launched it. None: never launched by us.
-    pub launched_in: Option<Session>,
+    pub launch_session: Option<Session>,
     /// The highest token of a push that launched it.
-    pub launched_with: Option<FencingToken>,
+    pub launch_token: Option<FencingToken>,
     /// Left by a former leader and not yet resolved by a status that carries our token.
     pub recovered: bool,
     /// What its worker last said of it.
@@ -114,7 +117,7 @@
     /// The request that it end, if there is one.
     pub stop: Option<StopRequest>,
     /// When it was placed.
-    pub since: Instant,
+    pub placed_at: Instant,
     /// When it was first seen running.
     pub running_since: Option<Instant>,
 }
@@ -136,15 +139,15 @@
             image: job.map(|j| j.spec().image.clone()),
             image_wait_s: None,
             is_latency_task: false,
-            page: None,
-            heartbeat_carrier: None,
-            push: PushDelivery::None,
-            launched_in: None,
-            launched_with: None,
+            intent_page: None,
+            launch_heartbeat: None,
+            last_push: PushDelivery::None,
+            launch_session: None,
+            launch_token: None,
             recovered: false,
             last_status: None,
             stop: None,
-            since: now,
+            placed_at: now,
             running_since: None,
         }
     }
@@ -167,27 +170,27 @@
         &mut self,
         status: &StatusEvidence,
     ) -> bool {
-        if let PushDelivery::Lost(session, token) = self.push {
+        if let PushDelivery::Unconfirmed(session, token) = self.last_push {
             if session < status.at.0 || token < status.token {
                 // The worker refuses that command from now on.
-                self.push = PushDelivery::None;
+                self.last_push = PushDelivery::None;
             }
         }
-        let carrier = self.heartbeat_carrier.filter(|_| status.is_heartbeat);
+        let carrier = self.launch_heartbeat.filter(|_| status.is_heartbeat);
         let is_settled = carrier.is_some_and(|tick| tick < status.at.1 || status.starts_session);
         if is_settled {
             // A later heartbeat means that the response was either executed or dropped.
-            self.heartbeat_carrier = None;
+            self.launch_heartbeat = None;
         }
         is_settled
     }
     /// Whether a launch of it can still arrive.
     pub fn has_launch_in_flight(&self) -> bool {
-        self.heartbeat_carrier.is_some() || self.push != PushDelivery::None
+        self.launch_heartbeat.is_some() || self.last_push != PushDelivery::None
     }
     /// Never launched by anybody: may be dropped at will.
     pub fn was_never_launched(&self) -> bool {
-        !self.recovered && self.launched_in.is_none() && self.last_status.is_none()
+        !self.recovered && self.launch_session.is_none() && self.last_status.is_none()
     }
     /// Seen running, and not ended since.
     pub fn is_running(&self) -> bool {
--- a/src/coordination/attempts/pushes.rs
+++ b/src/coordination/attempts/pushes.rs
@@ -109,9 +109,9 @@
         machine.push_in_flight = Some(request_id);
         for key in &draft.launches {
             if let Some(attempt) = machine.attempts.get_mut(key) {
-                attempt.push = PushDelivery::InFlight(request_id);
-                attempt.launched_in = Some(session);
-                attempt.launched_with = Some(token);
+                attempt.last_push = PushDelivery::InFlight(request_id);
+                attempt.launch_session = Some(session);
+                attempt.launch_token = Some(token);
             }
         }
         for key in &draft.stops {
@@ -139,7 +139,7 @@
         // time in this session, until the worker has seen a higher token, so the launch stays in
         // flight until then.
         let end = if sent {
-            PushDelivery::Lost(machine.session, token)
+            PushDelivery::Unconfirmed(machine.session, token)
         } else {
             PushDelivery::None
         };
@@ -164,8 +164,8 @@
             self.outbox.pushes_in_flight = self.outbox.pushes_in_flight.saturating_sub(1);
         }
         for attempt in machine.attempts.iter_mut() {
-            if attempt.push == PushDelivery::InFlight(request_id) {
-                attempt.push = end;
+            if attempt.last_push == PushDelivery::InFlight(request_id) {
+                attempt.last_push = end;
             }
         }
         self.outbox.pushes_due.insert(machine_id.clone());
--- a/src/coordination/attempts/reconciliation/absent.rs
+++ b/src/coordination/attempts/reconciliation/absent.rs
@@ -59,12 +59,12 @@
         let dropped = machine.attempts.get_mut(key).filter(|attempt| {
             attempt.last_status.is_none()
                 && !attempt.recovered
-                && attempt.launched_in == Some(session)
+                && attempt.launch_session == Some(session)
         });
         let Some(attempt) = dropped else {
             return false;
         };
-        attempt.launched_in = None;
+        attempt.launch_session = None;
         self.outbox.pushes_due.insert(machine_id.clone());
         true
     }
--- a/src/coordination/attempts/reconciliation/listed.rs
+++ b/src/coordination/attempts/reconciliation/listed.rs
@@ -34,9 +34,9 @@
             return;
         };
         let before = attempt.last_status;
-        let shows_our_launch = before.is_none() && attempt.launched_in == Some(evidence.at.0);
+        let shows_our_launch = before.is_none() && attempt.launch_session == Some(evidence.at.0);
         let status = LastStatus::after(before, task, evidence.at, now);
-        let is_news = before.is_none_or(|before| !before.says_the_same_as(&status));
+        let is_news = before.is_none_or(|before| !before.reports_same_state_as(&status));
         if !is_news {
             // Only noted, so that the attempt isn't taken for absent.
             attempt.last_status = Some(status);
@@ -132,7 +132,7 @@
         match attempt.filter(|attempt| attempt.recovered) {
             Some(attempt) => {
                 let fetch_s = self.longest_fetch_s(machine_id, &key.task.job);
-                (attempt.since + TimeSpan::from_secs(fetch_s)).min(now)
+                (attempt.placed_at + TimeSpan::from_secs(fetch_s)).min(now)
             }
             None => now,
         }
--- a/src/coordination/autoscaler/forecast/simulated_cluster.rs
+++ b/src/coordination/autoscaler/forecast/simulated_cluster.rs
@@ -181,7 +181,7 @@
         return 0.0;
     }
     let fetch_s = view.fetch_s(&machine.machine_type, job.spec().image_gb);
-    (fetch_s - (view.now() - attempt.since).secs()).max(0.0)
+    (fetch_s - (view.now() - attempt.placed_at).secs()).max(0.0)
 }
 
 fn slot_of_request(view: &AutoscalerView<'_>, request: &ScaleOutRequest) -> MachineSlot {
--- a/src/coordination/leadership/recovery/intent_pages.rs
+++ b/src/coordination/leadership/recovery/intent_pages.rs
@@ -69,7 +69,7 @@
             attempt.request = resources.request;
             attempt.team = scheduler.policy.team_index(&resources.team);
         }
-        attempt.page = Some(page);
+        attempt.intent_page = Some(page);
         attempt.recovered = true;
         attempt
     }
--- a/src/coordination/machines/images.rs
+++ b/src/coordination/machines/images.rs
@@ -49,7 +49,7 @@
             .live_attempts()
             .filter(|attempt| attempt.running_since.is_none())
             .filter(|attempt| attempt.image.as_ref() == Some(&spec.image))
-            .map(|attempt| attempt.since)
+            .map(|attempt| attempt.placed_at)
             .min();
         match pull_began_at {
             Some(since) => (pull_s - (now - since).secs()).max(0.0),
--- a/src/coordination/persistence/draft/launches.rs
+++ b/src/coordination/persistence/draft/launches.rs
@@ -17,7 +17,7 @@
     intent: &LaunchIntent,
 ) -> bool {
     let attempt = attempt_of(machines, intent);
-    attempt.is_some_and(|attempt| attempt.page.is_none() && attempt.was_never_launched())
+    attempt.is_some_and(|attempt| attempt.intent_page.is_none() && attempt.was_never_launched())
 }
 
 fn attempt_of<'a>(machines: &'a MachineTable, intent: &LaunchIntent) -> Option<&'a TaskAttempt> {
@@ -124,7 +124,7 @@
             let (task, attempt_id) = (&intent.attempt.task, intent.attempt.attempt_id);
             page.add(&intent.machine_id, task, attempt_id);
             if let Some(attempt) = attempt_of(self.cluster.machines, intent) {
-                let placed_s = self.leadership.unix_time_ms(attempt.since) / 1000;
+                let placed_s = self.leadership.unix_time_ms(attempt.placed_at) / 1000;
                 page.placed_s.entry(attempt_id).or_insert(placed_s);
             }
             if !page.jobs.contains_key(&task.job) {
--- a/src/coordination/persistence/draft/token.rs
+++ b/src/coordination/persistence/draft/token.rs
@@ -62,9 +62,10 @@
     /// Whether a machine has a launch without a response, or a tombstone launched with the token in force.
     fn waits_for_higher_token(&self, machine: &Machine) -> bool {
         let is_blocked = |attempt: &TaskAttempt| {
-            attempt.has_ended() && attempt.launched_with == Some(self.leadership.token())
+            attempt.has_ended() && attempt.launch_token == Some(self.leadership.token())
         };
-        let is_lost = |attempt: &TaskAttempt| matches!(attempt.push, PushDelivery::Lost(..));
+        let is_lost =
+            |attempt: &TaskAttempt| matches!(attempt.last_push, PushDelivery::Unconfirmed(..));
         machine.attempts.iter().any(is_lost)
             || (machine.attempts.tombstone_count() > 0 && machine.attempts.iter().any(is_blocked))
     }
--- a/src/coordination/placement/eviction.rs
+++ b/src/coordination/placement/eviction.rs
@@ -182,7 +182,7 @@
         } else {
             run_time_s
         };
-        let start_lost_s = if self.now() - attempt.since < RECENT_START {
+        let start_lost_s = if self.now() - attempt.placed_at < RECENT_START {
             RECENT_START_COST_S
         } else {
             0.0
