--- a/src/coordination/attempts/commands.rs
+++ b/src/coordination/attempts/commands.rs
@@ -152,7 +152,11 @@
     ///
     /// Guards against a command that waits for its turn on a busy processor while its job is cancelled. The
     /// answer to it lists no such task, so the attempt is dropped as one that was never launched.
-    pub fn still_wanted(&self, machine_id: &MachineId, mut commands: Vec<Command>) -> Vec<Command> {
+    pub fn revalidate_commands(
+        &self,
+        machine_id: &MachineId,
+        mut commands: Vec<Command>,
+    ) -> Vec<Command> {
         let machine = self.machines.get(machine_id);
         commands.retain(|command| match command {
             Command::Launch { task, .. } => {
--- a/src/coordination/attempts/ledger/audit.rs
+++ b/src/coordination/attempts/ledger/audit.rs
@@ -56,7 +56,7 @@
     },
     /// The places of a job's tasks: every live attempt has one.
     #[error("{job}: places by zone {kept:?}, counted {counted:?}")]
-    Places {
+    Placements {
         /// The job.
         job: JobId,
         /// As kept.
@@ -105,7 +105,7 @@
     fn audit_machine(&self, machine: &Machine) -> Result<(), AuditError> {
         let counted = machine
             .attempts
-            .free_of(self.machines.capacity(&machine.machine_type));
+            .compute_free(self.machines.capacity(&machine.machine_type));
         let live = machine.live_attempts().count();
         if nearly_equal(&counted, machine.free()) && machine.attempts.live_count() == live {
             return Ok(());
@@ -173,7 +173,7 @@
         if kept == places && counted == *job.tasks_by_zone() {
             return Ok(());
         }
-        Err(AuditError::Places {
+        Err(AuditError::Placements {
             job: id.clone(),
             kept: job.tasks_by_zone().clone(),
             counted,
--- a/src/coordination/attempts/ledger/machine_attempts.rs
+++ b/src/coordination/attempts/ledger/machine_attempts.rs
@@ -92,7 +92,7 @@
     }
 
     /// What live attempts leave of a capacity, added up anew.
-    pub fn free_of(&self, capacity: Resources) -> Resources {
+    pub fn compute_free(&self, capacity: Resources) -> Resources {
         let mut free = capacity;
         for attempt in self.live() {
             free.sub(&attempt.request);
@@ -102,7 +102,7 @@
 
     /// The machine's capacity has become known, or has changed.
     pub fn set_capacity(&mut self, capacity: Resources) {
-        self.free = self.free_of(capacity);
+        self.free = self.compute_free(capacity);
     }
 
     /// The attempt with that key, for changes of how it is launched and stopped.
--- a/src/coordination/attempts/stops.rs
+++ b/src/coordination/attempts/stops.rs
@@ -88,7 +88,7 @@
 impl Scheduler {
     /// Requests the stops that are due: on machines to which something has happened, and on each from time to
     /// time.
-    pub(crate) fn stop_unwanted(&mut self, now: Instant) {
+    pub(crate) fn stop_unwanted_attempts(&mut self, now: Instant) {
         for machine_id in std::mem::take(&mut self.outbox.machines_to_review) {
             self.review(now, &machine_id);
         }
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -178,7 +178,7 @@
             self.recheck(now);
         }
         self.read_terminal_records(now);
-        self.stop_unwanted(now);
+        self.stop_unwanted_attempts(now);
         if self.placement.start_pass_if_due(now) {
             self.place_and_scale(now);
         }
--- a/src/runtime/leader/state.rs
+++ b/src/runtime/leader/state.rs
@@ -240,7 +240,7 @@
             if let Some(leader) = lock(&self.active).as_ref() {
                 *commands = leader
                     .scheduler
-                    .still_wanted(machine_id, std::mem::take(commands));
+                    .revalidate_commands(machine_id, std::mem::take(commands));
                 leader.log_commands(now, Carrier::Command, machine_id, commands);
             }
         }
--- a/tests/stale_knowledge.rs
+++ b/tests/stale_knowledge.rs
@@ -213,12 +213,12 @@
     };
     assert_eq!(commands, [vec![launch.clone()]]);
     assert_eq!(
-        scheduler.still_wanted(&machine_id(), commands[0].clone()),
+        scheduler.revalidate_commands(&machine_id(), commands[0].clone()),
         [launch]
     );
     scheduler.on(START + TimeSpan(3_000), Event::JobCancelled { id: job(2) });
     assert_eq!(
-        scheduler.still_wanted(&machine_id(), commands[0].clone()),
+        scheduler.revalidate_commands(&machine_id(), commands[0].clone()),
         []
     );
     scheduler.audit().unwrap();
