--- a/src/coordination/attempts/ledger/proof.rs
+++ b/src/coordination/attempts/ledger/proof.rs
@@ -69,11 +69,11 @@
     pub fn lease_expired(
         machine: &Machine,
         attempt: &TaskAttempt,
-        leadership_began_at: Instant,
+        leadership_started_at: Instant,
         lease_expiry_bound: TimeSpan,
         now: Instant,
     ) -> Option<RemovalProof> {
-        let lease_from = lease_valid_from(machine, attempt).max(leadership_began_at);
+        let lease_from = lease_valid_from(machine, attempt).max(leadership_started_at);
         (now - lease_from > lease_expiry_bound).then_some(RemovalProof(RemovalReason::LeaseExpired))
     }
 
@@ -90,7 +90,7 @@
 /// and started elsewhere. What a former leader launched is in a session that had begun when we took over,
 /// unless it is seen in a later one.
 fn lease_valid_from(machine: &Machine, attempt: &TaskAttempt) -> Instant {
-    let in_present_session = attempt.launched_in == Some(machine.session)
+    let in_present_session = attempt.launch_session == Some(machine.session)
         || attempt
             .last_status
             .is_some_and(|status| status.at.0 == machine.session);
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -80,11 +80,11 @@
         policy: Arc<Policy>,
         term: LeadershipTerm,
         now: Instant,
-        time_of_day_at_zero_ms: u64,
+        unix_time_at_zero_ms: u64,
     ) -> Scheduler {
         let teams = policy.facts.teams.len();
         Scheduler {
-            leadership: Leadership::new(term, now, time_of_day_at_zero_ms),
+            leadership: Leadership::new(term, now, unix_time_at_zero_ms),
             jobs: JobTable::new(teams),
             machines: MachineTable::default(),
             team_usage: TeamUsage::new(teams),
@@ -178,7 +178,7 @@
             self.recheck(now);
         }
         self.read_terminal_records(now);
-        self.stop_unwanted(now);
+        self.stop_unwanted_attempts(now);
         if self.placement.start_pass_if_due(now) {
             self.place_and_scale(now);
         }
