--- a/src/coordination/attempts/commands.rs
+++ b/src/coordination/attempts/commands.rs
@@ -32,7 +32,7 @@
         let index = attempt.task.index;
         match self.jobs.get(&attempt.task.job) {
             Some(job) if is_done && !job.is_closed() => {
-                job.completed().has(index) && !job.unpersisted().contains(&index)
+                job.completed().contains(index) && !job.unpersisted().contains(&index)
             }
             _ => true,
         }
--- a/src/coordination/jobs/job.rs
+++ b/src/coordination/jobs/job.rs
@@ -208,7 +208,7 @@
 
     /// Whether a task still has to run.
     pub fn needs_run(&self, index: u32) -> bool {
-        !self.is_closed() && index < self.spec.tasks && !self.completed().has(index)
+        !self.is_closed() && index < self.spec.tasks && !self.completed().contains(index)
     }
 
     /// What its uncompleted tasks take together.
--- a/src/coordination/jobs/lifecycle.rs
+++ b/src/coordination/jobs/lifecycle.rs
@@ -79,8 +79,8 @@
         let team = self.policy.team_index(&record.spec.team);
         let pages = record.dependency_pages;
         let job = Job::new(record.spec, team, revision, submitted_at, pages);
-        let traits = self.traits_of(&job, &record.after);
-        self.jobs.open(id, job, &record.after, traits);
+        let traits = self.traits_of(&job, &record.upstream_jobs);
+        self.jobs.open(id, job, &record.upstream_jobs, traits);
         self.apply_graph_changes(now);
         self.placement.request_pass();
     }
@@ -175,7 +175,7 @@
         for TerminalRecordRead { job: id, record } in records {
             match record {
                 Some(record) if record.phase == JobPhase::Done => {
-                    let at = record.at_ms;
+                    let at = record.done_at_ms;
                     let at = at.map(|ms| self.leadership.on_steady_clock(TimeSpan(ms as i64)));
                     let at = at.map_or(now, |at| at.min(now));
                     self.jobs.graph.finished(&id, at);
--- a/src/coordination/jobs/tasks.rs
+++ b/src/coordination/jobs/tasks.rs
@@ -86,7 +86,7 @@
 
     /// The task is completed; that is to be persisted if it is news.
     pub(super) fn complete(&mut self, index: u32) {
-        if self.completed.add(index) {
+        if self.completed.insert(index) {
             self.unpersisted.insert(index);
             self.pending.remove(&index);
         }
@@ -99,9 +99,9 @@
 
     /// Takes in a progress record: tasks that were completed under a former leader.
     pub(super) fn load_progress(&mut self, chunk: u32, text: &str) {
-        self.completed.load(chunk, text);
+        self.completed.load_chunk(chunk, text);
         let completed = &self.completed;
-        self.pending.retain(|index| !completed.has(*index));
+        self.pending.retain(|index| !completed.contains(*index));
     }
 
     /// No task is to be placed any more.
--- a/src/coordination/persistence/draft/job_ends.rs
+++ b/src/coordination/persistence/draft/job_ends.rs
@@ -6,7 +6,7 @@
 use crate::ids::{JobId, KeyRevision};
 use crate::protocol::state::Change;
 use crate::protocol::users::JobPhase;
-use crate::storage::records::{open_key, terminal_key, TerminalRecord};
+use crate::storage::records::{open_job_key, terminal_key, TerminalRecord};
 
 impl DraftContext<'_> {
     /// Finishes of jobs that others depend on, in at most half of a transaction: a burst of them must not hold up
@@ -49,7 +49,7 @@
         let record = TerminalRecord {
             phase: JobPhase::Done,
             tasks: job.spec().tasks,
-            at_ms: self.has_downstream_jobs(id).then(time_of_day_ms),
+            done_at_ms: self.has_downstream_jobs(id).then(time_of_day_ms),
         };
         let update = RecordUpdate::JobFinished { job: id.clone() };
         close_job(draft, id, job.open_record_revision(), &record, update)
@@ -71,9 +71,12 @@
     let Ok(data) = serde_json::to_value(record) else {
         return true;
     };
-    let preconditions = vec![(open_key(id), revision), (terminal_key(id), KeyRevision(0))];
+    let preconditions = vec![
+        (open_job_key(id), revision),
+        (terminal_key(id), KeyRevision(0)),
+    ];
     let changes = vec![
-        Change::delete(open_key(id)),
+        Change::delete(open_job_key(id)),
         Change::put(terminal_key(id), data),
     ];
     draft.add(preconditions, changes, update)
--- a/src/coordination/persistence/draft/launches.rs
+++ b/src/coordination/persistence/draft/launches.rs
@@ -7,7 +7,9 @@
 use crate::coordination::persistence::intent_pages::IntentPageSize;
 use crate::ids::{JobId, KeyRevision, PageNumber};
 use crate::protocol::state::Change;
-use crate::storage::records::{intent_page_key, open_key, IntentPage, JobResources, LaunchIntent};
+use crate::storage::records::{
+    intent_page_key, open_job_key, IntentPage, JobResources, LaunchIntent,
+};
 use std::collections::BTreeSet;
 use std::iter::Peekable;
 
@@ -192,7 +194,7 @@
         if !draft.has_room_for_preconditions(self.preconditions.len() + 1) {
             return false;
         }
-        self.preconditions.push((open_key(job), revision));
+        self.preconditions.push((open_job_key(job), revision));
         self.jobs.insert(job.clone());
         true
     }
--- a/src/coordination/persistence/draft/progress.rs
+++ b/src/coordination/persistence/draft/progress.rs
@@ -4,7 +4,7 @@
 use crate::coordination::jobs::job::Job;
 use crate::ids::JobId;
 use crate::protocol::state::Change;
-use crate::storage::records::{open_key, ProgressKey, TASKS_PER_PROGRESS_RECORD};
+use crate::storage::records::{open_job_key, ProgressKey, TASKS_PER_PROGRESS_RECORD};
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
 
@@ -38,12 +38,12 @@
     fn draft_chunk(&self, key: ProgressKey, job: &Job, draft: &mut Draft) -> bool {
         let stored_key = key.to_string();
         let preconditions = vec![
-            (open_key(&key.job), job.open_record_revision()),
+            (open_job_key(&key.job), job.open_record_revision()),
             (stored_key.clone(), self.writer.progress.revision(&key)),
         ];
         let changes = vec![Change::put(
             stored_key,
-            job.completed().chunk(key.chunk).into(),
+            job.completed().encode_chunk(key.chunk).into(),
         )];
         let first_task = key.chunk * TASKS_PER_PROGRESS_RECORD;
         let tasks = first_task..first_task + TASKS_PER_PROGRESS_RECORD;
--- a/src/runtime/api/cancellation.rs
+++ b/src/runtime/api/cancellation.rs
@@ -12,7 +12,7 @@
 use crate::runtime::clients::open_job_cache::OpenJob;
 use crate::runtime::clients::state_store::{StateStoreError, TransactionOutcome};
 use crate::runtime::Node;
-use crate::storage::records::{open_key, terminal_key, TerminalRecord};
+use crate::storage::records::{open_job_key, terminal_key, TerminalRecord};
 use std::time::{Duration, Instant};
 
 /// No new attempt begins after this, half of [`SUBMIT_TIMEOUT`]: the rest of the time is for the last one.
@@ -68,14 +68,14 @@
         return Attempt::Failed;
     };
     let still_open = Precondition {
-        key: open_key(id),
+        key: open_job_key(id),
         revision: job.revision,
     };
     let transaction = Transaction {
         preconditions: vec![still_open, Precondition::absent(terminal_key(id))],
         changes: vec![
             Change::Delete {
-                delete: open_key(id),
+                delete: open_job_key(id),
             },
             Change::put(terminal_key(id), record),
         ],
--- a/src/runtime/api/submissions.rs
+++ b/src/runtime/api/submissions.rs
@@ -17,7 +17,7 @@
 use crate::runtime::clients::state_store::{StateStoreError, TransactionOutcome};
 use crate::runtime::clients::upstream_jobs::{find_upstream, UpstreamState};
 use crate::runtime::{time_of_day_ms, Node};
-use crate::storage::records::{open_key, terminal_key, OpenJobRecord, TerminalRecord};
+use crate::storage::records::{open_job_key, terminal_key, OpenJobRecord, TerminalRecord};
 
 /// The share of a value's size limit that an open record may take.
 const MAX_RECORD_SHARE: f64 = 0.9;
@@ -123,8 +123,8 @@
     let dependency_count = dependencies.len();
     let mut record = OpenJobRecord {
         spec: spec.clone(),
-        at_ms: time_of_day_ms(),
-        after: dependencies,
+        accepted_at_ms: time_of_day_ms(),
+        upstream_jobs: dependencies,
         dependency_pages: 0,
     };
     let max_bytes = (node.policy.facts.state.value_kb * 1024.0 * MAX_RECORD_SHARE) as usize;
@@ -162,7 +162,7 @@
         Ok(PagesOutcome::Written(preconditions)) => {
             let transaction = Transaction {
                 preconditions,
-                changes: vec![Change::put(open_key(id), data)],
+                changes: vec![Change::put(open_job_key(id), data)],
             };
             node.state_store.transaction(&transaction).await
         }
@@ -179,7 +179,7 @@
         .map_err(|_| Refusal::Always(ApiError::NotStorable))?;
     let transaction = Transaction {
         preconditions: vec![
-            Precondition::absent(open_key(id)),
+            Precondition::absent(open_job_key(id)),
             Precondition::absent(terminal_key(id)),
         ],
         changes: vec![Change::put(terminal_key(id), data)],
--- a/src/runtime/clients/dependency_pages.rs
+++ b/src/runtime/clients/dependency_pages.rs
@@ -8,7 +8,7 @@
 use crate::ids::{JobId, KeyRevision};
 use crate::protocol::state::{Change, KeyValue, Precondition, Transaction};
 use crate::storage::records::{
-    dependency_list_key, dependency_page_key, open_key, terminal_key, OpenJobRecord,
+    dependency_list_key, dependency_page_key, open_job_key, terminal_key, OpenJobRecord,
 };
 use serde_json::Value;
 
@@ -29,7 +29,7 @@
     pages: &[Vec<JobId>],
 ) -> Result<PagesOutcome, StateStoreError> {
     let mut preconditions = vec![
-        Precondition::absent(open_key(id)),
+        Precondition::absent(open_job_key(id)),
         Precondition::absent(terminal_key(id)),
     ];
     if pages.is_empty() {
@@ -81,7 +81,7 @@
     let id = record.spec.id.clone();
     let (items, _) = state_store.list(&page_key_prefix(&id)).await?;
     if items.len() < record.dependency_pages as usize {
-        let open = state_store.get(&open_key(&id)).await?;
+        let open = state_store.get(&open_job_key(&id)).await?;
         return match open {
             None => Ok(false),
             // Deleted and opened again between two reads: that can't be, so it is read once more.
@@ -90,7 +90,7 @@
     }
     for number in 0..record.dependency_pages {
         let page = find_page(&items, &dependency_page_key(&id, number))?;
-        record.after.extend(page);
+        record.upstream_jobs.extend(page);
     }
     Ok(true)
 }
--- a/src/runtime/clients/open_job_cache.rs
+++ b/src/runtime/clients/open_job_cache.rs
@@ -126,7 +126,7 @@
         Ok(open.then_some(OpenJobSummary {
             revision,
             tasks: record.spec.tasks,
-            dependencies: record.after,
+            dependencies: record.upstream_jobs,
         }))
     }
 
--- a/src/runtime/clients/upstream_jobs.rs
+++ b/src/runtime/clients/upstream_jobs.rs
@@ -8,7 +8,7 @@
 use super::state_store::StateStoreError;
 use crate::ids::JobId;
 use crate::runtime::Node;
-use crate::storage::records::open_key;
+use crate::storage::records::open_job_key;
 use futures_util::future::try_join_all;
 use futures_util::{stream, StreamExt, TryStreamExt};
 use std::collections::BTreeSet;
@@ -105,7 +105,7 @@
 }
 
 async fn read_one(node: &Node, id: &JobId) -> Result<SingleJob, StateStoreError> {
-    if let Some(item) = node.state_store.get(&open_key(id)).await? {
+    if let Some(item) = node.state_store.get(&open_job_key(id)).await? {
         let summary = OpenJobSummary::read(&node.state_store, item.revision, &item.data).await?;
         if let Some(summary) = summary {
             let dependencies = summary.dependencies;
--- a/src/runtime/leader/job_watch.rs
+++ b/src/runtime/leader/job_watch.rs
@@ -74,7 +74,7 @@
 }
 
 fn submitted_at(node: &Node, record: &OpenJobRecord) -> Instant {
-    let age_ms = time_of_day_ms().saturating_sub(record.at_ms);
+    let age_ms = time_of_day_ms().saturating_sub(record.accepted_at_ms);
     node.now() - TimeSpan(age_ms.min(MAX_JOB_AGE_MS) as i64)
 }
 
--- a/src/storage/records/completed_tasks.rs
+++ b/src/storage/records/completed_tasks.rs
@@ -30,14 +30,14 @@
     }
 
     /// Whether the task is completed.
-    pub fn has(&self, task: u32) -> bool {
+    pub fn contains(&self, task: u32) -> bool {
         self.bits
             .get(task as usize / 8)
             .is_some_and(|byte| byte & (1 << (task % 8)) != 0)
     }
 
     /// Adds a task; true if it was not in the set. Numbers out of range are ignored.
-    pub fn add(&mut self, task: u32) -> bool {
+    pub fn insert(&mut self, task: u32) -> bool {
         let Some(byte) = self.bits.get_mut(task as usize / 8) else {
             return false;
         };
@@ -54,21 +54,21 @@
     }
 
     /// The stored form of one chunk.
-    pub fn chunk(&self, chunk: u32) -> String {
+    pub fn encode_chunk(&self, chunk: u32) -> String {
         let start = chunk as usize * BYTES_PER_PROGRESS_RECORD;
         let end = (start + BYTES_PER_PROGRESS_RECORD).min(self.bits.len());
         STANDARD_NO_PAD.encode(self.bits.get(start..end).unwrap_or(&[]))
     }
 
     /// Adds the tasks of a stored chunk. Text that isn't one adds nothing: its tasks run again.
-    pub fn load(&mut self, chunk: u32, text: &str) {
+    pub fn load_chunk(&mut self, chunk: u32, text: &str) {
         let Ok(bytes) = STANDARD_NO_PAD.decode(text) else {
             return;
         };
         let first_task = chunk * TASKS_PER_PROGRESS_RECORD;
         for (i, byte) in bytes.iter().enumerate() {
             for bit in (0..8).filter(|bit| byte & (1 << bit) != 0) {
-                self.add(first_task + i as u32 * 8 + bit);
+                self.insert(first_task + i as u32 * 8 + bit);
             }
         }
     }
--- a/src/storage/records/jobs.rs
+++ b/src/storage/records/jobs.rs
@@ -4,7 +4,7 @@
 use crate::protocol::users::{JobPhase, JobSpec};
 use serde::{Deserialize, Serialize};
 
-/// An accepted job that is neither done nor cancelled. Stored under [`open_key`](super::open_key).
+/// An accepted job that is neither done nor cancelled. Stored under [`open_job_key`](super::open_job_key).
 ///
 /// Written once by the controller that accepts the job; deleted, with the job's [`TerminalRecord`] written, by
 /// the one that cancels it or by the leader. Every controller reads it.
@@ -13,11 +13,13 @@
     /// The job as its user describes it.
     pub spec: JobSpec,
     /// Time of day of the acceptance, in milliseconds since 1970; only for deadlines, never for safety.
-    pub at_ms: u64,
+    #[serde(rename = "at_ms")]
+    pub accepted_at_ms: u64,
     /// Upstream jobs that this one waits for: those of its dependencies that were not done yet when it was
     /// accepted.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub after: Vec<JobId>,
+    #[serde(rename = "after")]
+    pub upstream_jobs: Vec<JobId>,
     /// How many pages name further upstream jobs, for which there was no room here.
     #[serde(default, skip_serializing_if = "is_zero")]
     #[serde(rename = "edge_pages")]
@@ -31,7 +33,7 @@
 /// A record that exceeds the limit on values even with its dependencies on pages of their own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the record exceeds {max_bytes} bytes")]
-pub struct RecordTooLong {
+pub struct RecordTooLarge {
     /// The limit.
     pub max_bytes: usize,
 }
@@ -42,15 +44,15 @@
     pub fn move_dependencies_to_pages(
         &mut self,
         max_bytes: usize,
-    ) -> Result<Vec<Vec<JobId>>, RecordTooLong> {
+    ) -> Result<Vec<Vec<JobId>>, RecordTooLarge> {
         if self.fits(max_bytes) {
             return Ok(Vec::new());
         }
-        let upstream_jobs = std::mem::take(&mut self.after);
+        let upstream_jobs = std::mem::take(&mut self.upstream_jobs);
         // The longest number there can be.
         self.dependency_pages = u32::MAX;
         if !self.fits(max_bytes) {
-            return Err(RecordTooLong { max_bytes });
+            return Err(RecordTooLarge { max_bytes });
         }
         let pages = split_into_pages(upstream_jobs, max_bytes);
         self.dependency_pages = pages.len() as u32;
@@ -97,7 +99,8 @@
     /// Time of day at which a job with downstream jobs was done, in milliseconds since 1970: a hint, from which a
     /// new leader tells how long those have been ready.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub at_ms: Option<u64>,
+    #[serde(rename = "at_ms")]
+    pub done_at_ms: Option<u64>,
 }
 
 impl TerminalRecord {
@@ -106,7 +109,7 @@
         TerminalRecord {
             phase: JobPhase::Cancelled,
             tasks,
-            at_ms: None,
+            done_at_ms: None,
         }
     }
 }
--- a/src/storage/records/keys.rs
+++ b/src/storage/records/keys.rs
@@ -25,7 +25,7 @@
 pub const MACHINE_PAGE_PREFIX: &str = "h/";
 
 /// Key of an open job.
-pub fn open_key(job: &JobId) -> String {
+pub fn open_job_key(job: &JobId) -> String {
     format!("{OPEN_JOB_PREFIX}{job}")
 }
 
--- a/tests/encodings.rs
+++ b/tests/encodings.rs
@@ -27,7 +27,7 @@
 #[test]
 fn keys_are_unchanged() {
     let job = JobId::from("wk-000412");
-    assert_eq!(open_key(&job), "o/wk-000412");
+    assert_eq!(open_job_key(&job), "o/wk-000412");
     assert_eq!(terminal_key(&job), "f/wk-000412");
     let progress_key = ProgressKey {
         job: job.clone(),
@@ -87,8 +87,8 @@
     );
     let open = OpenJobRecord {
         spec: parse_submission(text.as_bytes()).unwrap().spec,
-        at_ms: 1_700_000_000_123,
-        after: vec![JobId::from("wk-000001")],
+        accepted_at_ms: 1_700_000_000_123,
+        upstream_jobs: vec![JobId::from("wk-000001")],
         dependency_pages: 0,
     };
     let example = format!(r#"{{"spec":{text},"at_ms":1700000000123,"after":["wk-000001"]}}"#);
@@ -96,8 +96,8 @@
     let alone = format!(r#"{{"spec":{text},"at_ms":5}}"#);
     stored(
         &OpenJobRecord {
-            at_ms: 5,
-            after: Vec::new(),
+            accepted_at_ms: 5,
+            upstream_jobs: Vec::new(),
             ..open
         },
         &alone,
@@ -105,11 +105,11 @@
     let done = TerminalRecord {
         phase: JobPhase::Done,
         tasks: 16,
-        at_ms: None,
+        done_at_ms: None,
     };
     stored(&done, r#"{"phase":"done","pieces":16}"#);
     let with_time = TerminalRecord {
-        at_ms: Some(7),
+        done_at_ms: Some(7),
         ..done
     };
     stored(&with_time, r#"{"phase":"done","pieces":16,"at_ms":7}"#);
@@ -142,12 +142,12 @@
 fn progress_records_are_unchanged() {
     let mut set = CompletedTasks::new(20);
     for task in [0, 3, 17] {
-        set.add(task);
+        set.insert(task);
     }
-    assert_eq!(set.chunk(0), "CQAC");
+    assert_eq!(set.encode_chunk(0), "CQAC");
     let mut back = CompletedTasks::new(20);
-    back.load(0, "CQAC");
-    assert_eq!((back.count(), back.has(17)), (3, true));
+    back.load_chunk(0, "CQAC");
+    assert_eq!((back.count(), back.contains(17)), (3, true));
 }
 
 #[test]
@@ -255,8 +255,8 @@
         .collect();
     let mut record = OpenJobRecord {
         spec,
-        at_ms: 5,
-        after: after.clone(),
+        accepted_at_ms: 5,
+        upstream_jobs: after.clone(),
         dependency_pages: 0,
     };
     assert_eq!(
@@ -265,7 +265,7 @@
     );
     assert_eq!(
         record.clone().move_dependencies_to_pages(200),
-        Err(RecordTooLong { max_bytes: 200 })
+        Err(RecordTooLarge { max_bytes: 200 })
     );
     let pages = record.move_dependencies_to_pages(1800).unwrap();
     assert_eq!(record.dependency_pages as usize, pages.len());
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -256,7 +256,7 @@
         unreachable!("a job that is opened");
     };
     open_job.record.spec.gpus = 1.0;
-    open_job.record.after = after;
+    open_job.record.upstream_jobs = after;
     Event::JobOpened(open_job)
 }
 
@@ -326,10 +326,10 @@
         now,
         gpu_job_opened("wk-900002", 4, vec![JobId::from("wk-800003")]),
     );
-    let done = |at_ms| TerminalRecord {
+    let done = |done_at_ms| TerminalRecord {
         phase: JobPhase::Done,
         tasks: 1,
-        at_ms,
+        done_at_ms,
     };
     let [first, second] = [Some(60_000), Some(80_000)].map(done);
     let read = |(job, record)| TerminalRecordRead { job, record };
--- a/tests/placement_constraints.rs
+++ b/tests/placement_constraints.rs
@@ -79,8 +79,8 @@
     }
     OpenJobRecord {
         spec: parse_submission(body.to_string().as_bytes()).unwrap().spec,
-        at_ms: 0,
-        after: Vec::new(),
+        accepted_at_ms: 0,
+        upstream_jobs: Vec::new(),
         dependency_pages: 0,
     }
 }
--- a/tests/production.rs
+++ b/tests/production.rs
@@ -144,8 +144,8 @@
     for after in [submission.waits_on, Vec::new()] {
         let record = records::OpenJobRecord {
             spec: submission.spec.clone(),
-            at_ms: 5,
-            after: after.clone(),
+            accepted_at_ms: 5,
+            upstream_jobs: after.clone(),
             dependency_pages: 0,
         };
         let old: OpenRecord = old_reads(&record);
@@ -153,23 +153,26 @@
         assert_eq!((old.at_ms, &old.after), (5, &names));
         assert_eq!((old.spec.pieces, old.spec.due_s), (16, Some(900.0)));
         let back: records::OpenJobRecord = new_keeps(&old);
-        assert_eq!((back.spec, back.after), (record.spec, record.after));
+        assert_eq!(
+            (back.spec, back.upstream_jobs),
+            (record.spec, record.upstream_jobs)
+        );
     }
 }
 
 #[test]
 fn terminal_records_stay_compatible() {
     for (phase, name) in [(JobPhase::Done, "done"), (JobPhase::Cancelled, "aborted")] {
-        for at_ms in [None, Some(1_700_000_000_000)] {
+        for done_at_ms in [None, Some(1_700_000_000_000)] {
             let record = records::TerminalRecord {
                 phase,
                 tasks: 16,
-                at_ms,
+                done_at_ms,
             };
             let old: FinalRecord = old_reads(&record);
             assert_eq!((old.phase.as_str(), old.pieces), (name, 16));
             let back: records::TerminalRecord = new_keeps(&old);
-            assert_eq!((back.phase, back.at_ms), (phase, None));
+            assert_eq!((back.phase, back.done_at_ms), (phase, None));
         }
     }
 }
--- a/tests/scenario_language/rogue.rs
+++ b/tests/scenario_language/rogue.rs
@@ -7,7 +7,7 @@
 use chalklug::protocol::state::{Change, Transaction};
 use chalklug::protocol::users::{JobPhase, JobSpec};
 use chalklug::protocol::workers::Command;
-use chalklug::storage::records::{open_key, terminal_key, OpenJobRecord, TerminalRecord};
+use chalklug::storage::records::{open_job_key, terminal_key, OpenJobRecord, TerminalRecord};
 
 /// An attempt id that no leader draws.
 const ROGUE_ATTEMPT: AttemptId = AttemptId(1 << 50);
@@ -39,8 +39,8 @@
     let spec = spec.unwrap_or_else(|| job_spec(&[id.as_str()]));
     let delete = |key| Change::Delete { delete: key };
     let changes = match event {
-        "rogue-delete-records" => vec![delete(open_key(id)), delete(terminal_key(id))],
-        "rogue-done" => vec![delete(open_key(id)), put_done(&spec)],
+        "rogue-delete-records" => vec![delete(open_job_key(id)), delete(terminal_key(id))],
+        "rogue-done" => vec![delete(open_job_key(id)), put_done(&spec)],
         _ => vec![delete(terminal_key(id)), put_open(spec)],
     };
     simulation.store.apply(&Transaction {
@@ -53,18 +53,18 @@
     let record = TerminalRecord {
         phase: JobPhase::Done,
         tasks: spec.tasks,
-        at_ms: None,
+        done_at_ms: None,
     };
     let data = serde_json::to_value(record).expect("a record");
     Change::put(terminal_key(&spec.id), data)
 }
 
 fn put_open(spec: JobSpec) -> Change {
-    let key = open_key(&spec.id);
+    let key = open_job_key(&spec.id);
     let record = OpenJobRecord {
         spec,
-        at_ms: 0,
-        after: Vec::new(),
+        accepted_at_ms: 0,
+        upstream_jobs: Vec::new(),
         dependency_pages: 0,
     };
     Change::put(key, serde_json::to_value(record).expect("a record"))
--- a/tests/simulation/state_store.rs
+++ b/tests/simulation/state_store.rs
@@ -3,7 +3,7 @@
 use chalklug::ids::{JobId, KeyRevision, StoreRevision};
 use chalklug::protocol::state::{Change, KeyValue, Transaction};
 use chalklug::protocol::users::JobPhase;
-use chalklug::storage::records::{open_key, terminal_key, TerminalRecord};
+use chalklug::storage::records::{open_job_key, terminal_key, TerminalRecord};
 use std::collections::BTreeMap;
 
 /// All keys, and every change ever made.
@@ -73,7 +73,7 @@
 
     /// The state of a job, as its records say.
     pub fn phase(&self, id: &JobId) -> Option<JobPhase> {
-        if self.items.contains_key(&open_key(id)) {
+        if self.items.contains_key(&open_job_key(id)) {
             return Some(JobPhase::Queued);
         }
         let item = self.get(&terminal_key(id))?;
--- a/tests/simulation/users.rs
+++ b/tests/simulation/users.rs
@@ -23,8 +23,8 @@
         self.workload.add(spec.clone(), behavior);
         let record = self.write_dependency_pages(OpenJobRecord {
             spec: spec.clone(),
-            at_ms: 0,
-            after: upstream.clone(),
+            accepted_at_ms: 0,
+            upstream_jobs: upstream.clone(),
             dependency_pages: 0,
         });
         // As controllers do: with a cancelled upstream job it is cancelled from the start.
@@ -34,14 +34,14 @@
                 let terminal_record = TerminalRecord::cancelled(spec.tasks);
                 Change::put(terminal_key(&id), to_json(&terminal_record))
             }
-            false => Change::put(open_key(&id), to_json(&record)),
+            false => Change::put(open_job_key(&id), to_json(&record)),
         };
         let absent = |key| Precondition {
             key,
             revision: KeyRevision(0),
         };
         let transaction = Transaction {
-            preconditions: vec![absent(open_key(&id)), absent(terminal_key(&id))],
+            preconditions: vec![absent(open_job_key(&id)), absent(terminal_key(&id))],
             changes: vec![change],
         };
         let applied = self.store.apply(&transaction);
@@ -70,7 +70,7 @@
             let item = self.store.get(&dependency_page_key(&record.spec.id, page));
             let data = item.expect("a page of an open job").data;
             let names: Vec<JobId> = serde_json::from_value(data).expect("a page of names");
-            record.after.extend(names);
+            record.upstream_jobs.extend(names);
         }
         record
     }
@@ -83,18 +83,18 @@
             // No controller can confirm it: the user is told to come back.
             return false;
         }
-        let Some(open) = self.store.get(&open_key(id)) else {
+        let Some(open) = self.store.get(&open_job_key(id)) else {
             return false;
         };
         let terminal_record = TerminalRecord::cancelled(self.workload.spec(id).tasks);
         let transaction = Transaction {
             preconditions: vec![Precondition {
-                key: open_key(id),
+                key: open_job_key(id),
                 revision: open.revision,
             }],
             changes: vec![
                 Change::Delete {
-                    delete: open_key(id),
+                    delete: open_job_key(id),
                 },
                 Change::put(terminal_key(id), to_json(&terminal_record)),
             ],
--- a/tests/stale_knowledge.rs
+++ b/tests/stale_knowledge.rs
@@ -48,8 +48,8 @@
         "guessS": 50, "markEveryS": 0, "markCostS": 0});
     OpenJobRecord {
         spec: parse_submission(body.to_string().as_bytes()).unwrap().spec,
-        at_ms: 0,
-        after: after.iter().map(|n| job(*n)).collect(),
+        accepted_at_ms: 0,
+        upstream_jobs: after.iter().map(|n| job(*n)).collect(),
         dependency_pages: 0,
     }
 }
--- a/tests/support/large_cluster.rs
+++ b/tests/support/large_cluster.rs
@@ -64,8 +64,8 @@
 pub fn open_record(body: &serde_json::Value) -> OpenJobRecord {
     OpenJobRecord {
         spec: parse_submission(body.to_string().as_bytes()).unwrap().spec,
-        at_ms: 0,
-        after: Vec::new(),
+        accepted_at_ms: 0,
+        upstream_jobs: Vec::new(),
         dependency_pages: 0,
     }
 }
--- a/tests/upgrade/page_splitting.rs
+++ b/tests/upgrade/page_splitting.rs
@@ -205,8 +205,8 @@
             .spec;
         let record = OpenJobRecord {
             spec,
-            at_ms: 0,
-            after: vec![JobId::from("wk-900")],
+            accepted_at_ms: 0,
+            upstream_jobs: vec![JobId::from("wk-900")],
             dependency_pages: 0,
         };
         let opened = Event::JobOpened(Box::new(OpenJob {
