--- a/src/coordination/attempts/ledger/mod.rs
+++ b/src/coordination/attempts/ledger/mod.rs
@@ -165,7 +165,7 @@
         });
         if let Some(page) = attempt.page {
             let removed = LaunchIntent::new(machine_id, key);
-            self.writer.intent_obsolete(now, page, &removed);
+            self.writer.remove_intent(now, page, &removed);
         }
         self.machines.reindex(machine_id);
         Some(attempt)
--- a/src/coordination/attempts/reconciliation/listed.rs
+++ b/src/coordination/attempts/reconciliation/listed.rs
@@ -149,7 +149,7 @@
         let new = !machine.has_image(&job.spec().image);
         machine.use_image(&job.spec().image, job.spec().image_gb, cache_gb);
         if let Some(page) = machine.page.filter(|_| new) {
-            self.writer.machine_changed(now, page);
+            self.writer.mark_machine_page_outdated(now, page);
         }
     }
 }
--- a/src/coordination/attempts/reconciliation/session.rs
+++ b/src/coordination/attempts/reconciliation/session.rs
@@ -80,7 +80,7 @@
         self.placement.request_pass();
         self.machines.reindex(machine_id);
         if let Some(page) = page {
-            self.writer.machine_changed(now, page);
+            self.writer.mark_machine_page_outdated(now, page);
         }
     }
 
--- a/src/coordination/autoscaler/hints.rs
+++ b/src/coordination/autoscaler/hints.rs
@@ -48,6 +48,6 @@
     /// Notes the arrival of a job.
     pub(crate) fn note_arrival(&mut self, spec: &JobSpec, at: Instant) {
         self.autoscaler.arrivals.note(spec, at);
-        self.writer.hints_changed();
+        self.writer.mark_hints_changed();
     }
 }
--- a/src/coordination/autoscaler/scale_in.rs
+++ b/src/coordination/autoscaler/scale_in.rs
@@ -117,7 +117,7 @@
                     self.outbox.pushes_in_flight = self.outbox.pushes_in_flight.saturating_sub(1);
                 }
                 if let Some(page) = machine.page {
-                    self.writer.machine_terminated(now, page, id);
+                    self.writer.remove_machine(now, page, id);
                 }
             }
             self.machines.reindex(id);
--- a/src/coordination/jobs/estimates.rs
+++ b/src/coordination/jobs/estimates.rs
@@ -167,7 +167,7 @@
             .update(id, |job| job.run_time_measured(run_time_s));
         if let Some(job) = self.jobs.get(id) {
             if self.estimates.task_completed(job, run_time_s) {
-                self.writer.hints_changed();
+                self.writer.mark_hints_changed();
             }
         }
     }
--- a/src/coordination/leadership/recovery/intent_pages.rs
+++ b/src/coordination/leadership/recovery/intent_pages.rs
@@ -36,7 +36,9 @@
         let Some(machine) = self.scheduler.machines.get_mut(machine_id) else {
             // Proof 4, on record: an intent is written only once its machine's page is, and a machine
             // leaves its page only once the cloud has confirmed that it is gone.
-            self.scheduler.writer.recover_void_intent(self.now, page);
+            self.scheduler
+                .writer
+                .recover_obsolete_intent(self.now, page);
             return;
         };
         // It had been given work: its worker has reported.
--- a/src/coordination/leadership/recovery/machine_pages.rs
+++ b/src/coordination/leadership/recovery/machine_pages.rs
@@ -57,7 +57,7 @@
         let writer = &mut self.scheduler.writer;
         writer.recover_machine_page(page, revision, new_machines.clone());
         if new_machines.len() < record.machines.len() {
-            writer.machine_changed(self.now, page);
+            writer.mark_machine_page_outdated(self.now, page);
         }
         new_machines
     }
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -160,12 +160,14 @@
             Event::Written {
                 request_id,
                 store_revision,
-            } => self.written(now, request_id, store_revision),
-            Event::NotWritten { request_id } => self.not_written(now, request_id),
-            Event::WriteLimited { request_id, pause } => self.write_limited(now, request_id, pause),
+            } => self.write_applied(now, request_id, store_revision),
+            Event::NotWritten { request_id } => self.write_not_applied(now, request_id),
+            Event::WriteLimited { request_id, pause } => {
+                self.write_rate_limited(now, request_id, pause)
+            }
             Event::WriteRejected { request_id } => self.write_rejected(now, request_id),
             Event::WriteUnclear { request_id, failed } => {
-                self.write_unclear(now, request_id, &failed)
+                self.write_unconfirmed(now, request_id, &failed)
             }
             Event::Reread { request_id, items } => self.reread(now, request_id, items),
         }
@@ -182,7 +184,7 @@
         if self.placement.start_pass_if_due(now) {
             self.place_and_scale(now);
         }
-        self.write(now);
+        self.write_records(now);
         self.send_pushes(now);
         std::mem::take(&mut self.effects)
     }
@@ -232,7 +234,7 @@
         let idle: Vec<JobId> = self
             .jobs
             .forgettable()
-            .filter(|id| !self.writer.is_writing_about(id))
+            .filter(|id| !self.writer.has_job_write_in_flight(id))
             .cloned()
             .collect();
         for id in idle {
--- a/src/coordination/persistence/mod.rs
+++ b/src/coordination/persistence/mod.rs
@@ -30,7 +30,7 @@
 
 impl Scheduler {
     /// Begins the next transaction if none is under way and there is something to write.
-    pub(crate) fn write(&mut self, now: Instant) {
+    pub(crate) fn write_records(&mut self, now: Instant) {
         match self.writer.next_step(now) {
             NextStep::Wait => {}
             NextStep::Write => self.begin_transaction(now),
--- a/src/coordination/persistence/outcomes.rs
+++ b/src/coordination/persistence/outcomes.rs
@@ -12,7 +12,7 @@
 
 impl Scheduler {
     /// A transaction has been applied at that revision of the store.
-    pub(crate) fn written(
+    pub(crate) fn write_applied(
         &mut self,
         now: Instant,
         request_id: RequestId,
@@ -126,7 +126,7 @@
     }
 
     /// A transaction was certainly not executed, nor will it be.
-    pub(crate) fn not_written(&mut self, now: Instant, request_id: RequestId) {
+    pub(crate) fn write_not_applied(&mut self, now: Instant, request_id: RequestId) {
         if self.writer.settle(request_id).is_some() {
             self.writer.back_off(now);
         }
@@ -134,7 +134,12 @@
 
     /// A transaction was not executed since the state store takes no more changes for now. What may wait does so
     /// until the rate allowed to this leader has come up again: leases, launches and ends of jobs go first.
-    pub(crate) fn write_limited(&mut self, now: Instant, request_id: RequestId, pause: TimeSpan) {
+    pub(crate) fn write_rate_limited(
+        &mut self,
+        now: Instant,
+        request_id: RequestId,
+        pause: TimeSpan,
+    ) {
         if self.writer.settle(request_id).is_some() {
             self.writer.rate_limited(now, pause);
         }
@@ -157,7 +162,12 @@
     }
 
     /// Preconditions of a transaction failed (these, if it is known which), or nothing is known of it.
-    pub(crate) fn write_unclear(&mut self, now: Instant, request_id: RequestId, failed: &[String]) {
+    pub(crate) fn write_unconfirmed(
+        &mut self,
+        now: Instant,
+        request_id: RequestId,
+        failed: &[String],
+    ) {
         if let Some(keys) = self.writer.unclear_keys(request_id, failed) {
             self.begin_reread(now, keys);
         }
--- a/src/coordination/persistence/writer.rs
+++ b/src/coordination/persistence/writer.rs
@@ -110,12 +110,7 @@
     }
 
     /// An attempt whose intent is on that page has left the ledger.
-    pub(crate) fn intent_obsolete(
-        &mut self,
-        now: Instant,
-        page: PageNumber,
-        intent: &LaunchIntent,
-    ) {
+    pub(crate) fn remove_intent(&mut self, now: Instant, page: PageNumber, intent: &LaunchIntent) {
         self.intent_pages.remove_intent(now, page, intent);
     }
 
@@ -125,12 +120,12 @@
     }
 
     /// What the page says of a machine is outdated.
-    pub(crate) fn machine_changed(&mut self, now: Instant, page: PageNumber) {
+    pub(crate) fn mark_machine_page_outdated(&mut self, now: Instant, page: PageNumber) {
         self.machine_pages.mark_outdated(now, page);
     }
 
     /// A machine is terminated, as the cloud has confirmed.
-    pub(crate) fn machine_terminated(
+    pub(crate) fn remove_machine(
         &mut self,
         now: Instant,
         page: PageNumber,
@@ -140,7 +135,7 @@
     }
 
     /// Something was observed that belongs into the hints.
-    pub(crate) fn hints_changed(&mut self) {
+    pub(crate) fn mark_hints_changed(&mut self) {
         self.hints.mark_changed();
     }
 
@@ -192,7 +187,7 @@
     }
 
     /// A new leader has found an intent that is void.
-    pub(crate) fn recover_void_intent(&mut self, now: Instant, page: PageNumber) {
+    pub(crate) fn recover_obsolete_intent(&mut self, now: Instant, page: PageNumber) {
         self.intent_pages.mark_outdated(now, page);
     }
 
@@ -207,7 +202,7 @@
     }
 
     /// Whether a transaction about the job is under way.
-    pub(crate) fn is_writing_about(&self, job: &JobId) -> bool {
+    pub(crate) fn has_job_write_in_flight(&self, job: &JobId) -> bool {
         match &self.in_flight {
             InFlight::Writing { updates, .. } => {
                 updates.iter().any(|update| update.job() == Some(job))
