--- a/src/coordination/attempts/commands.rs
+++ b/src/coordination/attempts/commands.rs
@@ -46,7 +46,7 @@
             && attempt.stop.is_none()
             && attempt.last_status.is_none()
             && !attempt.recovered
-            && !machine.is_leaving()
+            && !machine.is_draining_or_reclaimed()
             && machine.state == MachineState::Up
             && self.allows_launch(machine, &attempt.task)
     }
--- a/src/coordination/attempts/ledger/audit.rs
+++ b/src/coordination/attempts/ledger/audit.rs
@@ -5,7 +5,7 @@
 use crate::coordination::jobs::job::Job;
 use crate::coordination::jobs::tasks_by_zone::TasksByZone;
 use crate::coordination::machines::machine::Machine;
-use crate::coordination::machines::table::{MachineIndex, Room};
+use crate::coordination::machines::table::{FreeCapacity, MachineIndex};
 use crate::coordination::placement::start_check::{StartCheck, StartDenial};
 use crate::coordination::Scheduler;
 use crate::ids::{JobId, MachineId, TaskId};
@@ -140,10 +140,10 @@
         let mut counted = MachineIndex::default();
         for machine in self.machines.values() {
             let id = machine.id.clone();
-            match self.machines.room_on(machine) {
-                Room::Some => drop(counted.with_room.insert(id)),
-                Room::CpusOnly => drop(counted.with_cpus_only.insert(id)),
-                Room::None => {}
+            match self.machines.free_capacity_on(machine) {
+                FreeCapacity::Available => drop(counted.with_free_capacity.insert(id)),
+                FreeCapacity::CpusOnly => drop(counted.with_free_cpus_only.insert(id)),
+                FreeCapacity::None => {}
             }
         }
         if counted == self.machines.index {
@@ -182,7 +182,7 @@
 
     /// Attempts of former leaders are left out: old intents may name several zones until they are settled.
     fn audit_constraints(&self, id: &JobId, job: &Job) -> Result<(), AuditError> {
-        let mut check = StartCheck::of_no_tasks(job);
+        let mut check = StartCheck::without_placed_tasks(job);
         let live = self.live_attempts_of(id);
         for (machine, attempt) in live.filter(|(_, attempt)| !attempt.recovered) {
             if let Err(denial) = check.check(machine) {
@@ -192,7 +192,7 @@
                     denial,
                 });
             }
-            check.task_planned(&machine.zone);
+            check.add_task(&machine.zone);
         }
         Ok(())
     }
--- a/src/coordination/attempts/ledger/mod.rs
+++ b/src/coordination/attempts/ledger/mod.rs
@@ -141,7 +141,7 @@
             return;
         };
         if let Some(machine) = self.machines.get_mut(machine_id) {
-            machine.note_idle(now);
+            machine.update_idle_since(now);
         }
         if !attempt.has_ended() {
             tracing::debug!(task = %key.task, attempt = %key.attempt_id, machine = %machine_id, proof = ?proof.reason(), "attempt removed");
--- a/src/coordination/attempts/reconciliation/absent.rs
+++ b/src/coordination/attempts/reconciliation/absent.rs
@@ -43,7 +43,7 @@
         let Some(machine) = self.machines.get_mut(machine_id) else {
             return;
         };
-        if machine.reachability.response_unacknowledged(now) {
+        if machine.reachability.record_unacknowledged_response(now) {
             tracing::info!(machine = %machine_id, "machine unreachable: heartbeats arrive, responses don't");
             self.outbox.pushes_due.insert(machine_id.clone());
         }
--- a/src/coordination/attempts/reconciliation/listed.rs
+++ b/src/coordination/attempts/reconciliation/listed.rs
@@ -131,7 +131,7 @@
         let attempt = machine.and_then(|machine| machine.attempts.get(key));
         match attempt.filter(|attempt| attempt.recovered) {
             Some(attempt) => {
-                let fetch_s = self.longest_fetch_s(machine_id, &key.task.job);
+                let fetch_s = self.image_fetch_s_on(machine_id, &key.task.job);
                 (attempt.since + TimeSpan::from_secs(fetch_s)).min(now)
             }
             None => now,
@@ -147,7 +147,7 @@
             return;
         };
         let new = !machine.has_image(&job.spec().image);
-        machine.use_image(&job.spec().image, job.spec().image_gb, cache_gb);
+        machine.record_image_use(&job.spec().image, job.spec().image_gb, cache_gb);
         if let Some(page) = machine.page.filter(|_| new) {
             self.writer.machine_changed(now, page);
         }
--- a/src/coordination/attempts/reconciliation/mod.rs
+++ b/src/coordination/attempts/reconciliation/mod.rs
@@ -54,7 +54,7 @@
             return HeartbeatOutcome::Refused;
         }
         machine.last_response_at = now;
-        machine.reachability.response_sent(token);
+        machine.reachability.record_response(token);
         let mut commands = self.heartbeat_commands(now, machine_id, is_news);
         if !is_news {
             // Overtaken by the answer to a push: what it lists is old. It renews the lease all the same, so
--- a/src/coordination/attempts/reconciliation/session.rs
+++ b/src/coordination/attempts/reconciliation/session.rs
@@ -55,7 +55,9 @@
         if machine.endpoint != status.endpoint {
             machine.endpoint.clone_from(&status.endpoint);
         }
-        machine.reachability.token_seen(status.token, initial_token);
+        machine
+            .reachability
+            .record_token(status.token, initial_token);
         if evidence.starts_session {
             start_session(machine, now, lease_expiry_bound);
         }
@@ -115,7 +117,7 @@
 
 /// Guards against launches where a job does not allow them, should two sources ever disagree on what a machine is.
 fn note_reported_kind(machine: &mut Machine, now: Instant, status: &WorkerStatus) {
-    if machine.kind_reported(now, &status.machine_type, &status.zone, status.spot) {
+    if machine.check_reported_kind(now, &status.machine_type, &status.zone, status.spot) {
         tracing::error!(
             machine = %machine.id,
             recorded_type = %machine.machine_type,
@@ -133,7 +135,7 @@
 fn start_session(machine: &mut Machine, now: Instant, lease_expiry_bound: TimeSpan) {
     let is_first = machine.session == Session(0);
     if !is_first && now - machine.last_response_at < lease_expiry_bound {
-        machine.reachability.lease_lost_despite_responses();
+        machine.reachability.record_lease_expiry();
     }
     machine.session_first_seen_at = now;
 }
--- a/src/coordination/attempts/task_ends.rs
+++ b/src/coordination/attempts/task_ends.rs
@@ -29,7 +29,7 @@
         let task = &key.task;
         tracing::debug!(task = %task, machine = %machine_id, cause = ?cause, "task ended");
         if let Some(machine) = self.machines.get_mut(machine_id) {
-            machine.note_idle(now);
+            machine.update_idle_since(now);
         }
         if cause == Cause::Done {
             self.task_completed(now, machine_id, key);
@@ -106,7 +106,7 @@
         };
         for machine_id in job.retry().failed_on() {
             if let Some(machine) = self.machines.get_mut(machine_id) {
-                machine.forget_failures_of(job_id, max_failed_jobs);
+                machine.clear_failures_of(job_id, max_failed_jobs);
             }
             self.machines.reindex(machine_id);
         }
--- a/src/coordination/autoscaler/inventory.rs
+++ b/src/coordination/autoscaler/inventory.rs
@@ -102,7 +102,7 @@
         if machine.endpoint.is_empty() {
             machine.endpoint = listed.endpoint;
         }
-        machine.listed_by_cloud(listed.phase == CloudPhase::Failed);
+        machine.mark_listed(listed.phase == CloudPhase::Failed);
     }
 
     /// Drains machines that have been missing from the list, and silent, for longer than it lags.
@@ -110,11 +110,11 @@
         let list_lag_s = self.policy.facts.cloud.list_lag_s;
         let lag = TimeSpan::from_secs(list_lag_s * MISSING_LIST_LAGS + MISSING_MARGIN_SECS);
         for machine in self.machines.values_mut() {
-            if listed_ids.contains(&machine.id) || machine.state == MachineState::Returning {
+            if listed_ids.contains(&machine.id) || machine.state == MachineState::Terminating {
                 continue;
             }
             let known_long = now - machine.first_known_at.max(self.leadership.began_at()) > lag;
-            let missing_since = machine.missing_from_cloud_list(now);
+            let missing_since = machine.mark_unlisted(now);
             let silent = machine.last_message_at.is_none_or(|at| now - at > lag);
             if known_long && silent && now - missing_since > lag {
                 tracing::debug!(machine = %machine.id, "machine no longer listed by the cloud, and silent");
--- a/src/coordination/autoscaler/report.rs
+++ b/src/coordination/autoscaler/report.rs
@@ -30,7 +30,7 @@
         for machine in cluster.machines.values() {
             counts.booting += u32::from(machine.state == MachineState::Booting);
             counts.spot += u32::from(machine.spot);
-            counts.draining += u32::from(machine.is_leaving());
+            counts.draining += u32::from(machine.is_draining_or_reclaimed());
             if machine.state != MachineState::Up {
                 continue;
             }
--- a/src/coordination/autoscaler/scale_in.rs
+++ b/src/coordination/autoscaler/scale_in.rs
@@ -98,7 +98,7 @@
                     last_message_at = ?machine.last_message_at,
                     "scale-in requested"
                 );
-                machine.state = MachineState::Returning;
+                machine.state = MachineState::Terminating;
                 machine.push_not_before = now + ANSWER_TIMEOUT;
             }
             self.machines.reindex(&machine_id);
@@ -168,7 +168,7 @@
 
     /// Why a machine is to be given back; None if it is kept.
     fn reason(&self, machine: &Machine) -> Option<ScaleInReason> {
-        if machine.state == MachineState::Returning {
+        if machine.state == MachineState::Terminating {
             let is_due = machine.push_not_before <= self.view.now();
             return is_due.then_some(ScaleInReason::Unconfirmed);
         }
--- a/src/coordination/autoscaler/suspected_zones.rs
+++ b/src/coordination/autoscaler/suspected_zones.rs
@@ -67,7 +67,7 @@
     let mut zones: BTreeMap<Zone, ZoneSilence> = BTreeMap::new();
     for machine in cluster.machines.values() {
         // One that was given back because it was silent still speaks for a cut.
-        let is_lost = machine.state == MachineState::Returning
+        let is_lost = machine.state == MachineState::Terminating
             && machine.last_message_at.is_none_or(|at| now - at > bound);
         if machine.state == MachineState::Up || is_lost {
             let is_silent = is_lost || machine.is_silent(now, bound);
--- a/src/coordination/autoscaler/view.rs
+++ b/src/coordination/autoscaler/view.rs
@@ -108,7 +108,7 @@
 
     /// Seconds that a machine of the type takes to fetch an image of so many gigabytes.
     pub(super) fn fetch_s(&self, machine_type: &MachineType, image_gb: f64) -> f64 {
-        self.cluster.machines.image_pull_s(machine_type, image_gb)
+        self.cluster.machines.image_fetch_s(machine_type, image_gb)
     }
 
     /// What one machine of the type offers.
--- a/src/coordination/autoscaler/warm_pool.rs
+++ b/src/coordination/autoscaler/warm_pool.rs
@@ -91,8 +91,8 @@
     pool: &WarmPool,
 ) -> Vec<&'a MachineId> {
     let request = Resources::of(spec);
-    let with_room = view.machines().index.with_room.iter();
-    let (mut candidates, others): (Vec<&Machine>, Vec<&Machine>) = with_room
+    let with_free_capacity = view.machines().index.with_free_capacity.iter();
+    let (mut candidates, others): (Vec<&Machine>, Vec<&Machine>) = with_free_capacity
         .filter_map(|id| view.machines().get(id))
         .filter(|machine| request.fits(machine.free()) && allows_machine(spec, machine))
         .filter(|machine| view.is_schedulable(machine) && !pool.contains(&machine.id))
--- a/src/coordination/jobs/estimates.rs
+++ b/src/coordination/jobs/estimates.rs
@@ -144,7 +144,7 @@
     /// went to a fifth of the jobs.
     pub(crate) fn pending_work_s(&self, job: &Job) -> f64 {
         let tasks = job.pending().len() as f64;
-        let fraction = self.machines.smallest_fraction_taken(job.spec());
+        let fraction = self.machines.smallest_machine_fraction(job.spec());
         fraction * tasks * self.estimates.run_time_of_job_s(job)
     }
 }
--- a/src/coordination/jobs/lifecycle.rs
+++ b/src/coordination/jobs/lifecycle.rs
@@ -95,7 +95,7 @@
         let deadline_s = spec.due_s.or_else(fallback);
         // Without machine types nothing is known of the image pull.
         let pull_s =
-            Some(self.machines.shortest_image_pull_s(spec)).filter(|seconds| seconds.is_finite());
+            Some(self.machines.shortest_image_fetch_s(spec)).filter(|seconds| seconds.is_finite());
         let run_time_s = self.estimates.longest_run_time_s(job) + pull_s.unwrap_or(0.0);
         JobTraits {
             deadline: deadline_s.map(|seconds| job.submitted_at() + TimeSpan::from_secs(seconds)),
--- a/src/coordination/machines/images.rs
+++ b/src/coordination/machines/images.rs
@@ -13,7 +13,7 @@
 
 impl MachineTable {
     /// Seconds that a pull of so many gigabytes takes on a machine of the type; 0 if its rate is not known.
-    pub(crate) fn image_pull_s(&self, machine_type: &MachineType, image_gb: f64) -> f64 {
+    pub(crate) fn image_fetch_s(&self, machine_type: &MachineType, image_gb: f64) -> f64 {
         let gb_per_s = self
             .types
             .get(machine_type)
@@ -27,14 +27,14 @@
 
     /// Seconds that a pull of the job's image takes on the machine type that is quickest at it, of those that
     /// the job may use; infinite if there is none.
-    pub(crate) fn shortest_image_pull_s(&self, spec: &JobSpec) -> f64 {
+    pub(crate) fn shortest_image_fetch_s(&self, spec: &JobSpec) -> f64 {
         self.types
             .keys()
             .filter(|machine_type| {
                 let allowed = spec.machine_types.as_ref();
                 allowed.is_none_or(|allowed| allowed.contains(machine_type))
             })
-            .map(|machine_type| self.image_pull_s(machine_type, spec.image_gb))
+            .map(|machine_type| self.image_fetch_s(machine_type, spec.image_gb))
             .fold(f64::INFINITY, f64::min)
     }
 
@@ -44,7 +44,7 @@
         if machine.has_image(&spec.image) {
             return 0.0;
         }
-        let pull_s = self.image_pull_s(&machine.machine_type, spec.image_gb);
+        let pull_s = self.image_fetch_s(&machine.machine_type, spec.image_gb);
         let pull_began_at = machine
             .live_attempts()
             .filter(|attempt| attempt.running_since.is_none())
@@ -63,10 +63,10 @@
     }
 
     /// Counts anew, once a second, the GPUs of machines that have each image cached.
-    pub(crate) fn recheck_cached_images(&mut self) {
+    pub(crate) fn recount_cached_images(&mut self) {
         let mut gpus_by_image: BTreeMap<Image, f64> = BTreeMap::new();
         for machine in self.values() {
-            if machine.state != MachineState::Up || machine.is_leaving() {
+            if machine.state != MachineState::Up || machine.is_draining_or_reclaimed() {
                 continue;
             }
             let gpus = self.capacity(&machine.machine_type).gpus;
@@ -83,11 +83,11 @@
 
 impl Scheduler {
     /// Seconds that a pull of the job's image takes on the machine; 0 if either is not known.
-    pub(crate) fn longest_fetch_s(&self, machine_id: &MachineId, job_id: &JobId) -> f64 {
+    pub(crate) fn image_fetch_s_on(&self, machine_id: &MachineId, job_id: &JobId) -> f64 {
         match (self.machines.get(machine_id), self.jobs.get(job_id)) {
             (Some(machine), Some(job)) => self
                 .machines
-                .image_pull_s(&machine.machine_type, job.spec().image_gb),
+                .image_fetch_s(&machine.machine_type, job.spec().image_gb),
             _ => 0.0,
         }
     }
--- a/src/coordination/machines/machine.rs
+++ b/src/coordination/machines/machine.rs
@@ -21,7 +21,7 @@
     /// Its worker has sent a heartbeat.
     Up,
     /// The cloud is asked to terminate it; never used again.
-    Returning,
+    Terminating,
 }
 
 /// A machine.
@@ -160,7 +160,7 @@
 
     /// Its worker reports this kind. True if that contradicts the record for the first time: it is drained from
     /// then on, for nothing can be said of which jobs may run on it.
-    pub fn kind_reported(
+    pub fn check_reported_kind(
         &mut self,
         now: Instant,
         machine_type: &MachineType,
@@ -177,13 +177,13 @@
     }
 
     /// The cloud's list names it, perhaps as failed.
-    pub fn listed_by_cloud(&mut self, is_failed: bool) {
+    pub fn mark_listed(&mut self, is_failed: bool) {
         self.listed_as_failed = is_failed;
         self.unlisted_since = None;
     }
 
     /// The cloud's list does not name it; returns since when.
-    pub fn missing_from_cloud_list(&mut self, now: Instant) -> Instant {
+    pub fn mark_unlisted(&mut self, now: Instant) -> Instant {
         *self.unlisted_since.get_or_insert(now)
     }
 
@@ -193,7 +193,7 @@
     }
 
     /// Whether no new work is for it because it is drained or will be reclaimed.
-    pub fn is_leaving(&self) -> bool {
+    pub fn is_draining_or_reclaimed(&self) -> bool {
         self.draining || self.reclaim_at.is_some()
     }
 
@@ -208,7 +208,7 @@
     }
 
     /// Notes since when it has had nothing to do.
-    pub fn note_idle(&mut self, now: Instant) {
+    pub fn update_idle_since(&mut self, now: Instant) {
         if self.attempts.live_count() > 0 {
             self.idle_since = None;
         } else {
@@ -232,7 +232,7 @@
         self.state == MachineState::Up
             && self.verified
             && !self.is_unreachable()
-            && !self.is_leaving()
+            && !self.is_draining_or_reclaimed()
             && self.unschedulable_until <= now
             && !self.is_silent(now, silence)
     }
@@ -251,7 +251,7 @@
     }
 
     /// A job has turned out to fail everywhere: what it did here says nothing of the machine.
-    pub fn forget_failures_of(&mut self, job: &JobId, most: usize) {
+    pub fn clear_failures_of(&mut self, job: &JobId, most: usize) {
         let removed = self.failed_jobs.remove(job);
         // One that is given up for another reason stays so.
         let in_use = self.state == MachineState::Up && !self.lease_withheld;
@@ -268,7 +268,7 @@
     }
 
     /// Notes the use of an image; the least recently used make room.
-    pub fn use_image(&mut self, image: &Image, gb: f64, cache_gb: f64) {
+    pub fn record_image_use(&mut self, image: &Image, gb: f64, cache_gb: f64) {
         self.images.record_use(image, gb, cache_gb);
     }
 }
--- a/src/coordination/machines/reachability.rs
+++ b/src/coordination/machines/reachability.rs
@@ -56,7 +56,7 @@
     }
 
     /// A heartbeat is answered under that token.
-    pub fn response_sent(&mut self, token: FencingToken) {
+    pub fn record_response(&mut self, token: FencingToken) {
         self.token_sent = self.token_sent.max(token);
     }
 
@@ -67,7 +67,7 @@
 
     /// A status shows the highest token that the machine has seen. One of this leadership, which began with
     /// `initial_token`, that it has not shown before can only have reached it from us.
-    pub fn token_seen(&mut self, token: FencingToken, initial_token: FencingToken) {
+    pub fn record_token(&mut self, token: FencingToken, initial_token: FencingToken) {
         if token > self.token_acknowledged && token >= initial_token {
             self.mark_reachable();
         }
@@ -75,14 +75,14 @@
     }
 
     /// Its lease ran out although we had answered: nothing that we say reaches it.
-    pub fn lease_lost_despite_responses(&mut self) {
+    pub fn record_lease_expiry(&mut self) {
         if let Delivery::Working { .. } = self.delivery {
             self.delivery = Delivery::Failing { since: None };
         }
     }
 
     /// A heartbeat shows nothing of what the machine was answered. True if that makes it unreachable since now.
-    pub fn response_unacknowledged(&mut self, now: Instant) -> bool {
+    pub fn record_unacknowledged_response(&mut self, now: Instant) -> bool {
         match &mut self.delivery {
             Delivery::Working { unacknowledged } => {
                 *unacknowledged += 1;
--- a/src/coordination/machines/table.rs
+++ b/src/coordination/machines/table.rs
@@ -32,21 +32,21 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct MachineIndex {
     /// Machines that report and are not full.
-    pub with_room: BTreeSet<MachineId>,
+    pub with_free_capacity: BTreeSet<MachineId>,
     /// Machines that report and whose GPUs are all taken, but not their CPUs: room for tasks that need
     /// no GPU.
-    pub with_cpus_only: BTreeSet<MachineId>,
+    pub with_free_cpus_only: BTreeSet<MachineId>,
 }
 
 /// What kind of room a machine has.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Room {
+pub enum FreeCapacity {
     /// None, or it does not report.
     None,
     /// CPUs, but no GPUs though its type has some.
     CpusOnly,
     /// Some of all that its type is rented for.
-    Some,
+    Available,
 }
 
 impl MachineTable {
@@ -146,31 +146,45 @@
 
     /// Brings the index in step with a machine that has changed, or that is no longer held.
     pub fn reindex(&mut self, id: &MachineId) {
-        let room = self.machines.get(id).map(|machine| self.room_on(machine));
-        let with_room = &mut self.index.with_room;
-        set_membership(with_room, id, room == Some(Room::Some));
-        let with_cpus_only = &mut self.index.with_cpus_only;
-        set_membership(with_cpus_only, id, room == Some(Room::CpusOnly));
+        let room = self
+            .machines
+            .get(id)
+            .map(|machine| self.free_capacity_on(machine));
+        let with_free_capacity = &mut self.index.with_free_capacity;
+        set_membership(
+            with_free_capacity,
+            id,
+            room == Some(FreeCapacity::Available),
+        );
+        let with_free_cpus_only = &mut self.index.with_free_cpus_only;
+        set_membership(
+            with_free_cpus_only,
+            id,
+            room == Some(FreeCapacity::CpusOnly),
+        );
     }
 
     /// What kind of room a machine has.
-    pub fn room_on(&self, machine: &Machine) -> Room {
+    pub fn free_capacity_on(&self, machine: &Machine) -> FreeCapacity {
         let whole = self.capacity(&machine.machine_type);
         let has_some = |free: f64, whole: f64| whole <= 0.0 || free > 1e-6;
         if machine.state != MachineState::Up || !has_some(machine.free().cpus, whole.cpus) {
-            Room::None
+            FreeCapacity::None
         } else if has_some(machine.free().gpus, whole.gpus) {
-            Room::Some
+            FreeCapacity::Available
         } else {
-            Room::CpusOnly
+            FreeCapacity::CpusOnly
         }
     }
 
     /// Machines that report and have room of the kind that a job's tasks need.
-    pub fn with_room_for<'a>(&'a self, spec: &JobSpec) -> impl Iterator<Item = &'a Machine> {
-        let with_room = self.index.with_room.iter();
-        let with_cpus_only = (spec.gpus <= 0.0).then_some(&self.index.with_cpus_only);
-        let ids = with_room.chain(with_cpus_only.into_iter().flatten());
+    pub fn with_free_capacity_for<'a>(
+        &'a self,
+        spec: &JobSpec,
+    ) -> impl Iterator<Item = &'a Machine> {
+        let with_free_capacity = self.index.with_free_capacity.iter();
+        let with_free_cpus_only = (spec.gpus <= 0.0).then_some(&self.index.with_free_cpus_only);
+        let ids = with_free_capacity.chain(with_free_cpus_only.into_iter().flatten());
         ids.filter_map(|id| self.machines.get(id))
     }
 }
--- a/src/coordination/machines/type_fit.rs
+++ b/src/coordination/machines/type_fit.rs
@@ -11,12 +11,12 @@
     /// Whether each task of a job takes most of a machine: large ones are placed first, small ones fill what
     /// is left.
     pub(crate) fn is_large_task(&self, spec: &JobSpec) -> bool {
-        self.smallest_fraction_taken(spec) > LARGE_TASK_FRACTION
+        self.smallest_machine_fraction(spec) > LARGE_TASK_FRACTION
     }
 
     /// The largest fraction of GPUs or CPUs that a task takes of a machine, of the allowed type of which it
     /// takes least; infinite if it fits on none.
-    pub(crate) fn smallest_fraction_taken(&self, spec: &JobSpec) -> f64 {
+    pub(crate) fn smallest_machine_fraction(&self, spec: &JobSpec) -> f64 {
         let allowed = self.types.values().filter(|info| {
             let named = spec.machine_types.as_ref();
             named.is_none_or(|named| named.contains(&info.name))
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -193,7 +193,7 @@
         self.recheck_machines(now);
         self.aging
             .recheck(now, self.jobs.pending().map(|(_, job)| job));
-        self.machines.recheck_cached_images();
+        self.machines.recount_cached_images();
         self.forget_closed_jobs();
         self.log_cluster_state(now);
         self.placement.request_pass();
--- a/src/coordination/placement/candidates.rs
+++ b/src/coordination/placement/candidates.rs
@@ -125,7 +125,7 @@
                 machine: candidate.machine_id.clone(),
                 image_wait_s: candidate.fixed_costs.image_wait_s,
             });
-            start_check.task_planned(candidate.zone);
+            start_check.add_task(candidate.zone);
             candidate.take_task(&request);
             if candidate.has_room_for(&request) {
                 candidates.push(candidate);
@@ -150,7 +150,7 @@
         let may_use_warm_pool = self.view.is_aged(job);
         self.view
             .machines()
-            .with_room_for(spec)
+            .with_free_capacity_for(spec)
             .filter(|machine| {
                 request.fits(machine.free()) && machine.attempts.len() < MAX_ATTEMPTS_PER_MACHINE
             })
--- a/src/coordination/placement/image_locality.rs
+++ b/src/coordination/placement/image_locality.rs
@@ -50,7 +50,7 @@
         if self.state.is_known_to_fail(&ResourceRequest::of(spec)) {
             return false;
         }
-        let pull_s = self.view.shortest_image_pull_s(spec);
+        let pull_s = self.view.shortest_image_fetch_s(spec);
         let max_wait = TimeSpan::from_secs(pull_s * MAX_WAIT_FRACTION_OF_PULL);
         let has_waited_enough = job
             .image_wait_since()
--- a/src/coordination/placement/preemption.rs
+++ b/src/coordination/placement/preemption.rs
@@ -141,7 +141,7 @@
             return Vec::new();
         };
         let spec = preemptor.job.spec();
-        let pull_s = self.shortest_image_pull_s(spec);
+        let pull_s = self.shortest_image_fetch_s(spec);
         // A job that has failed may be mistaken: nothing is stopped for it.
         if !self.is_large_task(spec)
             || pull_s < MIN_PULL_WORTH_PREEMPTING_S
--- a/src/coordination/placement/reservations.rs
+++ b/src/coordination/placement/reservations.rs
@@ -38,7 +38,7 @@
     /// Machines that report and are not full.
     fn machines_with_room(&self) -> impl Iterator<Item = &'a Machine> {
         let machines = self.machines();
-        let ids = machines.index.with_room.iter();
+        let ids = machines.index.with_free_capacity.iter();
         ids.filter_map(|id| machines.get(id))
     }
 }
--- a/src/coordination/placement/start_check.rs
+++ b/src/coordination/placement/start_check.rs
@@ -40,7 +40,7 @@
     }
 
     /// As if no task of the job were anywhere.
-    pub(crate) fn of_no_tasks(job: &'a Job) -> StartCheck<'a> {
+    pub(crate) fn without_placed_tasks(job: &'a Job) -> StartCheck<'a> {
         StartCheck {
             spec: job.spec(),
             others: TasksByZone::default(),
@@ -61,7 +61,7 @@
     }
 
     /// One more task is to start in the zone.
-    pub(crate) fn task_planned(&mut self, zone: &Zone) {
+    pub(crate) fn add_task(&mut self, zone: &Zone) {
         self.others.add(zone);
     }
 }
--- a/src/coordination/placement/view.rs
+++ b/src/coordination/placement/view.rs
@@ -128,7 +128,7 @@
     }
 
     /// Seconds that a pull of the job's image takes on the machine type that is quickest at it.
-    pub(super) fn shortest_image_pull_s(&self, spec: &JobSpec) -> f64 {
-        self.machines().shortest_image_pull_s(spec)
+    pub(super) fn shortest_image_fetch_s(&self, spec: &JobSpec) -> f64 {
+        self.machines().shortest_image_fetch_s(spec)
     }
 }
--- a/src/coordination/placement/zones.rs
+++ b/src/coordination/placement/zones.rs
@@ -59,7 +59,7 @@
         let spec = job.spec();
         let request = Resources::of(spec);
         let mut room_by_zone: BTreeMap<Zone, u32> = BTreeMap::new();
-        for machine in self.view.machines().with_room_for(spec) {
+        for machine in self.view.machines().with_free_capacity_for(spec) {
             if self.view.is_usable(machine)
                 && allows_machine(spec, machine)
                 && !self.state.is_reserved(&machine.id)
