--- a/src/coordination/attempts/ledger/proof.rs
+++ b/src/coordination/attempts/ledger/proof.rs
@@ -6,7 +6,7 @@
 
 use super::task_attempt::TaskAttempt;
 use crate::coordination::machines::machine::Machine;
-use crate::ids::{FencingToken, Session, Tick};
+use crate::ids::{FencingToken, SequenceNumber, Session};
 use crate::time::{Instant, TimeSpan};
 
 /// Why an attempt certainly runs nowhere, nor ever will.
@@ -106,7 +106,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct StatusEvidence {
     /// The worker's session, and its count of messages in it.
-    pub at: (Session, Tick),
+    pub at: (Session, SequenceNumber),
     /// The highest fencing token that the worker has seen.
     pub token: FencingToken,
     /// It came in a heartbeat, not in answer to a push.
--- a/src/coordination/attempts/ledger/task_attempt.rs
+++ b/src/coordination/attempts/ledger/task_attempt.rs
@@ -4,7 +4,8 @@
 use crate::coordination::jobs::job::Job;
 use crate::coordination::RequestId;
 use crate::ids::{
-    AttemptId, AttemptKey, FencingToken, Image, PageNumber, Session, TaskId, TeamIndex, Tick,
+    AttemptId, AttemptKey, FencingToken, Image, PageNumber, SequenceNumber, Session, TaskId,
+    TeamIndex,
 };
 use crate::protocol::workers::{Cause, TaskPhase, TaskStatus};
 use crate::resources::Resources;
@@ -34,7 +35,7 @@
     /// Since when it has been in this phase, as far as we know.
     pub since: Instant,
     /// The message that said so.
-    pub at: (Session, Tick),
+    pub at: (Session, SequenceNumber),
 }
 
 impl LastStatus {
@@ -42,7 +43,7 @@
     pub(in crate::coordination::attempts) fn after(
         before: Option<LastStatus>,
         task: &TaskStatus,
-        at: (Session, Tick),
+        at: (Session, SequenceNumber),
         now: Instant,
     ) -> LastStatus {
         let same_phase = before.filter(|before| before.phase == task.phase);
@@ -100,7 +101,7 @@
     /// The page on the state store that holds the intent: only then may it be launched.
     pub page: Option<PageNumber>,
     /// The tick of the heartbeat whose response carried the launch, until settled.
-    pub heartbeat_carrier: Option<Tick>,
+    pub heartbeat_carrier: Option<SequenceNumber>,
     /// What became of the last push that launched it.
     pub push: PushDelivery,
     /// The session in which we launched it. None: never launched by us.
--- a/src/coordination/counts.rs
+++ b/src/coordination/counts.rs
@@ -26,7 +26,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AttemptCounts {
     /// All of them.
-    pub all: usize,
+    pub total: usize,
     /// Those of jobs that are not open any more: they are to be stopped.
     pub of_closed_jobs: usize,
 }
@@ -50,7 +50,7 @@
                 .jobs
                 .get(&attempt.task.job)
                 .is_some_and(|job| !job.is_closed());
-            counts.all += 1;
+            counts.total += 1;
             counts.of_closed_jobs += usize::from(!is_open);
         }
         counts
--- a/src/coordination/machines/machine.rs
+++ b/src/coordination/machines/machine.rs
@@ -8,7 +8,7 @@
 use super::reservation::Reservation;
 use crate::coordination::attempts::ledger::{MachineAttempts, TaskAttempt};
 use crate::coordination::RequestId;
-use crate::ids::{Image, JobId, MachineId, MachineType, PageNumber, Session, Tick, Zone};
+use crate::ids::{Image, JobId, MachineId, MachineType, PageNumber, SequenceNumber, Session, Zone};
 use crate::resources::Resources;
 use crate::time::{Instant, TimeSpan};
 use std::collections::BTreeSet;
@@ -44,9 +44,9 @@
     /// Its worker's session, as last seen.
     pub session: Session,
     /// The tick of the newest message of that session.
-    pub tick: Tick,
+    pub tick: SequenceNumber,
     /// The session and tick of the last heartbeat: any that is not above it is a duplicate.
-    pub last_heartbeat: (Session, Tick),
+    pub last_heartbeat: (Session, SequenceNumber),
     /// Known from our records, from a scale-out request of ours, from the cloud, or by having acknowledged our
     /// fencing token: a delayed duplicate of a status alone proves nothing.
     pub verified: bool,
@@ -121,8 +121,8 @@
             state: MachineState::Booting,
             first_known_at: now,
             session: Session(0),
-            tick: Tick(0),
-            last_heartbeat: (Session(0), Tick(0)),
+            tick: SequenceNumber(0),
+            last_heartbeat: (Session(0), SequenceNumber(0)),
             verified: true,
             confirmed: false,
             reachability: Reachability::default(),
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -119,12 +119,12 @@
     }
 
     /// An attempt id that no attempt of any term has had.
-    pub fn fresh_attempt(&mut self) -> AttemptId {
+    pub fn next_attempt_id(&mut self) -> AttemptId {
         self.leadership.next_attempt_id()
     }
 
     /// Takes in an event. Each belongs to one part; what it leaves to be decided waits for the next step.
-    pub fn on(&mut self, now: Instant, event: Event) {
+    pub fn handle(&mut self, now: Instant, event: Event) {
         match event {
             Event::JobOpened(open_job) => self.job_opened(now, *open_job),
             Event::JobClosed { id } => self.job_closed(now, &id, Closure::Unknown),
--- a/src/coordination/placement/mod.rs
+++ b/src/coordination/placement/mod.rs
@@ -70,7 +70,7 @@
         if queue.is_empty() {
             return Vec::new();
         }
-        let attempt_id = self.fresh_attempt();
+        let attempt_id = self.next_attempt_id();
         let team_usage = self.team_usage.clone();
         let view = self.placement_view(now);
         let mut state = PassState::new(&view, team_usage, attempt_id, max_placed);
--- a/src/ids.rs
+++ b/src/ids.rs
@@ -23,7 +23,7 @@
 number!(/// A worker's session; a new one begins when its lease ran out.
     Session);
 number!(/// Orders a worker's messages within a session.
-    Tick);
+    SequenceNumber);
 number!(/// Tells one start of a task from another; never used twice for a task.
     AttemptId);
 number!(/// The revision of one key in the state store; 0 means absent.
--- a/src/protocol/workers.rs
+++ b/src/protocol/workers.rs
@@ -2,7 +2,9 @@
 //!
 //! The operators' words are in serde names, and nowhere else.
 
-use crate::ids::{AttemptId, FencingToken, MachineId, MachineType, Session, TaskId, Tick, Zone};
+use crate::ids::{
+    AttemptId, FencingToken, MachineId, MachineType, SequenceNumber, Session, TaskId, Zone,
+};
 use serde::{Deserialize, Serialize};
 
 /// A worker's status, in heartbeats and in the responses of `/commands` and `/inspect`.
@@ -26,7 +28,7 @@
     #[serde(rename = "tenure")]
     pub session: Session,
     /// Numbers the messages of a session: of two messages, the one with the larger session and tick is the newer.
-    pub tick: Tick,
+    pub tick: SequenceNumber,
     /// The highest fencing token that the worker has seen.
     #[serde(rename = "baton", default)]
     pub token: FencingToken,
--- a/src/runtime/leader/state.rs
+++ b/src/runtime/leader/state.rs
@@ -125,7 +125,7 @@
     /// Hands the scheduler an event; does nothing if this controller doesn't lead.
     pub fn handle_event(&self, now: Instant, event: Event) {
         if let Some(leader) = lock(&self.active).as_mut() {
-            leader.scheduler.on(now, event);
+            leader.scheduler.handle(now, event);
             self.step_requested.notify_one();
         }
     }
--- a/src/runtime/leader/term.rs
+++ b/src/runtime/leader/term.rs
@@ -133,7 +133,7 @@
         read_ms = (node.now() - asked_at).0,
         jobs,
         machines = scheduler.machines_up(),
-        attempts = attempts.all,
+        attempts = attempts.total,
         attempts_of_closed_jobs = attempts.of_closed_jobs,
         "failover complete"
     );
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -203,7 +203,7 @@
 fn attempts_of_a_huge_job_are_rate_limited() {
     let mut now = Instant(1000);
     let mut scheduler = idle_cluster(policy(), now);
-    scheduler.on(now, job_opened("wk-900001", "low", 24_000));
+    scheduler.handle(now, job_opened("wk-900001", "low", 24_000));
     let huge = JobId::from("wk-900001");
     let recorded = intents_written(&mut scheduler, &mut now, Instant(5000))[&huge];
     // A tenth of a CPU core: 3,750 at once, and 750 a second.
@@ -211,7 +211,7 @@
         (3000..=3750 + 4 * 750).contains(&recorded),
         "{recorded} starts in 4 s"
     );
-    scheduler.on(now, job_opened("wk-900002", "urgent", 16));
+    scheduler.handle(now, job_opened("wk-900002", "urgent", 16));
     let recorded = intents_written(&mut scheduler, &mut now, Instant(6000));
     assert_eq!(recorded.get(&JobId::from("wk-900002")), Some(&16));
     scheduler.audit().unwrap();
@@ -224,7 +224,7 @@
     let mut policy = (*policy()).clone();
     policy.facts.process_limits.cores = 0.0;
     let mut scheduler = idle_cluster(Arc::new(policy), now);
-    scheduler.on(now, job_opened("wk-900001", "low", 24_000));
+    scheduler.handle(now, job_opened("wk-900001", "low", 24_000));
     let recorded = intents_written(&mut scheduler, &mut now, Instant(11_000));
     assert!(recorded[&JobId::from("wk-900001")] > 1_000);
 }
@@ -235,10 +235,10 @@
     let now = Instant(1000);
     let mut scheduler = RecordedScheduler::recover(policy(), term(9), now, recovered()).unwrap();
     // Every GPU of the team's limit may be in use, and no machine has sent a heartbeat yet.
-    scheduler.on(now, gpu_job_opened("wk-900001", 4, Vec::new()));
+    scheduler.handle(now, gpu_job_opened("wk-900001", 4, Vec::new()));
     let small = JobId::from("wk-900001");
-    scheduler.on(now, gpu_job_opened("wk-900002", 4, vec![small.clone()]));
-    scheduler.on(now, job_opened("wk-900003", "low", 100));
+    scheduler.handle(now, gpu_job_opened("wk-900002", 4, vec![small.clone()]));
+    scheduler.handle(now, job_opened("wk-900003", "low", 100));
     scheduler.step(now + TimeSpan(100));
     let waiting = scheduler.pending_jobs(now);
     let oldest = |reason| waiting.get(&reason).map(|w| (w.jobs, w.oldest.clone()));
@@ -272,7 +272,7 @@
     let upstream = JobId::from("wk-900000");
     for n in 1..=DOWNSTREAM_JOBS {
         let id = format!("wk-{}", 900_000 + n);
-        scheduler.on(now, gpu_job_opened(&id, 100, vec![upstream.clone()]));
+        scheduler.handle(now, gpu_job_opened(&id, 100, vec![upstream.clone()]));
     }
     let terminal_record = TerminalRecord::cancelled(1);
     let mut terminal_records = 0;
@@ -289,7 +289,7 @@
                         job: upstream.clone(),
                         record: Some(terminal_record.clone()),
                     };
-                    scheduler.on(now, Event::TerminalRecordsRead(vec![read]));
+                    scheduler.handle(now, Event::TerminalRecordsRead(vec![read]));
                 }
                 Effect::Write {
                     request_id,
@@ -321,8 +321,8 @@
     let now = Instant(100_000);
     let mut scheduler = RecordedScheduler::recover(policy(), term(9), now, recovered()).unwrap();
     let upstream = ["wk-800001", "wk-800002"].map(JobId::from).to_vec();
-    scheduler.on(now, gpu_job_opened("wk-900001", 4, upstream.clone()));
-    scheduler.on(
+    scheduler.handle(now, gpu_job_opened("wk-900001", 4, upstream.clone()));
+    scheduler.handle(
         now,
         gpu_job_opened("wk-900002", 4, vec![JobId::from("wk-800003")]),
     );
@@ -336,7 +336,7 @@
     let records = upstream.into_iter().zip([Some(first), Some(second)]);
     let mut records: Vec<_> = records.map(read).collect();
     records.push(read((JobId::from("wk-800003"), Some(done(None)))));
-    scheduler.on(now, Event::TerminalRecordsRead(records));
+    scheduler.handle(now, Event::TerminalRecordsRead(records));
     let waiting = scheduler.pending_jobs(now);
     let limited = &waiting[&PendingReason::TeamLimit];
     assert_eq!((limited.jobs, limited.since), (2, Instant(80_000)));
@@ -348,8 +348,8 @@
 fn attempt_ids_of_one_term_are_unique() {
     let now = Instant(1000);
     let mut scheduler = idle_cluster(policy(), now);
-    let first = scheduler.fresh_attempt();
+    let first = scheduler.next_attempt_id();
     for _ in 0..1 << 21 {
-        assert_ne!(scheduler.fresh_attempt(), first);
+        assert_ne!(scheduler.next_attempt_id(), first);
     }
 }
--- a/tests/placement_constraints.rs
+++ b/tests/placement_constraints.rs
@@ -180,7 +180,7 @@
             zone: Zone::from(zone),
             spot: false,
             session: Session(1),
-            tick: Tick(self.tick),
+            tick: SequenceNumber(self.tick),
             token: FencingToken(self.token),
             recall_s: None,
             tasks: running.map(listed).collect(),
@@ -343,5 +343,5 @@
     let mut launches = heartbeat(&mut scheduler, START, "a", &status);
     launches.extend(settle(&mut scheduler, START, 20));
     assert_eq!(launches.len(), TASKS as usize);
-    scheduler.on(START, Event::JobCancelled { id: job_id() });
+    scheduler.handle(START, Event::JobCancelled { id: job_id() });
 }
--- a/tests/simulation/cloud.rs
+++ b/tests/simulation/cloud.rs
@@ -62,7 +62,7 @@
         let machines = self.cloud.lagging_list(now, lag);
         if let (Some(machines), Some(scheduler)) = (machines, self.leadership.scheduler.as_mut()) {
             let asked = now;
-            scheduler.on(now, Event::MachinesListed { asked, machines });
+            scheduler.handle(now, Event::MachinesListed { asked, machines });
         }
     }
 
--- a/tests/simulation/leadership.rs
+++ b/tests/simulation/leadership.rs
@@ -269,7 +269,7 @@
             .collect();
         if let Some(scheduler) = self.leadership.scheduler.as_mut() {
             for event in events {
-                scheduler.on(now, event);
+                scheduler.handle(now, event);
             }
         }
         self.leadership.watched_revision = self.store.store_revision;
--- a/tests/simulation/network.rs
+++ b/tests/simulation/network.rs
@@ -243,7 +243,7 @@
             return;
         }
         if let Some(scheduler) = self.leadership.scheduler_of(leader) {
-            scheduler.on(self.now, event);
+            scheduler.handle(self.now, event);
         }
     }
 
--- a/tests/simulation/worker.rs
+++ b/tests/simulation/worker.rs
@@ -190,7 +190,7 @@
             zone: self.zone.clone(),
             spot: self.spot,
             session: self.session,
-            tick: Tick(self.tick),
+            tick: SequenceNumber(self.tick),
             token: self.token,
             recall_s: self.preemption_noticed.then_some(PREEMPTION_NOTICE_SECS),
             tasks,
--- a/tests/stale_knowledge.rs
+++ b/tests/stale_knowledge.rs
@@ -120,7 +120,7 @@
         zone: Zone::from("a"),
         spot: false,
         session: Session(1),
-        tick: Tick(tick),
+        tick: SequenceNumber(tick),
         token: FencingToken(token),
         recall_s: None,
         tasks: listed.into_iter().collect(),
@@ -173,7 +173,7 @@
     assert!(!stops(&scheduler.heartbeat(START, &first)));
     settle(&mut scheduler, START, 300);
     let now = START + TimeSpan(300);
-    scheduler.on(now, Event::JobClosed { id: job(1) });
+    scheduler.handle(now, Event::JobClosed { id: job(1) });
     let second = status(2, CURRENT_TOKEN, Some(TaskPhase::Running));
     assert!(stops(&scheduler.heartbeat(now, &second)));
     // A heartbeat that the response to a push has overtaken renews the lease all the same.
@@ -182,7 +182,7 @@
         request_id: RequestId(0),
         status: Box::new(status(4, CURRENT_TOKEN, Some(TaskPhase::Running))),
     };
-    scheduler.on(now, push_response);
+    scheduler.handle(now, push_response);
     let overtaken = status(3, CURRENT_TOKEN, Some(TaskPhase::Running));
     assert!(stops(&scheduler.heartbeat(now, &overtaken)));
 }
@@ -216,7 +216,7 @@
         scheduler.still_wanted(&machine_id(), commands[0].clone()),
         [launch]
     );
-    scheduler.on(START + TimeSpan(3_000), Event::JobCancelled { id: job(2) });
+    scheduler.handle(START + TimeSpan(3_000), Event::JobCancelled { id: job(2) });
     assert_eq!(
         scheduler.still_wanted(&machine_id(), commands[0].clone()),
         []
@@ -248,8 +248,8 @@
         revision: KeyRevision(1),
         submitted_at: Instant(0),
     }));
-    scheduler.on(now, again);
-    scheduler.on(now, Event::JobClosed { id: job(1) });
+    scheduler.handle(now, again);
+    scheduler.handle(now, Event::JobClosed { id: job(1) });
     let written = settle(&mut scheduler, now, 5_000);
     let is_downstream_record = |c: &Change| c.key() == terminal_key(&job(2));
     assert!(!written.iter().any(is_downstream_record), "{written:?}");
--- a/tests/support/large_cluster.rs
+++ b/tests/support/large_cluster.rs
@@ -132,7 +132,7 @@
         zone: Zone::from("a"),
         spot: false,
         session: Session(1),
-        tick: Tick(tick),
+        tick: SequenceNumber(tick),
         token: FencingToken(token),
         recall_s: None,
         tasks: tasks.collect(),
--- a/tests/support/recorded_scheduler.rs
+++ b/tests/support/recorded_scheduler.rs
@@ -61,7 +61,7 @@
             request_id,
             store_revision,
         };
-        self.scheduler.on(now, event);
+        self.scheduler.handle(now, event);
     }
 }
 
--- a/tests/upgrade/page_splitting.rs
+++ b/tests/upgrade/page_splitting.rs
@@ -150,7 +150,7 @@
             };
             if !is_accepted(&transaction) {
                 rejected += 1;
-                scheduler.on(*now, Event::WriteRejected { request_id });
+                scheduler.handle(*now, Event::WriteRejected { request_id });
                 continue;
             }
             let store_revision = store.apply(&transaction).expect("nobody else writes");
@@ -214,7 +214,7 @@
             revision: KeyRevision(0),
             submitted_at: now,
         }));
-        scheduler.on(now, opened);
+        scheduler.handle(now, opened);
     }
 }
 
@@ -232,7 +232,7 @@
         job: JobId::from("wk-900"),
         record: Some(TerminalRecord::cancelled(1)),
     };
-    scheduler.on(now, Event::TerminalRecordsRead(vec![read]));
+    scheduler.handle(now, Event::TerminalRecordsRead(vec![read]));
     let rejected = write_for(&mut scheduler, &mut store, &mut now, TimeSpan(120_000));
     assert!((1..=12).contains(&rejected), "{rejected} rejected");
     assert_eq!(
@@ -254,7 +254,7 @@
         job: JobId::from("wk-900"),
         record: Some(TerminalRecord::cancelled(1)),
     };
-    scheduler.on(now, Event::TerminalRecordsRead(vec![read]));
+    scheduler.handle(now, Event::TerminalRecordsRead(vec![read]));
     let pause = TimeSpan(250);
     let mut limited_at: Vec<Instant> = Vec::new();
     let first_applied = loop {
@@ -271,7 +271,7 @@
             break transaction;
         }
         limited_at.push(now);
-        scheduler.on(now, Event::WriteLimited { request_id, pause });
+        scheduler.handle(now, Event::WriteLimited { request_id, pause });
     };
     let changes_of = |prefix: &str| {
         let changes = first_applied.changes.iter();
