--- a/src/coordination/effect.rs
+++ b/src/coordination/effect.rs
@@ -68,10 +68,10 @@
         /// The commands.
         commands: Vec<Command>,
     },
-    /// Ask the cloud for machines; the answer is [`Event::ScaleOutAnswered`] or [`Event::ScaleOutUnclear`].
+    /// Ask the cloud for machines; the answer is [`Event::ScaleOutAnswered`] or [`Event::ScaleOutUnconfirmed`].
     ///
     /// [`Event::ScaleOutAnswered`]: super::Event::ScaleOutAnswered
-    /// [`Event::ScaleOutUnclear`]: super::Event::ScaleOutUnclear
+    /// [`Event::ScaleOutUnconfirmed`]: super::Event::ScaleOutUnconfirmed
     ScaleOut {
         /// The same for every repetition of one request.
         idempotency_key: IdempotencyKey,
--- a/src/coordination/event.rs
+++ b/src/coordination/event.rs
@@ -64,7 +64,7 @@
         id: JobId,
     },
     /// The whole list of open jobs, read anew after a gap in the watch.
-    OpenJobs(Vec<OpenJob>),
+    OpenJobsListed(Vec<OpenJob>),
     /// Answers [`super::Effect::ReadTerminalRecords`].
     TerminalRecordsRead(Vec<TerminalRecordRead>),
 
@@ -92,7 +92,7 @@
     /// The whole list of machines. It lags behind, so a machine that is missing may exist.
     MachinesListed {
         /// When the list was asked for.
-        asked: Instant,
+        requested_at: Instant,
         /// The machines.
         machines: Vec<ListedMachine>,
     },
@@ -104,7 +104,7 @@
         answer: ScaleOutAnswer,
     },
     /// The outcome of a scale-out request is unclear; it is asked again with the same key.
-    ScaleOutUnclear {
+    ScaleOutUnconfirmed {
         /// The request.
         idempotency_key: IdempotencyKey,
     },
@@ -120,19 +120,19 @@
     },
 
     /// Answers [`super::Effect::Write`]: the transaction is applied.
-    Written {
+    WriteApplied {
         /// The write.
         request_id: RequestId,
         /// The store's revision after it, which is the revision of each key it wrote.
         store_revision: StoreRevision,
     },
     /// A transaction was certainly not applied, nor will be.
-    NotWritten {
+    WriteNotApplied {
         /// The write.
         request_id: RequestId,
     },
     /// A transaction was not applied: the store's rate limit is used up.
-    WriteLimited {
+    WriteRateLimited {
         /// The write.
         request_id: RequestId,
         /// No write is to be sent for so long.
@@ -145,11 +145,11 @@
         request_id: RequestId,
     },
     /// Preconditions of a transaction failed, or its outcome is unclear: its keys must be read again.
-    WriteUnclear {
+    WriteUnconfirmed {
         /// The write.
         request_id: RequestId,
         /// The keys of the preconditions that failed, if the store said which.
-        failed: Vec<String>,
+        failed_preconditions: Vec<String>,
     },
     /// Answers [`super::Effect::Reread`].
     Reread {
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -130,7 +130,7 @@
             Event::JobClosed { id } => self.job_closed(now, &id, Closure::Unknown),
             Event::JobCancelled { id } => self.job_closed(now, &id, Closure::Cancelled),
             Event::TerminalRecordsRead(records) => self.terminal_records_read(now, records),
-            Event::OpenJobs(open_jobs) => self.open_jobs_listed(now, open_jobs),
+            Event::OpenJobsListed(open_jobs) => self.open_jobs_listed(now, open_jobs),
             Event::PushAnswered {
                 machine_id,
                 request_id,
@@ -145,28 +145,34 @@
                 self.machines.set_types(machine_types);
                 self.placement.request_pass();
             }
-            Event::MachinesListed { asked, machines } => self.machines_listed(now, asked, machines),
+            Event::MachinesListed {
+                requested_at,
+                machines,
+            } => self.machines_listed(now, requested_at, machines),
             Event::ScaleOutAnswered {
                 idempotency_key,
                 answer,
             } => self.scale_out_answered(now, &idempotency_key, answer),
-            Event::ScaleOutUnclear { idempotency_key } => {
+            Event::ScaleOutUnconfirmed { idempotency_key } => {
                 self.autoscaler.scale_out_unclear(now, &idempotency_key)
             }
             Event::MachinesTerminated { machine_ids } => {
                 self.machines_terminated(now, &machine_ids)
             }
             Event::ScaleInFailed { machine_ids } => self.scale_in_failed(now, &machine_ids),
-            Event::Written {
+            Event::WriteApplied {
                 request_id,
                 store_revision,
             } => self.written(now, request_id, store_revision),
-            Event::NotWritten { request_id } => self.not_written(now, request_id),
-            Event::WriteLimited { request_id, pause } => self.write_limited(now, request_id, pause),
-            Event::WriteRejected { request_id } => self.write_rejected(now, request_id),
-            Event::WriteUnclear { request_id, failed } => {
-                self.write_unclear(now, request_id, &failed)
+            Event::WriteNotApplied { request_id } => self.not_written(now, request_id),
+            Event::WriteRateLimited { request_id, pause } => {
+                self.write_limited(now, request_id, pause)
             }
+            Event::WriteRejected { request_id } => self.write_rejected(now, request_id),
+            Event::WriteUnconfirmed {
+                request_id,
+                failed_preconditions,
+            } => self.write_unclear(now, request_id, &failed_preconditions),
             Event::Reread { request_id, items } => self.reread(now, request_id, items),
         }
     }
--- a/src/runtime/leader/effects.rs
+++ b/src/runtime/leader/effects.rs
@@ -76,15 +76,18 @@
 
 async fn write(node: &Node, request_id: RequestId, transaction: &Transaction) -> Event {
     match node.state_store.transaction(transaction).await {
-        Ok(TransactionOutcome::Applied(store_revision)) => Event::Written {
+        Ok(TransactionOutcome::Applied(store_revision)) => Event::WriteApplied {
             request_id,
             store_revision,
         },
-        Ok(TransactionOutcome::Conflict(failed)) => Event::WriteUnclear { request_id, failed },
-        Err(StateStoreError::NotExecuted) => Event::NotWritten { request_id },
+        Ok(TransactionOutcome::Conflict(failed_preconditions)) => Event::WriteUnconfirmed {
+            request_id,
+            failed_preconditions,
+        },
+        Err(StateStoreError::NotExecuted) => Event::WriteNotApplied { request_id },
         Err(StateStoreError::RateLimited) => {
             let pause_ms = rand::rng().random_range(RATE_LIMITED_PAUSE_MS);
-            Event::WriteLimited {
+            Event::WriteRateLimited {
                 request_id,
                 pause: TimeSpan(pause_ms),
             }
@@ -94,9 +97,9 @@
             StateStoreError::OutcomeUnknown
             | StateStoreError::RevisionCompacted
             | StateStoreError::LeaseExpired,
-        ) => Event::WriteUnclear {
+        ) => Event::WriteUnconfirmed {
             request_id,
-            failed: Vec::new(),
+            failed_preconditions: Vec::new(),
         },
     }
 }
@@ -199,7 +202,7 @@
             idempotency_key,
             answer: ScaleOutAnswer::NoCapacity,
         },
-        RentOutcome::Unknown => Event::ScaleOutUnclear { idempotency_key },
+        RentOutcome::Unknown => Event::ScaleOutUnconfirmed { idempotency_key },
     }
 }
 
--- a/src/runtime/leader/job_watch.rs
+++ b/src/runtime/leader/job_watch.rs
@@ -188,7 +188,7 @@
         jobs = jobs.len(),
         "open jobs listed again"
     );
-    let listed = Event::OpenJobs(jobs);
+    let listed = Event::OpenJobsListed(jobs);
     node.leadership.handle_event(node.now(), listed);
     term.authority.view_refreshed(asked_at);
     Some(store_revision)
--- a/src/runtime/leader/machine_list.rs
+++ b/src/runtime/leader/machine_list.rs
@@ -18,11 +18,14 @@
 pub async fn poll(term: Term) {
     let node = &term.node;
     while !term.end.is_cancelled() {
-        let asked = node.now();
+        let requested_at = node.now();
         let mut listed = 0;
         if let Some(machines) = node.cloud.list_machines().await {
             listed = machines.len();
-            let event = Event::MachinesListed { asked, machines };
+            let event = Event::MachinesListed {
+                requested_at,
+                machines,
+            };
             node.leadership.handle_event(node.now(), event);
         }
         let pause = pause_after(listed, node.policy.facts.cloud.rps);
--- a/tests/simulation/cloud.rs
+++ b/tests/simulation/cloud.rs
@@ -61,8 +61,14 @@
         let lag = TimeSpan::from_secs(self.policy.facts.cloud.list_lag_s);
         let machines = self.cloud.lagging_list(now, lag);
         if let (Some(machines), Some(scheduler)) = (machines, self.leadership.scheduler.as_mut()) {
-            let asked = now;
-            scheduler.handle(now, Event::MachinesListed { asked, machines });
+            let requested_at = now;
+            scheduler.handle(
+                now,
+                Event::MachinesListed {
+                    requested_at,
+                    machines,
+                },
+            );
         }
     }
 
--- a/tests/simulation/effects.rs
+++ b/tests/simulation/effects.rs
@@ -146,7 +146,7 @@
         count: u32,
     ) {
         let event = if self.now < self.faults.cloud_unavailable_until {
-            Event::ScaleOutUnclear { idempotency_key }
+            Event::ScaleOutUnconfirmed { idempotency_key }
         } else {
             let answer = self.rent_machines(&idempotency_key, offer, count);
             Event::ScaleOutAnswered {
--- a/tests/simulation/network.rs
+++ b/tests/simulation/network.rs
@@ -259,10 +259,10 @@
             || (self.leadership.token() == Some(leader)
                 && now < self.faults.store_refuses_leader_until);
         let event = if refused {
-            Event::NotWritten { request_id }
+            Event::WriteNotApplied { request_id }
         } else {
             match self.store.apply(transaction) {
-                Some(store_revision) => Event::Written {
+                Some(store_revision) => Event::WriteApplied {
                     request_id,
                     store_revision,
                 },
@@ -284,8 +284,8 @@
 
 /// The leader can't tell whether the transaction was carried out.
 pub(super) fn unclear_write(request_id: RequestId) -> Event {
-    Event::WriteUnclear {
+    Event::WriteUnconfirmed {
         request_id,
-        failed: Vec::new(),
+        failed_preconditions: Vec::new(),
     }
 }
--- a/tests/support/recorded_scheduler.rs
+++ b/tests/support/recorded_scheduler.rs
@@ -57,7 +57,7 @@
         request_id: RequestId,
         store_revision: StoreRevision,
     ) {
-        let event = Event::Written {
+        let event = Event::WriteApplied {
             request_id,
             store_revision,
         };
--- a/tests/upgrade/page_splitting.rs
+++ b/tests/upgrade/page_splitting.rs
@@ -271,7 +271,7 @@
             break transaction;
         }
         limited_at.push(now);
-        scheduler.handle(now, Event::WriteLimited { request_id, pause });
+        scheduler.handle(now, Event::WriteRateLimited { request_id, pause });
     };
     let changes_of = |prefix: &str| {
         let changes = first_applied.changes.iter();
