--- a/src/coordination/jobs/graph/derivation.rs
+++ b/src/coordination/jobs/graph/derivation.rs
@@ -1,8 +1,8 @@
 //! What follows for each job from the jobs upstream and downstream of it: its depth, and, backwards from the
 //! outputs, its deadline, its label and its priority.
 
-use super::node::{Derived, Label};
-use super::Graph;
+use super::node::{Derived, SchedulingPreference};
+use super::DependencyGraph;
 use crate::ids::JobId;
 use crate::time::Instant;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -10,7 +10,7 @@
 /// Jobs at most so many steps upstream of an output with a deadline are latency jobs.
 const MAX_LATENCY_STEPS: u32 = 2;
 
-impl Graph {
+impl DependencyGraph {
     /// Derives depths, deadlines, labels and priorities anew if anything changed; linear in the jobs that
     /// have upstream or downstream jobs.
     pub fn refresh(&mut self) {
@@ -92,9 +92,9 @@
             if is_output && node.traits.deadline.is_some() {
                 steps = Some(0);
             }
-            node.derived.label = match steps {
-                Some(_) => Label::Latency,
-                None => Label::Throughput,
+            node.derived.scheduling_preference = match steps {
+                Some(_) => SchedulingPreference::Latency,
+                None => SchedulingPreference::Throughput,
             };
             let derived = node.derived;
             let latest_start = derived.deadline.map(|at| at - node.traits.run_time);
--- a/src/coordination/jobs/graph/mod.rs
+++ b/src/coordination/jobs/graph/mod.rs
@@ -3,14 +3,14 @@
 //! upstream job is durable; deadlines, labels and priorities are derived backwards from the downstream jobs;
 //! parallel jobs at one stage form a task group.
 //!
-//! The graph says what changed ([`Graph::take_changes`]), and of which upstream jobs the terminal records have
-//! to be read because nothing is known of them here ([`Graph::unresolved_after`]). A release is never decided
+//! The graph says what changed ([`DependencyGraph::take_changes`]), and of which upstream jobs the terminal records have
+//! to be read because nothing is known of them here ([`DependencyGraph::unresolved_after`]). A release is never decided
 //! on anything but a terminal record.
 
 mod derivation;
 mod node;
 
-pub use node::{JobTraits, Label};
+pub use node::{JobAttributes, SchedulingPreference};
 
 use crate::ids::JobId;
 use crate::protocol::users::Priority;
@@ -20,7 +20,7 @@
 
 /// A job that has been released.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Release {
+pub struct ReleasedJob {
     /// The job.
     pub id: JobId,
     /// When the terminal record of its last upstream job was written, if it has any.
@@ -29,16 +29,16 @@
 
 /// What has changed since it was last asked.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Changes {
+pub struct GraphChanges {
     /// Jobs that may run now.
-    pub released: Vec<Release>,
+    pub released: Vec<ReleasedJob>,
     /// Open jobs downstream of a job that is cancelled.
     pub cancelled: Vec<JobId>,
 }
 
 /// All jobs of which something upstream or downstream matters.
 #[derive(Debug, Default)]
-pub struct Graph {
+pub struct DependencyGraph {
     nodes: BTreeMap<JobId, Node>,
     /// Finished jobs that are forgotten but still named as upstream jobs, and when they finished.
     finished: BTreeMap<JobId, Instant>,
@@ -46,7 +46,7 @@
     downstream: BTreeMap<JobId, BTreeSet<JobId>>,
     /// Upstream jobs of blocked jobs whose terminal records have to be read.
     unresolved: BTreeSet<JobId>,
-    changes: Changes,
+    changes: GraphChanges,
     /// Jobs with more than their own traits to go by, as of the last `refresh`.
     linked: BTreeSet<JobId>,
     /// Whether edges or states changed since the last `refresh`.
@@ -54,9 +54,9 @@
 }
 
 /// What happens to jobs.
-impl Graph {
+impl DependencyGraph {
     /// Adds a job with the jobs that it depends on directly.
-    pub fn add(&mut self, id: &JobId, upstream: &[JobId], traits: JobTraits) {
+    pub fn add_job(&mut self, id: &JobId, upstream: &[JobId], traits: JobAttributes) {
         self.unresolved.remove(id);
         let mut node = Node::new(upstream, traits);
         let mut is_upstream_cancelled = false;
@@ -86,7 +86,7 @@
 
     /// A job's terminal record says that it is done, and is durable since about that time: downstream jobs
     /// whose last upstream job it was are released.
-    pub fn finished(&mut self, id: &JobId, at: Instant) {
+    pub fn mark_finished(&mut self, id: &JobId, at: Instant) {
         self.unresolved.remove(id);
         let is_held = self.set_state(id, NodeState::Finished(at));
         let Some(downstream) = self.downstream.get(id).cloned() else {
@@ -105,7 +105,7 @@
     }
 
     /// A job is cancelled: all open jobs downstream of it, directly or through others, are too.
-    pub fn cancelled(&mut self, id: &JobId) {
+    pub fn mark_cancelled(&mut self, id: &JobId) {
         self.unresolved.remove(id);
         self.set_state(id, NodeState::Cancelled);
         let mut to_cancel = self.directly_downstream(id);
@@ -116,7 +116,7 @@
 
     /// A job is no longer open, and whether it was finished or cancelled is not known: its terminal record has
     /// to be read if a job waits for it.
-    pub fn closed(&mut self, id: &JobId) {
+    pub fn mark_closed(&mut self, id: &JobId) {
         if !self.is_open(id) {
             return;
         }
@@ -127,7 +127,7 @@
     }
 
     /// Releases whatever should have been released already. To be called about once a second.
-    pub fn recheck(&mut self) {
+    pub fn release_ready_jobs(&mut self) {
         let nodes = self.nodes.iter();
         let ready = nodes.filter(|(_, node)| {
             node.state == NodeState::Blocked && node.unfinished_upstream.is_empty()
@@ -138,7 +138,7 @@
     }
 
     /// A job is no longer held. It stays known as finished while a downstream job names it.
-    pub fn forget(&mut self, id: &JobId) {
+    pub fn remove(&mut self, id: &JobId) {
         let Some(node) = self.nodes.remove(id) else {
             return;
         };
@@ -152,7 +152,7 @@
     }
 
     /// What has changed since this was last called.
-    pub fn take_changes(&mut self) -> Changes {
+    pub fn take_changes(&mut self) -> GraphChanges {
         std::mem::take(&mut self.changes)
     }
 
@@ -189,7 +189,7 @@
             return;
         }
         node.state = NodeState::Released;
-        self.changes.released.push(Release {
+        self.changes.released.push(ReleasedJob {
             id: id.clone(),
             last_upstream_finish: node.last_upstream_finish,
         });
@@ -210,7 +210,7 @@
 }
 
 /// What is known of jobs.
-impl Graph {
+impl DependencyGraph {
     /// Upstream jobs of which nothing is known here, after the given one in order and then from the start:
     /// their terminal records have to be read. At most so many.
     pub fn unresolved_after(&self, last: Option<&JobId>, max_count: usize) -> Vec<JobId> {
@@ -231,9 +231,11 @@
     }
 
     /// The label; that of jobs not held here is throughput.
-    pub fn label(&self, id: &JobId) -> Label {
+    pub fn scheduling_preference(&self, id: &JobId) -> SchedulingPreference {
         self.derived(id)
-            .map_or(Label::Throughput, |derived| derived.label)
+            .map_or(SchedulingPreference::Throughput, |derived| {
+                derived.scheduling_preference
+            })
     }
 
     /// The place in topological order: unfinished upstream jobs before downstream ones.
@@ -267,7 +269,7 @@
     fn latency_jobs_alongside(&self, id: &JobId) -> Option<Vec<JobId>> {
         let node = self.nodes.get(id)?;
         let downstream = self.downstream.get(id)?;
-        if node.derived.label != Label::Latency {
+        if node.derived.scheduling_preference != SchedulingPreference::Latency {
             return None;
         }
         let first_downstream = self.nodes.get(downstream.first()?)?;
@@ -275,7 +277,7 @@
             self.nodes.get(*other_id).is_some_and(|other| {
                 other.state.is_open()
                     && other.derived.depth == node.derived.depth
-                    && other.derived.label == Label::Latency
+                    && other.derived.scheduling_preference == SchedulingPreference::Latency
                     && self.downstream.get(*other_id) == Some(downstream)
             })
         };
--- a/src/coordination/jobs/graph/node.rs
+++ b/src/coordination/jobs/graph/node.rs
@@ -7,7 +7,7 @@
 
 /// How a job is to be served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Label {
+pub enum SchedulingPreference {
     /// Its end, or that of a job close downstream of it, is waited for.
     Latency,
     /// Only the throughput of the whole matters.
@@ -16,7 +16,7 @@
 
 /// What a job brings into the graph.
 #[derive(Clone, Copy, Debug)]
-pub struct JobTraits {
+pub struct JobAttributes {
     /// Its own deadline.
     pub deadline: Option<Instant>,
     /// How long it should take from its release to its end.
@@ -30,7 +30,7 @@
 pub(super) struct Derived {
     /// The number of jobs on the longest path of unfinished jobs upstream of it.
     pub(super) depth: u32,
-    pub(super) label: Label,
+    pub(super) scheduling_preference: SchedulingPreference,
     /// The time by which it has to be done for every deadline downstream of it.
     pub(super) deadline: Option<Instant>,
     pub(super) priority: Priority,
@@ -38,12 +38,12 @@
 
 impl Derived {
     /// What holds for a job without upstream and downstream jobs.
-    pub(super) fn alone(traits: &JobTraits) -> Derived {
+    pub(super) fn alone(traits: &JobAttributes) -> Derived {
         Derived {
             depth: 0,
-            label: match traits.deadline {
-                Some(_) => Label::Latency,
-                None => Label::Throughput,
+            scheduling_preference: match traits.deadline {
+                Some(_) => SchedulingPreference::Latency,
+                None => SchedulingPreference::Throughput,
             },
             deadline: traits.deadline,
             priority: traits.priority,
@@ -82,13 +82,13 @@
     /// When the last known terminal record of an upstream job was written.
     pub(super) last_upstream_finish: Option<Instant>,
     pub(super) state: NodeState,
-    pub(super) traits: JobTraits,
+    pub(super) traits: JobAttributes,
     pub(super) derived: Derived,
 }
 
 impl Node {
     /// A job of which nothing is known yet but what it depends on.
-    pub(super) fn new(upstream: &[JobId], traits: JobTraits) -> Node {
+    pub(super) fn new(upstream: &[JobId], traits: JobAttributes) -> Node {
         Node {
             upstream: upstream.to_vec(),
             unfinished_upstream: BTreeSet::new(),
--- a/src/coordination/jobs/lifecycle.rs
+++ b/src/coordination/jobs/lifecycle.rs
@@ -4,7 +4,7 @@
 //! has written, or one that was read. A heartbeat, a write without an answer, or an open record that is gone
 //! decide nothing.
 
-use crate::coordination::jobs::graph::{Changes, JobTraits, Release};
+use crate::coordination::jobs::graph::{GraphChanges, JobAttributes, ReleasedJob};
 use crate::coordination::jobs::job::Job;
 use crate::coordination::jobs::table::JobTable;
 use crate::coordination::{Effect, OpenJob, Scheduler, TerminalRecordRead};
@@ -27,24 +27,24 @@
 
 impl JobTable {
     /// Takes in a job that was opened, with the jobs that it depends on directly.
-    fn open(&mut self, id: JobId, job: Job, upstream: &[JobId], traits: JobTraits) {
+    fn open(&mut self, id: JobId, job: Job, upstream: &[JobId], traits: JobAttributes) {
         self.insert(id.clone(), job);
-        self.graph.add(&id, upstream, traits);
+        self.graph.add_job(&id, upstream, traits);
     }
 
     /// Tells the graph how a job was closed.
     fn closed_by(&mut self, now: Instant, id: &JobId, closure: Closure) {
         match closure {
-            Closure::Finished => self.graph.finished(id, now),
-            Closure::Cancelled => self.graph.cancelled(id),
-            Closure::Unknown => self.graph.closed(id),
+            Closure::Finished => self.graph.mark_finished(id, now),
+            Closure::Cancelled => self.graph.mark_cancelled(id),
+            Closure::Unknown => self.graph.mark_closed(id),
         }
     }
 
     /// Carries over to the jobs what the graph says. Returns the released ones that are held.
     #[must_use]
-    fn apply_graph_changes(&mut self, now: Instant) -> Vec<Release> {
-        let Changes {
+    fn apply_graph_changes(&mut self, now: Instant) -> Vec<ReleasedJob> {
+        let GraphChanges {
             mut released,
             cancelled,
         } = self.graph.take_changes();
@@ -88,7 +88,7 @@
     /// What the job brings into the graph. Its deadline is its own, or else the class's `finished`
     /// objective (an exception of ours, see docs/DESIGN.md: most deployed jobs state no deadline); that
     /// one counts from the release, so it says nothing for a job that waits for others.
-    fn traits_of(&self, job: &Job, upstream: &[JobId]) -> JobTraits {
+    fn traits_of(&self, job: &Job, upstream: &[JobId]) -> JobAttributes {
         let spec = job.spec();
         let objective = || self.policy.max_completion_s(&spec.class);
         let fallback = || objective().filter(|_| upstream.is_empty());
@@ -97,7 +97,7 @@
         let pull_s =
             Some(self.machines.shortest_image_pull_s(spec)).filter(|seconds| seconds.is_finite());
         let run_time_s = self.estimates.longest_run_time_s(job) + pull_s.unwrap_or(0.0);
-        JobTraits {
+        JobAttributes {
             deadline: deadline_s.map(|seconds| job.submitted_at() + TimeSpan::from_secs(seconds)),
             run_time: TimeSpan::from_secs(run_time_s),
             priority: spec.priority,
@@ -157,7 +157,7 @@
 
     /// Releases whatever should have been released already. To be called about once a second.
     pub(crate) fn recheck_releases(&mut self, now: Instant) {
-        self.jobs.graph.recheck();
+        self.jobs.graph.release_ready_jobs();
         self.apply_graph_changes(now);
     }
 
@@ -178,10 +178,10 @@
                     let at = record.at_ms;
                     let at = at.map(|ms| self.leadership.on_steady_clock(TimeSpan(ms as i64)));
                     let at = at.map_or(now, |at| at.min(now));
-                    self.jobs.graph.finished(&id, at);
+                    self.jobs.graph.mark_finished(&id, at);
                 }
                 Some(record) if record.phase == JobPhase::Cancelled => {
-                    self.jobs.graph.cancelled(&id);
+                    self.jobs.graph.mark_cancelled(&id);
                 }
                 // Still open as far as the state store goes: its record comes with the next changes.
                 _ => any_missing = true,
--- a/src/coordination/jobs/table.rs
+++ b/src/coordination/jobs/table.rs
@@ -3,7 +3,7 @@
 //!
 //! Jobs change only through the table, so the sets are always in step with them.
 
-use super::graph::Graph;
+use super::graph::DependencyGraph;
 use super::index::{JobIndex, Memberships};
 use super::job::Job;
 use super::terminal_record_reads::TerminalRecordReads;
@@ -16,7 +16,7 @@
     jobs: BTreeMap<JobId, Job>,
     pub(super) index: JobIndex,
     /// Which jobs depend on which.
-    pub(super) graph: Graph,
+    pub(super) graph: DependencyGraph,
     /// Reads of the terminal records of upstream jobs that are not held here.
     pub(super) terminal_record_reads: TerminalRecordReads,
 }
@@ -27,7 +27,7 @@
         JobTable {
             jobs: BTreeMap::new(),
             index: JobIndex::new(teams),
-            graph: Graph::default(),
+            graph: DependencyGraph::default(),
             terminal_record_reads: TerminalRecordReads::default(),
         }
     }
@@ -83,7 +83,7 @@
             let after = Memberships::default();
             self.index.update(id, job.team(), &before, &after);
         }
-        self.graph.forget(id);
+        self.graph.remove(id);
     }
 
     /// Released jobs with tasks that are placed nowhere.
@@ -122,7 +122,7 @@
     }
 
     /// Which jobs depend on which, and what follows from it.
-    pub fn graph(&self) -> &Graph {
+    pub fn graph(&self) -> &DependencyGraph {
         &self.graph
     }
 
--- a/src/coordination/jobs/terminal_record_reads.rs
+++ b/src/coordination/jobs/terminal_record_reads.rs
@@ -1,6 +1,6 @@
 //! When the terminal records of upstream jobs are read, of which nothing is known here.
 
-use super::graph::Graph;
+use super::graph::DependencyGraph;
 use crate::ids::JobId;
 use crate::time::{Instant, TimeSpan};
 
@@ -42,7 +42,7 @@
 impl TerminalRecordReads {
     /// The jobs of which the terminal records are to be read now; the read is under way from then on.
     #[must_use]
-    pub(super) fn start(&mut self, now: Instant, graph: &Graph) -> Option<Vec<JobId>> {
+    pub(super) fn start(&mut self, now: Instant, graph: &DependencyGraph) -> Option<Vec<JobId>> {
         let may_read = match self.state {
             ReadState::Idle { not_before } => now >= not_before,
             ReadState::InFlight { since } => now - since >= READ_TIMEOUT,
--- a/src/coordination/placement/candidates.rs
+++ b/src/coordination/placement/candidates.rs
@@ -8,7 +8,7 @@
 use super::zones::ZoneChoice;
 use super::Placement;
 use crate::coordination::attempts::ledger::MAX_ATTEMPTS_PER_MACHINE;
-use crate::coordination::jobs::graph::Label;
+use crate::coordination::jobs::graph::SchedulingPreference;
 use crate::coordination::jobs::job::Job;
 use crate::coordination::machines::machine::Machine;
 use crate::ids::{JobId, MachineId, TaskId, Zone};
@@ -145,7 +145,7 @@
     ) -> BinaryHeap<Candidate<'_>> {
         let spec = job.spec();
         let request = Resources::of(spec);
-        let label = self.view.jobs().graph().label(job_id);
+        let scheduling_preference = self.view.jobs().graph().scheduling_preference(job_id);
         let avoids_failures = job.retry().failed_on().len() <= MAX_AVOIDED_MACHINES;
         let may_use_warm_pool = self.view.is_aged(job);
         self.view
@@ -162,27 +162,37 @@
             .filter(|machine| {
                 may_use_warm_pool || self.view.warm_pool_admits(&machine.id, &spec.class)
             })
-            .map(|machine| self.candidate(machine, job, label))
+            .map(|machine| self.candidate(machine, job, scheduling_preference))
             .collect()
     }
 
-    fn candidate<'m>(&self, machine: &'m Machine, job: &Job, label: Label) -> Candidate<'m> {
+    fn candidate<'m>(
+        &self,
+        machine: &'m Machine,
+        job: &Job,
+        scheduling_preference: SchedulingPreference,
+    ) -> Candidate<'m> {
         let mut candidate = Candidate {
             machine_id: &machine.id,
             zone: &machine.zone,
             capacity: self.view.capacity(machine),
             free: *machine.free(),
             attempt_count: machine.attempts.len(),
-            fixed_costs: self.fixed_costs(machine, job, label),
+            fixed_costs: self.fixed_costs(machine, job, scheduling_preference),
             cost_s: 0.0,
         };
         candidate.update_cost();
         candidate
     }
 
-    fn fixed_costs(&self, machine: &Machine, job: &Job, label: Label) -> FixedCosts {
+    fn fixed_costs(
+        &self,
+        machine: &Machine,
+        job: &Job,
+        scheduling_preference: SchedulingPreference,
+    ) -> FixedCosts {
         let cost_if = |applies: bool, cost_s: f64| if applies { cost_s } else { 0.0 };
-        let is_latency = label == Label::Latency;
+        let is_latency = scheduling_preference == SchedulingPreference::Latency;
         let runs_other_label = machine
             .live_attempts()
             .any(|attempt| attempt.is_latency_task != is_latency);
--- a/src/coordination/placement/mod.rs
+++ b/src/coordination/placement/mod.rs
@@ -25,7 +25,7 @@
 mod view;
 mod zones;
 
-use crate::coordination::jobs::graph::Label;
+use crate::coordination::jobs::graph::SchedulingPreference;
 use crate::coordination::Scheduler;
 use crate::ids::{AttemptId, AttemptKey, JobId, MachineId, TaskId};
 use crate::storage::records::LaunchIntent;
@@ -186,7 +186,8 @@
         let Some(is_gang) = updated else {
             return;
         };
-        let is_latency = self.jobs.graph().label(job_id) == Label::Latency;
+        let is_latency =
+            self.jobs.graph().scheduling_preference(job_id) == SchedulingPreference::Latency;
         for placement in plan.placements {
             let Placement {
                 task,
--- a/src/coordination/placement/queue.rs
+++ b/src/coordination/placement/queue.rs
@@ -4,7 +4,7 @@
 
 use super::view::PlacementView;
 use crate::config::SloKind;
-use crate::coordination::jobs::graph::Label;
+use crate::coordination::jobs::graph::SchedulingPreference;
 use crate::coordination::jobs::job::Job;
 use crate::ids::{JobId, TeamIndex};
 use crate::protocol::users::Priority;
@@ -36,7 +36,7 @@
     depth: u32,
     is_outside_guarantee: bool,
     priority: Reverse<Priority>,
-    label: Label,
+    scheduling_preference: SchedulingPreference,
     missed_objectives: u8,
     is_small_task: bool,
 }
@@ -82,7 +82,7 @@
                 depth: graph.depth(id),
                 is_outside_guarantee: !guaranteed.contains(id),
                 priority: Reverse(self.effective_priority(id, job.spec())),
-                label: graph.label(id),
+                scheduling_preference: graph.scheduling_preference(id),
                 missed_objectives: self.missed_objectives(id, job),
                 is_small_task: !self.is_large_task(job.spec()),
             },
--- a/tests/dependency_graph.rs
+++ b/tests/dependency_graph.rs
@@ -1,6 +1,8 @@
 //! The dependency graph of jobs: release, cancellation, deadlines, labels, stages.
 
-use chalklug::coordination::jobs::graph::{Graph, JobTraits, Label, Release};
+use chalklug::coordination::jobs::graph::{
+    DependencyGraph, JobAttributes, ReleasedJob, SchedulingPreference,
+};
 use chalklug::ids::JobId;
 use chalklug::protocol::users::Priority;
 use chalklug::time::{Instant, TimeSpan};
@@ -10,15 +12,15 @@
 }
 
 /// A job of low priority that runs for a second, with a deadline if one is given.
-fn traits(deadline: Option<Instant>) -> JobTraits {
-    JobTraits {
+fn traits(deadline: Option<Instant>) -> JobAttributes {
+    JobAttributes {
         deadline,
         run_time: TimeSpan(1000),
         priority: Priority::Low,
     }
 }
 
-const ROUTINE: JobTraits = JobTraits {
+const ROUTINE: JobAttributes = JobAttributes {
     deadline: None,
     run_time: TimeSpan(1000),
     priority: Priority::Low,
@@ -26,33 +28,33 @@
 
 #[test]
 fn last_upstream_job_releases_and_cancelled_one_cancels_downstream() {
-    let mut graph = Graph::default();
-    graph.add(&id(3), &[id(1), id(2)], ROUTINE);
-    graph.add(&id(1), &[], ROUTINE);
-    graph.add(&id(2), &[], ROUTINE);
+    let mut graph = DependencyGraph::default();
+    graph.add_job(&id(3), &[id(1), id(2)], ROUTINE);
+    graph.add_job(&id(1), &[], ROUTINE);
+    graph.add_job(&id(2), &[], ROUTINE);
     assert!(graph.is_released(&id(1)) && !graph.is_released(&id(3)));
-    graph.finished(&id(1), Instant(10));
+    graph.mark_finished(&id(1), Instant(10));
     assert!(!graph.is_released(&id(3)));
     graph.take_changes();
-    graph.finished(&id(2), Instant(20));
+    graph.mark_finished(&id(2), Instant(20));
     assert!(graph.is_released(&id(3)));
     let at = Some(Instant(20));
     assert_eq!(
         graph.take_changes().released,
-        [Release {
+        [ReleasedJob {
             id: id(3),
             last_upstream_finish: at
         }]
     );
-    graph.add(&id(4), &[id(3)], ROUTINE);
-    graph.add(&id(5), &[id(4)], ROUTINE);
-    graph.cancelled(&id(3));
-    graph.recheck();
+    graph.add_job(&id(4), &[id(3)], ROUTINE);
+    graph.add_job(&id(5), &[id(4)], ROUTINE);
+    graph.mark_cancelled(&id(3));
+    graph.release_ready_jobs();
     let changes = graph.take_changes();
     assert_eq!(changes.cancelled, [id(4), id(5)]);
     assert!(changes.released.is_empty());
     assert!(!graph.is_released(&id(4)) && !graph.is_released(&id(3)));
-    graph.add(&id(6), &[id(5)], ROUTINE);
+    graph.add_job(&id(6), &[id(5)], ROUTINE);
     assert_eq!(graph.take_changes().cancelled, [id(6)]);
 }
 
@@ -60,19 +62,19 @@
 /// terminal record says so.
 #[test]
 fn closed_upstream_job_releases_nobody_before_its_terminal_record_is_known() {
-    let mut graph = Graph::default();
-    graph.add(&id(1), &[], ROUTINE);
-    graph.add(&id(2), &[id(1), id(9)], ROUTINE);
+    let mut graph = DependencyGraph::default();
+    graph.add_job(&id(1), &[], ROUTINE);
+    graph.add_job(&id(2), &[id(1), id(9)], ROUTINE);
     graph.take_changes();
     assert_eq!(graph.unresolved_after(None, 9), [id(9)]);
-    graph.closed(&id(1));
+    graph.mark_closed(&id(1));
     assert_eq!(graph.unresolved_after(None, 9), [id(1), id(9)]);
     assert_eq!(graph.unresolved_after(Some(&id(1)), 9), [id(9), id(1)]);
-    graph.forget(&id(1));
-    graph.finished(&id(9), Instant(5));
+    graph.remove(&id(1));
+    graph.mark_finished(&id(9), Instant(5));
     assert!(!graph.is_released(&id(2)));
     assert_eq!(graph.unresolved_after(None, 9), [id(1)]);
-    graph.finished(&id(1), Instant(3));
+    graph.mark_finished(&id(1), Instant(3));
     assert!(graph.is_released(&id(2)));
     // It was released when the later of the two was done.
     assert_eq!(
@@ -86,17 +88,17 @@
 /// back when the downstream job is cancelled.
 #[test]
 fn deadlines_and_priorities_propagate_upstream() {
-    let mut graph = Graph::default();
-    graph.add(&id(1), &[], ROUTINE);
-    graph.add(&id(2), &[id(1)], ROUTINE);
-    let last = JobTraits {
+    let mut graph = DependencyGraph::default();
+    graph.add_job(&id(1), &[], ROUTINE);
+    graph.add_job(&id(2), &[id(1)], ROUTINE);
+    let last = JobAttributes {
         deadline: Some(Instant(9000)),
         run_time: TimeSpan(500),
         priority: Priority::Urgent,
     };
-    graph.add(&id(3), &[id(2)], last);
+    graph.add_job(&id(3), &[id(2)], last);
     graph.refresh();
-    let seen = |graph: &Graph, n| (graph.deadline(&id(n)), graph.priority(&id(n)));
+    let seen = |graph: &DependencyGraph, n| (graph.deadline(&id(n)), graph.priority(&id(n)));
     assert_eq!(
         seen(&graph, 2),
         (Some(Instant(8500)), Some(Priority::Urgent))
@@ -105,7 +107,7 @@
         seen(&graph, 1),
         (Some(Instant(7500)), Some(Priority::Urgent))
     );
-    graph.cancelled(&id(3));
+    graph.mark_cancelled(&id(3));
     graph.refresh();
     assert_eq!(seen(&graph, 2), (None, Some(Priority::Low)));
     assert_eq!(seen(&graph, 1), (None, Some(Priority::Low)));
@@ -114,37 +116,39 @@
 /// Guards against recursion: thousands of jobs in one chain, or upstream of one job, need no stack.
 #[test]
 fn long_chains_and_wide_joins_do_not_overflow_the_stack() {
-    let mut graph = Graph::default();
+    let mut graph = DependencyGraph::default();
     for n in 0..5000 {
         let after: Vec<JobId> = (n > 0).then(|| id(n - 1)).into_iter().collect();
-        graph.add(&id(n), &after, ROUTINE);
+        graph.add_job(&id(n), &after, ROUTINE);
     }
     let all: Vec<JobId> = (0..5000).map(id).collect();
-    graph.add(&id(9999), &all, traits(Some(Instant(9_000_000))));
+    graph.add_job(&id(9999), &all, traits(Some(Instant(9_000_000))));
     graph.refresh();
     assert_eq!(graph.depth(&id(9999)), 5000);
     assert_eq!(graph.deadline(&id(0)), Some(Instant(9_000_000 - 5_000_000)));
     graph.take_changes();
-    graph.cancelled(&id(0));
+    graph.mark_cancelled(&id(0));
     assert_eq!(graph.take_changes().cancelled.len(), 5000);
 }
 
 #[test]
 fn latency_labels_propagate_upstream_and_stages_are_grouped() {
-    let mut graph = Graph::default();
+    let mut graph = DependencyGraph::default();
     let due = Some(Instant(9000));
-    graph.add(&id(1), &[], ROUTINE);
-    graph.add(&id(2), &[id(1)], ROUTINE);
+    graph.add_job(&id(1), &[], ROUTINE);
+    graph.add_job(&id(2), &[id(1)], ROUTINE);
     for n in [3, 4] {
-        graph.add(&id(n), &[id(2)], ROUTINE);
+        graph.add_job(&id(n), &[id(2)], ROUTINE);
     }
-    graph.add(&id(5), &[id(3), id(4)], traits(due));
-    graph.add(&id(9), &[], ROUTINE);
+    graph.add_job(&id(5), &[id(3), id(4)], traits(due));
+    graph.add_job(&id(9), &[], ROUTINE);
     graph.refresh();
-    let labels: Vec<Label> = (1..=5).map(|n| graph.label(&id(n))).collect();
-    use Label::{Latency as L, Throughput as T};
+    let labels: Vec<SchedulingPreference> = (1..=5)
+        .map(|n| graph.scheduling_preference(&id(n)))
+        .collect();
+    use SchedulingPreference::{Latency as L, Throughput as T};
     assert_eq!(labels, [T, L, L, L, L]);
-    assert_eq!(graph.label(&id(9)), T);
+    assert_eq!(graph.scheduling_preference(&id(9)), T);
     // Three jobs of a second each lie downstream of it.
     assert_eq!(graph.deadline(&id(1)), Some(Instant(6000)));
     assert_eq!(graph.task_group(&id(3)), [id(3), id(4)]);
@@ -154,11 +158,11 @@
 
 #[test]
 fn cycle_is_never_released_and_blocks_no_other_job() {
-    let mut graph = Graph::default();
-    graph.add(&id(1), &[id(2)], ROUTINE);
-    graph.add(&id(2), &[id(1)], ROUTINE);
-    graph.add(&id(3), &[], ROUTINE);
-    graph.recheck();
+    let mut graph = DependencyGraph::default();
+    graph.add_job(&id(1), &[id(2)], ROUTINE);
+    graph.add_job(&id(2), &[id(1)], ROUTINE);
+    graph.add_job(&id(3), &[], ROUTINE);
+    graph.release_ready_jobs();
     graph.refresh();
     assert!(!graph.is_released(&id(1)) && !graph.is_released(&id(2)) && graph.is_released(&id(3)));
 }
