--- a/src/coordination/attempts/task_ends.rs
+++ b/src/coordination/attempts/task_ends.rs
@@ -50,7 +50,7 @@
 
     fn task_completed(&mut self, now: Instant, machine_id: &MachineId, key: &AttemptKey) {
         let task = &key.task;
-        self.note_run_time(now, machine_id, key);
+        self.record_run_time(now, machine_id, key);
         self.jobs
             .update(&task.job, |job| job.task_completed(task.index));
         if let Some(machine) = self.machines.get_mut(machine_id) {
--- a/src/coordination/autoscaler/forecast/simulated_cluster.rs
+++ b/src/coordination/autoscaler/forecast/simulated_cluster.rs
@@ -164,7 +164,7 @@
     }
     let left_s = match attempt.running_since {
         Some(since) => view.remaining_run_time_s(job, (view.now() - since).secs()),
-        None => view.run_time_of_job_s(job) + fetch_left_s(view, machine, attempt),
+        None => view.task_run_time_s(job) + fetch_left_s(view, machine, attempt),
     };
     Some(Release {
         at_s: left_s * RUN_TIME_MARGIN,
--- a/src/coordination/autoscaler/view.rs
+++ b/src/coordination/autoscaler/view.rs
@@ -92,8 +92,8 @@
     }
 
     /// Seconds that a task of the job should run, by those that are completed too.
-    pub(super) fn run_time_of_job_s(&self, job: &Job) -> f64 {
-        self.cluster.estimates.run_time_of_job_s(job)
+    pub(super) fn task_run_time_s(&self, job: &Job) -> f64 {
+        self.cluster.estimates.task_run_time_s(job)
     }
 
     /// Seconds that a task of the job which has run for so long should still run.
--- a/src/coordination/jobs/estimates.rs
+++ b/src/coordination/jobs/estimates.rs
@@ -61,11 +61,11 @@
 
 /// What has been learnt of how long tasks run.
 #[derive(Debug, Default)]
-pub struct Estimates {
+pub struct RunTimeEstimates {
     by_class: BTreeMap<String, ObservedRunTimes>,
 }
 
-impl Estimates {
+impl RunTimeEstimates {
     /// What was observed, by class.
     pub fn observed(&self) -> &BTreeMap<String, ObservedRunTimes> {
         &self.by_class
@@ -104,14 +104,14 @@
 
     /// Seconds that a task of the job should run: tasks of a job are alike, so what was measured of those that
     /// are completed soon counts more than the estimate.
-    pub fn run_time_of_job_s(&self, job: &Job) -> f64 {
+    pub fn task_run_time_s(&self, job: &Job) -> f64 {
         let estimate_s = self.run_time_s(job.spec());
         job.run_times().mean_with_estimate_s(estimate_s)
     }
 
     /// Seconds that a task of the job which has run for so long should still run.
     pub fn remaining_run_time_s(&self, job: &Job, ran_s: f64) -> f64 {
-        let run_time_s = self.run_time_of_job_s(job);
+        let run_time_s = self.task_run_time_s(job);
         let past_estimate_s = if job.run_times().count() >= MIN_MEASURED_TASKS {
             // Its like took about as long, so it can't be far from its end.
             (run_time_s * MAX_SPREAD_WITHIN_JOB - ran_s) / 2.0
@@ -126,12 +126,12 @@
     }
 
     /// Seconds that the longest task of the job should run.
-    pub fn longest_run_time_s(&self, job: &Job) -> f64 {
+    pub fn longest_task_run_time_s(&self, job: &Job) -> f64 {
         let observed = self.by_class.get(&job.spec().class);
         let excess = observed.and_then(|observed| observed.longest_over_mean);
         let has_few_tasks = job.spec().tasks < MIN_MEASURED_TASKS;
         let excess = excess.filter(|_| !has_few_tasks).unwrap_or(0.0);
-        self.run_time_of_job_s(job) * (1.0 + excess)
+        self.task_run_time_s(job) * (1.0 + excess)
     }
 }
 
@@ -145,7 +145,7 @@
     pub(crate) fn pending_work_s(&self, job: &Job) -> f64 {
         let tasks = job.pending().len() as f64;
         let fraction = self.machines.smallest_fraction_taken(job.spec());
-        fraction * tasks * self.estimates.run_time_of_job_s(job)
+        fraction * tasks * self.estimates.task_run_time_s(job)
     }
 }
 
@@ -154,7 +154,12 @@
     ///
     /// Guards against estimates that shrink with each failover: when an attempt of a former leader began to
     /// run is not known, and it seemed to have run only since this leader saw it.
-    pub(crate) fn note_run_time(&mut self, now: Instant, machine_id: &MachineId, key: &AttemptKey) {
+    pub(crate) fn record_run_time(
+        &mut self,
+        now: Instant,
+        machine_id: &MachineId,
+        key: &AttemptKey,
+    ) {
         let machine = self.machines.get(machine_id);
         let attempt = machine.and_then(|machine| machine.attempts.get(key));
         let launched_here = attempt.filter(|attempt| !attempt.recovered);
--- a/src/coordination/jobs/lifecycle.rs
+++ b/src/coordination/jobs/lifecycle.rs
@@ -96,7 +96,7 @@
         // Without machine types nothing is known of the image pull.
         let pull_s =
             Some(self.machines.shortest_image_pull_s(spec)).filter(|seconds| seconds.is_finite());
-        let run_time_s = self.estimates.longest_run_time_s(job) + pull_s.unwrap_or(0.0);
+        let run_time_s = self.estimates.longest_task_run_time_s(job) + pull_s.unwrap_or(0.0);
         JobAttributes {
             deadline: deadline_s.map(|seconds| job.submitted_at() + TimeSpan::from_secs(seconds)),
             run_time: TimeSpan::from_secs(run_time_s),
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -39,7 +39,7 @@
 use attempts::Outbox;
 use autoscaler::Autoscaler;
 use jobs::aging::Aging;
-use jobs::estimates::Estimates;
+use jobs::estimates::RunTimeEstimates;
 use jobs::lifecycle::Closure;
 use jobs::table::JobTable;
 use leadership::{Leadership, LeadershipTerm};
@@ -63,7 +63,7 @@
     pub(crate) outbox: Outbox,
     pub(crate) placement: PlacementState,
     pub(crate) autoscaler: Autoscaler,
-    pub(crate) estimates: Estimates,
+    pub(crate) estimates: RunTimeEstimates,
     pub(crate) aging: Aging,
     pub(crate) writer: Writer,
     /// Planned launches that were dropped because their job did not allow them any more.
@@ -91,7 +91,7 @@
             outbox: Outbox::default(),
             placement: PlacementState::new(policy.facts.process_limits.cores),
             autoscaler: Autoscaler::new(policy.facts.cloud.rps),
-            estimates: Estimates::default(),
+            estimates: RunTimeEstimates::default(),
             aging: Aging::new(policy.operator.begin_within_s),
             writer: Writer::new(&policy.facts.state, now),
             policy,
--- a/src/coordination/placement/queue.rs
+++ b/src/coordination/placement/queue.rs
@@ -143,7 +143,7 @@
     fn missed_objectives(&self, id: &JobId, job: &Job) -> u8 {
         let class = &job.spec().class;
         let after_ready = |seconds: f64| job.ready_at() + TimeSpan::from_secs(seconds);
-        let run_time = TimeSpan::from_secs(self.longest_run_time_s(job));
+        let run_time = TimeSpan::from_secs(self.longest_task_run_time_s(job));
         let mut latest_starts: Vec<Instant> = self
             .policy()
             .objectives(SloKind::StartDelay, class)
--- a/src/coordination/placement/view.rs
+++ b/src/coordination/placement/view.rs
@@ -109,12 +109,12 @@
 
     /// Seconds that a task of the job should run.
     pub(super) fn estimated_run_time_s(&self, job: &Job) -> f64 {
-        self.cluster.estimates.run_time_of_job_s(job)
+        self.cluster.estimates.task_run_time_s(job)
     }
 
     /// Seconds that the longest task of the job should run.
-    pub(super) fn longest_run_time_s(&self, job: &Job) -> f64 {
-        self.cluster.estimates.longest_run_time_s(job)
+    pub(super) fn longest_task_run_time_s(&self, job: &Job) -> f64 {
+        self.cluster.estimates.longest_task_run_time_s(job)
     }
 
     /// What is left to be placed of a job, in machine-seconds.
--- a/src/coordination/view.rs
+++ b/src/coordination/view.rs
@@ -1,7 +1,7 @@
 //! What decisions read: the parts of the scheduler that several of them need, borrowed together.
 
 use super::attempts::ledger::TeamUsage;
-use super::jobs::estimates::Estimates;
+use super::jobs::estimates::RunTimeEstimates;
 use super::jobs::table::JobTable;
 use super::machines::machine::Machine;
 use super::machines::table::MachineTable;
@@ -22,7 +22,7 @@
     /// What each team uses.
     pub team_usage: &'a TeamUsage,
     /// What is known of run times.
-    pub estimates: &'a Estimates,
+    pub estimates: &'a RunTimeEstimates,
 }
 
 impl ClusterView<'_> {
