--- a/src/coordination/attempts/ledger/mod.rs
+++ b/src/coordination/attempts/ledger/mod.rs
@@ -104,7 +104,7 @@
         }
         let job_id = &key.task.job;
         match (change.was_running, change.is_running) {
-            (false, true) => self.jobs.update(job_id, Job::attempt_began) == Some(true),
+            (false, true) => self.jobs.update(job_id, Job::attempt_started) == Some(true),
             (true, false) => {
                 self.jobs.update(job_id, Job::attempt_stopped_running);
                 false
--- a/src/coordination/attempts/reconciliation/listed.rs
+++ b/src/coordination/attempts/reconciliation/listed.rs
@@ -120,7 +120,7 @@
             .ledger()
             .record_status(machine_id, key, status, running_since);
         if let Some(job) = self.jobs.get(&key.task.job).filter(|_| is_first) {
-            self.aging.job_began(now, job);
+            self.aging.job_started(now, job);
         }
     }
 
--- a/src/coordination/attempts/task_ends.rs
+++ b/src/coordination/attempts/task_ends.rs
@@ -72,7 +72,7 @@
         if let Some(machine) = self.machines.get_mut(machine_id) {
             machine.reserve_for(job.clone(), now + lease);
         }
-        self.jobs.update(job, Job::gang_member_gave_up);
+        self.jobs.update(job, Job::gang_member_timed_out);
     }
 
     /// A task failed: mostly the machine is faulty, but a job may be.
--- a/src/coordination/jobs/aging.rs
+++ b/src/coordination/jobs/aging.rs
@@ -105,7 +105,7 @@
     }
 
     /// The first task of a job began to run.
-    pub(crate) fn job_began(&mut self, now: Instant, job: &Job) {
+    pub(crate) fn job_started(&mut self, now: Instant, job: &Job) {
         let is_late = self.is_late(now, job);
         for group in self.groups_of(job) {
             let none = Beginnings::none(now);
@@ -117,7 +117,11 @@
 
     /// Finds the endangered groups, counting pending jobs as late that have waited for too long. To be called
     /// about once a second.
-    pub(crate) fn recheck<'a>(&mut self, now: Instant, pending: impl Iterator<Item = &'a Job>) {
+    pub(crate) fn update_endangered_groups<'a>(
+        &mut self,
+        now: Instant,
+        pending: impl Iterator<Item = &'a Job>,
+    ) {
         let mut late_pending: BTreeMap<Group, f64> = BTreeMap::new();
         for job in pending.filter(|job| !job.has_run() && self.is_late(now, job)) {
             for group in self.groups_of(job) {
--- a/src/coordination/jobs/index.rs
+++ b/src/coordination/jobs/index.rs
@@ -22,7 +22,7 @@
     /// Open jobs with completed tasks that are not persisted yet.
     pub(super) unpersisted: BTreeSet<JobId>,
     /// Jobs that are closed and have no task attempt left anywhere.
-    pub(super) forgettable: BTreeSet<JobId>,
+    pub(super) removable: BTreeSet<JobId>,
 }
 
 /// The sets that a job belongs to; the default is none.
@@ -35,7 +35,7 @@
     released: Option<Instant>,
     complete: bool,
     unpersisted: bool,
-    forgettable: bool,
+    removable: bool,
 }
 
 impl Memberships {
@@ -49,7 +49,7 @@
             released: job.is_released().then(|| job.ready_at()),
             complete: open && job.is_complete(),
             unpersisted: open && !job.unpersisted().is_empty(),
-            forgettable: !open && job.attempt_count() == 0,
+            removable: !open && job.attempt_count() == 0,
         }
     }
 }
@@ -79,7 +79,7 @@
         set_membership(&mut self.ancestor_cancelled, id, after.ancestor_cancelled);
         set_membership(&mut self.complete, id, after.complete);
         set_membership(&mut self.unpersisted, id, after.unpersisted);
-        set_membership(&mut self.forgettable, id, after.forgettable);
+        set_membership(&mut self.removable, id, after.removable);
         let of_team = team.and_then(|team| self.released_by_team.get_mut(team.0));
         if let Some(released) = of_team.filter(|_| before.released != after.released) {
             released.extend(after.released.map(|ready_at| (ready_at, id.clone())));
@@ -131,7 +131,7 @@
                     &mut counted.unpersisted,
                     open && !job.unpersisted().is_empty(),
                 ),
-                (&mut counted.forgettable, !open && job.attempt_count() == 0),
+                (&mut counted.removable, !open && job.attempt_count() == 0),
             ] {
                 if member {
                     set.insert(id.clone());
--- a/src/coordination/jobs/job.rs
+++ b/src/coordination/jobs/job.rs
@@ -223,7 +223,7 @@
     }
 
     /// Its open record was found at another revision.
-    pub fn open_record_seen(&mut self, revision: KeyRevision) {
+    pub fn set_open_record_revision(&mut self, revision: KeyRevision) {
         self.open_record_revision = revision;
     }
 
@@ -292,7 +292,7 @@
     }
 
     /// An attempt began to run. True if it is the first of the job that does.
-    pub fn attempt_began(&mut self) -> bool {
+    pub fn attempt_started(&mut self) -> bool {
         self.running_count += 1;
         !std::mem::replace(&mut self.has_run, true)
     }
@@ -318,7 +318,7 @@
     }
 
     /// A member of a gang gave up waiting for the others.
-    pub fn gang_member_gave_up(&mut self) {
+    pub fn gang_member_timed_out(&mut self) {
         self.gang_attempt_failed = true;
     }
 
@@ -328,7 +328,7 @@
     }
 
     /// It leaves free capacity to other jobs, for machines that have its image.
-    pub fn image_wait_began(&mut self, now: Instant) {
+    pub fn image_wait_started(&mut self, now: Instant) {
         self.image_wait_since.get_or_insert(now);
     }
 
--- a/src/coordination/jobs/lifecycle.rs
+++ b/src/coordination/jobs/lifecycle.rs
@@ -15,7 +15,7 @@
 
 /// How a job came to be no longer open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Closure {
+pub(crate) enum CloseReason {
     /// Its terminal record is durable and says that it is done.
     Finished,
     /// Its cancellation is durable.
@@ -33,11 +33,11 @@
     }
 
     /// Tells the graph how a job was closed.
-    fn closed_by(&mut self, now: Instant, id: &JobId, closure: Closure) {
+    fn closed_by(&mut self, now: Instant, id: &JobId, closure: CloseReason) {
         match closure {
-            Closure::Finished => self.graph.mark_finished(id, now),
-            Closure::Cancelled => self.graph.mark_cancelled(id),
-            Closure::Unknown => self.graph.mark_closed(id),
+            CloseReason::Finished => self.graph.mark_finished(id, now),
+            CloseReason::Cancelled => self.graph.mark_cancelled(id),
+            CloseReason::Unknown => self.graph.mark_closed(id),
         }
     }
 
@@ -72,7 +72,8 @@
         if let Some(job) = self.jobs.get(&id) {
             // A job that is closed here never opens again: the terminal record stands for ever.
             if !job.is_closed() {
-                self.jobs.update(&id, |job| job.open_record_seen(revision));
+                self.jobs
+                    .update(&id, |job| job.set_open_record_revision(revision));
             }
             return;
         }
@@ -110,7 +111,7 @@
     /// that a job which was done and forgotten opens once more without its tasks, and closes; the jobs
     /// downstream of it were cancelled. Where the closure is unknown, only the terminal record says what it
     /// was.
-    pub(crate) fn job_closed(&mut self, now: Instant, id: &JobId, closure: Closure) {
+    pub(crate) fn job_closed(&mut self, now: Instant, id: &JobId, closure: CloseReason) {
         if !self.jobs.contains(id) {
             return;
         }
@@ -156,7 +157,7 @@
     }
 
     /// Releases whatever should have been released already. To be called about once a second.
-    pub(crate) fn recheck_releases(&mut self, now: Instant) {
+    pub(crate) fn release_ready_jobs(&mut self, now: Instant) {
         self.jobs.graph.release_ready_jobs();
         self.apply_graph_changes(now);
     }
--- a/src/coordination/jobs/table.rs
+++ b/src/coordination/jobs/table.rs
@@ -77,7 +77,7 @@
     }
 
     /// Forgets a job and its place in the graph.
-    pub fn forget(&mut self, id: &JobId) {
+    pub fn remove(&mut self, id: &JobId) {
         if let Some(job) = self.jobs.remove(id) {
             let before = Memberships::of(&job);
             let after = Memberships::default();
@@ -117,8 +117,8 @@
     }
 
     /// Jobs that are closed and have no task attempt left anywhere.
-    pub fn forgettable(&self) -> impl Iterator<Item = &JobId> {
-        self.index.forgettable.iter()
+    pub fn removable(&self) -> impl Iterator<Item = &JobId> {
+        self.index.removable.iter()
     }
 
     /// Which jobs depend on which, and what follows from it.
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -40,7 +40,7 @@
 use autoscaler::Autoscaler;
 use jobs::aging::Aging;
 use jobs::estimates::RunTimeEstimates;
-use jobs::lifecycle::Closure;
+use jobs::lifecycle::CloseReason;
 use jobs::table::JobTable;
 use leadership::{Leadership, LeadershipTerm};
 use machines::table::MachineTable;
@@ -127,8 +127,8 @@
     pub fn handle(&mut self, now: Instant, event: Event) {
         match event {
             Event::JobOpened(open_job) => self.job_opened(now, *open_job),
-            Event::JobClosed { id } => self.job_closed(now, &id, Closure::Unknown),
-            Event::JobCancelled { id } => self.job_closed(now, &id, Closure::Cancelled),
+            Event::JobClosed { id } => self.job_closed(now, &id, CloseReason::Unknown),
+            Event::JobCancelled { id } => self.job_closed(now, &id, CloseReason::Cancelled),
             Event::TerminalRecordsRead(records) => self.terminal_records_read(now, records),
             Event::OpenJobsListed(open_jobs) => self.open_jobs_listed(now, open_jobs),
             Event::PushAnswered {
@@ -181,7 +181,7 @@
     pub fn step(&mut self, now: Instant) -> Vec<Effect> {
         if now - self.last_recheck_at >= RECHECK_INTERVAL {
             self.last_recheck_at = now;
-            self.recheck(now);
+            self.run_periodic_checks(now);
         }
         self.read_terminal_records(now);
         self.stop_unwanted(now);
@@ -194,11 +194,11 @@
     }
 
     /// What changes with time alone, or is too costly to be kept in step with every event.
-    fn recheck(&mut self, now: Instant) {
-        self.recheck_releases(now);
+    fn run_periodic_checks(&mut self, now: Instant) {
+        self.release_ready_jobs(now);
         self.recheck_machines(now);
         self.aging
-            .recheck(now, self.jobs.pending().map(|(_, job)| job));
+            .update_endangered_groups(now, self.jobs.pending().map(|(_, job)| job));
         self.machines.recheck_cached_images();
         self.forget_closed_jobs();
         self.log_cluster_state(now);
@@ -226,7 +226,7 @@
             .map(|(id, _)| id.clone())
             .collect();
         for id in closed {
-            self.job_closed(now, &id, Closure::Unknown);
+            self.job_closed(now, &id, CloseReason::Unknown);
         }
         for open_job in open_jobs {
             self.job_opened(now, open_job);
@@ -237,12 +237,12 @@
     fn forget_closed_jobs(&mut self) {
         let idle: Vec<JobId> = self
             .jobs
-            .forgettable()
+            .removable()
             .filter(|id| !self.writer.is_writing_about(id))
             .cloned()
             .collect();
         for id in idle {
-            self.jobs.forget(&id);
+            self.jobs.remove(&id);
         }
     }
 }
--- a/src/coordination/persistence/outcomes.rs
+++ b/src/coordination/persistence/outcomes.rs
@@ -3,7 +3,7 @@
 //! What was drafted takes effect in memory here, and only once the transaction is known to be applied.
 
 use super::draft::RecordUpdate;
-use crate::coordination::jobs::lifecycle::Closure;
+use crate::coordination::jobs::lifecycle::CloseReason;
 use crate::coordination::{Effect, RequestId, Scheduler};
 use crate::ids::{FencingToken, JobId, KeyRevision, MachineId, PageNumber, StoreRevision};
 use crate::storage::records::{LaunchIntent, ProgressKey};
@@ -42,12 +42,12 @@
             }
             RecordUpdate::JobFinished { job } => {
                 tracing::debug!(%job, "job done");
-                self.job_closed(now, &job, Closure::Finished);
+                self.job_closed(now, &job, CloseReason::Finished);
                 self.writer.orphan_progress(&job);
             }
             RecordUpdate::JobCancelled { job } => {
                 tracing::debug!(%job, "job cancelled with an upstream job");
-                self.job_closed(now, &job, Closure::Cancelled);
+                self.job_closed(now, &job, CloseReason::Cancelled);
             }
             RecordUpdate::OrphanDeleted { key } => self.writer.orphans.deleted(&key),
             RecordUpdate::Hints => self.writer.hints.written(now, revision),
@@ -172,7 +172,7 @@
 
     /// A job is found to be open no longer, without its end being known.
     pub(super) fn open_record_gone(&mut self, now: Instant, job: &JobId) {
-        self.job_closed(now, job, Closure::Unknown);
+        self.job_closed(now, job, CloseReason::Unknown);
         self.writer.orphan_progress(job);
     }
 }
--- a/src/coordination/persistence/reread.rs
+++ b/src/coordination/persistence/reread.rs
@@ -53,7 +53,8 @@
         if revision == KeyRevision(0) {
             self.open_record_gone(now, id);
         } else {
-            self.jobs.update(id, |job| job.open_record_seen(revision));
+            self.jobs
+                .update(id, |job| job.set_open_record_revision(revision));
         }
     }
 
--- a/src/coordination/placement/mod.rs
+++ b/src/coordination/placement/mod.rs
@@ -120,7 +120,7 @@
         let view = self.placement_view(now);
         let waits = PlacementPass { view, state }.waits_for_image(job_id);
         if waits {
-            self.jobs.update(job_id, |job| job.image_wait_began(now));
+            self.jobs.update(job_id, |job| job.image_wait_started(now));
         }
         waits
     }
