--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -39,8 +39,8 @@
 use attempts::Outbox;
 use autoscaler::Autoscaler;
 use jobs::aging::Aging;
-use jobs::estimates::Estimates;
-use jobs::lifecycle::Closure;
+use jobs::estimates::RunTimeEstimates;
+use jobs::lifecycle::CloseReason;
 use jobs::table::JobTable;
 use leadership::{Leadership, LeadershipTerm};
 use machines::table::MachineTable;
@@ -63,7 +63,7 @@
     pub(crate) outbox: Outbox,
     pub(crate) placement: PlacementState,
     pub(crate) autoscaler: Autoscaler,
-    pub(crate) estimates: Estimates,
+    pub(crate) estimates: RunTimeEstimates,
     pub(crate) aging: Aging,
     pub(crate) writer: Writer,
     /// Planned launches that were dropped because their job did not allow them any more.
@@ -91,7 +91,7 @@
             outbox: Outbox::default(),
             placement: PlacementState::new(policy.facts.process_limits.cores),
             autoscaler: Autoscaler::new(policy.facts.cloud.rps),
-            estimates: Estimates::default(),
+            estimates: RunTimeEstimates::default(),
             aging: Aging::new(policy.operator.begin_within_s),
             writer: Writer::new(&policy.facts.state, now),
             policy,
@@ -119,18 +119,18 @@
     }
 
     /// An attempt id that no attempt of any term has had.
-    pub fn fresh_attempt(&mut self) -> AttemptId {
+    pub fn next_attempt_id(&mut self) -> AttemptId {
         self.leadership.next_attempt_id()
     }
 
     /// Takes in an event. Each belongs to one part; what it leaves to be decided waits for the next step.
-    pub fn on(&mut self, now: Instant, event: Event) {
+    pub fn handle(&mut self, now: Instant, event: Event) {
         match event {
             Event::JobOpened(open_job) => self.job_opened(now, *open_job),
-            Event::JobClosed { id } => self.job_closed(now, &id, Closure::Unknown),
-            Event::JobCancelled { id } => self.job_closed(now, &id, Closure::Cancelled),
+            Event::JobClosed { id } => self.job_closed(now, &id, CloseReason::Unknown),
+            Event::JobCancelled { id } => self.job_closed(now, &id, CloseReason::Cancelled),
             Event::TerminalRecordsRead(records) => self.terminal_records_read(now, records),
-            Event::OpenJobs(open_jobs) => self.open_jobs_listed(now, open_jobs),
+            Event::OpenJobsListed(open_jobs) => self.open_jobs_listed(now, open_jobs),
             Event::PushAnswered {
                 machine_id,
                 request_id,
@@ -145,30 +145,34 @@
                 self.machines.set_types(machine_types);
                 self.placement.request_pass();
             }
-            Event::MachinesListed { asked, machines } => self.machines_listed(now, asked, machines),
+            Event::MachinesListed {
+                requested_at,
+                machines,
+            } => self.machines_listed(now, requested_at, machines),
             Event::ScaleOutAnswered {
                 idempotency_key,
                 answer,
             } => self.scale_out_answered(now, &idempotency_key, answer),
-            Event::ScaleOutUnclear { idempotency_key } => {
+            Event::ScaleOutUnconfirmed { idempotency_key } => {
                 self.autoscaler.scale_out_unclear(now, &idempotency_key)
             }
             Event::MachinesTerminated { machine_ids } => {
                 self.machines_terminated(now, &machine_ids)
             }
             Event::ScaleInFailed { machine_ids } => self.scale_in_failed(now, &machine_ids),
-            Event::Written {
+            Event::WriteApplied {
                 request_id,
                 store_revision,
             } => self.write_applied(now, request_id, store_revision),
-            Event::NotWritten { request_id } => self.write_not_applied(now, request_id),
-            Event::WriteLimited { request_id, pause } => {
+            Event::WriteNotApplied { request_id } => self.write_not_applied(now, request_id),
+            Event::WriteRateLimited { request_id, pause } => {
                 self.write_rate_limited(now, request_id, pause)
             }
             Event::WriteRejected { request_id } => self.write_rejected(now, request_id),
-            Event::WriteUnclear { request_id, failed } => {
-                self.write_unconfirmed(now, request_id, &failed)
-            }
+            Event::WriteUnconfirmed {
+                request_id,
+                failed_preconditions,
+            } => self.write_unconfirmed(now, request_id, &failed_preconditions),
             Event::Reread { request_id, items } => self.reread(now, request_id, items),
         }
     }
@@ -177,7 +181,7 @@
     pub fn step(&mut self, now: Instant) -> Vec<Effect> {
         if now - self.last_recheck_at >= RECHECK_INTERVAL {
             self.last_recheck_at = now;
-            self.recheck(now);
+            self.run_periodic_checks(now);
         }
         self.read_terminal_records(now);
         self.stop_unwanted_attempts(now);
@@ -190,11 +194,11 @@
     }
 
     /// What changes with time alone, or is too costly to be kept in step with every event.
-    fn recheck(&mut self, now: Instant) {
-        self.recheck_releases(now);
+    fn run_periodic_checks(&mut self, now: Instant) {
+        self.release_ready_jobs(now);
         self.recheck_machines(now);
         self.aging
-            .recheck(now, self.jobs.pending().map(|(_, job)| job));
+            .update_endangered_groups(now, self.jobs.pending().map(|(_, job)| job));
         self.machines.recount_cached_images();
         self.forget_closed_jobs();
         self.log_cluster_state(now);
@@ -222,7 +226,7 @@
             .map(|(id, _)| id.clone())
             .collect();
         for id in closed {
-            self.job_closed(now, &id, Closure::Unknown);
+            self.job_closed(now, &id, CloseReason::Unknown);
         }
         for open_job in open_jobs {
             self.job_opened(now, open_job);
@@ -233,12 +237,12 @@
     fn forget_closed_jobs(&mut self) {
         let idle: Vec<JobId> = self
             .jobs
-            .forgettable()
+            .removable()
             .filter(|id| !self.writer.has_job_write_in_flight(id))
             .cloned()
             .collect();
         for id in idle {
-            self.jobs.forget(&id);
+            self.jobs.remove(&id);
         }
     }
 }
