--- a/src/coordination/attempts/task_ends.rs
+++ b/src/coordination/attempts/task_ends.rs
@@ -29,7 +29,7 @@
         let task = &key.task;
         tracing::debug!(task = %task, machine = %machine_id, cause = ?cause, "task ended");
         if let Some(machine) = self.machines.get_mut(machine_id) {
-            machine.note_idle(now);
+            machine.update_idle_since(now);
         }
         if cause == Cause::Done {
             self.task_completed(now, machine_id, key);
@@ -50,7 +50,7 @@
 
     fn task_completed(&mut self, now: Instant, machine_id: &MachineId, key: &AttemptKey) {
         let task = &key.task;
-        self.note_run_time(now, machine_id, key);
+        self.record_run_time(now, machine_id, key);
         self.jobs
             .update(&task.job, |job| job.task_completed(task.index));
         if let Some(machine) = self.machines.get_mut(machine_id) {
@@ -72,7 +72,7 @@
         if let Some(machine) = self.machines.get_mut(machine_id) {
             machine.reserve_for(job.clone(), now + lease);
         }
-        self.jobs.update(job, Job::gang_member_gave_up);
+        self.jobs.update(job, Job::gang_member_timed_out);
     }
 
     /// A task failed: mostly the machine is faulty, but a job may be.
@@ -106,7 +106,7 @@
         };
         for machine_id in job.retry().failed_on() {
             if let Some(machine) = self.machines.get_mut(machine_id) {
-                machine.forget_failures_of(job_id, max_failed_jobs);
+                machine.clear_failures_of(job_id, max_failed_jobs);
             }
             self.machines.reindex(machine_id);
         }
--- a/src/coordination/autoscaler/forecast/simulated_cluster.rs
+++ b/src/coordination/autoscaler/forecast/simulated_cluster.rs
@@ -168,7 +168,7 @@
     }
     let remaining_s = match attempt.running_since {
         Some(since) => view.remaining_run_time_s(job, (view.now() - since).secs()),
-        None => view.run_time_of_job_s(job) + remaining_fetch_s(view, machine, attempt),
+        None => view.task_run_time_s(job) + remaining_fetch_s(view, machine, attempt),
     };
     Some(Release {
         at_s: remaining_s * RUN_TIME_MARGIN,
@@ -185,7 +185,7 @@
         return 0.0;
     }
     let fetch_s = view.fetch_s(&machine.machine_type, job.spec().image_gb);
-    (fetch_s - (view.now() - attempt.since).secs()).max(0.0)
+    (fetch_s - (view.now() - attempt.placed_at).secs()).max(0.0)
 }
 
 fn simulated_requested(view: &AutoscalerView<'_>, request: &ScaleOutRequest) -> SimulatedMachine {
--- a/src/coordination/autoscaler/hints.rs
+++ b/src/coordination/autoscaler/hints.rs
@@ -48,6 +48,6 @@
     /// Records the arrival of a job.
     pub(crate) fn record_arrival(&mut self, spec: &JobSpec, at: Instant) {
         self.autoscaler.arrivals.record(spec, at);
-        self.writer.hints_changed();
+        self.writer.mark_hints_changed();
     }
 }
--- a/src/coordination/autoscaler/inventory.rs
+++ b/src/coordination/autoscaler/inventory.rs
@@ -37,7 +37,7 @@
                 self.machines.capacity(&offer.machine_type),
                 rented_at,
             );
-            machine.last_response_at = self.leadership.began_at();
+            machine.last_response_at = self.leadership.started_at();
             machine.verified = false;
             machine.push_not_before = now;
             self.machines.insert(id.clone(), machine);
@@ -102,7 +102,7 @@
         if machine.endpoint.is_empty() {
             machine.endpoint = listed.endpoint;
         }
-        machine.listed_by_cloud(listed.phase == CloudPhase::Failed);
+        machine.mark_listed(listed.phase == CloudPhase::Failed);
     }
 
     /// Drains machines that have been missing from the list, and silent, for longer than the list may lag.
@@ -111,12 +111,12 @@
         let missing_timeout =
             TimeSpan::from_secs(list_lag_s * MISSING_LAG_FACTOR + MISSING_MARGIN_SECS);
         for machine in self.machines.values_mut() {
-            if listed_ids.contains(&machine.id) || machine.state == MachineState::Returning {
+            if listed_ids.contains(&machine.id) || machine.state == MachineState::Terminating {
                 continue;
             }
             let known_long =
-                now - machine.first_known_at.max(self.leadership.began_at()) > missing_timeout;
-            let missing_since = machine.missing_from_cloud_list(now);
+                now - machine.first_known_at.max(self.leadership.started_at()) > missing_timeout;
+            let missing_since = machine.mark_unlisted(now);
             let silent = machine
                 .last_message_at
                 .is_none_or(|at| now - at > missing_timeout);
--- a/src/coordination/autoscaler/scale_in.rs
+++ b/src/coordination/autoscaler/scale_in.rs
@@ -98,7 +98,7 @@
                     last_message_at = ?machine.last_message_at,
                     "scale-in requested"
                 );
-                machine.state = MachineState::Returning;
+                machine.state = MachineState::Terminating;
                 machine.push_not_before = now + CONFIRMATION_TIMEOUT;
             }
             self.machines.reindex(&machine_id);
@@ -117,7 +117,7 @@
                     self.outbox.pushes_in_flight = self.outbox.pushes_in_flight.saturating_sub(1);
                 }
                 if let Some(page) = machine.page {
-                    self.writer.machine_terminated(now, page, id);
+                    self.writer.remove_machine(now, page, id);
                 }
             }
             self.machines.reindex(id);
@@ -168,7 +168,7 @@
 
     /// Returns why a machine is to be terminated; None if it is kept.
     fn reason(&self, machine: &Machine) -> Option<ScaleInReason> {
-        if machine.state == MachineState::Returning {
+        if machine.state == MachineState::Terminating {
             let is_due = machine.push_not_before <= self.view.now();
             return is_due.then_some(ScaleInReason::Unconfirmed);
         }
--- a/src/coordination/autoscaler/suspected_zones.rs
+++ b/src/coordination/autoscaler/suspected_zones.rs
@@ -67,7 +67,7 @@
     let mut zones: BTreeMap<Zone, ZoneSilence> = BTreeMap::new();
     for machine in cluster.machines.values() {
         // A silent machine that is being terminated still counts as evidence of a network failure.
-        let is_silent_terminating = machine.state == MachineState::Returning
+        let is_silent_terminating = machine.state == MachineState::Terminating
             && machine.last_message_at.is_none_or(|at| now - at > timeout);
         if machine.state == MachineState::Up || is_silent_terminating {
             let is_silent = is_silent_terminating || machine.is_silent(now, timeout);
--- a/src/coordination/autoscaler/view.rs
+++ b/src/coordination/autoscaler/view.rs
@@ -90,8 +90,8 @@
     }
 
     /// Returns the estimated run time, in seconds, of a task of the job, which considers its completed tasks.
-    pub(super) fn run_time_of_job_s(&self, job: &Job) -> f64 {
-        self.cluster.estimates.run_time_of_job_s(job)
+    pub(super) fn task_run_time_s(&self, job: &Job) -> f64 {
+        self.cluster.estimates.task_run_time_s(job)
     }
 
     /// Returns the estimated remaining run time, in seconds, of a task of the job that has run for `ran_s` seconds.
@@ -106,7 +106,7 @@
 
     /// Returns the time, in seconds, in which a machine of the type fetches an image of `image_gb` gigabytes.
     pub(super) fn fetch_s(&self, machine_type: &MachineType, image_gb: f64) -> f64 {
-        self.cluster.machines.image_pull_s(machine_type, image_gb)
+        self.cluster.machines.image_fetch_s(machine_type, image_gb)
     }
 
     /// Returns the capacity of a machine of the type.
--- a/src/coordination/placement/mod.rs
+++ b/src/coordination/placement/mod.rs
@@ -25,7 +25,7 @@
 mod view;
 mod zones;
 
-use crate::coordination::jobs::graph::Label;
+use crate::coordination::jobs::graph::SchedulingPreference;
 use crate::coordination::Scheduler;
 use crate::ids::{AttemptId, AttemptKey, JobId, MachineId, TaskId};
 use crate::storage::records::LaunchIntent;
@@ -70,7 +70,7 @@
         if queue.is_empty() {
             return Vec::new();
         }
-        let attempt_id = self.fresh_attempt();
+        let attempt_id = self.next_attempt_id();
         let team_usage = self.team_usage.clone();
         let view = self.placement_view(now);
         let mut state = PassState::new(&view, team_usage, attempt_id, max_placed);
@@ -120,7 +120,7 @@
         let view = self.placement_view(now);
         let waits = PlacementPass { view, state }.waits_for_image(job_id);
         if waits {
-            self.jobs.update(job_id, |job| job.image_wait_began(now));
+            self.jobs.update(job_id, |job| job.image_wait_started(now));
         }
         waits
     }
@@ -186,7 +186,8 @@
         let Some(is_gang) = updated else {
             return;
         };
-        let is_latency = self.jobs.graph().label(job_id) == Label::Latency;
+        let is_latency =
+            self.jobs.graph().scheduling_preference(job_id) == SchedulingPreference::Latency;
         for placement in plan.placements {
             let Placement {
                 task,
