--- a/src/coordination/autoscaler/scale_in.rs
+++ b/src/coordination/autoscaler/scale_in.rs
@@ -61,7 +61,7 @@
     view: AutoscalerView<'a>,
     /// The silence after which a machine counts as lost; None while a new leader can't tell yet.
     max_silence: Option<TimeSpan>,
-    /// Whether no job is pending and none is expected.
+    /// Whether no startable job is pending and no job is expected.
     has_demand_subsided: bool,
 }
 
@@ -145,8 +145,8 @@
 
 /// Whether any job is pending that idle machines may be kept for.
 ///
-/// Guards against keeping idle machines for jobs that fail on every machine: two such jobs kept about 120 machines
-/// for 100 s after the last arrival, until they were cancelled.
+/// Guards against keeping idle machines for jobs submitted with an error, which fail on every machine: two such jobs
+/// kept about 120 machines for 100 s after the last arrival, until they were cancelled.
 fn has_startable_pending_job(cluster: &ClusterView<'_>) -> bool {
     let mut pending = cluster.jobs.pending();
     pending.any(|(_, job)| !job.fails_everywhere())
