--- a/src/coordination/machines/machine.rs
+++ b/src/coordination/machines/machine.rs
@@ -1,5 +1,5 @@
-//! A machine as the leader knows it: what it is, what its worker has said of itself, and why it may or may not
-//! be given work.
+//! A machine as the leader knows it: its type and zone, what its worker has reported, and whether new tasks may
+//! be placed on it.
 //!
 //! Its task attempts change through the ledger only.
 
@@ -13,103 +13,104 @@
 use crate::time::{Instant, TimeSpan};
 use std::collections::BTreeSet;
 
-/// Where a machine is in its lifecycle, as far as the leader knows.
+/// The lifecycle state of a machine, as far as the leader knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MachineState {
-    /// Rented; its worker has sent no heartbeat yet.
+    /// Rented; its worker has not sent a heartbeat yet.
     Booting,
     /// Its worker has sent a heartbeat.
     Up,
-    /// The cloud is asked to terminate it; never used again.
+    /// Its termination has been requested from the cloud; it is never used again.
     Terminating,
 }
 
-/// A machine.
+/// A rented machine, or one that is believed to exist.
 #[derive(Debug)]
 pub struct Machine {
-    /// Its id, from the cloud.
+    /// The id assigned by the cloud.
     pub id: MachineId,
-    /// Where its worker listens for pushes; empty if that is not known yet.
+    /// The address at which its worker listens for pushes; empty if not known yet.
     pub endpoint: String,
-    /// Its type.
+    /// The machine type.
     pub machine_type: MachineType,
-    /// Its zone.
+    /// The zone.
     pub zone: Zone,
-    /// Whether it is a spot instance.
+    /// Whether the machine is a spot instance.
     pub spot: bool,
-    /// Where it is in its lifecycle.
+    /// The lifecycle state.
     pub state: MachineState,
-    /// When it was rented, or the first we knew of it.
+    /// When the machine was rented or, if that is not known, when the leader first learned of it.
     pub first_known_at: Instant,
-    /// Its worker's session, as last seen.
+    /// The newest session of its worker.
     pub session: Session,
     /// The tick of the newest message of that session.
     pub tick: Tick,
-    /// The session and tick of the last heartbeat: any that is not above it is a duplicate.
+    /// The session and tick of the last heartbeat: a heartbeat that is not newer is a duplicate.
     pub last_heartbeat: (Session, Tick),
-    /// Known from our records, from a scale-out request of ours, from the cloud, or by having acknowledged our
-    /// fencing token: a delayed duplicate of a status alone proves nothing.
+    /// Whether the machine is known to exist, from the stored machine pages, a scale-out request or the cloud's
+    /// list. A status alone doesn't prove it: it may be a delayed duplicate.
     pub verified: bool,
-    /// A status with a fencing token of this leadership term has been seen.
+    /// Whether a status with a fencing token of this leadership term has arrived.
     pub confirmed: bool,
-    /// Whether it receives what it is answered.
+    /// Whether responses to its heartbeats reach the machine.
     pub reachability: Reachability,
-    /// Deliberately not answered any more, so that its lease runs out.
+    /// Whether its heartbeats are deliberately left unanswered, so that the lease of its worker expires.
     pub lease_withheld: bool,
-    /// When its last message arrived, of any kind.
+    /// When the last message of any kind arrived.
     pub last_message_at: Option<Instant>,
-    /// When its last heartbeat arrived.
+    /// When the last heartbeat arrived.
     pub last_heartbeat_at: Option<Instant>,
-    /// When an entitled controller may last have answered it (our own failover, for former leaders).
+    /// The latest time at which a leader may have answered the machine: this leader's last response or, for
+    /// former leaders, the start of this leadership term.
     pub last_response_at: Instant,
-    /// When its present session was first seen: its lease counts from no later than this, or than its
-    /// last answer.
+    /// When the current session was first seen. The lease of the session began no later than this or
+    /// `last_response_at`, whichever is later.
     pub session_first_seen_at: Instant,
-    /// Every task attempt that may be on it, and what they leave free of it.
+    /// Every task attempt that may be on the machine, and the free capacity.
     pub attempts: MachineAttempts,
-    /// The page of the state store that lists it.
+    /// The page of the state store that lists the machine.
     pub page: Option<PageNumber>,
-    /// Whether that page is written: only then may launch intents name the machine.
+    /// Whether the page that lists the machine is written: only then may launch intents name the machine.
     pub is_recorded: bool,
-    /// A preemption notice: the cloud reclaims it at this time.
+    /// When the cloud reclaims the machine, according to a preemption notice.
     pub reclaim_at: Option<Instant>,
-    /// Given no new work: quarantined, silent for too long, or to be terminated.
+    /// Whether the machine gets no new work because it is quarantined, was silent for too long or is to be
+    /// terminated.
     pub draining: bool,
-    /// From when its drain timeout counts.
+    /// The start of the drain timeout.
     pub draining_since: Option<Instant>,
-    /// The job that it is kept for.
+    /// The job that the machine is reserved for.
     pub(super) reservation: Option<Reservation>,
-    /// Images that should be in its cache.
+    /// The images expected to be in its cache.
     pub(crate) images: ImageCache,
-    /// Since when it has had no live task attempt; None if it has some.
+    /// Since when the machine has had no live task attempt; `None` if it has one.
     pub idle_since: Option<Instant>,
-    /// Jobs whose tasks failed here with no success between.
+    /// Jobs with a task that failed on the machine since a task last succeeded on it.
     pub failed_jobs: BTreeSet<JobId>,
-    /// Whether its worker has reported another type, zone or kind (spot or on-demand) than is on record.
+    /// Whether its worker has reported a type, zone or spot flag that differs from the record.
     kind_contradicted: bool,
-    /// Whether it is drained because of those failures.
+    /// Whether the machine is drained because of `failed_jobs`.
     pub quarantined: bool,
-    /// The push whose answer is awaited.
+    /// The push that has not been answered yet.
     pub push_in_flight: Option<RequestId>,
-    /// No further push, or request to terminate it, before this time.
+    /// The earliest time of the next push or termination request.
     pub push_not_before: Instant,
-    /// Given no new work before this time: it refused a launch, or a task failed on it.
+    /// The machine gets no new work before this time, because it refused a launch or a task failed on it.
     pub unschedulable_until: Instant,
-    /// The cloud's list named it as failed when it last named it.
+    /// Whether the cloud's list gave the state of the machine as failed when it last contained the machine.
     listed_as_failed: bool,
-    /// Since when the cloud's list has not named it.
+    /// Since when the machine has been missing from the cloud's list.
     unlisted_since: Option<Instant>,
 }
 
 impl Machine {
-    /// A machine of which nothing is known but its id, its type, zone and spot flag, and what a machine of that type
-    /// offers; known, or rented, at that moment.
+    /// Creates a booting machine with no task attempts that was rented, or first known, at `now`.
     pub fn new(
         id: MachineId,
         machine_type: MachineType,
         zone: Zone,
         spot: bool,
-        whole: Resources,
+        capacity: Resources,
         now: Instant,
     ) -> Machine {
         Machine {
@@ -131,7 +132,7 @@
             last_heartbeat_at: None,
             last_response_at: now,
             session_first_seen_at: Instant::LONG_AGO,
-            attempts: MachineAttempts::new(whole),
+            attempts: MachineAttempts::new(capacity),
             page: None,
             is_recorded: false,
             reclaim_at: None,
@@ -151,15 +152,15 @@
         }
     }
 
-    /// The machine exists, as its rental or the cloud's list shows: it is on a page of the state store from now
-    /// on, and may be given work.
+    /// Records that the machine exists, as shown by its rental or the cloud's list: it is listed on a page of
+    /// the state store from now on, and may be given work.
     pub fn verify(&mut self, page: PageNumber) {
         self.verified = true;
         self.page = Some(page);
     }
 
-    /// Its worker reports this kind. True if that contradicts the record for the first time: it is drained from
-    /// then on, for nothing can be said of which jobs may run on it.
+    /// Drains the machine if its worker reports a type, zone or spot flag that contradicts the record, since it
+    /// is then unknown which jobs may run on it. Returns whether this is the first contradiction.
     pub fn check_reported_kind(
         &mut self,
         now: Instant,
@@ -176,38 +177,38 @@
         true
     }
 
-    /// The cloud's list names it, perhaps as failed.
+    /// Records that the cloud's list contains the machine, and whether as failed.
     pub fn mark_listed(&mut self, is_failed: bool) {
         self.listed_as_failed = is_failed;
         self.unlisted_since = None;
     }
 
-    /// The cloud's list does not name it; returns since when.
+    /// Records that the cloud's list does not contain the machine; returns since when.
     pub fn mark_unlisted(&mut self, now: Instant) -> Instant {
         *self.unlisted_since.get_or_insert(now)
     }
 
-    /// Whether the cloud's list named it as failed when it last named it.
+    /// Whether the cloud's list gave the state of the machine as failed when it last contained the machine.
     pub fn is_listed_as_failed(&self) -> bool {
         self.listed_as_failed
     }
 
-    /// Whether no new work is for it because it is drained or will be reclaimed.
+    /// Whether the machine is being drained or will be reclaimed by the cloud, and so gets no new work.
     pub fn is_draining_or_reclaimed(&self) -> bool {
         self.draining || self.reclaim_at.is_some()
     }
 
-    /// What live task attempts leave free of it.
+    /// The capacity that is not taken by live task attempts.
     pub fn free(&self) -> &Resources {
         self.attempts.free()
     }
 
-    /// Task attempts that have not ended.
+    /// The task attempts that have not ended.
     pub fn live_attempts(&self) -> impl Iterator<Item = &TaskAttempt> {
         self.attempts.live()
     }
 
-    /// Notes since when it has had nothing to do.
+    /// Updates `idle_since` after a change of the task attempts.
     pub fn update_idle_since(&mut self, now: Instant) {
         if self.attempts.live_count() > 0 {
             self.idle_since = None;
@@ -216,59 +217,61 @@
         }
     }
 
-    /// Whether nothing that we say seems to reach it.
+    /// Whether responses seem not to reach the machine.
     pub fn is_unreachable(&self) -> bool {
         self.reachability.is_unreachable()
     }
 
-    /// It has shown that it hears us.
+    /// Records that something sent to the machine has reached it.
     pub fn mark_reachable(&mut self) {
         self.reachability.mark_reachable();
     }
 
-    /// Whether it may be given new work: it reports, our commands reach it, and nothing is known that speaks
-    /// against it. After `silence` without a heartbeat it is suspected, and gets none.
-    pub fn is_schedulable(&self, now: Instant, silence: TimeSpan) -> bool {
+    /// Whether the machine may be given new work. A machine without a heartbeat for longer than
+    /// `heartbeat_timeout` is suspected and gets none.
+    pub fn is_schedulable(&self, now: Instant, heartbeat_timeout: TimeSpan) -> bool {
         self.state == MachineState::Up
             && self.verified
             && !self.is_unreachable()
             && !self.is_draining_or_reclaimed()
             && self.unschedulable_until <= now
-            && !self.is_silent(now, silence)
+            && !self.is_silent(now, heartbeat_timeout)
     }
 
-    /// Takes it out of use: it is given no new work, and returned once it is empty. A machine that is drained
-    /// already keeps the time from which its drain timeout counts.
+    /// Starts draining the machine: it gets no new work, and is terminated once it is empty. The drain timeout
+    /// of a machine that is draining already is not restarted.
     pub fn start_draining(&mut self, since: Instant) {
         self.draining = true;
         self.draining_since.get_or_insert(since);
     }
 
-    /// Whether no heartbeat of it has come for longer than the given time. Responses to pushes don't count: they
-    /// renew no lease, so that a machine from which only they come is about to lose its tasks.
-    pub fn is_silent(&self, now: Instant, bound: TimeSpan) -> bool {
-        self.state == MachineState::Up && self.last_heartbeat_at.is_none_or(|h| now - h > bound)
+    /// Whether the machine is up but no heartbeat has arrived for longer than `timeout`. Responses to pushes
+    /// don't count: they renew no lease, so a machine that only sends those is about to lose its tasks.
+    pub fn is_silent(&self, now: Instant, timeout: TimeSpan) -> bool {
+        self.state == MachineState::Up && self.last_heartbeat_at.is_none_or(|h| now - h > timeout)
     }
 
-    /// A job has turned out to fail everywhere: what it did here says nothing of the machine.
-    pub fn clear_failures_of(&mut self, job: &JobId, most: usize) {
+    /// Removes a job that fails on every machine from the failed jobs, since its failures say nothing about
+    /// this machine. Ends the quarantine if fewer than `quarantine_threshold` failed jobs are left.
+    pub fn clear_failures_of(&mut self, job: &JobId, quarantine_threshold: usize) {
         let removed = self.failed_jobs.remove(job);
-        // One that is given up for another reason stays so.
+        // A machine that is being terminated or whose lease is withheld stays drained.
         let in_use = self.state == MachineState::Up && !self.lease_withheld;
-        if removed && self.quarantined && in_use && self.failed_jobs.len() < most {
+        if removed && self.quarantined && in_use && self.failed_jobs.len() < quarantine_threshold {
             self.quarantined = false;
             self.draining = false;
             self.draining_since = None;
         }
     }
 
-    /// Whether the image should be in the cache.
+    /// Whether the image is expected to be in the cache.
     pub fn has_image(&self, image: &Image) -> bool {
         self.images.contains(image)
     }
 
-    /// Notes the use of an image; the least recently used make room.
-    pub fn record_image_use(&mut self, image: &Image, gb: f64, cache_gb: f64) {
-        self.images.record_use(image, gb, cache_gb);
+    /// Records the use of an image of `size_gb` gigabytes, evicting the least recently used images from a cache
+    /// of `cache_gb` gigabytes.
+    pub fn record_image_use(&mut self, image: &Image, size_gb: f64, cache_gb: f64) {
+        self.images.record_use(image, size_gb, cache_gb);
     }
 }
