--- a/src/coordination/machines/mod.rs
+++ b/src/coordination/machines/mod.rs
@@ -1,7 +1,7 @@
-//! Machines: what is known of each, what the types of machine offer, and the images in their caches.
+//! Machines: the state of each machine, the machine types, and the images in the machines' caches.
 //!
-//! The machine table owns the machines and the index of those with free capacity. What is on a machine changes
-//! through the ledger of task attempts only; how many machines there are is the autoscaler's.
+//! The machine table owns the machines and the index of those with free capacity. The task attempts on a
+//! machine change through the attempt ledger only; the autoscaler decides how many machines there are.
 
 mod image_cache;
 pub mod images;
--- a/src/coordination/machines/table.rs
+++ b/src/coordination/machines/table.rs
@@ -1,5 +1,5 @@
-//! The machine table: every machine that the leader knows, what machines of each type offer, and the sets of
-//! machines with room that placement looks up often.
+//! The machine table: every machine that the leader knows, the machine types, and the index of machines with
+//! free capacity that placement reads.
 
 use super::machine::{Machine, MachineState};
 use crate::coordination::jobs::index::set_membership;
@@ -9,53 +9,52 @@
 use crate::resources::Resources;
 use std::collections::{btree_map, BTreeMap, BTreeSet};
 
-/// Seconds that a machine of an unknown type is taken to boot.
+/// The boot time assumed for a machine of an unknown type, in seconds.
 const UNKNOWN_TYPE_BOOT_SECS: f64 = 30.0;
 
-/// All machines of a leadership.
+/// All machines that the leader knows.
 ///
-/// Whoever changes a machine's state or its free capacity calls [`MachineTable::reindex`] afterwards.
+/// Code that changes a machine's state or free capacity has to call [`MachineTable::reindex`] afterwards.
 #[derive(Debug, Default)]
 pub struct MachineTable {
     machines: BTreeMap<MachineId, Machine>,
     /// Machine types and their prices, as the cloud lists them.
     pub(crate) types: BTreeMap<MachineType, MachineTypeInfo>,
-    /// Machines that the cloud confirmed gone: late messages of theirs mean nothing.
+    /// Machines whose termination the cloud has confirmed: late messages from them are ignored.
     pub(crate) terminated: BTreeSet<MachineId>,
-    /// Sets of machines by the room they have, kept in step by [`MachineTable::reindex`].
+    /// Machines by free capacity, kept up to date by [`MachineTable::reindex`].
     pub(crate) index: MachineIndex,
-    /// GPUs of machines that have each image cached.
+    /// For each image, the number of GPUs on machines that have it cached.
     pub(super) gpus_by_cached_image: BTreeMap<Image, f64>,
 }
 
-/// Sets of machines by the room they have.
+/// Machines by free capacity.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct MachineIndex {
-    /// Machines that report and are not full.
+    /// Machines that are up and have [`FreeCapacity::Available`].
     pub with_free_capacity: BTreeSet<MachineId>,
-    /// Machines that report and whose GPUs are all taken, but not their CPUs: room for tasks that need
-    /// no GPU.
+    /// Machines that are up and have [`FreeCapacity::CpusOnly`]: only tasks without GPUs fit.
     pub with_free_cpus_only: BTreeSet<MachineId>,
 }
 
-/// What kind of room a machine has.
+/// Which resources of a machine are free.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FreeCapacity {
-    /// None, or it does not report.
+    /// None, or the machine is not up.
     None,
-    /// CPUs, but no GPUs though its type has some.
+    /// CPUs, but none of the GPUs that its type has.
     CpusOnly,
-    /// Some of all that its type is rented for.
+    /// CPUs and, if its type has GPUs, GPUs.
     Available,
 }
 
 impl MachineTable {
-    /// The machine with that id, if it is known.
+    /// Returns the machine with the id, if it is known.
     pub fn get(&self, id: &MachineId) -> Option<&Machine> {
         self.machines.get(id)
     }
 
-    /// The machine with that id, to be changed and then reindexed.
+    /// Returns the machine with the id for a change that is followed by [`MachineTable::reindex`].
     pub fn get_mut(&mut self, id: &MachineId) -> Option<&mut Machine> {
         self.machines.get_mut(id)
     }
@@ -75,12 +74,12 @@
         self.machines.values()
     }
 
-    /// Every machine, to be changed.
+    /// Every machine in the order of ids, mutable.
     pub fn values_mut(&mut self) -> btree_map::ValuesMut<'_, MachineId, Machine> {
         self.machines.values_mut()
     }
 
-    /// How many machines are known.
+    /// The number of machines known.
     pub fn len(&self) -> usize {
         self.machines.len()
     }
@@ -90,17 +89,17 @@
         self.machines.is_empty()
     }
 
-    /// Takes a machine in; it is indexed when it first reports, or by [`MachineTable::reindex`].
+    /// Inserts a machine without indexing it: [`MachineTable::reindex`] does so once the machine is up.
     pub fn insert(&mut self, id: MachineId, machine: Machine) {
         self.machines.insert(id, machine);
     }
 
-    /// Takes a machine out that the cloud confirmed gone.
+    /// Removes a machine whose termination the cloud has confirmed.
     pub fn remove(&mut self, id: &MachineId) -> Option<Machine> {
         self.machines.remove(id)
     }
 
-    /// What one machine of the type offers; nothing if the type is not known.
+    /// The resources of an empty machine of the type; zero if the type is not known.
     pub fn capacity(&self, machine_type: &MachineType) -> Resources {
         self.types
             .get(machine_type)
@@ -117,7 +116,7 @@
         info.map_or(UNKNOWN_TYPE_BOOT_SECS, |info| info.boot_s)
     }
 
-    /// Gigabytes of images that a machine caches; 0 if it or its type is not known.
+    /// The size of a machine's image cache in gigabytes; 0 if the machine or its type is not known.
     pub fn cache_gb(&self, id: &MachineId) -> f64 {
         self.machines
             .get(id)
@@ -125,7 +124,7 @@
             .map_or(0.0, |info| info.cache_gb)
     }
 
-    /// Takes in the machine types; what is free on each machine follows.
+    /// Replaces the machine types, and updates the capacity of every machine.
     pub fn set_types(&mut self, types: Vec<MachineTypeInfo>) {
         self.types = types
             .into_iter()
@@ -144,9 +143,9 @@
         }
     }
 
-    /// Brings the index in step with a machine that has changed, or that is no longer held.
+    /// Updates the index for a machine that has changed or has been removed.
     pub fn reindex(&mut self, id: &MachineId) {
-        let room = self
+        let free_capacity = self
             .machines
             .get(id)
             .map(|machine| self.free_capacity_on(machine));
@@ -154,30 +153,31 @@
         set_membership(
             with_free_capacity,
             id,
-            room == Some(FreeCapacity::Available),
+            free_capacity == Some(FreeCapacity::Available),
         );
         let with_free_cpus_only = &mut self.index.with_free_cpus_only;
         set_membership(
             with_free_cpus_only,
             id,
-            room == Some(FreeCapacity::CpusOnly),
+            free_capacity == Some(FreeCapacity::CpusOnly),
         );
     }
 
-    /// What kind of room a machine has.
+    /// Which resources of the machine are free.
     pub fn free_capacity_on(&self, machine: &Machine) -> FreeCapacity {
-        let whole = self.capacity(&machine.machine_type);
-        let has_some = |free: f64, whole: f64| whole <= 0.0 || free > 1e-6;
-        if machine.state != MachineState::Up || !has_some(machine.free().cpus, whole.cpus) {
+        let capacity = self.capacity(&machine.machine_type);
+        let has_free = |free: f64, capacity: f64| capacity <= 0.0 || free > 1e-6;
+        if machine.state != MachineState::Up || !has_free(machine.free().cpus, capacity.cpus) {
             FreeCapacity::None
-        } else if has_some(machine.free().gpus, whole.gpus) {
+        } else if has_free(machine.free().gpus, capacity.gpus) {
             FreeCapacity::Available
         } else {
             FreeCapacity::CpusOnly
         }
     }
 
-    /// Machines that report and have room of the kind that a job's tasks need.
+    /// Machines that are up and have the kinds of resources free that a task of the job requests. The amounts
+    /// are not compared.
     pub fn with_free_capacity_for<'a>(
         &'a self,
         spec: &JobSpec,
