--- a/src/coordination/machines/reachability.rs
+++ b/src/coordination/machines/reachability.rs
@@ -1,28 +1,30 @@
-//! Whether a machine that sends heartbeats receives what it is answered: its network may be partitioned in
-//! one direction only.
+//! Detection of inbound-unreachable machines: heartbeats arrive from them, but responses don't reach them,
+//! since the network is partitioned in one direction only.
 
 use crate::ids::FencingToken;
 use crate::time::Instant;
 
-/// Heartbeats in a row that show nothing of the responses before them: the machine counts as unreachable.
+/// A machine counts as unreachable after this many consecutive responses that its heartbeats don't acknowledge.
 const MAX_UNACKNOWLEDGED_RESPONSES: u32 = 2;
 
-/// What a machine has shown of our responses.
+/// Which responses a machine has acknowledged.
 #[derive(Debug)]
 pub struct Reachability {
     delivery: Delivery,
-    /// The highest fencing token that a heartbeat of it was answered with.
+    /// The highest fencing token sent to the machine in a response to a heartbeat.
     token_sent: FencingToken,
-    /// The highest fencing token that a status of it has shown.
+    /// The highest fencing token reported in a status of the machine.
     token_acknowledged: FencingToken,
 }
 
+/// Whether responses reach the machine.
 #[derive(Debug)]
 enum Delivery {
-    /// Responses reach it, as far as we know; so many in a row have not been acknowledged.
+    /// Responses reach the machine as far as is known; the last `unacknowledged` ones were not acknowledged.
     Working { unacknowledged: u32 },
-    /// Responses do not reach it: noted at that moment, on an unacknowledged response. `None`: its lease ran
-    /// out although we had answered, and no response has gone unacknowledged since.
+    /// Responses don't reach the machine, as detected at `since` by an unacknowledged response. `None` if it
+    /// was detected by the expiry of its lease in spite of responses, and none has gone unacknowledged
+    /// afterwards.
     Failing { since: Option<Instant> },
 }
 
@@ -37,12 +39,12 @@
 }
 
 impl Reachability {
-    /// Whether responses seem not to reach the machine.
+    /// Whether the machine seems to receive no responses.
     pub fn is_unreachable(&self) -> bool {
         matches!(self.delivery, Delivery::Failing { .. })
     }
 
-    /// Since when it has counted as unreachable, by responses that went unacknowledged.
+    /// Since when the machine has counted as unreachable because of unacknowledged responses.
     pub fn unreachable_since(&self) -> Option<Instant> {
         match self.delivery {
             Delivery::Working { .. } => None,
@@ -50,23 +52,24 @@
         }
     }
 
-    /// It has shown that something we sent reached it.
+    /// Records that something sent to the machine has reached it.
     pub fn mark_reachable(&mut self) {
         self.delivery = Delivery::Working { unacknowledged: 0 };
     }
 
-    /// A heartbeat is answered under that token.
+    /// Records that a response with the fencing token is sent.
     pub fn record_response(&mut self, token: FencingToken) {
         self.token_sent = self.token_sent.max(token);
     }
 
-    /// Whether it was sent a higher token than its status shows.
+    /// Whether a higher fencing token was sent to the machine than the one in its status.
     pub fn awaits_acknowledgement(&self, token_in_status: FencingToken) -> bool {
         self.token_sent > token_in_status
     }
 
-    /// A status shows the highest token that the machine has seen. One of this leadership, which began with
-    /// `initial_token`, that it has not shown before can only have reached it from us.
+    /// Records the highest fencing token that the machine has seen, as reported in its status. A new token of
+    /// this leadership term, which began with `initial_token`, can only have come from this leader: the machine
+    /// is reachable.
     pub fn record_token(&mut self, token: FencingToken, initial_token: FencingToken) {
         if token > self.token_acknowledged && token >= initial_token {
             self.mark_reachable();
@@ -74,14 +77,16 @@
         self.token_acknowledged = self.token_acknowledged.max(token);
     }
 
-    /// Its lease ran out although we had answered: nothing that we say reaches it.
+    /// Records that the lease of the machine's worker expired although its heartbeats were answered: responses
+    /// don't reach the machine.
     pub fn record_lease_expiry(&mut self) {
         if let Delivery::Working { .. } = self.delivery {
             self.delivery = Delivery::Failing { since: None };
         }
     }
 
-    /// A heartbeat shows nothing of what the machine was answered. True if that makes it unreachable since now.
+    /// Records a heartbeat that doesn't acknowledge the responses before it. Returns whether the machine counts
+    /// as unreachable since `now` because of it.
     pub fn record_unacknowledged_response(&mut self, now: Instant) -> bool {
         match &mut self.delivery {
             Delivery::Working { unacknowledged } => {
