--- a/src/coordination/machines/image_cache.rs
+++ b/src/coordination/machines/image_cache.rs
@@ -1,14 +1,14 @@
-//! The container images that should be in a machine's cache. Workers don't report their caches: what is in one
-//! is inferred from what ran on the machine, so it is a hint.
+//! The container images expected to be in a machine's cache. Workers don't report their caches: the content is
+//! inferred from the tasks that ran on the machine, so it is only a hint.
 
 use crate::ids::Image;
 
-/// An image in a cache.
+/// A cached image.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CachedImage {
     /// The image.
     pub image: Image,
-    /// Its size in gigabytes.
+    /// The size in gigabytes.
     pub size_gb: f64,
 }
 
@@ -19,13 +19,13 @@
 }
 
 impl ImageCache {
-    /// Whether the image should be in the cache.
+    /// Whether the image is expected to be in the cache.
     pub fn contains(&self, image: &Image) -> bool {
         self.images.iter().any(|cached| cached.image == *image)
     }
 
-    /// A task used the image, of so many gigabytes: the least recently used ones make room for it in a cache
-    /// of so many.
+    /// Records that a task used the image, and evicts the least recently used images while the cache exceeds
+    /// its capacity.
     pub fn record_use(&mut self, image: &Image, size_gb: f64, capacity_gb: f64) {
         self.images.retain(|cached| cached.image != *image);
         self.images.push(CachedImage {
@@ -50,7 +50,7 @@
 }
 
 impl FromIterator<CachedImage> for ImageCache {
-    /// A cache from its images, least recently used first.
+    /// Creates a cache from its images, least recently used first.
     fn from_iter<I: IntoIterator<Item = CachedImage>>(images: I) -> ImageCache {
         ImageCache {
             images: images.into_iter().collect(),
--- a/src/coordination/machines/reservation.rs
+++ b/src/coordination/machines/reservation.rs
@@ -1,25 +1,25 @@
-//! Machines kept for one job until a time: its tasks were preempted for it, or a gang attempt of it failed there
-//! and is about to be repeated.
+//! Reservations of machines for one job until a given time: after tasks were preempted for the job, or after a
+//! gang attempt of the job failed and is about to be retried.
 
 use super::machine::Machine;
 use crate::ids::JobId;
 use crate::time::Instant;
 
-/// A machine is kept for a job.
+/// A reservation of a machine for a job.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Reservation {
     job: JobId,
-    /// Until then no other job may use it.
+    /// No other job may use the machine before this time.
     until: Instant,
 }
 
 impl Machine {
-    /// Keeps the machine for the job until then, instead of any it was kept for.
+    /// Reserves the machine for the job, in place of any earlier reservation.
     pub(crate) fn reserve_for(&mut self, job: JobId, until: Instant) {
         self.reservation = Some(Reservation { job, until });
     }
 
-    /// The job that the machine is kept for, if any.
+    /// The job that the machine is reserved for, if any.
     pub(crate) fn reserved_for(&self, now: Instant) -> Option<&JobId> {
         self.reservation
             .as_ref()
@@ -27,7 +27,7 @@
             .map(|reservation| &reservation.job)
     }
 
-    /// The job uses the machine: a reservation for it has served its purpose. One for another job stays.
+    /// Ends the reservation if it is for the job, which now uses the machine.
     pub(crate) fn end_reservation_of(&mut self, job: &JobId) {
         self.reservation
             .take_if(|reservation| reservation.job == *job);
