--- a/src/coordination/machines/images.rs
+++ b/src/coordination/machines/images.rs
@@ -44,7 +44,7 @@
         if machine.has_image(&spec.image) {
             return 0.0;
         }
-        let pull_s = self.image_fetch_s(&machine.machine_type, spec.image_gb);
+        let fetch_s = self.image_fetch_s(&machine.machine_type, spec.image_gb);
         let pull_began_at = machine
             .live_attempts()
             .filter(|attempt| attempt.running_since.is_none())
@@ -52,13 +52,13 @@
             .map(|attempt| attempt.since)
             .min();
         match pull_began_at {
-            Some(since) => (pull_s - (now - since).secs()).max(0.0),
-            None => pull_s,
+            Some(since) => (fetch_s - (now - since).secs()).max(0.0),
+            None => fetch_s,
         }
     }
 
     /// GPUs, free or not, of machines that have the image cached, as of the last recheck.
-    pub(crate) fn gpus_caching(&self, image: &Image) -> f64 {
+    pub(crate) fn gpus_with_image_cached(&self, image: &Image) -> f64 {
         self.gpus_by_cached_image.get(image).copied().unwrap_or(0.0)
     }
 
--- a/src/coordination/placement/candidates.rs
+++ b/src/coordination/placement/candidates.rs
@@ -62,7 +62,7 @@
     }
 
     /// Takes one more task.
-    fn take_task(&mut self, request: &Resources) {
+    fn assign_task(&mut self, request: &Resources) {
         self.free.sub(request);
         self.attempt_count += 1;
         self.update_cost();
@@ -110,7 +110,7 @@
         locality: ImageLocality,
     ) -> Vec<Placement> {
         let request = Resources::of(job.spec());
-        let mut start_check = StartCheck::of_pending_tasks(job);
+        let mut start_check = StartCheck::for_pending_tasks(job);
         let mut candidates = self.candidates(job_id, job, zones, locality, &start_check);
         let mut placements = Vec::new();
         for index in task_indexes {
@@ -126,7 +126,7 @@
                 image_wait_s: candidate.fixed_costs.image_wait_s,
             });
             start_check.add_task(candidate.zone);
-            candidate.take_task(&request);
+            candidate.assign_task(&request);
             if candidate.has_room_for(&request) {
                 candidates.push(candidate);
             }
@@ -155,7 +155,9 @@
                 request.fits(machine.free()) && machine.attempts.len() < MAX_ATTEMPTS_PER_MACHINE
             })
             .filter(|machine| zones.includes(&machine.zone) && start_check.check(machine).is_ok())
-            .filter(|machine| self.view.is_usable(machine) && !self.state.is_reserved(&machine.id))
+            .filter(|machine| {
+                self.view.is_schedulable(machine) && !self.state.is_reserved(&machine.id)
+            })
             .filter(|machine| locality.is_met_by(machine, &spec.image))
             .filter(|machine| !(avoids_failures && job.retry().failed_on().contains(&machine.id)))
             .filter(|machine| !self.view.is_reserved_for_another(machine, job_id))
--- a/src/coordination/placement/eviction.rs
+++ b/src/coordination/placement/eviction.rs
@@ -64,7 +64,7 @@
         Some(Preemptor {
             id,
             job,
-            start_check: StartCheck::of_pending_tasks(job),
+            start_check: StartCheck::for_pending_tasks(job),
             priority: view.effective_priority(id, job.spec()),
             guaranteed_jobs,
         })
@@ -78,7 +78,7 @@
 }
 
 /// A task attempt that may be stopped.
-struct Stoppable<'a> {
+struct VictimCandidate<'a> {
     attempt: &'a TaskAttempt,
     cost_s: f64,
     grace_s: f64,
@@ -110,16 +110,16 @@
         if !self.may_evict_from(machine, preemptor) {
             return None;
         }
-        let mut stoppable: Vec<Stoppable<'_>> = machine
+        let mut candidates: Vec<VictimCandidate<'_>> = machine
             .live_attempts()
-            .filter_map(|attempt| self.stoppable(attempt, preemptor))
+            .filter_map(|attempt| self.victim_candidate(attempt, preemptor))
             .collect();
-        stoppable.sort_by(|left, right| left.cost_s.total_cmp(&right.cost_s));
+        candidates.sort_by(|left, right| left.cost_s.total_cmp(&right.cost_s));
         let request = Resources::of(spec);
         let mut free = *machine.free();
         let mut victims = Vec::new();
         let mut cost_s = self.image_wait_s(machine, spec);
-        for candidate in stoppable {
+        for candidate in candidates {
             if request.fits(&free) {
                 break;
             }
@@ -142,7 +142,7 @@
     /// Guards against tasks stopped in vain, again and again, in a zone in which the job may not start.
     fn may_evict_from(&self, machine: &Machine, preemptor: &Preemptor<'_>) -> bool {
         let spec = preemptor.job.spec();
-        self.is_usable(machine)
+        self.is_schedulable(machine)
             && preemptor.start_check.check(machine).is_ok()
             && Resources::of(spec).fits(&self.capacity(machine))
             && self.warm_pool_admits(&machine.id, &spec.class)
@@ -150,16 +150,16 @@
     }
 
     /// What it costs to stop an attempt for the job; `None` if that may not be, or is being done already.
-    fn stoppable<'m>(
+    fn victim_candidate<'m>(
         &self,
         attempt: &'m TaskAttempt,
         preemptor: &Preemptor<'_>,
-    ) -> Option<Stoppable<'m>> {
+    ) -> Option<VictimCandidate<'m>> {
         let job = self.jobs().get(&attempt.task.job)?;
         if attempt.stop.is_some() || !self.may_stop(&attempt.task.job, job, preemptor) {
             return None;
         }
-        Some(Stoppable {
+        Some(VictimCandidate {
             attempt,
             cost_s: self.stop_cost_s(attempt, job),
             grace_s: stop_grace_s(job.spec()),
@@ -182,12 +182,12 @@
         } else {
             run_time_s
         };
-        let start_lost_s = if self.now() - attempt.since < RECENT_START {
+        let start_cost_s = if self.now() - attempt.since < RECENT_START {
             RECENT_START_COST_S
         } else {
             0.0
         };
-        (start_lost_s + work_lost_s) * tasks_stopped
+        (start_cost_s + work_lost_s) * tasks_stopped
     }
 
     /// Whether tasks of a job may be stopped for the preemptor: those of lower priority, and to give a team
--- a/src/coordination/placement/image_locality.rs
+++ b/src/coordination/placement/image_locality.rs
@@ -11,9 +11,9 @@
 use crate::time::TimeSpan;
 
 /// A job waits for machines that have its image for this fraction of the time that a pull takes.
-const MAX_WAIT_FRACTION_OF_PULL: f64 = 0.5;
+const MAX_WAIT_FRACTION_OF_FETCH: f64 = 0.5;
 /// All pending tasks of a job that waits should find such machines within the time of so many pulls.
-const MAX_PULLS_UNTIL_PLACED: f64 = 2.0;
+const MAX_FETCH_TIMES_UNTIL_PLACED: f64 = 2.0;
 /// A job that has been ready for longer than this takes any machine rather than one with its image.
 const MAX_READY_TIME_FOR_IMAGE_PREEMPTION: TimeSpan = TimeSpan(30_000);
 /// Stands for no GPUs in divisions.
@@ -39,7 +39,7 @@
     ///
     /// Guards against every image being pulled to every machine while there is too much to do: what
     /// came free was taken at once by the first job in the queue, and half of all starts pulled.
-    pub(super) fn waits_for_image(&self, job_id: &JobId) -> bool {
+    pub(super) fn should_wait_for_image(&self, job_id: &JobId) -> bool {
         let Some(job) = self.view.jobs().get(job_id) else {
             return false;
         };
@@ -47,16 +47,16 @@
         if spec.shape != Shape::Array || job.pending().is_empty() || self.view.is_aged(job) {
             return false;
         }
-        if self.state.is_known_to_fail(&ResourceRequest::of(spec)) {
+        if self.state.is_known_unplaceable(&ResourceRequest::of(spec)) {
             return false;
         }
-        let pull_s = self.view.shortest_image_fetch_s(spec);
-        let max_wait = TimeSpan::from_secs(pull_s * MAX_WAIT_FRACTION_OF_PULL);
+        let fetch_s = self.view.shortest_image_fetch_s(spec);
+        let max_wait = TimeSpan::from_secs(fetch_s * MAX_WAIT_FRACTION_OF_FETCH);
         let has_waited_enough = job
             .image_wait_since()
             .is_some_and(|since| self.view.now() - since > max_wait);
         if has_waited_enough
-            || self.image_machines_free_within_s(job) > pull_s * MAX_PULLS_UNTIL_PLACED
+            || self.image_machine_wait_s(job) > fetch_s * MAX_FETCH_TIMES_UNTIL_PLACED
         {
             return false;
         }
@@ -65,8 +65,11 @@
     }
 
     /// Seconds in which all pending tasks of the job could have had a turn on machines with its image.
-    fn image_machines_free_within_s(&self, job: &Job) -> f64 {
-        let gpus = self.view.machines().gpus_caching(&job.spec().image);
+    fn image_machine_wait_s(&self, job: &Job) -> f64 {
+        let gpus = self
+            .view
+            .machines()
+            .gpus_with_image_cached(&job.spec().image);
         let slots = gpus / job.spec().gpus.max(MIN_GPUS_PER_TASK);
         job.pending().len() as f64 * self.view.estimated_run_time_s(job) / slots.max(MIN_SLOTS)
     }
@@ -81,7 +84,7 @@
         if !self.may_preempt_for_image(job_id) {
             return ImagePreemption::None;
         }
-        if self.state.has_reservation(job_id) && self.view.is_room_being_made_for(job_id) {
+        if self.state.has_reservation(job_id) && self.view.has_eviction_in_progress(job_id) {
             return ImagePreemption::InProgress;
         }
         if self.state.image_preemption_checks >= MAX_JOBS_PER_ROUND {
--- a/src/coordination/placement/mod.rs
+++ b/src/coordination/placement/mod.rs
@@ -93,7 +93,7 @@
             // Jobs that are alike first go where their image is; what is left goes anywhere. With too
             // much to do, a tenth of all machine time went into pulls otherwise.
             for job_id in &round {
-                if !state.is_exhausted() {
+                if !state.has_reached_limit() {
                     self.place_job(now, job_id, ImageLocality::Required, state);
                 }
             }
@@ -118,7 +118,7 @@
     /// Whether a job gives way to those behind it for now, to wait for machines with its image.
     fn defer_for_image(&mut self, now: Instant, job_id: &JobId, state: &mut PassState) -> bool {
         let view = self.placement_view(now);
-        let waits = PlacementPass { view, state }.waits_for_image(job_id);
+        let waits = PlacementPass { view, state }.should_wait_for_image(job_id);
         if waits {
             self.jobs.update(job_id, |job| job.image_wait_began(now));
         }
@@ -132,7 +132,7 @@
         job_id: JobId,
         state: &mut PassState,
     ) -> Option<UnplacedTasks> {
-        if state.is_exhausted() {
+        if state.has_reached_limit() {
             return None;
         }
         let view = self.placement_view(now);
@@ -194,7 +194,7 @@
                 image_wait_s,
             } = placement;
             tracing::debug!(task = %task, machine = %machine, "task placed");
-            self.release_for_use(&machine, job_id);
+            self.mark_in_use(&machine, job_id);
             let key = AttemptKey { task, attempt_id };
             let intent = LaunchIntent::new(&machine, &key);
             let mut attempt = self.new_attempt(&machine, key, now);
@@ -207,7 +207,7 @@
 
     /// A machine is given a task of the job: it is not idle any more, and a reservation for the job has
     /// served its purpose.
-    fn release_for_use(&mut self, machine_id: &MachineId, job_id: &JobId) {
+    fn mark_in_use(&mut self, machine_id: &MachineId, job_id: &JobId) {
         let Some(machine) = self.machines.get_mut(machine_id) else {
             return;
         };
--- a/src/coordination/placement/pacing.rs
+++ b/src/coordination/placement/pacing.rs
@@ -80,7 +80,7 @@
 
     /// A pass has ended. What is left of a job of many tasks has its turn in the next one.
     pub(super) fn finish_pass(&mut self, now: Instant, pass: &PassState) {
-        self.is_due |= pass.is_exhausted();
+        self.is_due |= pass.has_reached_limit();
         // A gang is placed as a whole, even if that is a little more than the rate allows.
         let spent = self.budget.available(now).min(pass.placed_count() as f64);
         // No more is asked for than is available; if rounding refuses it all the same, nothing is charged.
--- a/src/coordination/placement/pass.rs
+++ b/src/coordination/placement/pass.rs
@@ -17,7 +17,7 @@
 use std::collections::BTreeSet;
 
 /// A task of a job that failed on several machines has run for this long: the job can run.
-const MIN_RUN_TIME_OF_WORKING_JOB: TimeSpan = TimeSpan(6_000);
+const MIN_HEALTHY_RUN_TIME: TimeSpan = TimeSpan(6_000);
 
 /// Whether machines without the job's image come into question.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -46,7 +46,7 @@
     /// Jobs for which machines are reserved beyond this pass.
     jobs_with_reservations: BTreeSet<JobId>,
     /// Requests for which there was no room: nothing that is as hard to place has to look again.
-    failed_requests: Vec<ResourceRequest>,
+    unplaceable_requests: Vec<ResourceRequest>,
     placed_count: usize,
     max_placed: usize,
     /// The lowest priority of all jobs that may run.
@@ -68,7 +68,7 @@
             team_usage,
             reserved_machines: BTreeSet::new(),
             jobs_with_reservations: view.jobs_with_reservations(),
-            failed_requests: Vec::new(),
+            unplaceable_requests: Vec::new(),
             placed_count: 0,
             max_placed,
             lowest_priority: view.lowest_priority(),
@@ -82,7 +82,7 @@
     }
 
     /// Whether as many tasks have been placed as one pass may place.
-    pub(super) fn is_exhausted(&self) -> bool {
+    pub(super) fn has_reached_limit(&self) -> bool {
         self.placed_count >= self.max_placed
     }
 
@@ -107,8 +107,8 @@
     }
 
     /// Whether there was no room for a request that is no harder to place.
-    pub(super) fn is_known_to_fail(&self, request: &ResourceRequest) -> bool {
-        self.failed_requests
+    pub(super) fn is_known_unplaceable(&self, request: &ResourceRequest) -> bool {
+        self.unplaceable_requests
             .iter()
             .any(|failed| request.covers(failed))
     }
@@ -156,7 +156,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Startable {
     /// None, whatever room there is.
-    Nothing,
+    None,
     /// None, or not the whole gang, for its team is at its limit.
     BlockedByQuota,
     /// So many.
@@ -177,10 +177,10 @@
             return JobPlan::default();
         };
         let startable = match self.startable(job_id, job, locality) {
-            Startable::Nothing => return JobPlan::default(),
+            Startable::None => return JobPlan::default(),
             Startable::BlockedByQuota => {
                 if locality == ImageLocality::Preferred {
-                    self.keep_quota_free(job);
+                    self.reserve_quota(job);
                 }
                 return JobPlan::default();
             }
@@ -204,16 +204,16 @@
     fn startable(&self, job_id: &JobId, job: &Job, locality: ImageLocality) -> Startable {
         let starts_as_gang = starts_as_gang(job);
         if starts_as_gang && locality == ImageLocality::Required {
-            return Startable::Nothing;
+            return Startable::None;
         }
         if starts_as_gang && !job.placements().is_empty() {
             // A task of the last gang attempt may still be on a machine.
-            return Startable::Nothing;
+            return Startable::None;
         }
         // Guards against old intents that a failover brings back beside new ones in another zone: no zone can be
         // taken for the job's until the others are proven empty.
         if job.is_in_conflicting_zones() {
-            return Startable::Nothing;
+            return Startable::None;
         }
         let headroom = self.view.quota_headroom(job, &self.state.team_usage);
         let mut count = headroom.min(job.pending().len() as u32);
@@ -223,7 +223,7 @@
             // for how it fares.
             count = count.min(u32::from(job.placements().is_empty()));
             if count == 0 {
-                return Startable::Nothing;
+                return Startable::None;
             }
         }
         if count == 0 || (starts_as_gang && count < job.spec().tasks) {
@@ -242,12 +242,12 @@
             .flat_map(Machine::live_attempts)
             .filter(|attempt| attempt.task.job == *job_id)
             .filter_map(|attempt| attempt.running_since)
-            .any(|running_since| now - running_since > MIN_RUN_TIME_OF_WORKING_JOB)
+            .any(|running_since| now - running_since > MIN_HEALTHY_RUN_TIME)
     }
 
     /// Guards against a large job that never finds its team's limit free, because smaller jobs behind it
     /// take every bit that is given back: what it needs is kept free for it.
-    fn keep_quota_free(&mut self, job: &Job) {
+    fn reserve_quota(&mut self, job: &Job) {
         let tasks = if starts_as_gang(job) {
             f64::from(job.spec().tasks)
         } else {
@@ -266,7 +266,7 @@
         locality: ImageLocality,
     ) -> Vec<Placement> {
         let request = ResourceRequest::of(job.spec());
-        if !self.state.has_reservation(job_id) && self.state.is_known_to_fail(&request) {
+        if !self.state.has_reservation(job_id) && self.state.is_known_unplaceable(&request) {
             return Vec::new();
         }
         let is_gang = starts_as_gang(job);
@@ -296,7 +296,7 @@
             && (!is_gang || job.spec().tasks == 1);
         if placements.is_empty() && depends_on_request_alone && locality == ImageLocality::Preferred
         {
-            self.state.failed_requests.push(request);
+            self.state.unplaceable_requests.push(request);
         }
         placements
     }
--- a/src/coordination/placement/preemption.rs
+++ b/src/coordination/placement/preemption.rs
@@ -19,16 +19,16 @@
 
 /// Machines emptied in one round, and one more for each so many that there are: the effect of the
 /// first is seen before the next.
-const MIN_MACHINES_PER_ROUND: usize = 2;
+const MIN_EVICTIONS_PER_ROUND: usize = 2;
 const MACHINES_PER_EXTRA_EVICTION: usize = 100;
 /// Jobs for which ways to make room are looked for in one round.
 pub(super) const MAX_JOBS_PER_ROUND: usize = 24;
 /// A machine emptied for a job is reserved for it this long.
 const RESERVATION_AFTER_EVICTION: TimeSpan = TimeSpan(20_000);
 /// A pull that takes fewer seconds than this is no reason to preempt.
-const MIN_PULL_WORTH_PREEMPTING_S: f64 = 8.0;
+const MIN_FETCH_FOR_PREEMPTION_S: f64 = 8.0;
 /// Victims may take at most this fraction of the pull to stop, if they make way for a job whose image is there.
-const MAX_GRACE_FRACTION_OF_PULL: f64 = 0.5;
+const MAX_GRACE_FRACTION_OF_FETCH: f64 = 0.5;
 
 impl Scheduler {
     /// Makes room for pending jobs that would otherwise start too late.
@@ -40,7 +40,7 @@
         let guaranteed_jobs = view.guaranteed_jobs();
         let lowest_priority = view.lowest_priority();
         let max_evictions =
-            MIN_MACHINES_PER_ROUND + self.machines.len() / MACHINES_PER_EXTRA_EVICTION;
+            MIN_EVICTIONS_PER_ROUND + self.machines.len() / MACHINES_PER_EXTRA_EVICTION;
         let mut eviction_count = 0;
         let mut job_count = 0;
         for tasks in unplaced {
@@ -113,20 +113,20 @@
     fn machines_available_to(&self, preemptor: &Preemptor<'_>) -> u32 {
         let is_available = |machine: &&Machine| match machine.reserved_for(self.now()) {
             Some(holder) => holder == preemptor.id,
-            None => has_room_for(machine, preemptor) && self.is_usable(machine),
+            None => has_room_for(machine, preemptor) && self.is_schedulable(machine),
         };
         self.machines().values().filter(is_available).count() as u32
     }
 
     /// Whether machines with the job's image are being emptied for it.
-    pub(super) fn is_room_being_made_for(&self, job_id: &JobId) -> bool {
+    pub(super) fn has_eviction_in_progress(&self, job_id: &JobId) -> bool {
         let Some(job) = self.jobs().get(job_id) else {
             return false;
         };
         self.machines().values().any(|machine| {
             machine.reserved_for(self.now()) == Some(job_id)
                 && machine.has_image(&job.spec().image)
-                && self.is_usable(machine)
+                && self.is_schedulable(machine)
                 && machine
                     .live_attempts()
                     .any(|attempt| attempt.stop.is_some())
@@ -141,10 +141,10 @@
             return Vec::new();
         };
         let spec = preemptor.job.spec();
-        let pull_s = self.shortest_image_fetch_s(spec);
+        let fetch_s = self.shortest_image_fetch_s(spec);
         // A job that has failed may be mistaken: nothing is stopped for it.
         if !self.is_large_task(spec)
-            || pull_s < MIN_PULL_WORTH_PREEMPTING_S
+            || fetch_s < MIN_FETCH_FOR_PREEMPTION_S
             || !preemptor.job.retry().failed_on().is_empty()
         {
             return Vec::new();
@@ -152,12 +152,12 @@
         let machines_with_image = || {
             self.machines()
                 .values()
-                .filter(|machine| machine.has_image(&spec.image) && self.is_usable(machine))
+                .filter(|machine| machine.has_image(&spec.image) && self.is_schedulable(machine))
         };
         if machines_with_image().any(|machine| has_room_for(machine, &preemptor)) {
             return Vec::new();
         }
-        let max_grace_s = pull_s * MAX_GRACE_FRACTION_OF_PULL;
+        let max_grace_s = fetch_s * MAX_GRACE_FRACTION_OF_FETCH;
         let evictions = machines_with_image()
             .filter_map(|machine| self.eviction(machine, &preemptor))
             .filter(|eviction| {
--- a/src/coordination/placement/reservations.rs
+++ b/src/coordination/placement/reservations.rs
@@ -36,7 +36,7 @@
     }
 
     /// Machines that report and are not full.
-    fn machines_with_room(&self) -> impl Iterator<Item = &'a Machine> {
+    fn machines_with_free_capacity(&self) -> impl Iterator<Item = &'a Machine> {
         let machines = self.machines();
         let ids = machines.index.with_free_capacity.iter();
         ids.filter_map(|id| machines.get(id))
@@ -67,12 +67,14 @@
     /// free fraction that it may use takes nothing more from jobs behind it.
     fn reserve_least_allocated_machine(&mut self, job: &Job) {
         let request = Resources::of(job.spec());
-        let start_check = StartCheck::of_pending_tasks(job);
+        let start_check = StartCheck::for_pending_tasks(job);
         let least_allocated = self
             .view
-            .machines_with_room()
+            .machines_with_free_capacity()
             .filter(|machine| !self.state.is_reserved(&machine.id))
-            .filter(|machine| start_check.check(machine).is_ok() && self.view.is_usable(machine))
+            .filter(|machine| {
+                start_check.check(machine).is_ok() && self.view.is_schedulable(machine)
+            })
             .map(|machine| (machine, self.view.capacity(machine)))
             .filter(|(_, capacity)| request.fits(capacity))
             .map(|(machine, capacity)| (free_fraction(machine.free(), &capacity), &machine.id))
@@ -88,12 +90,12 @@
     fn reserve_free_machines(&mut self, job: &Job) {
         let spec = job.spec();
         let request = Resources::of(spec);
-        let start_check = StartCheck::of_pending_tasks(job);
+        let start_check = StartCheck::for_pending_tasks(job);
         let mut by_zone: BTreeMap<Option<&Zone>, Vec<&MachineId>> = BTreeMap::new();
-        for machine in self.view.machines_with_room() {
+        for machine in self.view.machines_with_free_capacity() {
             if request.fits(machine.free())
                 && start_check.check(machine).is_ok()
-                && self.view.is_usable(machine)
+                && self.view.is_schedulable(machine)
                 && !self.state.is_reserved(&machine.id)
             {
                 let zone = spec.together.then_some(&machine.zone);
--- a/src/coordination/placement/start_check.rs
+++ b/src/coordination/placement/start_check.rs
@@ -32,7 +32,7 @@
 
 impl<'a> StartCheck<'a> {
     /// For tasks that are on no machine: all that may be anywhere are others.
-    pub(crate) fn of_pending_tasks(job: &'a Job) -> StartCheck<'a> {
+    pub(crate) fn for_pending_tasks(job: &'a Job) -> StartCheck<'a> {
         StartCheck {
             spec: job.spec(),
             others: job.tasks_by_zone().clone(),
--- a/src/coordination/placement/view.rs
+++ b/src/coordination/placement/view.rs
@@ -54,7 +54,7 @@
     }
 
     /// Whether a machine may be given new work at all.
-    pub(super) fn is_usable(&self, machine: &Machine) -> bool {
+    pub(super) fn is_schedulable(&self, machine: &Machine) -> bool {
         self.cluster.is_schedulable(machine)
     }
 
--- a/src/coordination/placement/zones.rs
+++ b/src/coordination/placement/zones.rs
@@ -60,7 +60,7 @@
         let request = Resources::of(spec);
         let mut room_by_zone: BTreeMap<Zone, u32> = BTreeMap::new();
         for machine in self.view.machines().with_free_capacity_for(spec) {
-            if self.view.is_usable(machine)
+            if self.view.is_schedulable(machine)
                 && allows_machine(spec, machine)
                 && !self.state.is_reserved(&machine.id)
             {
