--- a/src/coordination/machines/images.rs
+++ b/src/coordination/machines/images.rs
@@ -1,6 +1,6 @@
-//! Where container images are cached, and how long it takes to have one on a machine.
+//! Image locality: which machines have an image cached, and how long an image fetch takes.
 //!
-//! Workers report no caches: what is in them is inferred from what ran where.
+//! Workers don't report their caches: the content is inferred from the tasks that ran on each machine.
 
 use super::image_cache::CachedImage;
 use super::machine::{Machine, MachineState};
@@ -12,7 +12,8 @@
 use std::collections::BTreeMap;
 
 impl MachineTable {
-    /// Seconds that a pull of so many gigabytes takes on a machine of the type; 0 if its rate is not known.
+    /// Seconds that a machine of the type takes to fetch an image of `image_gb` gigabytes; 0 if its fetch rate
+    /// is not known.
     pub(crate) fn image_fetch_s(&self, machine_type: &MachineType, image_gb: f64) -> f64 {
         let gb_per_s = self
             .types
@@ -25,8 +26,8 @@
         }
     }
 
-    /// Seconds that a pull of the job's image takes on the machine type that is quickest at it, of those that
-    /// the job may use; infinite if there is none.
+    /// Seconds that fetching the job's image takes on the fastest machine type that the job allows; infinite if
+    /// there is none.
     pub(crate) fn shortest_image_fetch_s(&self, spec: &JobSpec) -> f64 {
         self.types
             .keys()
@@ -38,31 +39,32 @@
             .fold(f64::INFINITY, f64::min)
     }
 
-    /// Seconds until the job's image would be on the machine: 0 if it is cached, the rest of the pull if one
-    /// is in progress.
+    /// Seconds until the job's image is on the machine: 0 if it is cached, the rest of the fetch if one is in
+    /// progress, else a whole fetch.
     pub(crate) fn image_wait_s(&self, now: Instant, machine: &Machine, spec: &JobSpec) -> f64 {
         if machine.has_image(&spec.image) {
             return 0.0;
         }
         let fetch_s = self.image_fetch_s(&machine.machine_type, spec.image_gb);
-        let pull_began_at = machine
+        let fetch_began_at = machine
             .live_attempts()
             .filter(|attempt| attempt.running_since.is_none())
             .filter(|attempt| attempt.image.as_ref() == Some(&spec.image))
             .map(|attempt| attempt.since)
             .min();
-        match pull_began_at {
+        match fetch_began_at {
             Some(since) => (fetch_s - (now - since).secs()).max(0.0),
             None => fetch_s,
         }
     }
 
-    /// GPUs, free or not, of machines that have the image cached, as of the last recheck.
+    /// The number of GPUs, free or not, on machines that have the image cached, as of the last
+    /// [`MachineTable::recount_cached_images`].
     pub(crate) fn gpus_with_image_cached(&self, image: &Image) -> f64 {
         self.gpus_by_cached_image.get(image).copied().unwrap_or(0.0)
     }
 
-    /// Counts anew, once a second, the GPUs of machines that have each image cached.
+    /// Recounts the GPUs on machines that have each image cached. Called once a second.
     pub(crate) fn recount_cached_images(&mut self) {
         let mut gpus_by_image: BTreeMap<Image, f64> = BTreeMap::new();
         for machine in self.values() {
@@ -82,7 +84,7 @@
 }
 
 impl Scheduler {
-    /// Seconds that a pull of the job's image takes on the machine; 0 if either is not known.
+    /// Seconds that fetching the job's image takes on the machine; 0 if either is not known.
     pub(crate) fn image_fetch_s_on(&self, machine_id: &MachineId, job_id: &JobId) -> f64 {
         match (self.machines.get(machine_id), self.jobs.get(job_id)) {
             (Some(machine), Some(job)) => self
