--- a/src/coordination/placement/mod.rs
+++ b/src/coordination/placement/mod.rs
@@ -1,16 +1,15 @@
-//! Which task goes to which machine: Algorithm 1 of Parrot (Lin et al., "Parrot: Efficient Serving of
+//! Placement of tasks on machines, by Algorithm 1 of Parrot (Lin et al., "Parrot: Efficient Serving of
 //! LLM-based Applications with Semantic Variable", OSDI 2024).
 //!
-//! The queue is walked in topological order; a task group is placed in one round, what does not fit in
-//! later ones; otherwise jobs sharing an image go together, then to machines caching it, then alone. Among
-//! those, machines that run tasks of the same label are preferred. Within one depth of the graph, work
-//! inside its team's guaranteed share comes first, then priority, then the objectives that can still be
-//! met.
+//! The queue is processed in topological order. A task group is placed in one round, and what does not fit
+//! in later ones. Other jobs are placed together with jobs that share their image, then on machines that
+//! have it cached, then alone. Among those, machines that run tasks of the same label are preferred. Within
+//! one depth of the graph, jobs inside their team's guaranteed share come first, then higher priorities,
+//! then jobs that can still meet their objectives.
 //!
 //! Decisions ([`pass`], [`candidates`], [`queue`], [`preemption`]) read a [`view::PlacementView`] and
-//! return plans. Only [`Scheduler::apply_plan`] and [`Scheduler::evict`] carry them out: the one puts
-//! attempts into the ledger, the other asks for attempts to be stopped. Nothing here launches or stops
-//! anything itself.
+//! return plans. Only [`Scheduler::apply_plan`] and [`Scheduler::evict`] carry them out: the first inserts
+//! attempts into the ledger, the second requests stops of attempts. No command is sent from here.
 
 pub(crate) mod candidates;
 mod eviction;
@@ -35,16 +34,16 @@
 use pass::{ImageLocality, JobPlan, PassState, PlacementPass};
 use std::collections::BTreeMap;
 
-/// Tasks of a job that are left to be placed after a pass.
+/// The tasks of a job that a pass could not place for lack of machines.
 #[derive(Debug, Clone)]
 pub struct UnplacedTasks {
     /// The job.
     pub job: JobId,
-    /// How many of its tasks could start, but for want of machines.
+    /// The number of tasks that could start if there were machines for them.
     pub count: u32,
 }
 
-/// A task that is to run on a machine.
+/// The decision to run a task on a machine.
 #[derive(Debug)]
 struct Placement {
     task: TaskId,
@@ -53,11 +52,11 @@
     image_wait_s: f64,
 }
 
-/// Where a job stands in the queue of a pass.
+/// The position of a job in the queue of a pass.
 type QueuePosition = usize;
 
 impl Scheduler {
-    /// One pass: places what fits and says what does not, in the order of the queue.
+    /// Runs one placement pass: places the tasks that fit, and returns the others in the order of the queue.
     pub(crate) fn place(&mut self, now: Instant) -> Vec<UnplacedTasks> {
         if self.machines.types.is_empty() {
             return Vec::new();
@@ -79,7 +78,7 @@
         unplaced
     }
 
-    /// Walks the queue: each round first where its images are, then anywhere.
+    /// Places the jobs of each round in turn, first on machines that have their images, then on any machine.
     fn place_queue(
         &mut self,
         now: Instant,
@@ -90,8 +89,8 @@
         let mut deferred: BTreeMap<QueuePosition, JobId> = BTreeMap::new();
         let mut position: QueuePosition = 0;
         for round in queue {
-            // Jobs that are alike first go where their image is; what is left goes anywhere. With too
-            // much to do, a tenth of all machine time went into pulls otherwise.
+            // Placing tasks on machines with their image first saves fetches: without it, a tenth of all
+            // machine time went into image fetches under overload.
             for job_id in &round {
                 if !state.has_reached_limit() {
                     self.place_job(now, job_id, ImageLocality::Required, state);
@@ -101,31 +100,32 @@
                 position += 1;
                 if self.defer_for_image(now, &job_id, state) {
                     deferred.insert(position, job_id);
-                } else if let Some(rest) = self.place_anywhere(now, job_id, state) {
-                    unplaced.insert(position, rest);
+                } else if let Some(tasks) = self.place_anywhere(now, job_id, state) {
+                    unplaced.insert(position, tasks);
                 }
             }
         }
-        // What nobody with the image at hand has taken.
+        // Deferred jobs get the capacity that no job with a cached image has taken.
         for (position, job_id) in deferred {
-            if let Some(rest) = self.place_anywhere(now, job_id, state) {
-                unplaced.insert(position, rest);
+            if let Some(tasks) = self.place_anywhere(now, job_id, state) {
+                unplaced.insert(position, tasks);
             }
         }
         unplaced.into_values().collect()
     }
 
-    /// Whether a job gives way to those behind it for now, to wait for machines with its image.
+    /// Whether the job is deferred behind later jobs to wait for machines with its image. Records the start of
+    /// the wait.
     fn defer_for_image(&mut self, now: Instant, job_id: &JobId, state: &mut PassState) -> bool {
         let view = self.placement_view(now);
-        let waits = PlacementPass { view, state }.should_wait_for_image(job_id);
-        if waits {
+        let is_deferred = PlacementPass { view, state }.should_wait_for_image(job_id);
+        if is_deferred {
             self.jobs.update(job_id, |job| job.image_wait_began(now));
         }
-        waits
+        is_deferred
     }
 
-    /// Places what it can of one job, on any machines; says what is left.
+    /// Places as many tasks of one job as fit, on any machines. Returns the tasks left for lack of machines.
     fn place_anywhere(
         &mut self,
         now: Instant,
@@ -148,7 +148,8 @@
         (count > 0).then_some(UnplacedTasks { job: job_id, count })
     }
 
-    /// Places what it can of one job; says how many more tasks could start but for want of machines.
+    /// Places as many tasks of one job as fit. Returns how many more could start if there were machines for
+    /// them.
     fn place_job(
         &mut self,
         now: Instant,
@@ -165,8 +166,8 @@
         unplaced_count
     }
 
-    /// Carries out what a pass decided about one job: its tasks are in the ledger from here on, and their
-    /// launch intents wait to be written.
+    /// Applies the plan for one job: inserts its task attempts into the ledger, and queues their launch intents
+    /// to be written.
     fn apply_plan(
         &mut self,
         now: Instant,
@@ -178,7 +179,7 @@
         let updated = self.jobs.update(job_id, |job| {
             job.gang_attempt_started();
             if locality == ImageLocality::Required {
-                // The machines that it waits for do come free.
+                // Machines with its image do become free: the limit of its wait starts over.
                 job.image_wait_ended();
             }
             job.needs_gang_scheduling()
@@ -205,8 +206,8 @@
         }
     }
 
-    /// A machine is given a task of the job: it is not idle any more, and a reservation for the job has
-    /// served its purpose.
+    /// Marks the machine as no longer idle, and ends its reservation for the job, when a task of the job is
+    /// placed on it.
     fn mark_in_use(&mut self, machine_id: &MachineId, job_id: &JobId) {
         let Some(machine) = self.machines.get_mut(machine_id) else {
             return;
--- a/src/coordination/placement/request.rs
+++ b/src/coordination/placement/request.rs
@@ -1,11 +1,12 @@
-//! What a task asks of the machine that it runs on.
+//! What a task requires of the machine that it runs on.
 
 use crate::coordination::machines::machine::Machine;
 use crate::ids::{MachineType, Zone};
 use crate::protocol::users::JobSpec;
 use crate::resources::Resources;
 
-/// What a task asks of a machine, as far as the machine's kind and its free capacity go.
+/// The requirements of a task on a machine's free capacity, machine type and zone, with the class and spot flag
+/// of its job.
 #[derive(Clone, Debug)]
 pub(crate) struct ResourceRequest {
     resources: Resources,
@@ -16,7 +17,7 @@
 }
 
 impl ResourceRequest {
-    /// What each task of a job asks for.
+    /// The request of each task of a job.
     pub(crate) fn of(spec: &JobSpec) -> ResourceRequest {
         ResourceRequest {
             resources: Resources::of(spec),
@@ -37,7 +38,7 @@
     }
 }
 
-/// Whether the job's own constraints (spot instances, zone, machine types) allow a machine of this kind.
+/// Whether the job's own constraints (spot instances, zone, machine types) allow the machine.
 pub(crate) fn allows_machine(spec: &JobSpec, machine: &Machine) -> bool {
     allows_machine_kind(spec, &machine.machine_type, &machine.zone, machine.spot)
 }
