--- a/src/coordination/placement/pass.rs
+++ b/src/coordination/placement/pass.rs
@@ -1,6 +1,6 @@
-//! One placement pass: what it keeps while the queue is walked, and the decision about one job.
+//! One placement pass: its state while the queue is processed, and the decision about one job.
 //!
-//! A decision returns a [`JobPlan`]; the scheduler applies it before the next job is looked at, so that
+//! A decision returns a [`JobPlan`]; the scheduler applies it before the next job is considered, so that
 //! each decision sees the effect of the earlier ones of the same pass.
 
 use super::request::ResourceRequest;
@@ -16,47 +16,48 @@
 use crate::time::TimeSpan;
 use std::collections::BTreeSet;
 
-/// A task of a job that failed on several machines has run for this long: the job can run.
+/// Once a task has run for this long, a job that failed on several machines is considered able to run.
 const MIN_HEALTHY_RUN_TIME: TimeSpan = TimeSpan(6_000);
 
-/// Whether machines without the job's image come into question.
+/// Whether tasks may be placed on machines that don't have the job's image cached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ImageLocality {
     /// Only machines that have the image cached.
     Required,
-    /// Any machine; those with the image, or where it is being pulled, are preferred.
+    /// Any machine; machines that have the image or are fetching it are preferred.
     Preferred,
 }
 
 impl ImageLocality {
-    /// Whether the machine comes into question for the image.
+    /// Whether a task with the image may be placed on the machine.
     pub(super) fn is_met_by(self, machine: &Machine, image: &Image) -> bool {
         self == ImageLocality::Preferred || machine.has_image(image)
     }
 }
 
-/// What a pass keeps from one decision to the next.
+/// The state that a pass carries from one decision to the next.
 pub(super) struct PassState {
-    /// The attempt id of everything that is placed in this pass.
+    /// The attempt id of all tasks placed in this pass.
     pub(super) attempt_id: AttemptId,
-    /// What teams use, with what is kept free for jobs that their team's limit holds up.
+    /// The resources used by each team, including quota reserved for jobs that are blocked by their team's
+    /// limit.
     pub(super) team_usage: TeamUsage,
-    /// Machines reserved in this pass for jobs ahead in the queue.
+    /// Machines reserved for the rest of this pass for jobs earlier in the queue.
     reserved_machines: BTreeSet<MachineId>,
     /// Jobs for which machines are reserved beyond this pass.
     jobs_with_reservations: BTreeSet<JobId>,
-    /// Requests for which there was no room: nothing that is as hard to place has to look again.
+    /// Requests that fit on no machine: requests that are at least as hard to place are not tried again.
     unplaceable_requests: Vec<ResourceRequest>,
     placed_count: usize,
     max_placed: usize,
-    /// The lowest priority of all jobs that may run.
+    /// The lowest effective priority among the released jobs.
     lowest_priority: Option<Priority>,
-    /// Jobs for which it was looked whether tasks can be preempted on machines with their image.
+    /// The number of jobs for which preemption on machines with their image was considered.
     pub(super) image_preemption_checks: usize,
 }
 
 impl PassState {
-    /// The state in which a pass begins that places at most so many tasks.
+    /// The initial state of a pass that places at most `max_placed` tasks.
     pub(super) fn new(
         view: &PlacementView<'_>,
         team_usage: TeamUsage,
@@ -76,27 +77,27 @@
         }
     }
 
-    /// How many tasks have been placed.
+    /// The number of tasks placed so far.
     pub(super) fn placed_count(&self) -> usize {
         self.placed_count
     }
 
-    /// Whether as many tasks have been placed as one pass may place.
+    /// Whether the pass has placed as many tasks as it may.
     pub(super) fn has_reached_limit(&self) -> bool {
         self.placed_count >= self.max_placed
     }
 
-    /// How many more tasks may be placed.
+    /// How many more tasks the pass may place.
     fn remaining(&self) -> u32 {
         (self.max_placed - self.placed_count) as u32
     }
 
-    /// Whether the machine is reserved in this pass for a job ahead in the queue.
+    /// Whether the machine is reserved in this pass for a job earlier in the queue.
     pub(super) fn is_reserved(&self, machine_id: &MachineId) -> bool {
         self.reserved_machines.contains(machine_id)
     }
 
-    /// Reserves a machine: jobs behind in the queue get nothing on it in this pass.
+    /// Reserves a machine for the rest of the pass: no job later in the queue is placed on it.
     pub(super) fn reserve(&mut self, machine_id: &MachineId) {
         self.reserved_machines.insert(machine_id.clone());
     }
@@ -106,25 +107,25 @@
         self.jobs_with_reservations.contains(job_id)
     }
 
-    /// Whether there was no room for a request that is no harder to place.
+    /// Whether a request that is no harder to place fitted on no machine in this pass.
     pub(super) fn is_known_unplaceable(&self, request: &ResourceRequest) -> bool {
         self.unplaceable_requests
             .iter()
             .any(|failed| request.covers(failed))
     }
 
-    /// Whether the priority is above that of some other job that may run.
+    /// Whether the priority is above the lowest one among the released jobs.
     pub(super) fn is_above_lowest(&self, priority: Priority) -> bool {
         self.lowest_priority.is_some_and(|lowest| lowest < priority)
     }
 
-    /// Counts so many tasks of a job towards its team's usage.
+    /// Adds `tasks` tasks of a job to its team's usage.
     fn charge_team(&mut self, job: &Job, tasks: f64) {
         let request = Resources::of(job.spec()).times(tasks);
         self.team_usage.charge(job.team(), &request);
     }
 
-    /// Counts the placements of one job.
+    /// Adds the placements of one job to the placed tasks and its team's usage.
     fn record_placements(&mut self, job: &Job, placements: &[Placement]) {
         self.placed_count += placements.len();
         for _ in placements {
@@ -133,13 +134,13 @@
     }
 }
 
-/// What a pass decided about one job.
+/// The decision of a pass about one job.
 #[derive(Debug, Default)]
 #[must_use = "a plan has no effect until it is applied"]
 pub(super) struct JobPlan {
-    /// Where its tasks are to run.
+    /// The tasks placed, each with its machine.
     pub(super) placements: Vec<Placement>,
-    /// How many more of its tasks could start, but for want of machines.
+    /// How many more tasks of the job could start if there were machines for them.
     pub(super) unplaced_count: u32,
 }
 
@@ -152,26 +153,26 @@
     }
 }
 
-/// How many tasks of a job may start, as far as the job itself and its team's limit go.
+/// How many tasks of a job may start by the state of the job and its team's limit, whatever machines are free.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Startable {
-    /// None, whatever room there is.
+    /// None, because of the state of the job.
     None,
-    /// None, or not the whole gang, for its team is at its limit.
+    /// None, or only a part of a gang, because of the team's limit.
     BlockedByQuota,
-    /// So many.
+    /// This many.
     Tasks(u32),
 }
 
-/// One placement pass at one moment: the cluster as it is, and what the pass keeps.
+/// One placement pass at one moment: the view of the cluster, and the state of the pass.
 pub(super) struct PlacementPass<'a> {
     pub(super) view: PlacementView<'a>,
     pub(super) state: &'a mut PassState,
 }
 
 impl PlacementPass<'_> {
-    /// Decides where the tasks of one job are to run. If none can be placed, what the job needs may be
-    /// kept free for it for the rest of the pass.
+    /// Decides where the tasks of one job run. If none can be placed, quota or machines may be reserved for the
+    /// job for the rest of the pass.
     pub(super) fn plan_job(&mut self, job_id: &JobId, locality: ImageLocality) -> JobPlan {
         let Some(job) = self.view.jobs().get(job_id) else {
             return JobPlan::default();
@@ -200,7 +201,7 @@
         }
     }
 
-    /// How many of the job's tasks may start.
+    /// Returns how many tasks of the job may start.
     fn startable(&self, job_id: &JobId, job: &Job, locality: ImageLocality) -> Startable {
         let starts_as_gang = starts_as_gang(job);
         if starts_as_gang && locality == ImageLocality::Required {
@@ -210,17 +211,16 @@
             // A task of the last gang attempt may still be on a machine.
             return Startable::None;
         }
-        // Guards against old intents that a failover brings back beside new ones in another zone: no zone can be
-        // taken for the job's until the others are proven empty.
+        // After a failover, recovered launch intents and new ones can name different zones. The zone of the job
+        // is not known until all but one of them are proven empty.
         if job.is_in_conflicting_zones() {
             return Startable::None;
         }
         let headroom = self.view.quota_headroom(job, &self.state.team_usage);
         let mut count = headroom.min(job.pending().len() as u32);
         if !starts_as_gang && job.fails_everywhere() && !self.has_run_long_enough(job_id, job) {
-            // Guards against a job submitted with a mistake whose tasks all start and fail again and
-            // again, with a write for each and machines rented for all: one task tries, the rest wait
-            // for how it fares.
+            // All tasks of a faulty job would start and fail over and over, with a write for each and
+            // machines rented for all. Only one task is tried until it has run for long enough.
             count = count.min(u32::from(job.placements().is_empty()));
             if count == 0 {
                 return Startable::None;
@@ -232,7 +232,7 @@
         Startable::Tasks(count)
     }
 
-    /// Whether a task of the job has run for long enough to say that the job can run.
+    /// Whether a task of the job has run for long enough to show that the job can run.
     fn has_run_long_enough(&self, job_id: &JobId, job: &Job) -> bool {
         let now = self.view.now();
         job.placements()
@@ -245,8 +245,8 @@
             .any(|running_since| now - running_since > MIN_HEALTHY_RUN_TIME)
     }
 
-    /// Guards against a large job that never finds its team's limit free, because smaller jobs behind it
-    /// take every bit that is given back: what it needs is kept free for it.
+    /// Reserves the team's quota that the job needs for the rest of the pass. Otherwise smaller jobs later in
+    /// the queue would take all quota that is released, and a large job would starve.
     fn reserve_quota(&mut self, job: &Job) {
         let tasks = if starts_as_gang(job) {
             f64::from(job.spec().tasks)
@@ -256,8 +256,7 @@
         self.state.charge_team(job, tasks);
     }
 
-    /// Chooses machines for a job of which so many tasks may start: for all of them if it is a gang, or
-    /// for none.
+    /// Chooses machines for up to `startable` tasks of the job; for a gang, for all of them or none.
     fn choose_placements(
         &mut self,
         job_id: &JobId,
@@ -301,7 +300,7 @@
         placements
     }
 
-    /// Whether a machine can be found for the first pending task of the job.
+    /// Whether the first pending task of the job fits on a machine now.
     pub(super) fn has_room_for_one(&self, job_id: &JobId, job: &Job) -> bool {
         let first: Vec<u32> = job.pending().iter().take(1).copied().collect();
         let zones = ZoneChoice::Any;
@@ -311,8 +310,8 @@
     }
 }
 
-/// Whether the job's tasks start together or not at all. Once one task of a gang is done all are, and the
-/// rest only have to say so one by one.
+/// Whether the job's tasks start together or not at all. A gang completes as a whole: once one of its tasks has
+/// completed, the others only have to report their completion, and start one by one.
 fn starts_as_gang(job: &Job) -> bool {
     job.spec().shape == Shape::Gang && job.completed().count() == 0
 }
