--- a/src/coordination/placement/candidates.rs
+++ b/src/coordination/placement/candidates.rs
@@ -1,7 +1,8 @@
-//! Which machines take the tasks of a job, among those that may: the cheapest first, with every preference
-//! expressed in seconds of waiting (the paper's `FindEngine`, whose details it leaves open).
+//! Selection of machines for the tasks of a job: of the machines allowed, the one with the lowest cost comes
+//! first. Costs express every preference in seconds of waiting (the paper's `FindEngine`, whose details it
+//! leaves open).
 //!
-//! Chooses only: nothing is changed here, and no quota is looked at.
+//! Nothing is changed here, and quotas are not checked.
 
 use super::pass::{ImageLocality, PlacementPass};
 use super::start_check::StartCheck;
@@ -16,24 +17,25 @@
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 
-/// Cost of a machine that runs tasks of another label.
+/// The cost of a machine that runs tasks of another label.
 const LABEL_MISMATCH_COST_S: f64 = 1.0;
-/// Cost of an on-demand machine for a job that may use spot instances: it keeps on-demand machines free
-/// for jobs that may not.
+/// The cost of an on-demand machine for a job that may use spot instances: keeps on-demand machines free for
+/// jobs that may not.
 const ON_DEMAND_COST_S: f64 = 2.0;
-/// Cost of a wholly empty machine as against a full one: packs tasks, so that whole machines stay free.
+/// The cost of an empty machine compared to a full one: packs tasks, so that whole machines stay free.
 const EMPTY_MACHINE_COST_S: f64 = 3.0;
-/// Machines on which a job has failed are avoided up to this many; past it, it is the job that is bad.
+/// A job avoids the machines on which it failed if there are at most this many. Beyond that, the job itself is
+/// considered faulty.
 const MAX_AVOIDED_MACHINES: usize = 3;
 
-/// What speaks against a machine for a task, in seconds of waiting. None of it changes as tasks are added.
+/// The costs of a machine that don't change as tasks are added to it, in seconds of waiting.
 #[derive(Clone, Copy, Debug)]
 struct FixedCosts {
-    /// Until the image is there.
+    /// Time until the image is on the machine.
     image_wait_s: f64,
-    /// For taking an on-demand machine where a spot instance would do.
+    /// Cost of using an on-demand machine where a spot instance is allowed.
     on_demand_s: f64,
-    /// For running beside tasks of another label.
+    /// Cost of running beside tasks of another label.
     label_mismatch_s: f64,
 }
 
@@ -43,8 +45,8 @@
     }
 }
 
-/// A machine that may take a task, as far as the tasks chosen so far leave it room. The cheapest is the
-/// greatest, so that a heap yields it first; of equals, the one with the lowest id.
+/// A machine that a task may be placed on, with its free capacity after the tasks chosen so far. The cheapest
+/// candidate is the greatest, so that a max-heap yields it first; among equals, the one with the lowest id.
 struct Candidate<'a> {
     machine_id: &'a MachineId,
     zone: &'a Zone,
@@ -61,7 +63,7 @@
         self.cost_s = self.fixed_costs.total_s() + packing_cost_s;
     }
 
-    /// Takes one more task.
+    /// Assigns one more task to the machine.
     fn assign_task(&mut self, request: &Resources) {
         self.free.sub(request);
         self.attempt_count += 1;
@@ -93,14 +95,14 @@
     }
 }
 
-/// The fraction of a machine that is free: of its GPUs or of its CPUs, whichever is larger.
+/// The larger of the fractions of a machine's GPUs and CPUs that are free.
 pub(crate) fn free_fraction(free: &Resources, capacity: &Resources) -> f64 {
     let fraction = |free: f64, capacity: f64| if capacity > 0.0 { free / capacity } else { 0.0 };
     fraction(free.gpus, capacity.gpus).max(fraction(free.cpus, capacity.cpus))
 }
 
 impl PlacementPass<'_> {
-    /// Chooses machines for as many of the tasks as fit, in the order given.
+    /// Chooses a machine for each task, in the order given, until one doesn't fit.
     pub(super) fn choose_machines(
         &self,
         job_id: &JobId,
@@ -134,7 +136,7 @@
         placements
     }
 
-    /// The machines that may take a task of the job now.
+    /// Returns the machines that a task of the job may be placed on now.
     fn candidates(
         &self,
         job_id: &JobId,
@@ -196,8 +198,9 @@
     }
 }
 
-/// Takes the cheapest candidate in whose zone one more task of the job may start; the others are dropped, for
-/// each task chosen leaves fewer zones open.
+/// Removes and returns the cheapest candidate in whose zone one more task of the job may start. Cheaper ones
+/// are dropped: a zone that is not allowed now stays so, since each task chosen only restricts the zones
+/// further.
 fn pop_allowed<'a>(
     candidates: &mut BinaryHeap<Candidate<'a>>,
     start_check: &StartCheck<'_>,
