--- a/src/coordination/placement/queue.rs
+++ b/src/coordination/placement/queue.rs
@@ -13,26 +13,26 @@
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
 
-/// Jobs that are placed in one round: first all of them on machines that have their images, then what is left
-/// of each on any machine.
+/// Jobs that are placed in one round: first all of them on machines that have their images, then the remaining
+/// tasks of each on any machine.
 pub(super) type Round = Vec<JobId>;
 
-/// Whether a job goes ahead of all others because it has waited for too long.
+/// Whether a job goes ahead of all others because of aging.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum AgingRank {
-    /// Guards against a job that never begins, whatever ranks it low: oldest first.
+    /// Prevents starvation of jobs that all other criteria rank low; the oldest job goes first.
     Aged {
-        ready: Instant,
+        ready_at: Instant,
     },
     NotAged,
 }
 
-/// What tells one round of jobs from the next. The fields are in the order of precedence, and the least key
-/// goes first.
+/// The sort key of a round: jobs with the same key are placed in one round. The fields are in the order of
+/// precedence, and the lowest key goes first.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct RoundKey {
     aging: AgingRank,
-    /// The job's place in topological order.
+    /// The job's depth in the dependency graph, which gives the topological order.
     depth: u32,
     is_outside_guarantee: bool,
     priority: Reverse<Priority>,
@@ -41,17 +41,17 @@
     is_small_task: bool,
 }
 
-/// Where a job stands in the queue: by round, then the least work first, then the oldest.
+/// The sort key of a job: by round, then by least pending work, then by age.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct QueueKey<'a> {
     round: RoundKey,
     pending_work: TimeSpan,
-    ready: Instant,
+    ready_at: Instant,
     job_id: &'a JobId,
 }
 
 impl<'a> PlacementView<'a> {
-    /// The pending jobs in the order in which they are placed.
+    /// Returns the pending jobs in the order in which they are placed.
     pub(super) fn queue(&self) -> Vec<Round> {
         if !self.jobs().has_pending() {
             return Vec::new();
@@ -70,7 +70,7 @@
     fn queue_key(&self, id: &'a JobId, job: &Job, guaranteed: &BTreeSet<JobId>) -> QueueKey<'a> {
         let aging = if self.is_aged(job) {
             AgingRank::Aged {
-                ready: job.ready_at(),
+                ready_at: job.ready_at(),
             }
         } else {
             AgingRank::NotAged
@@ -87,14 +87,14 @@
                 is_small_task: !self.is_large_task(job.spec()),
             },
             pending_work: TimeSpan::from_secs(self.pending_work_s(job)),
-            ready: job.ready_at(),
+            ready_at: job.ready_at(),
             job_id: id,
         }
     }
 
-    /// Divides the sorted queue into rounds. A task group goes in one round: its members follow its first
-    /// one at once. Jobs that only their work and age tell apart are a round of their own, in which those
-    /// that share an image are placed together.
+    /// Divides the sorted queue into rounds. Jobs that differ only in pending work and age form one round, in
+    /// which jobs that share an image are placed together. All members of a task group join the round of its
+    /// first member.
     fn rounds(&self, queue: &[QueueKey<'_>]) -> Vec<Round> {
         let queued: BTreeSet<&JobId> = queue.iter().map(|key| key.job_id).collect();
         let mut assigned = BTreeSet::new();
@@ -114,7 +114,8 @@
         rounds
     }
 
-    /// Jobs that fit into their team's guaranteed share together with the team's earlier unfinished ones.
+    /// Returns the jobs that are inside their team's guaranteed share: the remaining requests of the team's
+    /// jobs up to and including this one, in the order in which they became ready, fit into it.
     pub(super) fn guaranteed_jobs(&self) -> BTreeSet<JobId> {
         let mut guaranteed = BTreeSet::new();
         for index in (0..self.jobs().team_count()).map(TeamIndex) {
@@ -137,9 +138,8 @@
         guaranteed
     }
 
-    /// How many of its service-level objectives the job can't meet any more: one that can still meet its
-    /// first goes ahead, and a job past all of them goes last. Otherwise, when there is too much to do,
-    /// jobs already late would make every other late as well.
+    /// The number of service-level objectives that the job can no longer meet: jobs that can meet all of theirs
+    /// go first. Otherwise, under overload, jobs that are late already would make all others late as well.
     fn missed_objectives(&self, id: &JobId, job: &Job) -> u8 {
         let class = &job.spec().class;
         let after_ready = |seconds: f64| job.ready_at() + TimeSpan::from_secs(seconds);
@@ -166,8 +166,9 @@
         missed.count() as u8
     }
 
-    /// The deadline that a job has, of its own or for its downstream jobs, and the multiples of the time
-    /// that it allows itself which its class's objectives name.
+    /// The times by which the job should be completed. The time from its submission to its deadline (its own,
+    /// or one derived from its downstream jobs) is multiplied by each factor that the deadline objectives of
+    /// its class name. The factor is 1 if there is none, or if the job has no deadline of its own.
     fn deadline_objectives(&self, job: &Job, deadline: Instant) -> impl Iterator<Item = Instant> {
         let submitted = job.submitted_at();
         let mut multiples = Vec::new();
