--- a/src/coordination/placement/eviction.rs
+++ b/src/coordination/placement/eviction.rs
@@ -1,7 +1,7 @@
-//! Which tasks would have to be stopped to make room for a job on one machine, and what that costs.
+//! Selection of the tasks to stop on one machine to make room for a job, and the cost of stopping them.
 //!
-//! The cost of an eviction is in seconds: the work that is lost of each task stopped, counted for every
-//! member of a gang (all of them stop with one), and the wait for the image of the job that room is made for.
+//! The cost of an eviction is in seconds: the work lost by each task stopped, multiplied by the number of tasks
+//! if it is a gang (all members stop with one), and the wait of the preempting job for its image.
 
 use super::start_check::StartCheck;
 use super::view::PlacementView;
@@ -14,47 +14,47 @@
 use crate::time::TimeSpan;
 use std::collections::BTreeSet;
 
-/// What stopping a task costs beyond the work lost, if it has only just started: its start was in vain then.
+/// The additional cost of stopping a task that started recently, because its start is wasted.
 const RECENT_START_COST_S: f64 = 20.0;
-/// For this long a start is recent.
+/// A start counts as recent for this long.
 const RECENT_START: TimeSpan = TimeSpan(30_000);
-/// A task may take this much longer than its job says to write its checkpoint.
+/// The time that a task gets to write a checkpoint beyond the one that its job states, in seconds.
 const CHECKPOINT_GRACE_MARGIN_S: f64 = 2.0;
 
 /// A task attempt to be stopped.
 #[derive(Debug)]
 pub(super) struct Victim {
-    /// Which attempt of which task.
+    /// The attempt.
     pub(super) attempt: AttemptKey,
-    /// Seconds that it gets to write a checkpoint.
+    /// The time that the task gets to write a checkpoint, in seconds.
     pub(super) grace_s: f64,
 }
 
-/// The task attempts to be stopped on one machine to make room, and what that costs.
+/// The task attempts to be stopped on one machine to make room for a job, and their cost.
 #[derive(Debug)]
 pub(super) struct Eviction {
     /// The machine.
     pub(super) machine_id: MachineId,
-    /// The attempts to be stopped on it; at least one.
+    /// The attempts to be stopped on the machine; at least one.
     pub(super) victims: Vec<Victim>,
-    /// Seconds of work lost, and of waiting for the image.
+    /// The work lost and the wait for the image, in seconds.
     pub(super) cost_s: f64,
 }
 
-/// The job that room is to be made for.
+/// The job that other tasks are stopped for.
 pub(super) struct Preemptor<'a> {
     pub(super) id: &'a JobId,
     pub(super) job: &'a Job,
-    /// Where one more of its tasks may start.
+    /// The check of where one more task of the job may start.
     pub(super) start_check: StartCheck<'a>,
     priority: Priority,
-    /// Jobs inside their team's guaranteed share, which are stopped for higher priority only. None of them
-    /// is known if only tasks of lower priority may go.
+    /// Jobs inside their team's guaranteed share, which are stopped for jobs of higher priority only. Empty if
+    /// only tasks of lower priority may be stopped.
     guaranteed_jobs: &'a BTreeSet<JobId>,
 }
 
 impl<'a> Preemptor<'a> {
-    /// The job with that id, if it is held.
+    /// Returns the job with that id as a preemptor, if the job is known.
     pub(super) fn new(
         view: &PlacementView<'a>,
         id: &'a JobId,
@@ -70,8 +70,8 @@
         })
     }
 
-    /// Whether anything may be stopped for the job at all: it is above the lowest priority of all jobs, or
-    /// inside its team's guaranteed share.
+    /// Whether any tasks may be stopped for the job: its priority is above the lowest one of the released jobs,
+    /// or the job is inside its team's guaranteed share.
     pub(super) fn may_preempt(&self, lowest_priority: Option<Priority>) -> bool {
         Some(self.priority) > lowest_priority || self.guaranteed_jobs.contains(self.id)
     }
@@ -84,9 +84,9 @@
     grace_s: f64,
 }
 
-/// The cheapest evictions that make as much room as is wanted; empty if there are not enough.
-pub(super) fn cheapest(mut evictions: Vec<Eviction>, wanted: usize) -> Vec<Eviction> {
-    if evictions.len() < wanted {
+/// Returns the `count` cheapest evictions; none if there are fewer.
+pub(super) fn cheapest(mut evictions: Vec<Eviction>, count: usize) -> Vec<Eviction> {
+    if evictions.len() < count {
         return Vec::new();
     }
     evictions.sort_by(|left, right| {
@@ -94,13 +94,13 @@
             .total_cmp(&right.cost_s)
             .then_with(|| left.machine_id.cmp(&right.machine_id))
     });
-    evictions.truncate(wanted);
+    evictions.truncate(count);
     evictions
 }
 
 impl PlacementView<'_> {
-    /// The cheapest tasks to stop on a machine so that one task of the job fits there; `None` if the job may
-    /// not use the machine, if it has room already, or if there is not enough that may be stopped.
+    /// Returns the cheapest tasks to stop on a machine so that one task of the job fits. `None` if the job may
+    /// not use the machine, if the task fits already, or if too few tasks may be stopped.
     pub(super) fn eviction(
         &self,
         machine: &Machine,
@@ -137,9 +137,10 @@
         })
     }
 
-    /// Whether one more task of the job could start on the machine if it were empty.
+    /// Whether one more task of the job could start on the machine if the machine were empty.
     ///
-    /// Guards against tasks stopped in vain, again and again, in a zone in which the job may not start.
+    /// The start check prevents tasks from being stopped over and over in a zone in which the job may not
+    /// start.
     fn may_evict_from(&self, machine: &Machine, preemptor: &Preemptor<'_>) -> bool {
         let spec = preemptor.job.spec();
         self.is_schedulable(machine)
@@ -149,7 +150,8 @@
             && machine.reserved_for(self.now()).is_none()
     }
 
-    /// What it costs to stop an attempt for the job; `None` if that may not be, or is being done already.
+    /// Returns the attempt with the cost of stopping it for the job; `None` if it may not be stopped or is
+    /// being stopped already.
     fn victim_candidate<'m>(
         &self,
         attempt: &'m TaskAttempt,
@@ -166,8 +168,8 @@
         })
     }
 
-    /// Seconds of work lost if an attempt is stopped: all that it has run since its start, or what it takes
-    /// to write a checkpoint, for each task that stops with it.
+    /// The work lost if an attempt is stopped, in seconds: its run time or, if it writes checkpoints, the time
+    /// to write one, for each task that stops with it. A recent start adds [`RECENT_START_COST_S`].
     fn stop_cost_s(&self, attempt: &TaskAttempt, job: &Job) -> f64 {
         let tasks_stopped = if job.needs_gang_scheduling() {
             f64::from(job.spec().tasks)
@@ -190,18 +192,18 @@
         (start_cost_s + work_lost_s) * tasks_stopped
     }
 
-    /// Whether tasks of a job may be stopped for the preemptor: those of lower priority, and to give a team
-    /// its guaranteed share those of a team that runs beyond its own.
+    /// Whether tasks of a job may be stopped for the preemptor: if the job has a lower priority, or if the
+    /// preemptor is inside its team's guaranteed share and the job's team uses more than its own.
     fn may_stop(&self, job_id: &JobId, job: &Job, preemptor: &Preemptor<'_>) -> bool {
         let priority = self.effective_priority(job_id, job.spec());
         if priority < preemptor.priority {
             return true;
         }
-        // Within a class the one would only be served at the other's cost: on a recorded day a gang
-        // was stopped 16 s after its start for another of its own kind. Nor is what is more urgent
-        // stopped, though the protocol allows it: on a calm day of the fleet a hundred tasks of
-        // urgent gangs were stopped for single tasks, some gangs five times, while what ends by
-        // itself every second had room for thousands.
+        // Jobs of the same class are not stopped, since one would only gain what the other loses: a gang
+        // was stopped 16 s after its start for another gang of its class. Jobs of higher priority are not
+        // stopped either, though the protocol allows it: a hundred tasks of urgent gangs were stopped for
+        // single tasks, some gangs five times, although tasks that ended by themselves freed capacity for
+        // thousands every second.
         preemptor.guaranteed_jobs.contains(preemptor.id)
             && priority <= preemptor.priority
             && job.spec().class != preemptor.job.spec().class
@@ -220,7 +222,7 @@
     }
 }
 
-/// Seconds that a task gets to write a checkpoint when it is stopped; 0 if it writes none.
+/// The time that a task gets to write a checkpoint when it is stopped, in seconds; 0 if it writes none.
 fn stop_grace_s(spec: &JobSpec) -> f64 {
     if writes_checkpoints(spec) {
         spec.save_s + CHECKPOINT_GRACE_MARGIN_S
--- a/src/coordination/placement/preemption.rs
+++ b/src/coordination/placement/preemption.rs
@@ -1,7 +1,7 @@
-//! Preemption: stopping tasks to make room, as far as the protocol allows it, for a job of higher priority or
-//! to give a team its guaranteed share at the cost of tasks that another team runs beyond its own.
+//! Preemption, as far as the protocol allows it: stops tasks in favor of a job of higher priority, or tasks
+//! that a team runs beyond its guaranteed share in favor of another team's guaranteed share.
 //!
-//! Decisions return [`Eviction`]s; [`Scheduler::evict`] alone carries them out.
+//! Decisions return [`Eviction`]s; only [`Scheduler::evict`] carries them out.
 
 use super::eviction::{cheapest, Preemptor};
 use super::view::PlacementView;
@@ -17,21 +17,22 @@
 
 pub(super) use super::eviction::Eviction;
 
-/// Machines emptied in one round, and one more for each so many that there are: the effect of the
-/// first is seen before the next.
+/// The number of evictions in one round: this many, and one more for every `MACHINES_PER_EXTRA_EVICTION`
+/// machines in the cluster. The limit lets the effect of the first evictions be seen before the next.
 const MIN_EVICTIONS_PER_ROUND: usize = 2;
 const MACHINES_PER_EXTRA_EVICTION: usize = 100;
-/// Jobs for which ways to make room are looked for in one round.
+/// The number of jobs for which evictions are searched in one round.
 pub(super) const MAX_JOBS_PER_ROUND: usize = 24;
-/// A machine emptied for a job is reserved for it this long.
+/// How long a machine is reserved for a job after tasks were evicted for it.
 const RESERVATION_AFTER_EVICTION: TimeSpan = TimeSpan(20_000);
-/// A pull that takes fewer seconds than this is no reason to preempt.
+/// No tasks are evicted to avoid an image fetch that takes fewer seconds than this.
 const MIN_FETCH_FOR_PREEMPTION_S: f64 = 8.0;
-/// Victims may take at most this fraction of the pull to stop, if they make way for a job whose image is there.
+/// If tasks are evicted to avoid an image fetch, their grace periods have to be shorter than this fraction of
+/// it.
 const MAX_GRACE_FRACTION_OF_FETCH: f64 = 0.5;
 
 impl Scheduler {
-    /// Makes room for pending jobs that would otherwise start too late.
+    /// Evicts tasks for pending jobs that would otherwise start too late.
     pub(crate) fn preempt(&mut self, now: Instant, unplaced: &[UnplacedTasks]) {
         if unplaced.is_empty() || !self.placement.start_preemption_if_due(now) {
             return;
@@ -61,7 +62,7 @@
         }
     }
 
-    /// Reserves machines for a job and stops the tasks that are in its way there.
+    /// Reserves the machines for a job and requests the stop of the victims on them.
     pub(super) fn evict(&mut self, now: Instant, job_id: &JobId, evictions: Vec<Eviction>) {
         for eviction in evictions {
             tracing::debug!(
@@ -87,9 +88,9 @@
 }
 
 impl PlacementView<'_> {
-    /// The machines to be emptied for a job with so many tasks that found no room: one at a time, but for a
-    /// gang as many as it needs at once, for fewer would not help. Empty if there are not enough, or if
-    /// enough are free or being emptied.
+    /// Returns the evictions for a job with `unplaced_count` unplaced tasks: on one machine at a time or, for a
+    /// gang, on as many as it needs, since fewer would not help. Empty if there are not enough machines to
+    /// evict from, or if enough are free or being emptied for the job.
     fn evictions(&self, preemptor: &Preemptor<'_>, unplaced_count: u32) -> Vec<Eviction> {
         let machines_needed = if preemptor.job.needs_gang_scheduling() {
             unplaced_count
@@ -97,8 +98,8 @@
             1
         };
         let available = self.machines_available_to(preemptor);
-        let wanted = machines_needed.saturating_sub(available) as usize;
-        if wanted == 0 {
+        let evictions_needed = machines_needed.saturating_sub(available) as usize;
+        if evictions_needed == 0 {
             return Vec::new();
         }
         let evictions = self
@@ -106,10 +107,10 @@
             .values()
             .filter_map(|machine| self.eviction(machine, preemptor))
             .collect();
-        cheapest(evictions, wanted)
+        cheapest(evictions, evictions_needed)
     }
 
-    /// How many machines have room for a task of the job, or are being emptied for it.
+    /// The number of machines that have room for a task of the job or are reserved for it.
     fn machines_available_to(&self, preemptor: &Preemptor<'_>) -> u32 {
         let is_available = |machine: &&Machine| match machine.reserved_for(self.now()) {
             Some(holder) => holder == preemptor.id,
@@ -118,7 +119,7 @@
         self.machines().values().filter(is_available).count() as u32
     }
 
-    /// Whether machines with the job's image are being emptied for it.
+    /// Whether tasks are being stopped for the job on a machine that has its image.
     pub(super) fn has_eviction_in_progress(&self, job_id: &JobId) -> bool {
         let Some(job) = self.jobs().get(job_id) else {
             return false;
@@ -133,16 +134,17 @@
         })
     }
 
-    /// The machines with the job's image to be emptied for it, if that gains time: all that it needs, or none.
+    /// Returns evictions on machines that have the job's image, one for each pending task, if that saves time.
+    /// Empty if there are not enough such machines.
     pub(super) fn evictions_for_image(&self, job_id: &JobId) -> Vec<Eviction> {
-        // Only tasks of lower priority go: nothing is inside a guarantee for this.
+        // Only tasks of lower priority are evicted to avoid a fetch, whatever the guaranteed shares.
         let no_guaranteed_jobs = BTreeSet::new();
         let Some(preemptor) = Preemptor::new(self, job_id, &no_guaranteed_jobs) else {
             return Vec::new();
         };
         let spec = preemptor.job.spec();
         let fetch_s = self.shortest_image_fetch_s(spec);
-        // A job that has failed may be mistaken: nothing is stopped for it.
+        // A job that has failed may be faulty: no tasks are stopped for it.
         if !self.is_large_task(spec)
             || fetch_s < MIN_FETCH_FOR_PREEMPTION_S
             || !preemptor.job.retry().failed_on().is_empty()
@@ -170,8 +172,8 @@
         cheapest(evictions, preemptor.job.pending().len())
     }
 
-    /// Whether the job would miss the time by which it should start if it waited for a machine to be rented, or
-    /// none can be rented.
+    /// Whether the job would miss its start-delay objective if it waited for a machine to be rented, or none
+    /// can be rented.
     fn would_start_late(&self, job: &Job) -> bool {
         let spec = job.spec();
         let waited_s = (self.now() - job.ready_at()).secs();
@@ -182,7 +184,7 @@
         misses_objective || !self.may_scale_out_for(spec)
     }
 
-    /// Seconds that the machine type which is quickest to boot takes, of those on which a task fits.
+    /// The shortest boot time in seconds among the machine types on which a task of the job fits.
     fn shortest_boot_s(&self, spec: &JobSpec) -> f64 {
         let request = Resources::of(spec);
         self.machines()
@@ -194,7 +196,7 @@
     }
 }
 
-/// Whether one more task of the job could start on the machine as it is.
+/// Whether one more task of the job could start on the machine without evictions.
 fn has_room_for(machine: &Machine, preemptor: &Preemptor<'_>) -> bool {
     Resources::of(preemptor.job.spec()).fits(machine.free())
         && preemptor.start_check.check(machine).is_ok()
