--- a/src/coordination/placement/reservations.rs
+++ b/src/coordination/placement/reservations.rs
@@ -1,6 +1,6 @@
-//! Machines kept for jobs that could not be placed, so that those behind them in the queue don't take what they
-//! wait for. A reservation made here holds for the rest of the pass; one on a machine
-//! ([`Machine::reserve_for`]), made by preemption or when a gang attempt failed, holds until a time.
+//! Reservations of machines for jobs that could not be placed, so that jobs later in the queue don't take the
+//! capacity that they wait for. A reservation made here holds for the rest of the pass; one made on the machine
+//! ([`Machine::reserve_for`]) by preemption, or when a gang attempt failed, holds until a given time.
 
 use super::candidates::free_fraction;
 use super::pass::PlacementPass;
@@ -13,7 +13,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 impl<'a> PlacementView<'a> {
-    /// Whether the machine is reserved beyond this pass for a job other than that one.
+    /// Whether the machine is reserved beyond this pass for another job.
     pub(super) fn is_reserved_for_another(&self, machine: &Machine, job_id: &JobId) -> bool {
         machine
             .reserved_for(self.now())
@@ -29,13 +29,13 @@
             .collect()
     }
 
-    /// Whether the warm pool leaves the machine to jobs of the class.
+    /// Whether jobs of the class may use the machine: it is not in the warm pool, or kept ready for that class.
     pub(super) fn warm_pool_admits(&self, machine_id: &MachineId, class: &str) -> bool {
         self.warm_pool_class(machine_id)
-            .is_none_or(|held_for| held_for == class)
+            .is_none_or(|pool_class| pool_class == class)
     }
 
-    /// Machines that report and are not full.
+    /// Machines that are up and have free capacity.
     fn machines_with_free_capacity(&self) -> impl Iterator<Item = &'a Machine> {
         let machines = self.machines();
         let ids = machines.index.with_free_capacity.iter();
@@ -62,9 +62,9 @@
         }
     }
 
-    /// Guards against a task of a whole machine that never finds one, because small tasks fill
-    /// every gap and no more machines are to be had: the one with the largest
-    /// free fraction that it may use takes nothing more from jobs behind it.
+    /// Reserves the machine with the largest free fraction of those that the job may use. Otherwise a task that
+    /// needs a whole machine would starve when no more machines can be rented, because small tasks fill every
+    /// gap.
     fn reserve_least_allocated_machine(&mut self, job: &Job) {
         let request = Resources::of(job.spec());
         let start_check = StartCheck::for_pending_tasks(job);
@@ -84,9 +84,8 @@
         }
     }
 
-    /// Guards against a gang of several machines that never finds them at once, because what comes
-    /// free is taken by whatever needs less: those that it could use are reserved for it, all in one zone
-    /// if it has affinity.
+    /// Reserves the machines that have room for a task of the gang, all in one zone if it has affinity.
+    /// Otherwise the gang would starve, because jobs that need less take each machine that becomes free.
     fn reserve_free_machines(&mut self, job: &Job) {
         let spec = job.spec();
         let request = Resources::of(spec);
@@ -102,8 +101,8 @@
                 by_zone.entry(zone).or_default().push(&machine.id);
             }
         }
-        let most = by_zone.into_values().max_by_key(Vec::len);
-        for machine_id in most.into_iter().flatten().take(spec.tasks as usize) {
+        let largest_zone = by_zone.into_values().max_by_key(Vec::len);
+        for machine_id in largest_zone.into_iter().flatten().take(spec.tasks as usize) {
             self.state.reserve(machine_id);
         }
     }
--- a/src/coordination/placement/start_check.rs
+++ b/src/coordination/placement/start_check.rs
@@ -1,7 +1,8 @@
-//! Whether a task may start on a machine now, given its job's constraints and where the job's other tasks may be.
+//! The check of whether a task may start on a machine now, given its job's constraints and where the job's
+//! other tasks may be.
 //!
-//! This is the only place that decides it. Placement asks before it plans a start, and every launch is judged
-//! again when it is about to leave, for attempts of the same job may have come to light in between.
+//! This is the only place that decides it. Placement checks before it plans a start, and every launch is
+//! checked again right before it is sent, since other attempts of the job may have become known in between.
 
 use super::request::allows_machine;
 use crate::coordination::jobs::job::Job;
@@ -16,22 +17,22 @@
     /// The job does not allow machines of this type, in this zone, or of this kind (spot or on-demand).
     #[error("machine kind not allowed")]
     MachineKind,
-    /// The job's tasks have to share a zone, and another of them may be elsewhere.
+    /// The job's tasks have to share a zone, and another of them may be in a different zone.
     #[error("other tasks of the job may be in another zone")]
     OtherZone,
-    /// As many of the job's tasks may be in this zone as its anti-affinity allows.
+    /// The zone may already have as many tasks of the job as its anti-affinity allows.
     #[error("zone holds as many tasks of the job as allowed")]
     ZoneFull,
 }
 
-/// Judges starts of tasks of one job.
+/// Checks starts of tasks of one job.
 pub(crate) struct StartCheck<'a> {
     spec: &'a JobSpec,
     others: TasksByZone,
 }
 
 impl<'a> StartCheck<'a> {
-    /// For tasks that are on no machine: all that may be anywhere are others.
+    /// Creates the check for tasks that are on no machine, against all tasks of the job that may be on one.
     pub(crate) fn for_pending_tasks(job: &'a Job) -> StartCheck<'a> {
         StartCheck {
             spec: job.spec(),
@@ -39,7 +40,8 @@
         }
     }
 
-    /// As if no task of the job were anywhere.
+    /// Creates a check that assumes that no task of the job is on a machine. [`StartCheck::add_task`] adds
+    /// them.
     pub(crate) fn without_placed_tasks(job: &'a Job) -> StartCheck<'a> {
         StartCheck {
             spec: job.spec(),
@@ -47,7 +49,7 @@
         }
     }
 
-    /// Whether one more task may start on the machine.
+    /// Checks whether one more task may start on the machine.
     pub(crate) fn check(&self, machine: &Machine) -> Result<(), StartDenial> {
         if !allows_machine(self.spec, machine) {
             return Err(StartDenial::MachineKind);
@@ -55,18 +57,18 @@
         self.check_zone(&machine.zone)
     }
 
-    /// Whether the job's other tasks let one more start in the zone.
+    /// Checks whether one more task may start in the zone, given where the job's other tasks may be.
     pub(crate) fn check_zone(&self, zone: &Zone) -> Result<(), StartDenial> {
         check_zone(self.spec, zone, &self.others, 0)
     }
 
-    /// One more task is to start in the zone.
+    /// Adds a task in the zone to the others that starts are checked against.
     pub(crate) fn add_task(&mut self, zone: &Zone) {
         self.others.add(zone);
     }
 }
 
-/// Whether a task that is planned on the machine, and counted there, may be launched now.
+/// Checks whether a task that is planned on the machine, and counted in its zone, may be launched now.
 pub(crate) fn check_planned_start(job: &Job, machine: &Machine) -> Result<(), StartDenial> {
     if !allows_machine(job.spec(), machine) {
         return Err(StartDenial::MachineKind);
@@ -74,14 +76,15 @@
     check_zone(job.spec(), &machine.zone, job.tasks_by_zone(), 1)
 }
 
-/// `own_tasks` of those counted in the zone are the one that is to start.
+/// Checks the zone against the job's tasks that may be in each zone. `own_tasks` (0 or 1) is how many of those
+/// in `zone` are the task to start itself.
 fn check_zone(
     spec: &JobSpec,
     zone: &Zone,
     counted: &TasksByZone,
     own_tasks: u32,
 ) -> Result<(), StartDenial> {
-    // Guards against one of several zones being taken for the job's: whichever it is, others may run elsewhere.
+    // If tasks may be in several zones, all of them are denied: whichever is chosen, others may run elsewhere.
     if spec.together && counted.any_outside(zone) {
         return Err(StartDenial::OtherZone);
     }
@@ -92,7 +95,7 @@
     Ok(())
 }
 
-/// How many tasks of a job with anti-affinity may be in one zone: half of them, rounded up.
+/// The limit of tasks in one zone for a job with anti-affinity: half of its tasks, rounded up.
 fn max_tasks_per_zone(spec: &JobSpec) -> u32 {
     spec.tasks.div_ceil(2)
 }
--- a/src/coordination/placement/zones.rs
+++ b/src/coordination/placement/zones.rs
@@ -1,5 +1,5 @@
-//! The zones in which machines are looked for, in turn. Whether a start is allowed there is judged by
-//! [`start_check`](super::start_check).
+//! The zones in which machines are searched for a job, and their order. Whether a start is allowed in a zone is
+//! checked by [`start_check`](super::start_check).
 
 use super::pass::PlacementPass;
 use super::request::allows_machine;
@@ -13,12 +13,12 @@
 pub(super) enum ZoneChoice {
     /// All zones at once.
     Any,
-    /// One zone alone.
+    /// One zone.
     Only(Zone),
 }
 
 impl ZoneChoice {
-    /// Whether machines of that zone may be chosen.
+    /// Whether machines of the zone may be chosen.
     pub(super) fn includes(&self, zone: &Zone) -> bool {
         match self {
             ZoneChoice::Any => true,
@@ -28,8 +28,8 @@
 }
 
 impl PlacementPass<'_> {
-    /// The zones to try in turn for a job. With affinity: the one where its tasks are, or all zones, the
-    /// one with room for most tasks first.
+    /// Returns the zones to try in turn for a job. With affinity, that is the zone where its tasks are or, if
+    /// there are none, every zone with free capacity, the one with room for most tasks first.
     pub(super) fn zone_choices(&self, job: &Job) -> Vec<ZoneChoice> {
         let spec = job.spec();
         if let Some(zone) = &spec.zone {
@@ -38,7 +38,7 @@
         if !job.has_affinity() {
             return vec![ZoneChoice::Any];
         }
-        // If there are several, nothing of the job is startable (`PlacementPass::startable`).
+        // If its tasks may be in several zones, no task may start (`PlacementPass::startable`).
         if let Some(zone) = job.tasks_by_zone().zones().next() {
             return vec![ZoneChoice::Only(zone.clone())];
         }
@@ -54,7 +54,7 @@
             .collect()
     }
 
-    /// For how many tasks of the job each zone has room.
+    /// The number of tasks of the job that each zone has room for.
     fn room_by_zone(&self, job: &Job) -> BTreeMap<Zone, u32> {
         let spec = job.spec();
         let request = Resources::of(spec);
