--- a/src/coordination/placement/image_locality.rs
+++ b/src/coordination/placement/image_locality.rs
@@ -1,6 +1,6 @@
-//! When a job does not take the room there is, for the sake of its image: it waits for machines that have the
-//! image cached, or takes them from tasks of lower priority. The paper's `CtxInEngine`, for when every
-//! machine is in use.
+//! Image locality under contention: instead of taking any free capacity, a job waits for machines that have its
+//! image cached, or preempts tasks of lower priority on them. This is the paper's `CtxInEngine` for the case
+//! that every machine is in use.
 
 use super::pass::PlacementPass;
 use super::preemption::{Eviction, MAX_JOBS_PER_ROUND};
@@ -10,35 +10,36 @@
 use crate::protocol::users::Shape;
 use crate::time::TimeSpan;
 
-/// A job waits for machines that have its image for this fraction of the time that a pull takes.
+/// A job waits for machines that have its image for at most this fraction of the time of a fetch.
 const MAX_WAIT_FRACTION_OF_FETCH: f64 = 0.5;
-/// All pending tasks of a job that waits should find such machines within the time of so many pulls.
+/// A job waits only if all its pending tasks can run on such machines within the time of this many fetches.
 const MAX_FETCH_TIMES_UNTIL_PLACED: f64 = 2.0;
-/// A job that has been ready for longer than this takes any machine rather than one with its image.
+/// A job that has been ready for longer than this doesn't preempt tasks for its image, but takes any machine.
 const MAX_READY_TIME_FOR_IMAGE_PREEMPTION: TimeSpan = TimeSpan(30_000);
-/// Stands for no GPUs in divisions.
+/// The lowest number of GPUs assumed for a task, to avoid a division by zero.
 const MIN_GPUS_PER_TASK: f64 = 0.1;
+/// The lowest number of tasks assumed to run at once on machines with an image, to avoid a division by zero.
 const MIN_SLOTS: f64 = 1e-9;
 
-/// Whether a job takes machines that have its image from tasks of lower priority.
+/// Whether a job preempts tasks of lower priority on machines that have its image.
 #[derive(Debug)]
 #[must_use = "evictions have no effect until they are applied"]
 pub(super) enum ImagePreemption {
-    /// No: it is placed like any other.
+    /// The job preempts nothing, and is placed like any other.
     None,
-    /// Such machines are being emptied for it already: it is not placed anywhere else.
+    /// Tasks are being stopped for the job already: it is not placed elsewhere.
     InProgress,
-    /// These are to be emptied for it: it is not placed anywhere else.
+    /// These evictions are to be applied: the job is not placed elsewhere.
     Evict(Vec<Eviction>),
 }
 
 impl PlacementPass<'_> {
-    /// Whether a job leaves the room there is to jobs behind it that need no image pull, for machines that
-    /// have its own image should come free soon. It does so for no longer than a part of the pull that it
-    /// spares itself, counted from when it could first have taken something.
+    /// Whether the job leaves free capacity to later jobs that need no image fetch, because machines that have
+    /// its own image should become free soon. The wait is limited to a fraction of the fetch that it saves,
+    /// counted from when the job could first have been placed.
     ///
-    /// Guards against every image being pulled to every machine while there is too much to do: what
-    /// came free was taken at once by the first job in the queue, and half of all starts pulled.
+    /// Without the wait, every image was fetched to every machine under overload: the first job in the queue
+    /// took each machine that became free, and half of all starts fetched their image.
     pub(super) fn should_wait_for_image(&self, job_id: &JobId) -> bool {
         let Some(job) = self.view.jobs().get(job_id) else {
             return false;
@@ -64,7 +65,7 @@
             && self.has_room_for_one(job_id, job)
     }
 
-    /// Seconds in which all pending tasks of the job could have had a turn on machines with its image.
+    /// The time in which all pending tasks of the job could run on machines that have its image, in seconds.
     fn image_machine_wait_s(&self, job: &Job) -> f64 {
         let gpus = self
             .view
@@ -74,12 +75,12 @@
         job.pending().len() as f64 * self.view.estimated_run_time_s(job) / slots.max(MIN_SLOTS)
     }
 
-    /// Whether a job leaves the room there is, because machines that have its image can be had sooner than
-    /// the image can be pulled, at the cost of tasks of lower priority.
+    /// Decides whether the job leaves free capacity because preempting tasks of lower priority on machines that
+    /// have its image is faster than fetching the image.
     ///
-    /// Guards against large jobs that pull their image again and again while it is at hand: on the recorded
-    /// day 0a7c a team without a guarantee filled every machine that had come free, and the part of starts
-    /// that found their image there fell from a half to a tenth.
+    /// Without the preemption, large jobs fetched their image over and over although machines had it cached: a
+    /// team without a guaranteed share filled every machine that became free, and the fraction of starts with a
+    /// cached image fell from a half to a tenth.
     pub(super) fn image_preemption(&mut self, job_id: &JobId) -> ImagePreemption {
         if !self.may_preempt_for_image(job_id) {
             return ImagePreemption::None;
@@ -99,13 +100,14 @@
         }
     }
 
-    /// Whether a job is a gang of higher priority than other work, may start as far as its team's limit
-    /// goes, and is nowhere yet.
+    /// Whether the job may preempt tasks for its image: it became ready recently, is a gang of a higher
+    /// priority than other jobs, has no task on a machine, and fits into its team's limit.
     fn may_preempt_for_image(&self, job_id: &JobId) -> bool {
         let Some(job) = self.view.jobs().get(job_id) else {
             return false;
         };
-        // Guards against a job for which machine after machine is emptied in vain: it goes anywhere then.
+        // The time limit prevents machines from being emptied one after another for a job that still can't
+        // start.
         let is_recent = self.view.now() - job.ready_at() < MAX_READY_TIME_FOR_IMAGE_PREEMPTION;
         let priority = self.view.effective_priority(job_id, job.spec());
         is_recent
