--- a/src/coordination/attempts/ledger/mod.rs
+++ b/src/coordination/attempts/ledger/mod.rs
@@ -104,7 +104,7 @@
         }
         let job_id = &key.task.job;
         match (change.was_running, change.is_running) {
-            (false, true) => self.jobs.update(job_id, Job::attempt_began) == Some(true),
+            (false, true) => self.jobs.update(job_id, Job::attempt_started) == Some(true),
             (true, false) => {
                 self.jobs.update(job_id, Job::attempt_stopped_running);
                 false
@@ -125,7 +125,7 @@
         if attempt.has_ended() {
             return None;
         }
-        let before = attempt.page.replace(page);
+        let before = attempt.intent_page.replace(page);
         Some(before.is_none())
     }
 
@@ -163,9 +163,9 @@
         self.jobs.update(&key.task.job, |job| {
             job.attempt_removed(attempt.is_running())
         });
-        if let Some(page) = attempt.page {
+        if let Some(page) = attempt.intent_page {
             let removed = LaunchIntent::new(machine_id, key);
-            self.writer.intent_obsolete(now, page, &removed);
+            self.writer.remove_intent(now, page, &removed);
         }
         self.machines.reindex(machine_id);
         Some(attempt)
--- a/src/coordination/autoscaler/forecast/simulated_cluster.rs
+++ b/src/coordination/autoscaler/forecast/simulated_cluster.rs
@@ -164,7 +164,7 @@
     }
     let left_s = match attempt.running_since {
         Some(since) => view.remaining_run_time_s(job, (view.now() - since).secs()),
-        None => view.run_time_of_job_s(job) + fetch_left_s(view, machine, attempt),
+        None => view.task_run_time_s(job) + fetch_left_s(view, machine, attempt),
     };
     Some(Release {
         at_s: left_s * RUN_TIME_MARGIN,
@@ -181,7 +181,7 @@
         return 0.0;
     }
     let fetch_s = view.fetch_s(&machine.machine_type, job.spec().image_gb);
-    (fetch_s - (view.now() - attempt.since).secs()).max(0.0)
+    (fetch_s - (view.now() - attempt.placed_at).secs()).max(0.0)
 }
 
 fn slot_of_request(view: &AutoscalerView<'_>, request: &ScaleOutRequest) -> MachineSlot {
--- a/src/coordination/autoscaler/scale_in.rs
+++ b/src/coordination/autoscaler/scale_in.rs
@@ -117,7 +117,7 @@
                     self.outbox.pushes_in_flight = self.outbox.pushes_in_flight.saturating_sub(1);
                 }
                 if let Some(page) = machine.page {
-                    self.writer.machine_terminated(now, page, id);
+                    self.writer.remove_machine(now, page, id);
                 }
             }
             self.machines.reindex(id);
@@ -228,7 +228,7 @@
         } else {
             KEEP_FACTOR_IN_FORECAST
         };
-        self.replacement_s(machine) * self.view.policy().operator.idle_boots * factor
+        self.replacement_s(machine) * self.view.policy().operator.idle_timeout_factor * factor
     }
 
     /// Seconds that it would take to have such a machine again: to boot it and fetch its largest image.
--- a/src/coordination/machines/machine.rs
+++ b/src/coordination/machines/machine.rs
@@ -8,7 +8,7 @@
 use super::reservation::Reservation;
 use crate::coordination::attempts::ledger::{MachineAttempts, TaskAttempt};
 use crate::coordination::RequestId;
-use crate::ids::{Image, JobId, MachineId, MachineType, PageNumber, Session, Tick, Zone};
+use crate::ids::{Image, JobId, MachineId, MachineType, PageNumber, SequenceNumber, Session, Zone};
 use crate::resources::Resources;
 use crate::time::{Instant, TimeSpan};
 use std::collections::BTreeSet;
@@ -43,10 +43,10 @@
     pub first_known_at: Instant,
     /// The newest session of its worker.
     pub session: Session,
-    /// The tick of the newest message of that session.
-    pub tick: Tick,
-    /// The session and tick of the last heartbeat: a heartbeat that is not newer is a duplicate.
-    pub last_heartbeat: (Session, Tick),
+    /// The sequence number of the newest message of that session.
+    pub tick: SequenceNumber,
+    /// The session and sequence number of the last heartbeat: a heartbeat that is not newer is a duplicate.
+    pub last_heartbeat: (Session, SequenceNumber),
     /// Whether the machine is known to exist, from the stored machine pages, a scale-out request or the cloud's
     /// list. A status alone doesn't prove it: it may be a delayed duplicate.
     pub verified: bool,
@@ -122,8 +122,8 @@
             state: MachineState::Booting,
             first_known_at: now,
             session: Session(0),
-            tick: Tick(0),
-            last_heartbeat: (Session(0), Tick(0)),
+            tick: SequenceNumber(0),
+            last_heartbeat: (Session(0), SequenceNumber(0)),
             verified: true,
             confirmed: false,
             reachability: Reachability::default(),
--- a/src/coordination/placement/eviction.rs
+++ b/src/coordination/placement/eviction.rs
@@ -184,7 +184,7 @@
         } else {
             run_time_s
         };
-        let start_cost_s = if self.now() - attempt.since < RECENT_START {
+        let start_cost_s = if self.now() - attempt.placed_at < RECENT_START {
             RECENT_START_COST_S
         } else {
             0.0
--- a/src/coordination/placement/view.rs
+++ b/src/coordination/placement/view.rs
@@ -109,12 +109,12 @@
 
     /// The estimated run time of a task of the job, in seconds.
     pub(super) fn estimated_run_time_s(&self, job: &Job) -> f64 {
-        self.cluster.estimates.run_time_of_job_s(job)
+        self.cluster.estimates.task_run_time_s(job)
     }
 
     /// The estimated run time of the longest task of the job, in seconds.
-    pub(super) fn longest_run_time_s(&self, job: &Job) -> f64 {
-        self.cluster.estimates.longest_run_time_s(job)
+    pub(super) fn longest_task_run_time_s(&self, job: &Job) -> f64 {
+        self.cluster.estimates.longest_task_run_time_s(job)
     }
 
     /// The work of the job that is still to be placed, in machine-seconds.
