--- a/src/coordination/attempts/commands.rs
+++ b/src/coordination/attempts/commands.rs
@@ -102,7 +102,7 @@
         let Some(machine) = self.machines.get(machine_id) else {
             return Vec::new();
         };
-        let (session, tick) = (machine.session, machine.tick);
+        let (session, tick) = (machine.session, machine.sequence_number);
         let mut commands = Vec::new();
         let mut launched = Vec::new();
         for attempt in machine.attempts.iter() {
--- a/src/coordination/attempts/reconciliation/session.rs
+++ b/src/coordination/attempts/reconciliation/session.rs
@@ -35,7 +35,7 @@
         source: StatusSource,
     ) -> Option<StatusEvidence> {
         let machine = self.machines.get(&status.machine_id)?;
-        if (status.session, status.tick) <= (machine.session, machine.tick) {
+        if (status.session, status.tick) <= (machine.session, machine.sequence_number) {
             return None;
         }
         if machine.state == MachineState::Booting {
@@ -62,7 +62,7 @@
             start_session(machine, now, lease_expiry_bound);
         }
         machine.session = status.session;
-        machine.tick = status.tick;
+        machine.sequence_number = status.tick;
         machine.last_message_at = Some(now);
         self.update_reclaim_notice(now, status);
         if evidence.is_confirmed {
--- a/src/coordination/machines/machine.rs
+++ b/src/coordination/machines/machine.rs
@@ -44,7 +44,7 @@
     /// The newest session of its worker.
     pub session: Session,
     /// The sequence number of the newest message of that session.
-    pub tick: SequenceNumber,
+    pub sequence_number: SequenceNumber,
     /// The session and sequence number of the last heartbeat: a heartbeat that is not newer is a duplicate.
     pub last_heartbeat: (Session, SequenceNumber),
     /// Whether the machine is known to exist, from the stored machine pages, a scale-out request or the cloud's
@@ -122,7 +122,7 @@
             state: MachineState::Booting,
             first_known_at: now,
             session: Session(0),
-            tick: SequenceNumber(0),
+            sequence_number: SequenceNumber(0),
             last_heartbeat: (Session(0), SequenceNumber(0)),
             verified: true,
             confirmed: false,
