--- a/src/coordination/machines/images.rs
+++ b/src/coordination/machines/images.rs
@@ -46,13 +46,13 @@
             return 0.0;
         }
         let fetch_s = self.image_fetch_s(&machine.machine_type, spec.image_gb);
-        let fetch_began_at = machine
+        let fetch_started_at = machine
             .live_attempts()
             .filter(|attempt| attempt.running_since.is_none())
             .filter(|attempt| attempt.image.as_ref() == Some(&spec.image))
             .map(|attempt| attempt.placed_at)
             .min();
-        match fetch_began_at {
+        match fetch_started_at {
             Some(since) => (fetch_s - (now - since).secs()).max(0.0),
             None => fetch_s,
         }
--- a/src/coordination/machines/machine.rs
+++ b/src/coordination/machines/machine.rs
@@ -63,7 +63,7 @@
     /// The latest time at which a leader may have answered the machine: this leader's last response or, for
     /// former leaders, the start of this leadership term.
     pub last_response_at: Instant,
-    /// When the current session was first seen. The lease of the session began no later than this or
+    /// When the current session was first seen. The lease of the session started no later than this or
     /// `last_response_at`, whichever is later.
     pub session_first_seen_at: Instant,
     /// Every task attempt that may be on the machine, and the free capacity.
--- a/src/coordination/machines/reachability.rs
+++ b/src/coordination/machines/reachability.rs
@@ -68,8 +68,8 @@
     }
 
     /// Records the highest fencing token that the machine has seen, as reported in its status. A new token of
-    /// this leadership term, which began with `initial_token`, can only have come from this leader: the machine
-    /// is reachable.
+    /// this leadership term, which started with `initial_token`, can only have come from this leader: the
+    /// machine is reachable.
     pub fn record_token(&mut self, token: FencingToken, initial_token: FencingToken) {
         if token > self.token_acknowledged && token >= initial_token {
             self.mark_reachable();
--- a/src/coordination/placement/candidates.rs
+++ b/src/coordination/placement/candidates.rs
@@ -17,8 +17,8 @@
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 
-/// The cost of a machine that runs tasks of another label.
-const LABEL_MISMATCH_COST_S: f64 = 1.0;
+/// The cost of a machine that runs tasks of another scheduling preference.
+const PREFERENCE_MISMATCH_COST_S: f64 = 1.0;
 /// The cost of an on-demand machine for a job that may use spot instances: keeps on-demand machines free for
 /// jobs that may not.
 const ON_DEMAND_COST_S: f64 = 2.0;
@@ -35,13 +35,13 @@
     image_wait_s: f64,
     /// Cost of using an on-demand machine where a spot instance is allowed.
     on_demand_s: f64,
-    /// Cost of running beside tasks of another label.
-    label_mismatch_s: f64,
+    /// Cost of running beside tasks of another scheduling preference.
+    preference_mismatch_s: f64,
 }
 
 impl FixedCosts {
     fn total_s(&self) -> f64 {
-        self.image_wait_s + (self.on_demand_s + self.label_mismatch_s)
+        self.image_wait_s + (self.on_demand_s + self.preference_mismatch_s)
     }
 }
 
@@ -197,13 +197,13 @@
     ) -> FixedCosts {
         let cost_if = |applies: bool, cost_s: f64| if applies { cost_s } else { 0.0 };
         let is_latency = scheduling_preference == SchedulingPreference::Latency;
-        let runs_other_label = machine
+        let runs_other_preference = machine
             .live_attempts()
             .any(|attempt| attempt.is_latency_task != is_latency);
         FixedCosts {
             image_wait_s: self.view.image_wait_s(machine, job.spec()),
             on_demand_s: cost_if(job.spec().spot && !machine.spot, ON_DEMAND_COST_S),
-            label_mismatch_s: cost_if(runs_other_label, LABEL_MISMATCH_COST_S),
+            preference_mismatch_s: cost_if(runs_other_preference, PREFERENCE_MISMATCH_COST_S),
         }
     }
 }
--- a/src/coordination/placement/mod.rs
+++ b/src/coordination/placement/mod.rs
@@ -1,10 +1,10 @@
 //! Placement of tasks on machines, by Algorithm 1 of Parrot (Lin et al., "Parrot: Efficient Serving of
 //! LLM-based Applications with Semantic Variable", OSDI 2024).
 //!
-//! The queue is processed in topological order. A task group is placed in one round, and what does not fit
-//! in later ones. Other jobs are placed together with jobs that share their image, then on machines that
-//! have it cached, then alone. Among those, machines that run tasks of the same label are preferred. Within
-//! one depth of the graph, jobs inside their team's guaranteed share come first, then higher priorities,
+//! The queue is processed in topological order. A task group is placed in one round, and what does not fit in
+//! later ones. Other jobs are placed together with jobs that share their image, then on machines that have it
+//! cached, then alone. Among those, machines that run tasks of the same scheduling preference are preferred.
+//! Within one depth of the graph, jobs inside their team's guaranteed share come first, then higher priorities,
 //! then jobs that can still meet their objectives.
 //!
 //! Decisions ([`pass`], [`candidates`], [`queue`], [`preemption`]) read a [`view::PlacementView`] and
--- a/src/coordination/placement/pacing.rs
+++ b/src/coordination/placement/pacing.rs
@@ -32,9 +32,9 @@
     is_due: bool,
     /// The rate limit, one token for each task.
     budget: TokenBucket,
-    /// When the last pass began.
+    /// When the last pass started.
     last_pass_at: Instant,
-    /// When the last round of preemption began.
+    /// When the last round of preemption started.
     last_preemption_at: Instant,
 }
 
