--- a/src/coordination/placement/preemption.rs
+++ b/src/coordination/placement/preemption.rs
@@ -1,5 +1,5 @@
-//! Preemption, as far as the protocol allows it: stops tasks in favor of a job of higher priority, or tasks
-//! that a team runs beyond its guaranteed share in favor of another team's guaranteed share.
+//! Preemption: stops tasks, as far as the protocol allows it, to make room for a job of higher priority, or to
+//! give a team its guaranteed share at the expense of a team that exceeds its own.
 //!
 //! Decisions return [`Eviction`]s; only [`Scheduler::evict`] carries them out.
 
