--- a/src/runtime/api/workers.rs
+++ b/src/runtime/api/workers.rs
@@ -16,15 +16,15 @@
         })?;
     node.heartbeat_received();
     let mut reply = node.leadership.heartbeat(node.now(), &status);
-    if matches!(reply, HeartbeatReply::TakingOver) {
-        node.leadership.failover_finished().await;
+    if matches!(reply, HeartbeatReply::FailoverInProgress) {
+        node.leadership.wait_for_failover().await;
         reply = node.leadership.heartbeat(node.now(), &status);
     }
     Ok(match reply {
         HeartbeatReply::Commands { token, commands } => {
             ApiResponse::json(StatusCode::OK, &HeartbeatResponse { token, commands })
         }
-        HeartbeatReply::TakingOver => redirect(None),
+        HeartbeatReply::FailoverInProgress => redirect(None),
         HeartbeatReply::Redirect { leader } => redirect(leader.as_deref()),
     })
 }
--- a/src/runtime/leader/state.rs
+++ b/src/runtime/leader/state.rs
@@ -36,7 +36,7 @@
         leader: Option<String>,
     },
     /// This controller has won the election and is about to take over.
-    TakingOver,
+    FailoverInProgress,
 }
 
 /// What carries commands to a worker.
@@ -141,7 +141,7 @@
     }
 
     /// Waits until a failover to this controller is over, if it is so soon.
-    pub async fn failover_finished(&self) {
+    pub async fn wait_for_failover(&self) {
         let mut taking_over = self.taking_over.subscribe();
         let finished = taking_over.wait_for(|taking_over| !taking_over);
         let _ = tokio::time::timeout(FAILOVER_WAIT, finished).await;
@@ -150,7 +150,7 @@
     /// Handles a heartbeat. Authority is checked before the scheduler acts on it.
     pub fn heartbeat(&self, now: Instant, status: &WorkerStatus) -> HeartbeatReply {
         if *self.taking_over.borrow() {
-            return HeartbeatReply::TakingOver;
+            return HeartbeatReply::FailoverInProgress;
         }
         let reply = self.heartbeat_as_leader(now, status);
         reply.unwrap_or_else(|| HeartbeatReply::Redirect {
