--- a/src/runtime/leader/activity.rs
+++ b/src/runtime/leader/activity.rs
@@ -13,7 +13,7 @@
 /// What has been counted since the last line of the log.
 #[derive(Debug, Default)]
 struct Counts {
-    since: Instant,
+    period_start: Instant,
     heartbeats: u32,
     launches: u32,
     stops: u32,
@@ -65,7 +65,7 @@
 
     /// Logs the counters and resets them, if the interval has passed.
     pub fn log_if_due(&self, now: Instant) {
-        let due = now - lock(&self.counts).since >= LOG_INTERVAL;
+        let due = now - lock(&self.counts).period_start >= LOG_INTERVAL;
         if due {
             self.log(now);
         }
@@ -75,7 +75,7 @@
     pub fn log(&self, now: Instant) {
         let mut counts = lock(&self.counts);
         tracing::info!(
-            period_ms = (now - counts.since).0,
+            period_ms = (now - counts.period_start).0,
             heartbeats = counts.heartbeats,
             launches = counts.launches,
             stops = counts.stops,
@@ -93,7 +93,7 @@
 impl Counts {
     fn starting_at(now: Instant) -> Counts {
         Counts {
-            since: now,
+            period_start: now,
             ..Counts::default()
         }
     }
--- a/src/runtime/leader/count_broadcast.rs
+++ b/src/runtime/leader/count_broadcast.rs
@@ -1,6 +1,6 @@
 //! Sending the task counts to peers, for display in their responses to polls.
 
-use super::term::Term;
+use super::term::TermContext;
 use crate::coordination::JobTaskCounts;
 use crate::ids::JobId;
 use crate::protocol::peers::PeerRequest;
@@ -11,7 +11,7 @@
 const BROADCAST_INTERVAL: Duration = Duration::from_millis(1500);
 
 /// Sends the counts whenever they have changed, to one peer after the other, until the term ends.
-pub async fn run(term: Term) {
+pub async fn run(term: TermContext) {
     let node = &term.node;
     let mut last_sent = Vec::new();
     loop {
--- a/src/runtime/leader/effects.rs
+++ b/src/runtime/leader/effects.rs
@@ -32,7 +32,7 @@
 const PUSH_TIMEOUT: Duration = Duration::from_millis(2500);
 
 /// Carries out an effect. The event says what came of it; None if the leader's authority has lapsed meanwhile.
-pub async fn carry_out(node: &Node, authority: &Authority, effect: Effect) -> Option<Event> {
+pub async fn execute(node: &Node, authority: &Authority, effect: Effect) -> Option<Event> {
     match effect {
         Effect::Write {
             request_id,
@@ -112,7 +112,7 @@
 ) -> Option<Event> {
     let mut items = Vec::new();
     for key in keys {
-        let item = read_until_served(node, authority, &key).await?;
+        let item = read_with_retry(node, authority, &key).await?;
         items.push(KeyReread { key, item });
     }
     Some(Event::Reread { request_id, items })
@@ -125,7 +125,7 @@
 ) -> Option<Event> {
     let mut records = Vec::new();
     for job in ids {
-        let item = read_until_served(node, authority, &terminal_key(&job)).await?;
+        let item = read_with_retry(node, authority, &terminal_key(&job)).await?;
         let record = item.and_then(|item| serde_json::from_value(item.data).ok());
         records.push(TerminalRecordRead { job, record });
         tokio::time::sleep(TERMINAL_READ_SPACING).await;
@@ -134,7 +134,7 @@
 }
 
 /// Reads a key, again and again until the state store serves the read; None if the authority lapses first.
-async fn read_until_served(
+async fn read_with_retry(
     node: &Node,
     authority: &Authority,
     key: &str,
--- a/src/runtime/leader/election.rs
+++ b/src/runtime/leader/election.rs
@@ -19,7 +19,7 @@
 
 /// Reads who leads, and tries to win the election if nobody else does.
 pub async fn campaign(node: &Node) -> Option<ElectionWon> {
-    let asked_at = node.now();
+    let requested_at = node.now();
     let Ok(leader_key) = node.state_store.get(LEADER_KEY).await else {
         node.leadership.set_other_leader(None);
         return None;
@@ -30,13 +30,13 @@
     let is_predecessor = leader.as_deref() == Some(&node.config.platform.host_name);
     let other = leader.filter(|_| !is_predecessor);
     node.leadership
-        .set_other_leader(other.map(|name| (name, asked_at)));
+        .set_other_leader(other.map(|name| (name, requested_at)));
     let vacant = leader_key.is_none();
-    if !(vacant || is_predecessor) || node.leadership.must_stand_back(node.now(), vacant) {
+    if !(vacant || is_predecessor) || node.leadership.must_not_campaign(node.now(), vacant) {
         return None;
     }
     let revision = leader_key.map(|item| item.revision).unwrap_or_default();
-    let won = try_to_win(node, revision).await?;
+    let won = acquire_leadership(node, revision).await?;
     node.leadership.set_other_leader(None);
     Some(won)
 }
@@ -47,11 +47,11 @@
 }
 
 /// Tries to take the leader key at this revision, raising the durable fencing token in the same transaction.
-async fn try_to_win(node: &Node, leader_key_revision: KeyRevision) -> Option<ElectionWon> {
+async fn acquire_leadership(node: &Node, leader_key_revision: KeyRevision) -> Option<ElectionWon> {
     let lease_sent_at = node.now();
     let lease_ttl = node.config.leader.lease_duration;
     let lease = node.state_store.grant_lease(lease_ttl).await.ok()?;
-    let term = take_leader_key(node, leader_key_revision, lease).await;
+    let term = acquire_leader_key(node, leader_key_revision, lease).await;
     let Some(term) = term else {
         // A late copy of our transaction can't take the key for a lease that has ended.
         node.state_store.revoke_lease(lease).await;
@@ -64,7 +64,7 @@
     })
 }
 
-async fn take_leader_key(
+async fn acquire_leader_key(
     node: &Node,
     leader_key_revision: KeyRevision,
     lease: LeaseId,
@@ -96,7 +96,7 @@
     };
     let revision = match node.state_store.transaction(&transaction).await {
         Ok(TransactionOutcome::Applied(store_revision)) => KeyRevision(store_revision.0),
-        Err(StateStoreError::OutcomeUnknown) => revision_if_ours(node, lease, record.token).await?,
+        Err(StateStoreError::OutcomeUnknown) => own_key_revision(node, lease, record.token).await?,
         _ => return None,
     };
     Some(LeadershipTerm {
@@ -120,7 +120,7 @@
 
 /// Settles a transaction whose outcome is unknown by what is read: the leader key carries our lease and token,
 /// or it is not ours.
-async fn revision_if_ours(node: &Node, lease: LeaseId, token: FencingToken) -> Option<KeyRevision> {
+async fn own_key_revision(node: &Node, lease: LeaseId, token: FencingToken) -> Option<KeyRevision> {
     let item = node.state_store.get(LEADER_KEY).await.ok()??;
     let record: LeaderRecord = serde_json::from_value(item.data).ok()?;
     (item.lease == Some(lease) && record.token == token).then_some(item.revision)
--- a/src/runtime/leader/job_watch.rs
+++ b/src/runtime/leader/job_watch.rs
@@ -1,6 +1,6 @@
 //! What a leader reads of the jobs: everything at failover, and then what changes.
 
-use super::term::Term;
+use super::term::TermContext;
 use crate::coordination::leadership::recovery::RecoveredState;
 use crate::coordination::{Event, OpenJob};
 use crate::ids::{JobId, StoreRevision};
@@ -81,53 +81,53 @@
 /// Watches the open jobs from the revision of the list that was read, until the term ends. Each response says
 /// what had happened by the time it was asked for: the leader's authority doesn't outlast that by more than the
 /// staleness allowed.
-pub async fn run(term: Term, mut since: StoreRevision) {
+pub async fn run(term: TermContext, mut since: StoreRevision) {
     let node = &term.node;
     let hold = node.config.leader.watch_hold;
     let timeout = node.config.leader.watch_timeout;
     while !term.end.is_cancelled() {
-        let asked_at = node.now();
+        let requested_at = node.now();
         let response = tokio::select! {
             _ = term.end.cancelled() => return,
             response = node.state_store.watch(OPEN_JOB_PREFIX, since, hold, timeout) => response,
         };
-        match take_in(node, response).await {
-            Ok(page) => {
-                log_watch_response(node, since, &page, asked_at);
-                since = page.store_revision;
-                term.authority.view_refreshed(asked_at);
+        match apply_changes(node, response).await {
+            Ok(response) => {
+                log_changes(node, since, &response, requested_at);
+                since = response.store_revision;
+                term.authority.view_refreshed(requested_at);
                 tokio::time::sleep(WATCH_PAUSE).await;
             }
             Err(error) => {
                 tokio::time::sleep(WATCH_RETRY_PAUSE).await;
-                if is_gap(error) {
-                    since = list_again(&term, since, error).await.unwrap_or(since);
+                if may_have_missed_changes(error) {
+                    since = relist_open_jobs(&term, since, error).await.unwrap_or(since);
                 }
             }
         }
     }
 }
 
-fn log_watch_response(node: &Node, since: StoreRevision, page: &WatchResponse, asked_at: Instant) {
+fn log_changes(node: &Node, since: StoreRevision, response: &WatchResponse, requested_at: Instant) {
     tracing::debug!(
         %since,
-        store_revision = %page.store_revision,
-        age_ms = (node.now() - asked_at).0,
-        changes = page.events.len(),
+        store_revision = %response.store_revision,
+        age_ms = (node.now() - requested_at).0,
+        changes = response.events.len(),
         "open job changes received"
     );
 }
 
 /// Hands the scheduler what has changed. If that fails halfway, the same changes are read again: each may come
 /// twice.
-async fn take_in(
+async fn apply_changes(
     node: &Node,
     response: Result<WatchResponse, StateStoreError>,
 ) -> Result<WatchResponse, StateStoreError> {
-    let page = response?;
-    for change in &page.events {
+    let response = response?;
+    for change in &response.events {
         if let Some(key) = &change.put {
-            take_in_open_job(node, key, change).await?;
+            apply_open_job(node, key, change).await?;
         } else if let Some(id) = change
             .delete
             .as_deref()
@@ -138,10 +138,10 @@
             node.leadership.handle_event(node.now(), closed);
         }
     }
-    Ok(page)
+    Ok(response)
 }
 
-async fn take_in_open_job(
+async fn apply_open_job(
     node: &Node,
     key: &str,
     change: &WatchEvent,
@@ -162,7 +162,7 @@
 }
 
 /// Whether changes may have been missed for good.
-fn is_gap(error: StateStoreError) -> bool {
+fn may_have_missed_changes(error: StateStoreError) -> bool {
     matches!(
         error,
         StateStoreError::RevisionCompacted | StateStoreError::OutcomeUnknown
@@ -171,25 +171,25 @@
 
 /// Reads the whole list again rather than guess what was missed; the revision from which the watch goes on, or
 /// None if the list can't be read.
-async fn list_again(
-    term: &Term,
+async fn relist_open_jobs(
+    term: &TermContext,
     since: StoreRevision,
     reason: StateStoreError,
 ) -> Option<StoreRevision> {
     let node = &term.node;
-    let asked_at = node.now();
+    let requested_at = node.now();
     let (items, store_revision) = node.state_store.list(OPEN_JOB_PREFIX).await.ok()?;
     let jobs = read_open_jobs(node, items).await.ok()?;
     tracing::info!(
         ?reason,
         %since,
         %store_revision,
-        age_ms = (node.now() - asked_at).0,
+        age_ms = (node.now() - requested_at).0,
         jobs = jobs.len(),
         "open jobs listed again"
     );
     let listed = Event::OpenJobsListed(jobs);
     node.leadership.handle_event(node.now(), listed);
-    term.authority.view_refreshed(asked_at);
+    term.authority.view_refreshed(requested_at);
     Some(store_revision)
 }
--- a/src/runtime/leader/lease_renewal.rs
+++ b/src/runtime/leader/lease_renewal.rs
@@ -1,6 +1,6 @@
 //! Renewing the leader's lease until the authority is lost.
 
-use super::term::Term;
+use super::term::TermContext;
 use crate::ids::LeaseId;
 use crate::runtime::clients::state_store::StateStoreError;
 use std::time::Duration;
@@ -14,10 +14,10 @@
 /// Guards against a leader that ends a moment after a failover: a thousand workers sent heartbeats at once,
 /// responses waited in the sockets for longer than an ordinary call may take, and every renewal was given up
 /// though it had been answered. Each is good from when it was sent, however late its response is read.
-pub async fn renew(term: Term, lease: LeaseId) {
+pub async fn renew(term: TermContext, lease: LeaseId) {
     let lease_ttl_ms = term.node.config.leader.lease_duration.0 as u64;
     let interval = Duration::from_millis(lease_ttl_ms / RENEWALS_PER_LEASE);
-    let deadline = Duration::from_millis(lease_ttl_ms);
+    let timeout = Duration::from_millis(lease_ttl_ms);
     let mut renewals = JoinSet::new();
     loop {
         tokio::select! {
@@ -31,14 +31,14 @@
             return;
         }
         if renewals.len() < RENEWALS_PER_LEASE as usize {
-            renewals.spawn(renew_once(term.clone(), lease, deadline));
+            renewals.spawn(renew_once(term.clone(), lease, timeout));
         }
     }
 }
 
-async fn renew_once(term: Term, lease: LeaseId, deadline: Duration) {
+async fn renew_once(term: TermContext, lease: LeaseId, timeout: Duration) {
     let sent_at = term.node.now();
-    match term.node.state_store.renew_lease(lease, deadline).await {
+    match term.node.state_store.renew_lease(lease, timeout).await {
         Ok(()) => term.authority.lease_renewed(sent_at),
         Err(StateStoreError::LeaseExpired) => {
             tracing::info!("lease expired");
--- a/src/runtime/leader/state.rs
+++ b/src/runtime/leader/state.rs
@@ -15,11 +15,11 @@
 /// A heartbeat waits for a failover to this controller for this long; the worker waits for 4 s.
 const FAILOVER_WAIT: Duration = Duration::from_millis(2500);
 /// The name of the leader counts for this long after it was asked for.
-const OTHER_LEADER_FRESH: TimeSpan = TimeSpan(3000);
+const OTHER_LEADER_MAX_AGE: TimeSpan = TimeSpan(3000);
 /// After a leadership transfer this controller doesn't campaign for this long.
 const TRANSFER_COOL_DOWN: TimeSpan = TimeSpan(20_000);
 /// It campaigns after this long all the same if nobody else has become the leader.
-const MIN_COOL_DOWN: TimeSpan = TimeSpan(4_000);
+const VACANT_COOL_DOWN: TimeSpan = TimeSpan(4_000);
 
 /// The reply to a worker's heartbeat.
 pub enum HeartbeatReply {
@@ -88,7 +88,7 @@
 /// Another leader's name, as read at a moment.
 struct ObservedLeader {
     name: String,
-    asked_at: Instant,
+    requested_at: Instant,
 }
 
 /// Whether this controller leads, its scheduler if it does, and who else leads if it does not.
@@ -96,7 +96,7 @@
 pub struct LeadershipState {
     active: Mutex<Option<ActiveLeader>>,
     /// Whether this controller has won the election but has not taken over yet.
-    taking_over: watch::Sender<bool>,
+    in_failover: watch::Sender<bool>,
     other_leader: Mutex<Option<ObservedLeader>>,
     /// Wakes the step loop.
     step_requested: Notify,
@@ -142,14 +142,14 @@
 
     /// Waits until a failover to this controller is over, if it is so soon.
     pub async fn wait_for_failover(&self) {
-        let mut taking_over = self.taking_over.subscribe();
-        let finished = taking_over.wait_for(|taking_over| !taking_over);
+        let mut in_failover = self.in_failover.subscribe();
+        let finished = in_failover.wait_for(|in_failover| !in_failover);
         let _ = tokio::time::timeout(FAILOVER_WAIT, finished).await;
     }
 
     /// Handles a heartbeat. Authority is checked before the scheduler acts on it.
     pub fn heartbeat(&self, now: Instant, status: &WorkerStatus) -> HeartbeatReply {
-        if *self.taking_over.borrow() {
+        if *self.in_failover.borrow() {
             return HeartbeatReply::FailoverInProgress;
         }
         let reply = self.heartbeat_as_leader(now, status);
@@ -189,14 +189,14 @@
         let other = lock(&self.other_leader);
         let fresh = other
             .as_ref()
-            .filter(|leader| now - leader.asked_at < OTHER_LEADER_FRESH);
+            .filter(|leader| now - leader.requested_at < OTHER_LEADER_MAX_AGE);
         fresh.map(|leader| leader.name.clone())
     }
 
     /// Notes the name of the other leader, and when it was asked for; None if there is none or it is not known.
     pub fn set_other_leader(&self, leader: Option<(String, Instant)>) {
         *lock(&self.other_leader) =
-            leader.map(|(name, asked_at)| ObservedLeader { name, asked_at });
+            leader.map(|(name, requested_at)| ObservedLeader { name, requested_at });
     }
 
     /// The task counts of one job, if this controller leads.
@@ -251,31 +251,31 @@
     ///
     /// Guards against a failover that starves: workers sent here by other controllers would be sent away and
     /// come back every second, all of them, and took the whole of a small share of the processor.
-    pub fn failover_begins(&self) {
-        self.taking_over.send_replace(true);
+    pub fn start_failover(&self) {
+        self.in_failover.send_replace(true);
     }
 
     /// From now on this controller leads.
     pub fn activate(&self, leader: ActiveLeader) {
         *lock(&self.active) = Some(leader);
-        self.taking_over.send_replace(false);
+        self.in_failover.send_replace(false);
     }
 
     /// From now on this controller doesn't lead.
     pub fn deactivate(&self) {
         *lock(&self.active) = None;
-        self.taking_over.send_replace(false);
+        self.in_failover.send_replace(false);
     }
 
     /// The leadership is transferred: others campaign first.
-    pub fn begin_cool_down(&self, now: Instant) {
+    pub fn start_cool_down(&self, now: Instant) {
         *lock(&self.cool_down_until) = Some(now + TRANSFER_COOL_DOWN);
     }
 
     /// Whether this controller leaves the campaign to others after a leadership transfer. A vacant leadership is
     /// left to them only for the first part of the cool-down.
-    pub fn must_stand_back(&self, now: Instant, vacant: bool) -> bool {
+    pub fn must_not_campaign(&self, now: Instant, vacant: bool) -> bool {
         let until = (*lock(&self.cool_down_until)).filter(|until| now < *until);
-        until.is_some_and(|until| vacant && until - now > TRANSFER_COOL_DOWN - MIN_COOL_DOWN)
+        until.is_some_and(|until| vacant && until - now > TRANSFER_COOL_DOWN - VACANT_COOL_DOWN)
     }
 }
--- a/src/runtime/leader/step_loop.rs
+++ b/src/runtime/leader/step_loop.rs
@@ -3,7 +3,7 @@
 
 use super::activity::Activity;
 use super::effects;
-use super::term::Term;
+use super::term::TermContext;
 use crate::coordination::Effect;
 use crate::time::TimeSpan;
 use std::sync::Arc;
@@ -12,16 +12,16 @@
 /// The scheduler decides at least this often.
 const MAX_STEP_INTERVAL: Duration = Duration::from_millis(250);
 /// Events are collected for this long before a step: they come in bunches, and one decision does for all.
-const EVENT_BATCHING: TimeSpan = TimeSpan(10);
+const EVENT_BATCH_DELAY: TimeSpan = TimeSpan(10);
 
 /// Runs steps until the term ends.
-pub async fn run(term: Term, activity: Arc<Activity>) {
+pub async fn run(term: TermContext, activity: Arc<Activity>) {
     let node = &term.node;
     loop {
         let requested = node.leadership.step_requested();
         let _ = tokio::time::timeout(MAX_STEP_INTERVAL, requested).await;
-        let due = node.now() + EVENT_BATCHING;
-        tokio::time::sleep(Duration::from_millis(EVENT_BATCHING.0 as u64)).await;
+        let due = node.now() + EVENT_BATCH_DELAY;
+        tokio::time::sleep(Duration::from_millis(EVENT_BATCH_DELAY.0 as u64)).await;
         let now = node.now();
         if !term.may_act(now) {
             term.end_lapsed(now);
@@ -38,20 +38,20 @@
                 term.resign();
                 return;
             }
-            tokio::spawn(carry_out(term.clone(), effect));
+            tokio::spawn(execute(term.clone(), effect));
         }
     }
 }
 
 /// Carries out one effect and hands its outcome to the scheduler.
-async fn carry_out(term: Term, effect: Effect) {
+async fn execute(term: TermContext, effect: Effect) {
     let node = &term.node;
     // Authority is checked as each effect is sent, not only when it was decided.
     if !term.may_act(node.now()) {
         return;
     }
     let effect = node.leadership.prepare_to_send(node.now(), effect);
-    let Some(event) = effects::carry_out(node, &term.authority, effect).await else {
+    let Some(event) = effects::execute(node, &term.authority, effect).await else {
         return;
     };
     if !term.end.is_cancelled() {
--- a/src/runtime/leader/term.rs
+++ b/src/runtime/leader/term.rs
@@ -16,7 +16,7 @@
 
 /// What every task of a leader needs: the node, the right to act, and the token that ends the term.
 #[derive(Clone)]
-pub struct Term {
+pub struct TermContext {
     /// The controller.
     pub node: Arc<Node>,
     /// The leader's right to act.
@@ -25,7 +25,7 @@
     pub end: CancellationToken,
 }
 
-impl Term {
+impl TermContext {
     /// Whether the leader may act at this moment.
     pub fn may_act(&self, now: Instant) -> bool {
         !self.end.is_cancelled() && self.authority.is_held(now)
@@ -53,16 +53,16 @@
 pub async fn lead(node: &Arc<Node>, won: ElectionWon) {
     let started_at = node.now();
     let (fencing_token, lease) = (won.term.initial_token, won.term.lease);
-    let term = Term {
+    let term = TermContext {
         node: node.clone(),
         authority: won.authority,
         end: node.stop.child_token(),
     };
     tracing::info!(%fencing_token, version = env!("CARGO_PKG_VERSION"), "election won");
     let renewal = tokio::spawn(lease_renewal::renew(term.clone(), lease));
-    node.leadership.failover_begins();
+    node.leadership.start_failover();
     match take_over(&term, won.term).await {
-        Some(taken_over) => run_tasks(&term, taken_over).await,
+        Some(failover) => run_tasks(&term, failover).await,
         None => tracing::info!(%fencing_token, "failover abandoned"),
     }
     term.authority.resign();
@@ -76,7 +76,7 @@
 }
 
 /// A failover that is complete: the scheduler is in place.
-struct TakenOver {
+struct CompletedFailover {
     activity: Arc<Activity>,
     /// The store revision of the open jobs that were read: the watch goes on from there.
     store_revision: StoreRevision,
@@ -84,10 +84,10 @@
 
 /// Reads the state that former leaders left and puts the scheduler in place. None if anything can't be read, or
 /// the authority lapsed meanwhile.
-async fn take_over(term: &Term, leadership: LeadershipTerm) -> Option<TakenOver> {
+async fn take_over(term: &TermContext, leadership: LeadershipTerm) -> Option<CompletedFailover> {
     let node = &term.node;
     let fencing_token = leadership.initial_token;
-    let asked_at = node.now();
+    let requested_at = node.now();
     let (recovered, store_revision) = job_watch::read_recovered_state(node).await?;
     let jobs = recovered.open_jobs.len();
     let scheduler = Scheduler::recover(node.policy.clone(), leadership, node.now(), recovered)
@@ -97,13 +97,13 @@
     if !term.authority.is_held(node.now()) {
         return None;
     }
-    term.authority.view_refreshed(asked_at);
-    log_take_over(
+    term.authority.view_refreshed(requested_at);
+    log_failover(
         node,
         &scheduler,
         fencing_token,
         store_revision,
-        asked_at,
+        requested_at,
         jobs,
     );
     let activity = Arc::new(Activity::new(node.now()));
@@ -112,25 +112,25 @@
         authority: term.authority.clone(),
         activity: activity.clone(),
     });
-    Some(TakenOver {
+    Some(CompletedFailover {
         activity,
         store_revision,
     })
 }
 
-fn log_take_over(
+fn log_failover(
     node: &Node,
     scheduler: &Scheduler,
     fencing_token: FencingToken,
     store_revision: StoreRevision,
-    asked_at: Instant,
+    requested_at: Instant,
     jobs: usize,
 ) {
     let attempts = scheduler.attempt_counts();
     tracing::info!(
         %fencing_token,
         %store_revision,
-        read_ms = (node.now() - asked_at).0,
+        read_ms = (node.now() - requested_at).0,
         jobs,
         machines = scheduler.machines_up(),
         attempts = attempts.total,
@@ -140,11 +140,11 @@
 }
 
 /// Runs the tasks of the leader until the term ends.
-async fn run_tasks(term: &Term, taken_over: TakenOver) {
-    let TakenOver {
+async fn run_tasks(term: &TermContext, failover: CompletedFailover) {
+    let CompletedFailover {
         activity,
         store_revision,
-    } = taken_over;
+    } = failover;
     let mut tasks = JoinSet::new();
     tasks.spawn(step_loop::run(term.clone(), activity.clone()));
     tasks.spawn(job_watch::run(term.clone(), store_revision));
--- a/src/runtime/leader/transfer.rs
+++ b/src/runtime/leader/transfer.rs
@@ -1,6 +1,6 @@
 //! Leadership transfer: a leader that no worker reaches gives way to a peer that workers do reach.
 
-use super::term::Term;
+use super::term::TermContext;
 use crate::coordination::leadership::transfer::{should_transfer_leadership, silence_timeout};
 use crate::protocol::peers::{PeerReply, PeerRequest};
 use crate::runtime::clients::peers::PEER_TIMEOUT;
@@ -14,7 +14,7 @@
 
 /// Transfers the leadership when this controller alone hears no workers: guards against a leader whose workers'
 /// leases all expire while peers could answer them. We stop acting first, then the lease is revoked.
-pub async fn watch_heartbeats(term: Term) {
+pub async fn watch_heartbeats(term: TermContext) {
     let node = &term.node;
     let started_at = node.now();
     loop {
@@ -23,21 +23,21 @@
             _ = tokio::time::sleep(CHECK_INTERVAL) => {}
         }
         let machines_up = node.leadership.machines_up();
-        let bound = silence_timeout(machines_up, node.policy.facts.workers.heartbeat_interval_s);
-        if silence(node, started_at) <= bound {
+        let timeout = silence_timeout(machines_up, node.policy.facts.workers.heartbeat_interval_s);
+        if silence(node, started_at) <= timeout {
             continue;
         }
         let peers_silence = ask_peers(node).await;
         // Measured again: a process that stood still has taken in by now what had come meanwhile.
         let own_silence = silence(node, started_at);
-        if should_transfer_leadership(machines_up, own_silence, &peers_silence, bound) {
+        if should_transfer_leadership(machines_up, own_silence, &peers_silence, timeout) {
             tracing::info!(
                 reason = "a peer receives heartbeats and this controller none",
                 machines = machines_up,
                 silence_ms = own_silence.0,
                 "leadership transferred"
             );
-            node.leadership.begin_cool_down(node.now());
+            node.leadership.start_cool_down(node.now());
             term.resign();
             return;
         }
