--- a/src/runtime/leader/activity.rs
+++ b/src/runtime/leader/activity.rs
@@ -1,5 +1,5 @@
-//! What a leader has done and how far behind it was, added up and logged every ten seconds: a few numbers,
-//! however many machines there are.
+//! Counters of a leader's activity and delays, logged every ten seconds: the size of the log doesn't depend on
+//! the number of machines.
 
 use crate::coordination::Effect;
 use crate::protocol::workers::Command;
@@ -7,10 +7,10 @@
 use crate::time::{Instant, TimeSpan};
 use std::sync::Mutex;
 
-/// Between two lines of the log.
+/// Interval between two activity log lines.
 const LOG_INTERVAL: TimeSpan = TimeSpan(10_000);
 
-/// What has been counted since the last line of the log.
+/// The counters since the last activity log line.
 #[derive(Debug, Default)]
 struct Counts {
     period_start: Instant,
@@ -24,21 +24,22 @@
     oldest_view: TimeSpan,
 }
 
-/// The activity of one leadership term.
+/// The activity counters of one leadership term.
 #[derive(Debug)]
 pub struct Activity {
     counts: Mutex<Counts>,
 }
 
 impl Activity {
-    /// Counters at zero, counting from `now`.
+    /// Creates counters at zero for a period that starts at `now`.
     pub fn new(now: Instant) -> Activity {
         Activity {
             counts: Mutex::new(Counts::starting_at(now)),
         }
     }
 
-    /// A heartbeat was answered with these commands, on a view of the open jobs of that age.
+    /// Records a heartbeat that was answered with `commands`, based on a view of the open jobs of age
+    /// `view_age`.
     pub fn heartbeat_answered(&self, commands: &[Command], view_age: TimeSpan) {
         let mut counts = lock(&self.counts);
         counts.heartbeats += 1;
@@ -46,7 +47,7 @@
         counts.add_commands(commands);
     }
 
-    /// A step with these effects took `duration`, and began `lag` after it was due.
+    /// Records a step that issued `effects`, took `duration` and started `lag` after it was due.
     pub fn step_finished(&self, effects: &[Effect], duration: TimeSpan, lag: TimeSpan) {
         let mut counts = lock(&self.counts);
         counts.longest_step = counts.longest_step.max(duration);
@@ -63,7 +64,7 @@
         }
     }
 
-    /// Logs the counters and resets them, if the interval has passed.
+    /// Logs and resets the counters if the log interval has passed.
     pub fn log_if_due(&self, now: Instant) {
         let due = now - lock(&self.counts).period_start >= LOG_INTERVAL;
         if due {
@@ -71,7 +72,7 @@
         }
     }
 
-    /// Logs the counters and resets them.
+    /// Logs and resets the counters.
     pub fn log(&self, now: Instant) {
         let mut counts = lock(&self.counts);
         tracing::info!(
--- a/src/runtime/leader/count_broadcast.rs
+++ b/src/runtime/leader/count_broadcast.rs
@@ -1,4 +1,4 @@
-//! Sending the task counts to peers, for display in their responses to polls.
+//! Sends the task counts of open jobs to peers, which show them in their job status responses.
 
 use super::term::TermContext;
 use crate::coordination::JobTaskCounts;
@@ -7,10 +7,11 @@
 use crate::runtime::clients::peers::PEER_TIMEOUT;
 use std::time::Duration;
 
-/// Between two broadcasts.
+/// Interval between two broadcasts.
 const BROADCAST_INTERVAL: Duration = Duration::from_millis(1500);
 
-/// Sends the counts whenever they have changed, to one peer after the other, until the term ends.
+/// Sends the counts to one peer after another if they have changed since the last broadcast, until the term
+/// ends.
 pub async fn run(term: TermContext) {
     let node = &term.node;
     let mut last_sent = Vec::new();
--- a/src/runtime/leader/mod.rs
+++ b/src/runtime/leader/mod.rs
@@ -1,13 +1,13 @@
-//! The leader: at most one controller at a time may act on the cluster, and only while its lease lasts.
+//! Leadership: at most one controller at a time may act on the cluster, and only while its lease is valid.
 //!
-//! - `election`: winning the leader key and its fencing token;
-//! - `term`: one term from the election won to the lease revoked;
-//! - `lease_renewal`, `job_watch`: what the leader's authority rests on;
-//! - `step_loop`, `effects`: letting the scheduler decide and carrying out what it decided;
-//! - `transfer`: handing the leadership over when no worker reaches this controller;
-//! - `state`: what the rest of the controller sees of all this.
+//! - `election`: acquiring the leader key and a new fencing token;
+//! - `term`: one leadership term, from the won election to the revocation of the lease;
+//! - `lease_renewal`, `job_watch`: keeping the leader's authority valid;
+//! - `step_loop`, `effects`: running the scheduler and executing its effects;
+//! - `transfer`: leadership transfer when no worker reaches this controller;
+//! - `state`: the leadership state that the rest of the controller reads.
 //!
-//! Nothing is sent to the state store, the cloud or a worker on a leader's behalf without its [`Authority`].
+//! A leader acts on the state store, the cloud and workers only while it has [`Authority`].
 //!
 //! [`Authority`]: crate::coordination::leadership::authority::Authority
 
@@ -30,11 +30,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The pause between two attempts to be elected, plus a random part so that controllers rarely collide.
+/// Pause between two election attempts, plus a random jitter so that controllers rarely attempt it together.
 const CAMPAIGN_INTERVAL_MS: u64 = 500;
 const MAX_CAMPAIGN_JITTER_MS: u64 = 300;
 
-/// Campaigns, leads, and campaigns again, until the controller stops.
+/// Campaigns for the leadership, and leads after each election won, until the controller stops.
 pub async fn run(node: Arc<Node>) {
     while !node.stop.is_cancelled() {
         if let Some(won) = election::campaign(&node).await {
