--- a/src/runtime/leader/effects.rs
+++ b/src/runtime/leader/effects.rs
@@ -1,7 +1,7 @@
-//! Carrying out what the scheduler decides: each effect becomes one or more requests, and their outcome an
+//! Executes the scheduler's effects: each effect becomes one or more requests, whose outcome is reported as an
 //! event.
 //!
-//! Nothing is decided here. A failure is reported as what is known of it: not executed, refused, or unknown.
+//! No decisions are made here. A failed request is reported as not executed, refused, or of unknown outcome.
 
 use crate::coordination::leadership::authority::Authority;
 use crate::coordination::{
@@ -21,17 +21,19 @@
 use rand::Rng;
 use std::time::Duration;
 
-/// The leader writes nothing for so long after the state store has refused a write for its rate, chosen at
-/// random: whoever else was refused comes again at another moment.
+/// Range of the random pause in the leader's writes after the state store has rejected one for its rate limit:
+/// clients that were rejected together don't retry together.
 const RATE_LIMITED_PAUSE_MS: std::ops::Range<i64> = 200..500;
-/// Between reads of terminal records: a failover with many dependencies must not use up the store's rate.
+/// Pause between reads of terminal records: a failover with many dependencies must not exhaust the state
+/// store's rate limit.
 const TERMINAL_READ_SPACING: Duration = Duration::from_millis(15);
-/// Pause before a failed read is tried again, plus a random part up to the same again.
-const READ_RETRY_MS: u64 = 150;
-/// Deadline of a push.
+/// Pause before a failed read is retried, plus a random jitter of at most the same length.
+const READ_RETRY_PAUSE_MS: u64 = 150;
+/// Timeout of a push.
 const PUSH_TIMEOUT: Duration = Duration::from_millis(2500);
 
-/// Carries out an effect. The event says what came of it; None if the leader's authority has lapsed meanwhile.
+/// Executes an effect and returns the event that reports its outcome. None if the leader's authority lapsed
+/// meanwhile or there is no outcome to report.
 pub async fn execute(node: &Node, authority: &Authority, effect: Effect) -> Option<Event> {
     match effect {
         Effect::Write {
@@ -133,7 +135,8 @@
     Some(Event::TerminalRecordsRead(records))
 }
 
-/// Reads a key, again and again until the state store serves the read; None if the authority lapses first.
+/// Reads a key, retrying until the state store answers. The outer option is None if the authority lapses first,
+/// the inner one if the key doesn't exist.
 async fn read_with_retry(
     node: &Node,
     authority: &Authority,
@@ -144,8 +147,8 @@
             Ok(item) => return Some(item),
             Err(_) if !authority.is_held(node.now()) => return None,
             Err(_) => {
-                let jitter_ms = rand::rng().random_range(0..READ_RETRY_MS);
-                tokio::time::sleep(Duration::from_millis(READ_RETRY_MS + jitter_ms)).await;
+                let jitter_ms = rand::rng().random_range(0..READ_RETRY_PAUSE_MS);
+                tokio::time::sleep(Duration::from_millis(READ_RETRY_PAUSE_MS + jitter_ms)).await;
             }
         }
     }
@@ -169,7 +172,7 @@
             PUSH_TIMEOUT,
         )
         .await;
-    // 200: the commands were carried out; 409: they were not. Both come with the worker's status.
+    // 200: the worker executed the commands; 409: it didn't. Both responses contain the worker's status.
     let status = match &response {
         Ok(response) if matches!(response.status, 200 | 409) => {
             serde_json::from_slice::<WorkerStatus>(&response.body).ok()
--- a/src/runtime/leader/step_loop.rs
+++ b/src/runtime/leader/step_loop.rs
@@ -1,5 +1,5 @@
-//! The step loop: lets the scheduler decide, soon after events and a few times a second, and carries out its
-//! effects.
+//! The step loop: runs a step of the scheduler soon after events and at least a few times a second, and
+//! executes its effects.
 
 use super::activity::Activity;
 use super::effects;
@@ -9,9 +9,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The scheduler decides at least this often.
+/// How long the step loop waits for a requested step before it runs one anyway.
 const MAX_STEP_INTERVAL: Duration = Duration::from_millis(250);
-/// Events are collected for this long before a step: they come in bunches, and one decision does for all.
+/// Events are collected for this long before a step: they come in bursts, and one step handles a whole burst.
 const EVENT_BATCH_DELAY: TimeSpan = TimeSpan(10);
 
 /// Runs steps until the term ends.
@@ -43,10 +43,10 @@
     }
 }
 
-/// Carries out one effect and hands its outcome to the scheduler.
+/// Executes one effect and passes its outcome to the scheduler.
 async fn execute(term: TermContext, effect: Effect) {
     let node = &term.node;
-    // Authority is checked as each effect is sent, not only when it was decided.
+    // Authority is checked again for each effect: it may have lapsed since the step that issued the effect.
     if !term.may_act(node.now()) {
         return;
     }
