--- a/src/runtime/leader/election.rs
+++ b/src/runtime/leader/election.rs
@@ -1,4 +1,5 @@
-//! Election: the leader key is taken when it is free, or when it is that of our own predecessor on this host.
+//! Election: a controller acquires the leader key if the key is absent, or if it was written by an earlier
+//! process of this controller.
 
 use crate::coordination::leadership::authority::Authority;
 use crate::coordination::leadership::LeadershipTerm;
@@ -9,15 +10,15 @@
 use crate::storage::records::{LeaderRecord, FENCING_TOKEN_KEY, LEADER_KEY};
 use std::sync::Arc;
 
-/// An election won: the leader key is ours.
+/// A won election: this controller has acquired the leader key.
 pub struct ElectionWon {
-    /// What this leader holds in the state store.
+    /// The new term: its fencing token, its lease and the revisions of its keys.
     pub term: LeadershipTerm,
-    /// Its right to act.
+    /// The leader's authority to act.
     pub authority: Arc<Authority>,
 }
 
-/// Reads who leads, and tries to win the election if nobody else does.
+/// Reads the leader key, and tries to win the election if no other controller leads.
 pub async fn campaign(node: &Node) -> Option<ElectionWon> {
     let requested_at = node.now();
     let Ok(leader_key) = node.state_store.get(LEADER_KEY).await else {
@@ -25,8 +26,8 @@
         return None;
     };
     let leader = leader_key.as_ref().and_then(leader_name);
-    // A leader key with our own name is that of our predecessor on this host, whose process has ended:
-    // there is no need to wait for its lease.
+    // A leader key with this controller's name was written by an earlier process on this host, which has
+    // ended: there is no need to wait for its lease to expire.
     let is_predecessor = leader.as_deref() == Some(&node.config.platform.host_name);
     let other = leader.filter(|_| !is_predecessor);
     node.leadership
@@ -46,14 +47,15 @@
     Some(record.ok()?.host_name)
 }
 
-/// Tries to take the leader key at this revision, raising the durable fencing token in the same transaction.
+/// Tries to acquire the leader key, which must be at this revision. The same transaction raises the stored
+/// fencing token.
 async fn acquire_leadership(node: &Node, leader_key_revision: KeyRevision) -> Option<ElectionWon> {
     let lease_sent_at = node.now();
     let lease_ttl = node.config.leader.lease_duration;
     let lease = node.state_store.grant_lease(lease_ttl).await.ok()?;
     let term = acquire_leader_key(node, leader_key_revision, lease).await;
     let Some(term) = term else {
-        // A late copy of our transaction can't take the key for a lease that has ended.
+        // Without the lease, a copy of the transaction that arrives late can't acquire the key.
         node.state_store.revoke_lease(lease).await;
         return None;
     };
@@ -102,7 +104,7 @@
     Some(LeadershipTerm {
         token: record.token,
         initial_token: record.token,
-        // Both keys were written by the same transaction.
+        // The same transaction wrote both keys, so they have the same revision.
         leader_key_revision: revision,
         token_counter_revision: revision,
         lease,
@@ -110,7 +112,7 @@
     })
 }
 
-/// The last fencing token handed out, and the revision of its key.
+/// Reads the last fencing token that was issued, and the revision of its key. Both are 0 if none was issued.
 async fn read_fencing_token(node: &Node) -> Option<(FencingToken, KeyRevision)> {
     match node.state_store.get(FENCING_TOKEN_KEY).await.ok()? {
         Some(item) => Some((FencingToken(item.data.as_u64()?), item.revision)),
@@ -118,8 +120,8 @@
     }
 }
 
-/// Settles a transaction whose outcome is unknown by what is read: the leader key carries our lease and token,
-/// or it is not ours.
+/// Reads the leader key after a transaction with an unknown outcome: returns the key's revision if the key has
+/// this lease and token, so that the transaction was applied.
 async fn own_key_revision(node: &Node, lease: LeaseId, token: FencingToken) -> Option<KeyRevision> {
     let item = node.state_store.get(LEADER_KEY).await.ok()??;
     let record: LeaderRecord = serde_json::from_value(item.data).ok()?;
--- a/src/runtime/leader/lease_renewal.rs
+++ b/src/runtime/leader/lease_renewal.rs
@@ -1,4 +1,4 @@
-//! Renewing the leader's lease until the authority is lost.
+//! Renews the leader's lease until its authority is lost.
 
 use super::term::TermContext;
 use crate::ids::LeaseId;
@@ -6,14 +6,15 @@
 use std::time::Duration;
 use tokio::task::JoinSet;
 
-/// Renewals in the time that the lease lasts, and so many at most under way.
+/// Renewals sent per lease duration; also the maximum number of renewals in flight.
 const RENEWALS_PER_LEASE: u64 = 5;
 
-/// Renews the lease until the authority is lost. A renewal doesn't wait for the response to the one before.
+/// Renews the lease until the authority is lost, without waiting for the response to the previous renewal.
 ///
-/// Guards against a leader that ends a moment after a failover: a thousand workers sent heartbeats at once,
-/// responses waited in the sockets for longer than an ordinary call may take, and every renewal was given up
-/// though it had been answered. Each is good from when it was sent, however late its response is read.
+/// Guards against a leader that loses its authority shortly after a failover: a thousand workers sent
+/// heartbeats at once, responses stayed in the socket buffers for longer than the usual request timeout, and
+/// every renewal timed out although it had been answered. A renewal counts from the time it was sent, however
+/// late its response is read.
 pub async fn renew(term: TermContext, lease: LeaseId) {
     let lease_ttl_ms = term.node.config.leader.lease_duration.0 as u64;
     let interval = Duration::from_millis(lease_ttl_ms / RENEWALS_PER_LEASE);
--- a/src/runtime/leader/term.rs
+++ b/src/runtime/leader/term.rs
@@ -1,4 +1,4 @@
-//! One term of a leader: failover, the tasks of the leader, and the end.
+//! One leadership term: the failover, the leader's tasks, and the end of the term.
 
 use super::activity::Activity;
 use super::election::ElectionWon;
@@ -14,31 +14,31 @@
 use tokio::task::JoinSet;
 use tokio_util::sync::CancellationToken;
 
-/// What every task of a leader needs: the node, the right to act, and the token that ends the term.
+/// The context that a leader's tasks share: the node, the leader's authority, and the token that ends the term.
 #[derive(Clone)]
 pub struct TermContext {
     /// The controller.
     pub node: Arc<Node>,
-    /// The leader's right to act.
+    /// The leader's authority to act.
     pub authority: Arc<Authority>,
     /// Cancelled when the term ends.
     pub end: CancellationToken,
 }
 
 impl TermContext {
-    /// Whether the leader may act at this moment.
+    /// Whether the term is active and the leader has authority to act.
     pub fn may_act(&self, now: Instant) -> bool {
         !self.end.is_cancelled() && self.authority.is_held(now)
     }
 
-    /// Gives up the right to act and ends the term.
+    /// Resigns the leader's authority and ends the term.
     pub fn resign(&self) {
         self.authority.resign();
         self.end.cancel();
     }
 
-    /// Ends a term whose authority has lapsed, and logs why, once. A lease renewal that is answered later
-    /// changes nothing any more.
+    /// Ends a term whose authority has lapsed, and logs the reason once. A lease renewal that is answered later
+    /// has no effect.
     pub fn end_lapsed(&self, now: Instant) {
         if !self.end.is_cancelled() {
             let reason = self.authority.loss(now);
@@ -71,19 +71,19 @@
     let _ = renewal.await;
     let duration_ms = (node.now() - started_at).0;
     tracing::info!(%fencing_token, duration_ms, "leadership ended");
-    // Others needn't wait for a lease that we don't use. Everything of ours has stopped by now.
+    // The tasks of the term have stopped, and another controller needn't wait for the lease to expire.
     node.state_store.revoke_lease(lease).await;
 }
 
-/// A failover that is complete: the scheduler is in place.
+/// The result of a completed failover, whose scheduler is active.
 struct CompletedFailover {
     activity: Arc<Activity>,
-    /// The store revision of the open jobs that were read: the watch goes on from there.
+    /// The store revision of the open jobs that were read, from which the watch starts.
     store_revision: StoreRevision,
 }
 
-/// Reads the state that former leaders left and puts the scheduler in place. None if anything can't be read, or
-/// the authority lapsed meanwhile.
+/// Recovers the state that former leaders stored and activates the scheduler. None if anything can't be read or
+/// the authority has lapsed meanwhile.
 async fn take_over(term: &TermContext, leadership: LeadershipTerm) -> Option<CompletedFailover> {
     let node = &term.node;
     let fencing_token = leadership.initial_token;
@@ -91,7 +91,7 @@
     let (recovered, store_revision) = job_watch::read_recovered_state(node).await?;
     let jobs = recovered.open_jobs.len();
     let scheduler = Scheduler::recover(node.policy.clone(), leadership, node.now(), recovered)
-        // Guards against taking an attempt for never launched because its record can't be read.
+        // Guards against treating an attempt as never launched because its record is unreadable.
         .map_err(|error| tracing::error!(%error, "failover stopped by an unreadable record"))
         .ok()?;
     if !term.authority.is_held(node.now()) {
@@ -139,7 +139,7 @@
     );
 }
 
-/// Runs the tasks of the leader until the term ends.
+/// Runs the leader's tasks until the term ends.
 async fn run_tasks(term: &TermContext, failover: CompletedFailover) {
     let CompletedFailover {
         activity,
--- a/src/runtime/leader/transfer.rs
+++ b/src/runtime/leader/transfer.rs
@@ -1,4 +1,5 @@
-//! Leadership transfer: a leader that no worker reaches gives way to a peer that workers do reach.
+//! Leadership transfer: a leader that receives no heartbeats resigns if a peer receives some, so that a peer can
+//! be elected.
 
 use super::term::TermContext;
 use crate::coordination::leadership::transfer::{should_transfer_leadership, silence_timeout};
@@ -9,11 +10,12 @@
 use crate::transport::peer::PeerClient;
 use std::time::Duration;
 
-/// How often the leader looks how long ago a worker last sent a heartbeat.
+/// Interval between two checks of the time since the last heartbeat.
 const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Transfers the leadership when this controller alone hears no workers: guards against a leader whose workers'
-/// leases all expire while peers could answer them. We stop acting first, then the lease is revoked.
+/// Transfers the leadership if this controller receives no heartbeats and a peer does. Guards against a leader
+/// whose workers' leases all expire although a peer could answer their heartbeats. The leader stops acting
+/// before its lease is revoked.
 pub async fn watch_heartbeats(term: TermContext) {
     let node = &term.node;
     let started_at = node.now();
@@ -28,7 +30,7 @@
             continue;
         }
         let peers_silence = ask_peers(node).await;
-        // Measured again: a process that stood still has taken in by now what had come meanwhile.
+        // Measured again: heartbeats that arrived while the process was paused have been received by now.
         let own_silence = silence(node, started_at);
         if should_transfer_leadership(machines_up, own_silence, &peers_silence, timeout) {
             tracing::info!(
@@ -44,15 +46,15 @@
     }
 }
 
-/// How long this leader has heard no worker, counted from the start of its term at most.
+/// Returns how long this leader has received no heartbeat, at most the time since its term started.
 fn silence(node: &Node, started_at: Instant) -> TimeSpan {
     let since_start = node.now() - started_at;
     node.time_since_heartbeat()
         .map_or(since_start, |silence| silence.min(since_start))
 }
 
-/// How long ago each peer received a heartbeat, one after the other; None if it can't tell, or the state store
-/// doesn't serve it.
+/// Asks one peer after another how long ago it received a heartbeat. None for a peer that doesn't answer, has
+/// received none, or isn't served by the state store.
 async fn ask_peers(node: &Node) -> Vec<Option<TimeSpan>> {
     let mut silence = Vec::new();
     for peer in node.peers.clients() {
