--- a/src/runtime/leader/job_watch.rs
+++ b/src/runtime/leader/job_watch.rs
@@ -1,4 +1,5 @@
-//! What a leader reads of the jobs: everything at failover, and then what changes.
+//! The leader's view of the open jobs: reads the stored state at failover, then watches the open jobs for
+//! changes.
 
 use super::term::TermContext;
 use crate::coordination::leadership::recovery::RecoveredState;
@@ -15,15 +16,16 @@
 use crate::time::{Instant, TimeSpan};
 use std::time::Duration;
 
-/// Pause after a watch response: changes come in bunches, and a short pause spares requests.
+/// Pause after a watch response: changes come in bursts, and a short pause saves requests.
 const WATCH_PAUSE: Duration = Duration::from_millis(100);
-/// Pause after a failed watch.
+/// Pause after a failed watch request.
 const WATCH_RETRY_PAUSE: Duration = Duration::from_millis(300);
-/// Jobs count as submitted at most this long ago, whatever their records say.
+/// Upper bound of a job's age, whatever submission time is in its record.
 const MAX_JOB_AGE_MS: u64 = 1 << 50;
 
-/// Reads everything a new leader needs. All reads come after the leader key was written, so no former leader
-/// can add an intent that we miss: its writes have the old key as a precondition. None if any read fails.
+/// Reads the state that a new leader recovers from; None if any read fails. The leader key was written before
+/// these reads, so they miss no launch intent of a former leader: its writes have the previous revision of the
+/// leader key as a precondition.
 pub async fn read_recovered_state(node: &Node) -> Option<(RecoveredState, StoreRevision)> {
     let store = &node.state_store;
     let (
@@ -78,9 +80,9 @@
     node.now() - TimeSpan(age_ms.min(MAX_JOB_AGE_MS) as i64)
 }
 
-/// Watches the open jobs from the revision of the list that was read, until the term ends. Each response says
-/// what had happened by the time it was asked for: the leader's authority doesn't outlast that by more than the
-/// staleness allowed.
+/// Watches the open jobs until the term ends, starting at `since`, the store revision of the list that was
+/// read. A response covers all changes up to the time of its request; the leader's authority ends
+/// `max_staleness` after that time at the latest.
 pub async fn run(term: TermContext, mut since: StoreRevision) {
     let node = &term.node;
     let hold = node.config.leader.watch_hold;
@@ -118,8 +120,8 @@
     );
 }
 
-/// Hands the scheduler what has changed. If that fails halfway, the same changes are read again: each may come
-/// twice.
+/// Passes the changes in a watch response to the scheduler. After a failure partway through, the same changes
+/// are read again, so the scheduler may receive a change twice.
 async fn apply_changes(
     node: &Node,
     response: Result<WatchResponse, StateStoreError>,
@@ -161,7 +163,7 @@
     Ok(())
 }
 
-/// Whether changes may have been missed for good.
+/// Whether the watch may have missed changes for good.
 fn may_have_missed_changes(error: StateStoreError) -> bool {
     matches!(
         error,
@@ -169,8 +171,8 @@
     )
 }
 
-/// Reads the whole list again rather than guess what was missed; the revision from which the watch goes on, or
-/// None if the list can't be read.
+/// Lists all open jobs again, since it is unknown which changes were missed. Returns the store revision from
+/// which the watch continues, or None if the list can't be read.
 async fn relist_open_jobs(
     term: &TermContext,
     since: StoreRevision,
--- a/src/runtime/leader/machine_list.rs
+++ b/src/runtime/leader/machine_list.rs
@@ -1,4 +1,4 @@
-//! Reading the cloud's machine list over and over.
+//! Polls the cloud's machine list.
 
 use super::term::TermContext;
 use crate::coordination::Event;
@@ -6,15 +6,15 @@
 use rand::Rng;
 use std::time::Duration;
 
-/// The share of the cloud's request rate that reading the list may use.
+/// Share of the cloud's request rate limit that polling the machine list may use.
 const REQUEST_RATE_SHARE: f64 = 0.25;
-/// Bounds of the pause between two reads, in seconds.
+/// Bounds of the pause between two polls, in seconds.
 const MIN_PAUSE_SECS: f64 = 3.0;
 const MAX_PAUSE_SECS: f64 = 30.0;
-/// A random part of the pause, up to this.
+/// Maximum random jitter added to the pause.
 const MAX_JITTER_MS: u64 = 500;
 
-/// Reads the list and hands it to the scheduler, until the term ends.
+/// Polls the machine list and passes it to the scheduler until the term ends.
 pub async fn poll(term: TermContext) {
     let node = &term.node;
     while !term.end.is_cancelled() {
@@ -36,8 +36,8 @@
     }
 }
 
-/// The pause after a list of so many machines. Scale out and scale in come first: a list of many pages is read
-/// less often.
+/// Returns the pause after reading a list of `machine_count` machines. A list of many pages is read less often,
+/// to leave most of the request rate to scale out and scale in.
 fn pause_after(machine_count: usize, requests_per_sec: f64) -> Duration {
     let pages = (machine_count / LIST_PAGE_SIZE + 1) as f64;
     let min_secs = pages / (requests_per_sec * REQUEST_RATE_SHARE);
--- a/src/runtime/leader/state.rs
+++ b/src/runtime/leader/state.rs
@@ -1,4 +1,4 @@
-//! What a controller knows of the leadership: its own scheduler if it leads, the name of whoever else does.
+//! The leadership state of a controller: its scheduler while it is the leader, otherwise the leader's name.
 
 use super::activity::Activity;
 use crate::coordination::attempts::reconciliation::HeartbeatOutcome;
@@ -12,34 +12,35 @@
 use std::time::Duration;
 use tokio::sync::{watch, Notify};
 
-/// A heartbeat waits for a failover to this controller for this long; the worker waits for 4 s.
+/// How long a heartbeat waits for a failover to this controller to finish; the worker's own timeout is 4 s.
 const FAILOVER_WAIT: Duration = Duration::from_millis(2500);
-/// The name of the leader counts for this long after it was asked for.
+/// How long the name of another leader is used after the request that read it.
 const OTHER_LEADER_MAX_AGE: TimeSpan = TimeSpan(3000);
-/// After a leadership transfer this controller doesn't campaign for this long.
+/// Length of the cool-down after a leadership transfer.
 const TRANSFER_COOL_DOWN: TimeSpan = TimeSpan(20_000);
-/// It campaigns after this long all the same if nobody else has become the leader.
+/// The first part of the cool-down, in which this controller doesn't campaign for a vacant leadership. If no
+/// peer has become the leader by its end, this controller campaigns again.
 const VACANT_COOL_DOWN: TimeSpan = TimeSpan(4_000);
 
 /// The reply to a worker's heartbeat.
 pub enum HeartbeatReply {
-    /// The worker is to carry out these commands, which may be none. It renews the worker's lease.
+    /// Commands for the worker, possibly none. This reply renews the worker's lease.
     Commands {
         /// The leader's fencing token.
         token: FencingToken,
         /// The commands.
         commands: Vec<Command>,
     },
-    /// The worker is to turn to the leader, whose name is given if it is known.
+    /// The worker must send its heartbeats to the leader instead, which is named if it is known.
     Redirect {
         /// The leader's name.
         leader: Option<String>,
     },
-    /// This controller has won the election and is about to take over.
+    /// This controller has won the election, and its failover is in progress.
     FailoverInProgress,
 }
 
-/// What carries commands to a worker.
+/// The kind of message that carries commands to a worker.
 #[derive(Clone, Copy, Debug)]
 enum Carrier {
     /// The response to a heartbeat.
@@ -48,18 +49,18 @@
     Command,
 }
 
-/// A leadership that is going on.
+/// The current leadership term of this controller.
 pub struct ActiveLeader {
     /// The scheduler of this term.
     pub scheduler: Scheduler,
-    /// The right to act.
+    /// The leader's authority to act.
     pub authority: Arc<Authority>,
     /// Counters for the log.
     pub activity: Arc<Activity>,
 }
 
 impl ActiveLeader {
-    /// Logs each launch and stop as it is sent, and how old the view of the open jobs is that it rests on.
+    /// Logs each launch and stop that is sent, with the age of the view of the open jobs on which it is based.
     fn log_commands(
         &self,
         now: Instant,
@@ -85,17 +86,17 @@
     }
 }
 
-/// Another leader's name, as read at a moment.
+/// Another leader's name, and when it was requested.
 struct ObservedLeader {
     name: String,
     requested_at: Instant,
 }
 
-/// Whether this controller leads, its scheduler if it does, and who else leads if it does not.
+/// Whether this controller is the leader, its scheduler if it is, and the name of the other leader if it isn't.
 #[derive(Default)]
 pub struct LeadershipState {
     active: Mutex<Option<ActiveLeader>>,
-    /// Whether this controller has won the election but has not taken over yet.
+    /// Whether this controller has won the election and its failover is in progress.
     in_failover: watch::Sender<bool>,
     other_leader: Mutex<Option<ObservedLeader>>,
     /// Wakes the step loop.
@@ -105,14 +106,14 @@
 }
 
 impl LeadershipState {
-    /// Whether this controller leads at this moment.
+    /// Whether this controller is the leader and has authority to act.
     pub fn is_leader(&self, now: Instant) -> bool {
         lock(&self.active)
             .as_ref()
             .is_some_and(|leader| leader.authority.is_held(now))
     }
 
-    /// Makes the step loop run soon.
+    /// Requests a step of the scheduler.
     pub fn request_step(&self) {
         self.step_requested.notify_one();
     }
@@ -122,7 +123,7 @@
         self.step_requested.notified().await;
     }
 
-    /// Hands the scheduler an event; does nothing if this controller doesn't lead.
+    /// Passes an event to the scheduler; does nothing if this controller isn't the leader.
     pub fn handle_event(&self, now: Instant, event: Event) {
         if let Some(leader) = lock(&self.active).as_mut() {
             leader.scheduler.handle(now, event);
@@ -130,7 +131,7 @@
         }
     }
 
-    /// Hands the scheduler the outcome of an effect, if the term that asked for it is still going on.
+    /// Passes the outcome of an effect to the scheduler, unless the term that issued the effect has ended.
     pub fn handle_outcome(&self, now: Instant, authority: &Arc<Authority>, event: Event) {
         let same_term = lock(&self.active)
             .as_ref()
@@ -140,14 +141,14 @@
         }
     }
 
-    /// Waits until a failover to this controller is over, if it is so soon.
+    /// Waits until a failover to this controller has finished, for at most `FAILOVER_WAIT`.
     pub async fn wait_for_failover(&self) {
         let mut in_failover = self.in_failover.subscribe();
         let finished = in_failover.wait_for(|in_failover| !in_failover);
         let _ = tokio::time::timeout(FAILOVER_WAIT, finished).await;
     }
 
-    /// Handles a heartbeat. Authority is checked before the scheduler acts on it.
+    /// Handles a heartbeat. The leader's authority is checked before the scheduler processes the heartbeat.
     pub fn heartbeat(&self, now: Instant, status: &WorkerStatus) -> HeartbeatReply {
         if *self.in_failover.borrow() {
             return HeartbeatReply::FailoverInProgress;
@@ -158,7 +159,7 @@
         })
     }
 
-    /// The leader's reply; None if this controller doesn't lead.
+    /// Returns the leader's reply; None if this controller isn't the leader or its authority has lapsed.
     fn heartbeat_as_leader(&self, now: Instant, status: &WorkerStatus) -> Option<HeartbeatReply> {
         let mut active = lock(&self.active);
         let leader = active.as_mut()?;
@@ -181,10 +182,10 @@
         })
     }
 
-    /// The name of the other leader, if it was read lately.
+    /// Returns the name of the other leader, if it was read recently.
     ///
-    /// Guards against a controller that lost the state store and goes on sending workers to whoever led when it
-    /// last knew.
+    /// Guards against a controller that can't reach the state store and keeps redirecting workers to a former
+    /// leader.
     fn other_leader(&self, now: Instant) -> Option<String> {
         let other = lock(&self.other_leader);
         let fresh = other
@@ -193,13 +194,13 @@
         fresh.map(|leader| leader.name.clone())
     }
 
-    /// Notes the name of the other leader, and when it was asked for; None if there is none or it is not known.
+    /// Records the name of the other leader and when it was requested; None if there is none or it is unknown.
     pub fn set_other_leader(&self, leader: Option<(String, Instant)>) {
         *lock(&self.other_leader) =
             leader.map(|(name, requested_at)| ObservedLeader { name, requested_at });
     }
 
-    /// The task counts of one job, if this controller leads.
+    /// Returns the task counts of one job; None if this controller isn't the leader.
     pub fn task_counts(&self, now: Instant, id: &JobId) -> Option<TaskCounts> {
         let active = lock(&self.active);
         let leader = active
@@ -208,28 +209,29 @@
         Some(leader.scheduler.task_counts_of(id))
     }
 
-    /// The task counts of all open jobs that have any. Empty without a leader.
+    /// Returns the task counts of all open jobs with running or completed tasks; empty if this controller isn't
+    /// the leader.
     pub fn all_task_counts(&self) -> Vec<JobTaskCounts> {
         lock(&self.active)
             .as_ref()
             .map_or(Vec::new(), |leader| leader.scheduler.task_counts())
     }
 
-    /// How many machines the scheduler knows to be up; 0 without a leader.
+    /// Returns the number of machines that are up; 0 if this controller isn't the leader.
     pub fn machines_up(&self) -> usize {
         lock(&self.active)
             .as_ref()
             .map_or(0, |leader| leader.scheduler.machines_up())
     }
 
-    /// Lets the scheduler decide; None if the term is over.
+    /// Runs one step of the scheduler and returns its effects; None if the term has ended.
     pub fn step(&self, now: Instant) -> Option<Vec<Effect>> {
         let mut active = lock(&self.active);
         active.as_mut().map(|leader| leader.scheduler.step(now))
     }
 
-    /// The effect as it is sent, which may be some time after it was decided: pushed commands that are no
-    /// longer wanted are left out.
+    /// Prepares an effect for sending, which may be some time after the scheduler issued it: removes launches
+    /// that are no longer wanted from a push.
     pub fn prepare_to_send(&self, now: Instant, mut effect: Effect) -> Effect {
         if let Effect::Push {
             machine_id,
@@ -247,33 +249,34 @@
         effect
     }
 
-    /// A failover to this controller begins: heartbeats wait for its end.
+    /// Starts a failover to this controller; heartbeats wait until it has finished.
     ///
-    /// Guards against a failover that starves: workers sent here by other controllers would be sent away and
-    /// come back every second, all of them, and took the whole of a small share of the processor.
+    /// Guards against a failover that gets no processor time: if heartbeats didn't wait, all workers that other
+    /// controllers redirect here would be redirected again and retry every second, which used up a small CPU
+    /// quota.
     pub fn start_failover(&self) {
         self.in_failover.send_replace(true);
     }
 
-    /// From now on this controller leads.
+    /// Finishes a failover: this controller becomes the leader.
     pub fn activate(&self, leader: ActiveLeader) {
         *lock(&self.active) = Some(leader);
         self.in_failover.send_replace(false);
     }
 
-    /// From now on this controller doesn't lead.
+    /// Ends this controller's leadership, or its abandoned failover.
     pub fn deactivate(&self) {
         *lock(&self.active) = None;
         self.in_failover.send_replace(false);
     }
 
-    /// The leadership is transferred: others campaign first.
+    /// Starts the cool-down after a leadership transfer, so that peers campaign first.
     pub fn start_cool_down(&self, now: Instant) {
         *lock(&self.cool_down_until) = Some(now + TRANSFER_COOL_DOWN);
     }
 
-    /// Whether this controller leaves the campaign to others after a leadership transfer. A vacant leadership is
-    /// left to them only for the first part of the cool-down.
+    /// Whether this controller must not campaign because it has just transferred the leadership: in the first part
+    /// of the cool-down, if the leadership is `vacant`.
     pub fn must_not_campaign(&self, now: Instant, vacant: bool) -> bool {
         let until = (*lock(&self.cool_down_until)).filter(|until| now < *until);
         until.is_some_and(|until| vacant && until - now > TRANSFER_COOL_DOWN - VACANT_COOL_DOWN)
