--- a/src/runtime/leader/state.rs
+++ b/src/runtime/leader/state.rs
@@ -275,8 +275,8 @@
         *lock(&self.cool_down_until) = Some(now + TRANSFER_COOL_DOWN);
     }
 
-    /// Whether this controller must not campaign because it has just transferred the leadership: in the first part
-    /// of the cool-down, if the leadership is `vacant`.
+    /// Whether this controller must not campaign because it has just transferred the leadership: in the first
+    /// part of the cool-down, if the leadership is `vacant`.
     pub fn must_not_campaign(&self, now: Instant, vacant: bool) -> bool {
         let until = (*lock(&self.cool_down_until)).filter(|until| now < *until);
         until.is_some_and(|until| vacant && until - now > TRANSFER_COOL_DOWN - VACANT_COOL_DOWN)
--- a/src/runtime/leader/transfer.rs
+++ b/src/runtime/leader/transfer.rs
@@ -1,5 +1,5 @@
-//! Leadership transfer: a leader that receives no heartbeats resigns if a peer receives some, so that a peer can
-//! be elected.
+//! Leadership transfer: a leader that receives no heartbeats resigns if a peer receives some, so that a peer
+//! can be elected.
 
 use super::term::TermContext;
 use crate::coordination::leadership::transfer::{should_transfer_leadership, silence_timeout};
