--- a/src/runtime/leader/election.rs
+++ b/src/runtime/leader/election.rs
@@ -55,7 +55,7 @@
     let lease = node.state_store.grant_lease(lease_ttl).await.ok()?;
     let term = acquire_leader_key(node, leader_key_revision, lease).await;
     let Some(term) = term else {
-        // Without the lease, a copy of the transaction that arrives late can't acquire the key.
+        // Once the lease is revoked, a copy of the transaction that arrives late can't acquire the key.
         node.state_store.revoke_lease(lease).await;
         return None;
     };
--- a/src/runtime/leader/job_watch.rs
+++ b/src/runtime/leader/job_watch.rs
@@ -163,7 +163,7 @@
     Ok(())
 }
 
-/// Whether the watch may have missed changes for good.
+/// Whether the watch may have missed changes permanently.
 fn may_have_missed_changes(error: StateStoreError) -> bool {
     matches!(
         error,
