--- a/src/coordination/attempts/mod.rs
+++ b/src/coordination/attempts/mod.rs
@@ -1,12 +1,12 @@
-//! Task attempts: the ledger of all that may be on machines, and what follows from it.
+//! Task attempts: launching and stopping them, and the ledger of all attempts that may be on machines.
 //!
-//! - `ledger`: which attempts there are, and the proofs by which one leaves it. Whether a task can be started
-//!   twice is to be judged there.
-//! - `reconciliation`: what a worker's status means for the ledger.
-//! - `leases`: what the passing of time means for it.
-//! - `stops`, `gang_stops`: which attempts are to be stopped.
-//! - `commands`, `pushes`: what workers are sent, with heartbeats and without.
-//! - `task_ends`: what follows when a task has ended.
+//! - `ledger`: all attempts, and the proofs by which they are removed. Decides whether a task may be started
+//!   twice.
+//! - `reconciliation`: updates the ledger from worker statuses.
+//! - `leases`: periodic checks of lease expiry and of machines that no command reaches.
+//! - `stops`, `gang_stops`: decide which attempts to stop.
+//! - `commands`, `pushes`: the commands for workers, in heartbeat responses and as pushes.
+//! - `task_ends`: handles the end of an attempt.
 
 mod commands;
 mod gang_stops;
@@ -20,17 +20,17 @@
 use crate::ids::{JobId, MachineId};
 use std::collections::BTreeSet;
 
-/// Machines and gangs that the next step has to look at, and the pushes that are due or under way.
+/// Work queued for the next step (reviews, gang checks, pushes), and the state of pushes and periodic reviews.
 #[derive(Debug, Default)]
 pub struct Outbox {
-    /// Machines whose attempts are to be reviewed.
+    /// Machines whose attempts have to be reviewed for stops.
     pub(crate) machines_to_review: BTreeSet<MachineId>,
-    /// Gangs that may be broken.
+    /// Gangs that may have lost a member.
     pub(crate) gangs_to_check: BTreeSet<JobId>,
-    /// Machines that may have commands to be pushed.
+    /// Machines that may have commands to push.
     pub(crate) pushes_due: BTreeSet<MachineId>,
-    /// Pushes whose answers are awaited.
+    /// Number of pushes without a response yet.
     pub(crate) pushes_in_flight: usize,
-    /// How far the spread-out review of all machines has come.
+    /// Number of periodic reviews so far: selects the machines of the next one.
     pub(crate) review_round: u64,
 }
