--- a/src/coordination/attempts/ledger/mod.rs
+++ b/src/coordination/attempts/ledger/mod.rs
@@ -1,10 +1,11 @@
-//! The ledger of task attempts: every attempt that may be on a machine, of this leadership and of former ones.
+//! The ledger of task attempts: every attempt that may be on a machine, from this leadership term and earlier
+//! ones.
 //!
-//! It answers "can a task start twice?": a task is placed only while the ledger holds no live attempt of it,
-//! an attempt is entered before its launch can leave, and leaves only by a [`RemovalProof`]. Attempts enter,
-//! change between live and ended, and leave through [`AttemptLedger`] alone, which keeps the sums and
-//! indexes of machines, teams and jobs in step, so that no decision adds everything up again; `audit` does,
-//! for tests.
+//! It guarantees that no task runs twice at once: a task is placed only while the ledger has no live attempt of
+//! it, an attempt is inserted before its launch can be sent, and it is removed only with a [`RemovalProof`].
+//! Attempts are inserted, marked as live or ended, and removed through [`AttemptLedger`] alone. It updates the
+//! totals and indexes of machines, teams and jobs incrementally, so that no decision recomputes them; `audit`
+//! recomputes them in tests.
 
 mod audit;
 pub mod machine_attempts;
@@ -29,10 +30,10 @@
 use crate::storage::records::LaunchIntent;
 use crate::time::Instant;
 
-/// Attempts on one machine, tombstones included: keeps its worker's status well under 64 KiB.
+/// Maximum number of attempts on one machine, tombstones included: keeps its worker's status well under 64 KiB.
 pub(crate) const MAX_ATTEMPTS_PER_MACHINE: usize = 400;
 
-/// All that a change of the ledger touches.
+/// Mutable access to all state that a change of the ledger updates.
 pub(crate) struct AttemptLedger<'a> {
     machines: &'a mut MachineTable,
     jobs: &'a mut JobTable,
@@ -43,7 +44,7 @@
 }
 
 impl Scheduler {
-    /// The ledger, to be changed.
+    /// Returns the ledger for changes.
     pub(crate) fn ledger(&mut self) -> AttemptLedger<'_> {
         AttemptLedger {
             machines: &mut self.machines,
@@ -57,14 +58,14 @@
 }
 
 impl AttemptLedger<'_> {
-    /// Enters an attempt; from now on its machine is a place of its task.
+    /// Inserts an attempt and records its machine as a placement of its task.
     pub(crate) fn insert(&mut self, machine_id: &MachineId, attempt: TaskAttempt) {
         let task = attempt.task.clone();
         self.insert_without_place(machine_id, attempt);
         self.add_place(machine_id, &task);
     }
 
-    /// Enters an attempt that is about to be noted as ended.
+    /// Inserts an attempt without a placement of its task, because it is about to be recorded as ended.
     pub(crate) fn insert_without_place(&mut self, machine_id: &MachineId, attempt: TaskAttempt) {
         let Some(machine) = self.machines.get_mut(machine_id) else {
             return;
@@ -79,8 +80,9 @@
         self.machines.reindex(machine_id);
     }
 
-    /// Notes what a worker says of an attempt, which has been running since `running_since` at the earliest
-    /// if it is running. Says whether it is the first of its job to be seen running.
+    /// Records the status that a worker reported for an attempt. `running_since` is when the attempt started to
+    /// run, for a status that is the first to list it as running. Returns whether it is the first attempt of
+    /// its job seen running.
     #[must_use]
     pub(crate) fn record_status(
         &mut self,
@@ -113,8 +115,9 @@
         }
     }
 
-    /// The intent of an attempt is durable, on that page: only now may it be launched. Says whether it was
-    /// not before; `None` if the attempt has ended or left the ledger meanwhile.
+    /// Records that the launch intent of an attempt is durable on the given page: only now may the attempt be
+    /// launched. Returns whether the intent was not durable before; `None` if the attempt has ended or was
+    /// removed meanwhile.
     pub(crate) fn intent_persisted(
         &mut self,
         machine_id: &MachineId,
@@ -129,7 +132,7 @@
         Some(before.is_none())
     }
 
-    /// Removes an attempt that is proven to run nowhere, nor ever to run.
+    /// Removes an attempt that is proven not to run and never to run later.
     pub(crate) fn remove(
         &mut self,
         now: Instant,
@@ -171,7 +174,7 @@
         Some(attempt)
     }
 
-    /// Removes the attempts of a job on a machine that no leader has launched.
+    /// Removes the attempts of a job on a machine that were never launched.
     pub(crate) fn remove_never_launched(
         &mut self,
         now: Instant,
@@ -190,8 +193,8 @@
         }
     }
 
-    /// Removes all attempts on a machine. Only on the cloud's 200 to terminating it: a list without it proves
-    /// nothing, for lists lag.
+    /// Removes all attempts on a machine. Called only when the cloud has answered its termination with 200: a
+    /// machine list without the machine is no proof, because lists lag.
     pub(crate) fn machine_terminated(&mut self, now: Instant, machine_id: &MachineId) {
         let Some(machine) = self.machines.get(machine_id) else {
             return;
@@ -203,12 +206,13 @@
         }
     }
 
-    /// An attempt has ended on its machine, where it stays as a tombstone: the task may be placed anew.
+    /// Records that an attempt has ended on its machine: its task may be placed again, while the attempt stays
+    /// as a tombstone.
     pub(crate) fn attempt_ended(&mut self, machine_id: &MachineId, task: &TaskId) {
         self.drop_place(machine_id, task);
     }
 
-    /// The attempt with that key, for changes of how it is launched and stopped.
+    /// Returns an attempt for changes to its launch and stop state.
     pub(in crate::coordination::attempts) fn get_mut(
         &mut self,
         machine_id: &MachineId,
@@ -226,8 +230,8 @@
         });
     }
 
-    /// A live attempt of the task on that machine has ended or has been removed. The task is pending again
-    /// if no other live attempt of it may be anywhere.
+    /// Updates a task's placement after a live attempt on the machine has ended or was removed. The task is
+    /// pending again unless another attempt of it may be live.
     fn drop_place(&mut self, machine_id: &MachineId, task: &TaskId) {
         self.placement.request_pass();
         let Some(machine) = self.machines.get(machine_id) else {
@@ -247,8 +251,8 @@
 }
 
 impl Scheduler {
-    /// A new attempt, here or by a former leader. Without a job (closed and forgotten) it counts as taking
-    /// all of its machine: something of which nothing is known may take everything.
+    /// Creates an attempt, placed by this leader or recovered from a former one. An attempt of a job that is
+    /// closed and forgotten is charged the whole machine, since its resource request is unknown.
     pub(crate) fn new_attempt(
         &self,
         machine_id: &MachineId,
