--- a/src/coordination/attempts/ledger/machine_attempts.rs
+++ b/src/coordination/attempts/ledger/machine_attempts.rs
@@ -1,7 +1,7 @@
-//! The task attempts that may be on one machine, and what they leave free of it.
+//! The task attempts that may be on one machine, and the capacity that they leave free.
 //!
-//! Anybody may read them. Attempts are put in, taken out, and noted as ended by the ledger alone; other
-//! modules of this folder may change how an attempt is launched and stopped.
+//! Only the ledger inserts and removes attempts and records their status. Other modules of `attempts` may
+//! change the launch and stop state of an attempt; the rest of the code has read access.
 
 use super::task_attempt::{LastStatus, TaskAttempt};
 use crate::ids::{AttemptId, AttemptKey, TaskId, TeamIndex};
@@ -10,18 +10,18 @@
 use crate::time::Instant;
 use std::collections::BTreeMap;
 
-/// Every task attempt that may be on a machine, tombstones included.
+/// All task attempts that may be on a machine, tombstones included.
 #[derive(Debug)]
 pub struct MachineAttempts {
     attempts: BTreeMap<AttemptKey, TaskAttempt>,
-    /// The machine's capacity less what live attempts take; negative if they take more.
+    /// The machine's capacity minus the requests of live attempts; negative if they exceed it.
     free: Resources,
-    /// Attempts that have not ended.
+    /// Number of attempts that have not ended.
     live_count: usize,
 }
 
 impl MachineAttempts {
-    /// No attempts yet, on a machine with that capacity.
+    /// Creates an empty set of attempts for a machine with the given capacity.
     pub fn new(capacity: Resources) -> MachineAttempts {
         MachineAttempts {
             attempts: BTreeMap::new(),
@@ -30,32 +30,32 @@
         }
     }
 
-    /// The attempt with that key, if it may be on this machine.
+    /// Returns the attempt with the given key, if it may be on this machine.
     pub fn get(&self, key: &AttemptKey) -> Option<&TaskAttempt> {
         self.attempts.get(key)
     }
 
-    /// Whether that attempt may be on this machine.
+    /// Whether the attempt may be on this machine.
     pub fn contains(&self, key: &AttemptKey) -> bool {
         self.attempts.contains_key(key)
     }
 
-    /// Every attempt, tombstones included, in the order of keys.
+    /// Returns all attempts, tombstones included, ordered by key.
     pub fn iter(&self) -> impl Iterator<Item = &TaskAttempt> {
         self.attempts.values()
     }
 
-    /// The keys of all attempts, in order.
+    /// Returns the keys of all attempts, in order.
     pub fn keys(&self) -> impl Iterator<Item = &AttemptKey> {
         self.attempts.keys()
     }
 
-    /// Attempts that have not ended, in the order of keys.
+    /// Returns the attempts that have not ended, ordered by key.
     pub fn live(&self) -> impl Iterator<Item = &TaskAttempt> {
         self.iter().filter(|attempt| !attempt.has_ended())
     }
 
-    /// Whether any attempt of that task, other than a tombstone, may be on this machine.
+    /// Whether a live attempt of the task may be on this machine.
     pub(in crate::coordination::attempts) fn has_live_attempt_of(&self, task: &TaskId) -> bool {
         let key = |attempt_id| AttemptKey {
             task: task.clone(),
@@ -66,32 +66,32 @@
         attempts.any(|(_, attempt)| !attempt.has_ended())
     }
 
-    /// How many attempts there are, tombstones included.
+    /// Returns the number of attempts, tombstones included.
     pub fn len(&self) -> usize {
         self.attempts.len()
     }
 
-    /// Whether there are none, not even tombstones.
+    /// Whether there are no attempts, not even tombstones.
     pub fn is_empty(&self) -> bool {
         self.attempts.is_empty()
     }
 
-    /// How many attempts have not ended.
+    /// Returns the number of attempts that have not ended.
     pub fn live_count(&self) -> usize {
         self.live_count
     }
 
-    /// How many attempts have ended and are still listed by the worker.
+    /// Returns the number of ended attempts that the worker still lists.
     pub fn tombstone_count(&self) -> usize {
         self.attempts.len() - self.live_count
     }
 
-    /// What live attempts leave of the machine's capacity.
+    /// Returns the machine's free capacity.
     pub fn free(&self) -> &Resources {
         &self.free
     }
 
-    /// What live attempts leave of a capacity, added up anew.
+    /// Computes what the live attempts leave free of the given capacity.
     pub fn compute_free(&self, capacity: Resources) -> Resources {
         let mut free = capacity;
         for attempt in self.live() {
@@ -100,12 +100,12 @@
         free
     }
 
-    /// The machine's capacity has become known, or has changed.
+    /// Sets the machine's capacity once it is known or when it changes.
     pub fn set_capacity(&mut self, capacity: Resources) {
         self.free = self.compute_free(capacity);
     }
 
-    /// The attempt with that key, for changes of how it is launched and stopped.
+    /// Returns an attempt for changes to its launch and stop state.
     pub(in crate::coordination::attempts) fn get_mut(
         &mut self,
         key: &AttemptKey,
@@ -113,7 +113,7 @@
         self.attempts.get_mut(key)
     }
 
-    /// Every attempt, for changes of how they are launched and stopped.
+    /// Returns all attempts, for changes to their launch and stop state.
     pub(in crate::coordination::attempts) fn iter_mut(
         &mut self,
     ) -> impl Iterator<Item = &mut TaskAttempt> {
@@ -136,8 +136,8 @@
         Some(attempt)
     }
 
-    /// Notes what the worker says of an attempt, which has been running since `running_since` at the
-    /// earliest if it is running; `None` if the attempt is not on this machine.
+    /// Records the status that the worker reported for an attempt, with `running_since` as its start if this is
+    /// the first status that lists it as running. Returns `None` if the attempt is not on this machine.
     pub(super) fn set_status(
         &mut self,
         key: &AttemptKey,
@@ -177,7 +177,7 @@
     }
 }
 
-/// How a status changed an attempt, and what the attempt takes.
+/// How a status changed an attempt, with the attempt's team and resource request.
 pub(super) struct StatusChange {
     pub request: Resources,
     pub team: Option<TeamIndex>,
@@ -188,12 +188,12 @@
 }
 
 impl StatusChange {
-    /// Whether it was live and is a tombstone now.
+    /// Whether the attempt was live and is now a tombstone.
     pub fn has_ended(&self) -> bool {
         self.was_live && !self.is_live
     }
 
-    /// Whether it was taken for ended and is live after all.
+    /// Whether the attempt was recorded as ended and is live after all.
     pub fn has_revived(&self) -> bool {
         !self.was_live && self.is_live
     }
--- a/src/coordination/attempts/ledger/task_attempt.rs
+++ b/src/coordination/attempts/ledger/task_attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt of a task: how it was launched, and what its worker said of it.
+//! One attempt of a task: its launch, its stop request and the last status that its worker reported.
 
 use super::StatusEvidence;
 use crate::coordination::jobs::job::Job;
@@ -10,35 +10,36 @@
 use crate::resources::Resources;
 use crate::time::Instant;
 
-/// What became of the last push that launched an attempt.
+/// State of the last push that launched an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PushDelivery {
-    /// None under way.
+    /// No push is in flight or unconfirmed.
     None,
-    /// Sent, the answer is awaited.
+    /// Sent, and not answered yet.
     InFlight(RequestId),
-    /// No answer came: it may execute at any time in this session, until the worker has seen a higher
-    /// token than this.
+    /// Not answered: the worker may execute it at any time in this session, until it has seen a token higher
+    /// than this.
     Unconfirmed(Session, FencingToken),
 }
 
-/// What a status said of an attempt.
+/// What the last worker status reported of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LastStatus {
-    /// How far the attempt was.
+    /// The attempt's phase.
     pub phase: TaskPhase,
-    /// Why it ended, if it has.
+    /// Why the attempt ended, if it has.
     pub cause: Option<Cause>,
-    /// Whether its progress was saved when it was stopped.
+    /// Whether the task saved its progress when it was stopped.
     pub stored: bool,
-    /// Since when it has been in this phase, as far as we know.
+    /// When the attempt was first seen in this phase.
     pub since: Instant,
-    /// The message that said so.
+    /// The session and sequence number of the status.
     pub at: (Session, Tick),
 }
 
 impl LastStatus {
-    /// What a status at `at` says of a task, after what was known of it before.
+    /// Builds the status of an attempt from a task entry of the worker status that `message_id` identifies.
+    /// `previous` is the status recorded before.
     pub(in crate::coordination::attempts) fn after(
         before: Option<LastStatus>,
         task: &TaskStatus,
@@ -55,7 +56,7 @@
         }
     }
 
-    /// Whether another status says the same of the attempt.
+    /// Whether the other status reports the same phase, cause and saved progress.
     pub(in crate::coordination::attempts) fn reports_same_state_as(
         &self,
         other: &LastStatus,
@@ -64,17 +65,17 @@
     }
 }
 
-/// A request that an attempt end.
+/// A request to stop an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct StopRequest {
-    /// Seconds that the task has to save a checkpoint; 0: it exits at once.
+    /// Seconds that the task has to save a checkpoint; 0 stops the task at once.
     pub grace_s: f64,
-    /// Whether a push has carried it.
+    /// Whether the stop has been sent in a push.
     pub pushed: bool,
 }
 
 impl StopRequest {
-    /// A request that no command has carried yet.
+    /// Creates a request that has not been sent in a push.
     pub fn new(grace_s: f64) -> StopRequest {
         StopRequest {
             grace_s,
@@ -83,48 +84,49 @@
     }
 }
 
-/// One attempt of a task that may be on a machine.
+/// An attempt of a task that may be on a machine.
 #[derive(Clone, Debug)]
 pub struct TaskAttempt {
     /// The task.
     pub task: TaskId,
-    /// Tells this attempt from others of the same task.
+    /// Distinguishes the attempt from others of the same task.
     pub attempt_id: AttemptId,
-    /// What it takes of its machine and of its team: kept here so that sums need no look at the job.
+    /// The resources that the attempt takes on its machine and from its team's limit, copied from the job.
     pub request: Resources,
-    /// The team that it is charged to, if the settings know it.
+    /// The team that the attempt is charged to, if the settings contain it.
     pub team: Option<TeamIndex>,
-    /// The image that it needs, if its job is known.
+    /// The image that the task needs, if its job is known.
     pub image: Option<Image>,
-    /// A member of a gang: seconds until its image was to be there when it was placed.
+    /// For a gang member: estimated seconds until its image is on the machine, as of the placement.
     pub image_wait_s: Option<f64>,
-    /// Whether its job was a latency job when it was placed.
+    /// Whether the job was a latency job when the attempt was placed.
     pub is_latency_task: bool,
-    /// The page on the state store that holds the intent: only then may it be launched.
+    /// The state store page with the durable launch intent. Without one the attempt must not be launched.
     pub intent_page: Option<PageNumber>,
-    /// The tick of the heartbeat whose response carried the launch, until settled.
+    /// The sequence number of the heartbeat whose response carried the launch, until a later heartbeat settles
+    /// whether it arrived.
     pub launch_heartbeat: Option<Tick>,
-    /// What became of the last push that launched it.
+    /// State of the last push that launched the attempt.
     pub last_push: PushDelivery,
-    /// The session in which we launched it. None: never launched by us.
+    /// The worker session in which this leader launched the attempt, if it did.
     pub launch_session: Option<Session>,
-    /// The highest token of a push that launched it.
+    /// The highest fencing token of a push that launched the attempt.
     pub launch_token: Option<FencingToken>,
-    /// Left by a former leader and not yet resolved by a status that carries our token.
+    /// Whether the attempt is known from a former leader's intent, or from a status alone.
     pub recovered: bool,
-    /// What its worker last said of it.
+    /// What the worker last reported of the attempt.
     pub last_status: Option<LastStatus>,
-    /// The request that it end, if there is one.
+    /// The stop request, if there is one.
     pub stop: Option<StopRequest>,
-    /// When it was placed.
+    /// When the attempt was placed.
     pub placed_at: Instant,
-    /// When it was first seen running.
+    /// When the attempt started to run, as far as known.
     pub running_since: Option<Instant>,
 }
 
 impl TaskAttempt {
-    /// An attempt that is only planned. Without a job (closed and forgotten) `request` stands for all that
-    /// it might take.
+    /// Creates an attempt that is planned and not launched yet. It takes `request` if its job is unknown
+    /// (closed and forgotten).
     pub fn planned(
         key: AttemptKey,
         job: Option<&Job>,
@@ -151,48 +153,48 @@
             running_since: None,
         }
     }
-    /// Its place in the ledger of its machine.
+    /// Returns the key of the attempt in the ledger.
     pub fn key(&self) -> AttemptKey {
         AttemptKey {
             task: self.task.clone(),
             attempt_id: self.attempt_id,
         }
     }
-    /// Seen ended, and still listed by the worker: a tombstone, on which a late launch of the same
-    /// attempt has no effect.
+    /// Whether the attempt has ended and its worker still lists it: a tombstone, on which a late launch of the
+    /// same attempt has no effect.
     pub fn has_ended(&self) -> bool {
         self.last_status
             .is_some_and(|s| s.phase == TaskPhase::Ended)
     }
-    /// Takes in what a status says of launches under way. True if it settles one that the response to a
-    /// heartbeat carried.
+    /// Updates the launches in flight from a worker status. Returns whether the status settles a launch that a
+    /// heartbeat response carried.
     pub(in crate::coordination::attempts) fn settle_launches(
         &mut self,
         status: &StatusEvidence,
     ) -> bool {
         if let PushDelivery::Unconfirmed(session, token) = self.last_push {
             if session < status.at.0 || token < status.token {
-                // The worker refuses that command from now on.
+                // From now on the worker refuses that push if it has not executed it yet.
                 self.last_push = PushDelivery::None;
             }
         }
         let carrier = self.launch_heartbeat.filter(|_| status.is_heartbeat);
         let is_settled = carrier.is_some_and(|tick| tick < status.at.1 || status.starts_session);
         if is_settled {
-            // A later heartbeat means that the response was either executed or dropped.
+            // A later heartbeat shows that the response was either executed or dropped.
             self.launch_heartbeat = None;
         }
         is_settled
     }
-    /// Whether a launch of it can still arrive.
+    /// Whether a launch of the attempt may still arrive at the worker.
     pub fn has_launch_in_flight(&self) -> bool {
         self.launch_heartbeat.is_some() || self.last_push != PushDelivery::None
     }
-    /// Never launched by anybody: may be dropped at will.
+    /// Whether no leader has launched the attempt: it may be removed at any time.
     pub fn was_never_launched(&self) -> bool {
         !self.recovered && self.launch_session.is_none() && self.last_status.is_none()
     }
-    /// Seen running, and not ended since.
+    /// Whether the attempt was seen running and has not ended.
     pub fn is_running(&self) -> bool {
         self.running_since.is_some() && !self.has_ended()
     }
