--- a/src/coordination/attempts/ledger/proof.rs
+++ b/src/coordination/attempts/ledger/proof.rs
@@ -1,71 +1,71 @@
-//! The proofs by which a task attempt leaves the ledger: docs/SAFETY.md, claim 6.
+//! The proofs that allow a task attempt to be removed from the ledger: docs/SAFETY.md, claim 6.
 //!
-//! A proof is made only here, by functions that look at its premises, and the ledger removes nothing
-//! without one. So whether a task can be started twice is to be judged from this module and from what the
-//! ledger does with its proofs.
+//! Proofs are created only here, by functions that check their premises, and the ledger removes no attempt
+//! without one. To verify that a task never runs twice, review this module and how the ledger uses its proofs.
 
 use super::task_attempt::TaskAttempt;
 use crate::coordination::machines::machine::Machine;
 use crate::ids::{FencingToken, Session, Tick};
 use crate::time::{Instant, TimeSpan};
 
-/// Why an attempt certainly runs nowhere, nor ever will.
+/// Why an attempt certainly does not run and never will.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RemovalReason {
-    /// No leader has ever launched it.
+    /// No leader has launched the attempt.
     NeverLaunched,
-    /// Proof 1: its worker does not list it, and no launch of it can arrive any more.
+    /// Proof 1: the worker does not list the attempt, and no launch of it can arrive any more.
     AbsentFromStatus,
-    /// Proof 2: it was launched in a session of its worker that has ended.
+    /// Proof 2: the attempt was launched in a worker session that has ended.
     SessionEnded,
-    /// Proof 3: no entitled controller has renewed the lease that it lives by for longer than a lease lasts.
+    /// Proof 3: no controller has renewed the lease that the attempt depends on for longer than a lease lasts.
     LeaseExpired,
-    /// Proof 4: the cloud has confirmed that its machine is terminated.
+    /// Proof 4: the cloud has confirmed that the machine is terminated.
     MachineTerminated,
 }
 
-/// Evidence that an attempt runs nowhere, nor ever will.
+/// Evidence that an attempt does not run and never will.
 #[derive(Debug)]
 #[must_use = "an attempt stays in the ledger until it is removed with the proof"]
 pub struct RemovalProof(RemovalReason);
 
 impl RemovalProof {
-    /// Which proof it is.
+    /// Returns which proof this is.
     pub fn reason(&self) -> RemovalReason {
         self.0
     }
 
-    /// The attempt is only planned. An intent of it that is being written errs on the safe side.
+    /// Proves that an attempt is only planned. A launch intent that is still being written does no harm: it
+    /// only makes a new leader assume that the attempt may run.
     pub fn never_launched(attempt: &TaskAttempt) -> Option<RemovalProof> {
         attempt
             .was_never_launched()
             .then_some(RemovalProof(RemovalReason::NeverLaunched))
     }
 
-    /// Proofs 1 and 2: what a worker's status proves of an attempt, once what the status says of the
-    /// launches under way has been taken in.
+    /// Proofs 1 and 2: from a worker status. The launches in flight must have been updated from the status
+    /// before.
     pub fn from_status(attempt: &TaskAttempt, status: &StatusEvidence) -> Option<RemovalProof> {
         if status.lists(attempt) || attempt.was_never_launched() {
             return None;
         }
         if status.starts_session && !attempt.recovered {
-            // Launched in an earlier session, whose tasks are all killed and forgotten, and whose launches
-            // the worker refuses.
+            // The tasks of the ended session have been killed, and the worker refuses launches addressed to
+            // that session.
             return Some(RemovalProof(RemovalReason::SessionEnded));
         }
         if !status.is_confirmed {
-            // Guards against a command of the former leader that may still be executed.
+            // Guards against a command of a former leader that the worker may still execute.
             return None;
         }
-        // For an attempt of a former leader our token in the status is enough: commands with a lower one are
-        // no longer accepted by this worker.
+        // For an attempt of a former leader this leader's token in the status is enough: the worker refuses
+        // commands with a lower one.
         (attempt.recovered || !attempt.has_launch_in_flight())
             .then_some(RemovalProof(RemovalReason::AbsentFromStatus))
     }
 
-    /// Proof 3. `leadership_began_at` stands for the last answer of a former leader; `lease_expiry_bound`
-    /// is a lease's duration with room for drift. An attempt that was never launched is planned there no
-    /// longer either.
+    /// Proof 3: from the passing of time. `leadership_started_at` is an upper bound on a former leader's last
+    /// response, and `lease_expiry_bound` is the lease's duration plus an allowance for clock drift. Also
+    /// removes attempts that were never launched.
     pub fn lease_expired(
         machine: &Machine,
         attempt: &TaskAttempt,
@@ -77,18 +77,19 @@
         (now - lease_from > lease_expiry_bound).then_some(RemovalProof(RemovalReason::LeaseExpired))
     }
 
-    /// Proof 4: for the ledger's method that takes in the cloud's 200 to terminating the machine.
+    /// Proof 4: for the ledger's handling of the cloud's 200 response to the machine's termination.
     pub(super) fn machine_terminated() -> RemovalProof {
         RemovalProof(RemovalReason::MachineTerminated)
     }
 }
 
-/// The latest moment from which the lease that an attempt lives by can count.
+/// Returns the latest time from which the lease that an attempt depends on may count.
 ///
-/// Guards against a machine that reaches no controller while pushes reach it: a session that began after its
-/// last answer has a lease of its own, and what was launched in it was taken for gone with the session before,
-/// and started elsewhere. What a former leader launched is in a session that had begun when we took over,
-/// unless it is seen in a later one.
+/// Guards against a task that runs twice: the worker's heartbeats don't arrive while pushes still reach it, so
+/// its session changes after the last response. The new session has a lease of its own; counting from the last
+/// response alone removed attempts launched in that session too early, and their tasks were started elsewhere.
+/// An attempt of a former leader belongs to a session that began before this term, unless a status of a later
+/// session lists it.
 fn lease_valid_from(machine: &Machine, attempt: &TaskAttempt) -> Instant {
     let in_present_session = attempt.launch_session == Some(machine.session)
         || attempt
@@ -101,19 +102,19 @@
     }
 }
 
-/// What a worker's status proves of attempts beyond those that it lists. Only of a status that is newer, by
-/// (session, tick), than all before.
+/// What a worker status proves about attempts that it does not list. Only created from a status that is newer,
+/// by (session, sequence number), than all earlier ones.
 #[derive(Clone, Copy, Debug)]
 pub struct StatusEvidence {
-    /// The worker's session, and its count of messages in it.
+    /// The worker's session and the status's sequence number in it.
     pub at: (Session, Tick),
     /// The highest fencing token that the worker has seen.
     pub token: FencingToken,
-    /// It came in a heartbeat, not in answer to a push.
+    /// Whether the status came in a heartbeat rather than in a push response.
     pub is_heartbeat: bool,
-    /// Its session is higher than that of all before.
+    /// Whether the session is higher than in all earlier statuses.
     pub starts_session: bool,
-    /// Its token is of this leadership: the worker refuses commands of all former leaders.
+    /// Whether the token is of this leadership term: the worker then refuses commands of all former leaders.
     pub is_confirmed: bool,
 }
 
