--- a/src/coordination/attempts/ledger/team_usage.rs
+++ b/src/coordination/attempts/ledger/team_usage.rs
@@ -1,46 +1,46 @@
-//! What each team uses: the sum of what its live task attempts take.
+//! Resource usage of each team: the sum of the requests of its live task attempts.
 
 use crate::coordination::Policy;
 use crate::ids::TeamIndex;
 use crate::protocol::users::JobSpec;
 use crate::resources::Resources;
 
-/// What each team uses. The ledger keeps one in step with all attempts; decisions may charge a copy with
-/// what they plan.
+/// Resource usage of each team. The ledger keeps one instance up to date; decisions charge planned work to a
+/// copy.
 #[derive(Clone, Debug)]
 pub struct TeamUsage {
     by_team: Vec<Resources>,
 }
 
 impl TeamUsage {
-    /// Nothing used yet by so many teams.
+    /// Creates zero usage for the given number of teams.
     pub fn new(teams: usize) -> TeamUsage {
         TeamUsage {
             by_team: vec![Resources::default(); teams],
         }
     }
 
-    /// What a team uses; nothing if the settings don't know the team.
+    /// Returns a team's usage; zero if the settings do not contain the team.
     pub fn of(&self, team: Option<TeamIndex>) -> Resources {
         let usage = team.and_then(|team| self.by_team.get(team.0));
         usage.copied().unwrap_or_default()
     }
 
-    /// Adds what a team takes in addition.
+    /// Adds a resource request to a team's usage.
     pub fn charge(&mut self, team: Option<TeamIndex>, request: &Resources) {
         if let Some(usage) = team.and_then(|team| self.by_team.get_mut(team.0)) {
             usage.add(request);
         }
     }
 
-    /// Takes away what a team takes no longer.
+    /// Subtracts a resource request from a team's usage.
     pub(super) fn release(&mut self, team: Option<TeamIndex>, request: &Resources) {
         if let Some(usage) = team.and_then(|team| self.by_team.get_mut(team.0)) {
             usage.sub(request);
         }
     }
 
-    /// How many tasks of a job its team's limit has room for; none if the settings don't know the team.
+    /// Returns how many tasks of a job fit under its team's limit; 0 if the settings do not contain the team.
     /// Memory is not limited.
     pub fn headroom(&self, policy: &Policy, team: Option<TeamIndex>, spec: &JobSpec) -> u32 {
         let Some(limit) = policy.team(team) else {
@@ -62,7 +62,7 @@
         Resources::of(spec).count_in(&room, spec.tasks)
     }
 
-    /// Usage team by team, for comparisons.
+    /// Returns the usage of each team, for audits.
     pub(super) fn iter(&self) -> impl Iterator<Item = &Resources> {
         self.by_team.iter()
     }
