--- a/src/coordination/attempts/commands.rs
+++ b/src/coordination/attempts/commands.rs
@@ -1,4 +1,4 @@
-//! What is sent to workers: launches, stops and clears, in answers to heartbeats and as pushes.
+//! Commands for workers: launches, stops and clears, sent in heartbeat responses and as pushes.
 
 use crate::coordination::attempts::ledger::{LastStatus, PushDelivery, TaskAttempt};
 use crate::coordination::machines::machine::{Machine, MachineState};
@@ -8,19 +8,19 @@
 use crate::protocol::workers::{Cause, Command, TaskPhase};
 use crate::time::Instant;
 
-/// The share of the wait for a gang by which its members' estimated fetches may differ: they take up to
-/// half as long again.
+/// Maximum difference between the estimated image fetches of a gang's members, as a share of the gang wait
+/// timeout. Fetches take up to half as long again as estimated.
 const MAX_FETCH_SPREAD_SHARE: f64 = 0.4;
-/// Commands in one message: keeps its line well under 64 KiB.
+/// Maximum number of commands in one message: keeps the message well under 64 KiB.
 pub(super) const MAX_COMMANDS: usize = 400;
 
 impl Scheduler {
-    /// Whether an ended attempt may be cleared: its outcome is durable (or of no interest), and no
-    /// launch of the same attempt can arrive any more and start it afresh.
+    /// Whether an ended attempt may be cleared: its outcome is durable (or no longer relevant), and no launch
+    /// of it can arrive any more.
     ///
-    /// Guards against a copy of a push that is executed again: once cleared, the worker
-    /// would not know the attempt any more. The command that clears carries a higher token than any that
-    /// launched, and a worker refuses lower ones from then on.
+    /// Guards against a duplicate of a push that starts the attempt again, since a worker that has cleared an
+    /// attempt does not recognize it any more. The clear therefore carries a higher token than any push that
+    /// launched the attempt, and the worker refuses lower tokens from then on.
     fn may_clear(&self, attempt: &TaskAttempt) -> bool {
         let token = self.leadership.token();
         let launched_with_this_token = attempt.launch_token.is_some_and(|t| t >= token);
@@ -38,8 +38,8 @@
         }
     }
 
-    /// Whether a planned attempt may be launched now: its intent is durable, its job still needs it and allows
-    /// it there, and its machine is in use.
+    /// Whether a planned attempt may be launched now: its intent is durable, its job still needs the task and
+    /// allows it on the machine, and the machine is in use.
     pub(super) fn wants_launch(&self, machine: &Machine, attempt: &TaskAttempt) -> bool {
         attempt.intent_page.is_some()
             && !self.waits_for_gang_members(attempt)
@@ -51,21 +51,22 @@
             && self.allows_launch(machine, &attempt.task)
     }
 
-    /// Whether the task's job needs it to run, and allows it on the machine given where its other tasks may be.
+    /// Whether the job still needs the task to run and allows it on the machine, given where its other tasks
+    /// may be.
     ///
-    /// Guards against what has come to light since the launch was planned: each one is judged as it leaves.
+    /// Guards against launches that were planned before other attempts of the job became known: every launch is
+    /// checked again when it is sent.
     fn allows_launch(&self, machine: &Machine, task: &TaskId) -> bool {
         self.jobs.get(&task.job).is_some_and(|job| {
             job.needs_run(task.index) && check_planned_start(job, machine).is_ok()
         })
     }
 
-    /// Whether a member of a gang has its image so much sooner than another that it would give up
-    /// before the other has it: it is launched once all of those have theirs.
+    /// Whether a gang member has its image so much sooner than another member that it would time out waiting
+    /// for it. The member is launched once all of these have their images.
     ///
-    /// Guards against a gang that never starts: on a calm day one member had a large image already, the
-    /// other's fetch took longer than the wait for a gang; both ended, the fetch was given up, and the
-    /// same began anew, four times.
+    /// Guards against a gang that never starts: one member had a large image cached and the other's fetch took
+    /// longer than the gang wait timeout, so both ended and the fetch was aborted, four times in a row.
     fn waits_for_gang_members(&self, attempt: &TaskAttempt) -> bool {
         let Some(own_wait_s) = attempt.image_wait_s else {
             return false;
@@ -91,8 +92,8 @@
             .any(is_fetching_much_longer)
     }
 
-    /// The commands that answer a heartbeat: all that the worker should know now. Launches go only with
-    /// the response to a status that is news.
+    /// Returns the commands for a heartbeat response. Launches are included only if the heartbeat's status is
+    /// newer than all earlier ones.
     pub(crate) fn heartbeat_commands(
         &mut self,
         now: Instant,
@@ -126,7 +127,7 @@
         commands
     }
 
-    /// What a worker should be told of one attempt in the response to its heartbeat.
+    /// Returns the command for one attempt in a heartbeat response, if there is one.
     fn heartbeat_command(
         &self,
         now: Instant,
@@ -147,11 +148,11 @@
         may_launch.then_some(Command::Launch { task, attempt_id })
     }
 
-    /// The commands of a push to a machine with what is known as it leaves: launches of tasks that are no longer
-    /// wanted there are left out.
+    /// Returns the commands of a push without the launches that are no longer allowed or needed, checked as the
+    /// push is sent.
     ///
-    /// Guards against a command that waits for its turn on a busy processor while its job is cancelled. The
-    /// answer to it lists no such task, so the attempt is dropped as one that was never launched.
+    /// Guards against a launch that waits for CPU time while its job is cancelled. The push response does not
+    /// list the task, so the attempt is removed as never launched.
     pub fn revalidate_commands(
         &self,
         machine_id: &MachineId,
