--- a/src/coordination/attempts/gang_stops.rs
+++ b/src/coordination/attempts/gang_stops.rs
@@ -1,5 +1,5 @@
-//! Gangs that are broken: a gang of which a member is stopped or lost stops as a whole, for its members would
-//! only wait for each other, and an orderly stop must reach all of them within `gang_peer_s`.
+//! Stops of incomplete gangs. When a member of a gang is stopped or lost, the others are stopped too, because
+//! they would only wait for it. A graceful stop must reach all members within the gang peer timeout.
 
 use crate::coordination::attempts::ledger::{StopRequest, TaskAttempt};
 use crate::coordination::attempts::stops::SAVE_MARGIN_SECS;
@@ -9,27 +9,27 @@
 use crate::time::{Instant, TimeSpan};
 use std::collections::BTreeSet;
 
-/// What becomes of a gang that may be broken.
+/// What to do with a gang that may have lost a member.
 enum GangVerdict {
-    /// It is whole, closed, or nowhere.
+    /// The gang is complete, its job is closed, or none of its tasks is placed.
     Keep,
-    /// It is broken; its members are stopped when they have their images.
+    /// The gang is incomplete; its members are stopped once they have their images.
     AwaitImages,
-    /// All its members are stopped.
+    /// All members are stopped now.
     Stop(GangStop),
 }
 
-/// How the members of a gang are stopped.
+/// How to stop the members of a gang.
 struct GangStop {
     machine_ids: BTreeSet<MachineId>,
-    /// Seconds that they are given to save their progress.
+    /// Seconds that the members have to save their progress.
     grace_s: f64,
-    /// Whether the machines are reserved for the gang's next attempt.
+    /// Whether to reserve the machines for the gang's next attempt.
     reserves_machines: bool,
 }
 
 impl Scheduler {
-    /// Stops what is left of broken gangs.
+    /// Stops the remaining members of incomplete gangs.
     pub(super) fn stop_broken_gangs(&mut self, now: Instant) {
         let mut awaiting_images = BTreeSet::new();
         for job_id in std::mem::take(&mut self.outbox.gangs_to_check) {
@@ -55,9 +55,9 @@
         if !has_stopping && job.pending().is_empty() {
             return GangVerdict::Keep;
         }
-        // Guards against a fetch given up when it was nearly done: a member that had its image sooner gave
-        // up waiting, and with it went the fetch of the other, again and again. The others are stopped,
-        // which they are at once, when they have theirs too.
+        // Guards against image fetches that are aborted when nearly done: a member that had its image early
+        // timed out waiting for the others, and stopping them aborted their fetches, again and again. The other
+        // members are stopped only when they have their images too.
         if job.gang_attempt_failed() && !has_stopping {
             let fetches = |member: &TaskAttempt| {
                 let status = member.last_status;
