--- a/src/coordination/attempts/pushes.rs
+++ b/src/coordination/attempts/pushes.rs
@@ -1,4 +1,4 @@
-//! Pushes: commands that are sent to a worker without waiting for its next heartbeat.
+//! Pushes: commands sent to a worker without waiting for its next heartbeat.
 
 use crate::coordination::attempts::commands::MAX_COMMANDS;
 use crate::coordination::attempts::ledger::PushDelivery;
@@ -9,10 +9,10 @@
 use crate::time::{Instant, TimeSpan};
 use std::collections::BTreeSet;
 
-/// How long a machine that does not answer a push is sent no further one.
+/// Delay before the next push to a machine that did not answer one.
 const PUSH_RETRY_DELAY: TimeSpan = TimeSpan(3000);
 
-/// The commands of a push, and the attempts that they are about.
+/// The commands of a push, and the keys of the attempts that it launches and stops.
 #[derive(Default)]
 struct PushDraft {
     commands: Vec<Command>,
@@ -21,15 +21,15 @@
 }
 
 impl Scheduler {
-    /// Launches and stops that needn't wait for the next heartbeat go straight to the worker: one
-    /// command at a time on each machine, and a bounded number of them at once.
+    /// Sends the launches and stops that are due to the workers: one push at a time to each machine, and a
+    /// bounded number in flight to all machines.
     pub(crate) fn send_pushes(&mut self, now: Instant) {
         let mut later = BTreeSet::new();
         while let Some(machine_id) = self.outbox.pushes_due.pop_first() {
             let Some(machine) = self.machines.get(&machine_id) else {
                 continue;
             };
-            // An answer that is awaited brings it back here; so does the worker's first heartbeat.
+            // The response to the push in flight, or the worker's first heartbeat, makes the next push due.
             let is_waiting = machine.push_in_flight.is_some()
                 || machine.endpoint.is_empty()
                 || machine.session == Session(0);
@@ -52,7 +52,7 @@
             return;
         };
         let draft = self.draft_push(now, machine);
-        // Whether a machine that seems unreachable hears us after all is seen by asking it.
+        // An empty push probes whether a machine that seems unreachable receives requests.
         if draft.commands.is_empty() && !machine.is_unreachable() {
             return;
         }
@@ -69,7 +69,7 @@
         });
     }
 
-    /// The launches and stops that a machine has not been sent yet.
+    /// Returns the launches and stops that the machine has not been sent yet.
     fn draft_push(&self, now: Instant, machine: &Machine) -> PushDraft {
         let mut draft = PushDraft::default();
         for attempt in machine.attempts.iter() {
@@ -77,7 +77,7 @@
                 break;
             }
             if let Some(request) = attempt.stop.filter(|_| !attempt.has_ended()) {
-                // Repeats are left to the heartbeats.
+                // Heartbeat responses repeat a stop that was sent in a push.
                 if !request.pushed {
                     draft.commands.extend(Self::stop_command(attempt, now));
                     draft.stops.push(attempt.key());
@@ -93,7 +93,7 @@
         draft
     }
 
-    /// Notes on the machine and its attempts that a push is in flight.
+    /// Records on the machine and its attempts that a push is in flight.
     fn push_leaves(
         &mut self,
         machine_id: &MachineId,
@@ -122,7 +122,7 @@
         }
     }
 
-    /// A push was not answered. `sent` is false if it certainly never left.
+    /// Handles a push without a response. `sent` is false if the request certainly was not sent.
     pub(crate) fn push_failed(
         &mut self,
         now: Instant,
@@ -135,9 +135,9 @@
             return;
         };
         machine.push_not_before = now + PUSH_RETRY_DELAY;
-        // Guards against a command that a partition or a hang held back: it may execute at any later
-        // time in this session, until the worker has seen a higher token, so the launch stays in
-        // flight until then.
+        // Guards against a push that a partition or a stalled process has delayed: the worker may execute it at
+        // any later time in this session, until it has seen a higher token. Until then the launch counts as in
+        // flight.
         let end = if sent {
             PushDelivery::Unconfirmed(machine.session, token)
         } else {
@@ -149,7 +149,7 @@
         self.outbox.pushes_due.insert(machine_id.clone());
     }
 
-    /// A push is no longer in flight; its launches are left as `end` says.
+    /// Ends a push in flight, and sets the push state of the attempts that it launched to `delivery`.
     pub(super) fn settle_push(
         &mut self,
         machine_id: &MachineId,
