--- a/src/coordination/attempts/leases.rs
+++ b/src/coordination/attempts/leases.rs
@@ -1,5 +1,5 @@
-//! Checks made once a second: leases that have expired, machines that are given up, and a review of a part of
-//! all machines.
+//! Checks made once a second: expired leases, machines that no command reaches, and the periodic review of all
+//! machines.
 
 use crate::coordination::attempts::ledger::{PushDelivery, RemovalProof, TaskAttempt};
 use crate::coordination::machines::machine::Machine;
@@ -7,14 +7,14 @@
 use crate::ids::{AttemptKey, MachineId};
 use crate::time::{Instant, TimeSpan};
 
-/// A launch whose push was never answered, and which no status has shown, keeps its place for this long
-/// before the whole machine is given up.
+/// How long a launch whose push was not answered, and which no status lists, keeps its placement before its
+/// machine is drained.
 const LOST_LAUNCH_TIMEOUT: TimeSpan = TimeSpan(45_000);
-/// One machine in so many is reviewed each second, beyond those that something happened to.
+/// Every machine is reviewed at least once in this many seconds, in slices of one a second.
 const REVIEW_PARTS: u64 = 4;
 
 impl Scheduler {
-    /// Once a second.
+    /// Runs the checks that are due once a second.
     pub(crate) fn recheck_machines(&mut self, now: Instant) {
         self.remove_attempts_of_expired_leases(now);
         self.give_up_machines(now);
@@ -58,9 +58,10 @@
                 machine.start_draining(now);
                 given_up.push(machine.id.clone());
             }
-            // Guards against a machine whose heartbeats reach us but which nothing reaches: each of them
-            // would renew the clock of its lease for us, though not for it, and a task that may be on it
-            // would be held for ever. So it is answered no more.
+            // Guards against an inbound-unreachable machine: its heartbeats arrive but the responses to them do
+            // not. Each response would extend the lease as recorded here, though not on the worker, so the
+            // lease would never count as expired and its attempts would stay in the ledger for ever. So its
+            // heartbeats are refused from now on.
             let unreachable_since = machine.reachability.unreachable_since();
             if !machine.lease_withheld && unreachable_since.is_some_and(|t| now - t > timeout) {
                 tracing::info!(machine = %machine.id, reason = "unreachable", "machine given up, lease withheld");
@@ -72,7 +73,7 @@
         self.outbox.machines_to_review.extend(given_up);
     }
 
-    /// Whatever may have been missed.
+    /// Queues the next slice of all machines for review, in case an event that should have done so was missed.
     fn review_a_part_of_machines(&mut self) {
         self.outbox.review_round += 1;
         let part = self.outbox.review_round % REVIEW_PARTS;
@@ -83,7 +84,7 @@
     }
 }
 
-/// Whether a launch on the machine has been unaccounted for for too long.
+/// Whether the machine has a launch that has been unconfirmed for longer than the timeout.
 fn has_lost_launch(machine: &Machine, now: Instant) -> bool {
     let is_lost = |attempt: &TaskAttempt| {
         matches!(attempt.last_push, PushDelivery::Unconfirmed(..))
