--- a/src/coordination/attempts/stops.rs
+++ b/src/coordination/attempts/stops.rs
@@ -1,6 +1,5 @@
-//! Which attempts are to be stopped: those of closed jobs and of completed tasks, and those on machines that
-//! are drained or reclaimed. The commands that say so go out with heartbeats and as pushes (`commands`,
-//! `pushes`).
+//! Decides which attempts to stop: those of closed jobs and completed tasks, and those on machines that are
+//! drained or reclaimed. Heartbeat responses and pushes carry the stops (`commands`, `pushes`).
 
 use crate::coordination::attempts::ledger::{RemovalProof, StopRequest, TaskAttempt};
 use crate::coordination::jobs::job::Job;
@@ -11,29 +10,29 @@
 use crate::protocol::workers::{Command, TaskPhase};
 use crate::time::Instant;
 
-/// Seconds that a task is given beyond those that it takes to save its progress.
+/// Seconds that a task is given in addition to the time that it needs to save its progress.
 pub(super) const SAVE_MARGIN_SECS: f64 = 2.0;
 
-/// What becomes of an attempt when its machine is reviewed.
+/// What to do with an attempt when its machine is reviewed.
 enum Verdict {
     Keep,
-    /// It was never launched and is not to be.
+    /// Remove the attempt, which was never launched and is not needed.
     Remove(RemovalProof),
-    /// It is to be stopped, and is given so many seconds to save its progress.
+    /// Stop the attempt, with `grace_s` seconds to save its progress.
     Stop {
         grace_s: f64,
     },
-    /// It is being stopped, and need not save its progress any more.
+    /// Stop the attempt at once, although it was given time to save its progress.
     StopAtOnce,
 }
 
-/// What a review goes by, beside an attempt and its job.
+/// The state of a machine that a review of its attempts depends on.
 struct Review {
     now: Instant,
-    /// When the cloud takes the machine away.
+    /// When the cloud reclaims the machine.
     reclaim_at: Option<Instant>,
     is_draining: bool,
-    /// It does not report, or does not hear us.
+    /// Whether the machine is suspected or unreachable.
     is_out_of_contact: bool,
 }
 
@@ -50,7 +49,8 @@
     fn judge(&self, attempt: &TaskAttempt, job: Option<&Job>) -> Verdict {
         let is_wanted = job.is_some_and(|job| job.needs_run(attempt.task.index));
         let must_leave = self.reclaim_at.is_some() || self.is_draining;
-        // An attempt stopped before it was launched would wait for ever: neither launched nor seen to end.
+        // A stop request on an attempt that was never launched would stay for ever, because no worker reports
+        // its end.
         if self.is_out_of_contact || attempt.stop.is_some() || !is_wanted || must_leave {
             if let Some(proof) = RemovalProof::never_launched(attempt) {
                 return Verdict::Remove(proof);
@@ -60,7 +60,7 @@
             return Verdict::Keep;
         }
         match attempt.stop {
-            // Saving for a user who has cancelled since is of no use to anybody.
+            // The job no longer needs the task, so its progress need not be saved either.
             Some(request) if !is_wanted && request.grace_s > 0.0 => Verdict::StopAtOnce,
             Some(_) => Verdict::Keep,
             None => Verdict::Stop {
@@ -69,7 +69,8 @@
         }
     }
 
-    /// Seconds to save progress, if the job still wants the task, does save, and there is time for it.
+    /// Returns the seconds to save progress: 0 if the job does not need the task or saves no checkpoints, or if
+    /// the machine is reclaimed before a checkpoint is complete.
     fn grace_s(&self, job: Option<&Job>) -> f64 {
         let Some(spec) = job.map(Job::spec).filter(|spec| spec.checkpoint_s > 0.0) else {
             return 0.0;
@@ -86,8 +87,7 @@
 }
 
 impl Scheduler {
-    /// Requests the stops that are due: on machines to which something has happened, and on each from time to
-    /// time.
+    /// Requests the stops that are due on the machines queued for review, then those of incomplete gangs.
     pub(crate) fn stop_unwanted_attempts(&mut self, now: Instant) {
         for machine_id in std::mem::take(&mut self.outbox.machines_to_review) {
             self.review(now, &machine_id);
@@ -95,12 +95,14 @@
         self.stop_broken_gangs(now);
     }
 
-    /// Looks at one machine's attempts with all that is known now.
+    /// Reviews the attempts on one machine: requests stops, and removes planned attempts that are not to be
+    /// launched.
     ///
-    /// Guards against an answer that renews a lease without saying what is to stop: a new leader answered
-    /// machines with tasks of jobs cancelled before its time, or one short of processor time answered
-    /// between a cancellation and its next step; then nothing reached the machines any more, and the tasks
-    /// outlived `cancel_s` (docs/incidents/production-size.md). So each heartbeat is answered after a review.
+    /// Guards against a heartbeat response that renews a lease without carrying the stops that are due. A new
+    /// leader answered machines with tasks of jobs cancelled before its term, and a leader short of CPU time
+    /// answered between a cancellation and its next step. The machines then became unreachable, and the tasks
+    /// ran on past `cancel_s` (docs/incidents/production-size.md). So every heartbeat is answered after a
+    /// review.
     pub(crate) fn review(&mut self, now: Instant, machine_id: &MachineId) {
         let max_silence = self.policy.heartbeat_timeout();
         let Some(machine) = self.machines.get_mut(machine_id) else {
@@ -140,8 +142,9 @@
         }
     }
 
-    /// Planned attempts on the machine that may not start there any more, given what is known of the other tasks
-    /// of their jobs by now. They were allowed when they were planned, so each is reported.
+    /// Returns the planned attempts on the machine that their jobs' constraints no longer allow, given where
+    /// the other tasks of the jobs may be by now. They were allowed when planned, so each is logged as an
+    /// error.
     fn denied_launches(&mut self, machine_id: &MachineId) -> Vec<(AttemptKey, RemovalProof)> {
         let Some(machine) = self.machines.get(machine_id) else {
             return Vec::new();
@@ -163,9 +166,9 @@
         denied
     }
 
-    /// A push went unanswered: what it should have stopped is told again. Heartbeats tell it
-    /// too, but from a machine that reaches no controller none comes. One that was not heard of at all
-    /// lately is left alone: a zone beyond a cut would take the connections of all others.
+    /// Makes the machine's stops due for another push after a push without a response. Heartbeat responses
+    /// repeat stops too, but not if the machine's heartbeats reach no controller. Skips a machine from which no
+    /// recent message came: otherwise the machines of a partitioned zone would take all connections for pushes.
     pub(crate) fn stop_again(&mut self, now: Instant, machine_id: &MachineId) {
         let max_silence = self.policy.heartbeat_timeout();
         let machine = self.machines.get_mut(machine_id);
@@ -182,15 +185,15 @@
         }
     }
 
-    /// An attempt is to be stopped, for work of higher priority.
+    /// Requests the stop of an attempt that is preempted by a job of higher priority.
     pub(crate) fn request_stop(&mut self, machine_id: &MachineId, key: &AttemptKey, grace_s: f64) {
         if let Some(attempt) = self.ledger().get_mut(machine_id, key) {
             attempt.stop = Some(StopRequest::new(grace_s));
         }
     }
 
-    /// The command that stops an attempt, if its stop was requested. None while it saves its progress in the time
-    /// that it was given; after that it is stopped at once.
+    /// Returns the command that stops an attempt, if its stop was requested. Returns `None` while the attempt
+    /// saves its progress within its grace period; after that the command stops it at once.
     pub(crate) fn stop_command(attempt: &TaskAttempt, now: Instant) -> Option<Command> {
         let request = attempt.stop?;
         let status = attempt.last_status;
