--- a/src/coordination/attempts/task_ends.rs
+++ b/src/coordination/attempts/task_ends.rs
@@ -1,4 +1,4 @@
-//! What follows when a task has ended on its machine.
+//! Handles the end of a task attempt on its machine.
 
 use crate::coordination::jobs::job::Job;
 use crate::coordination::Scheduler;
@@ -6,19 +6,19 @@
 use crate::protocol::workers::Cause;
 use crate::time::{Instant, TimeSpan};
 
-/// A machine that refused an attempt for want of room is given no work for this long: its next heartbeats
-/// show what is on it.
+/// How long a machine that refused an attempt for lack of capacity gets no new work: its next heartbeats list
+/// what runs on it.
 const FULL_MACHINE_DELAY: TimeSpan = TimeSpan(3_000);
-/// A machine that turned out to run another attempt of the same task is given no work for this long: its
+/// How long a machine that refused an attempt because it runs another attempt of the task gets no new work: its
 /// next heartbeats list that attempt.
 const BUSY_MACHINE_DELAY: TimeSpan = TimeSpan(6_000);
-/// A machine on which a task failed is given no work for this long.
+/// How long a machine on which a task failed gets no new work.
 const FAILED_MACHINE_DELAY: TimeSpan = TimeSpan(2_000);
-/// A job whose description the worker could not fetch yet is tried again after this.
+/// Delay before a job is placed again after a worker could not fetch its description.
 const UNKNOWN_JOB_DELAY: TimeSpan = TimeSpan(2_000);
 
 impl Scheduler {
-    /// An attempt ended on its machine. It stays there as a tombstone until cleared.
+    /// Handles the end of an attempt. The attempt stays in the ledger as a tombstone until it is cleared.
     pub(crate) fn attempt_ended(
         &mut self,
         now: Instant,
@@ -58,15 +58,15 @@
         }
     }
 
-    /// The machine is given no new work until then.
+    /// Excludes the machine from placement until the given time.
     fn rest_machine(&mut self, machine_id: &MachineId, until: Instant) {
         if let Some(machine) = self.machines.get_mut(machine_id) {
             machine.unschedulable_until = until;
         }
     }
 
-    /// A member of a gang waited for the others in vain. Its image is there: the machine is reserved for
-    /// when the others have theirs.
+    /// Handles a gang member that timed out waiting for the others. Its image is cached, so the machine is
+    /// reserved for the gang's next attempt.
     fn gang_member_gave_up(&mut self, now: Instant, machine_id: &MachineId, job: &JobId) {
         let lease = TimeSpan::from_secs(self.policy.facts.workers.lease_s);
         if let Some(machine) = self.machines.get_mut(machine_id) {
@@ -75,14 +75,14 @@
         self.jobs.update(job, Job::gang_member_gave_up);
     }
 
-    /// A task failed: mostly the machine is faulty, but a job may be.
+    /// Handles a failed task: in most cases the machine is faulty, but the job may be.
     fn task_failed(&mut self, now: Instant, machine_id: &MachineId, task: &TaskId) {
         self.jobs
             .update(&task.job, |job| job.task_failed(now, machine_id));
         let Some(job) = self.jobs.get(&task.job) else {
             return;
         };
-        // A job that failed on several machines backs off and condemns none of them.
+        // A job that failed on several machines is retried with backoff and counts against none of them.
         let fails_everywhere = job.fails_everywhere();
         if fails_everywhere {
             self.forgive_failures_of(&task.job);
@@ -96,9 +96,9 @@
         self.quarantine_if_faulty(now, machine_id);
     }
 
-    /// Takes a job that fails everywhere back from the failures of the machines that it failed on.
+    /// Removes the failures of a job that fails everywhere from the records of the machines that it failed on.
     ///
-    /// Guards against jobs submitted with a mistake that take machines down with them.
+    /// Guards against faulty jobs that cause healthy machines to be quarantined.
     fn forgive_failures_of(&mut self, job_id: &JobId) {
         let max_failed_jobs = self.policy.operator.sick_errors as usize;
         let Some(job) = self.jobs.get(job_id) else {
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Quarantines a machine on which tasks of too many different jobs failed with no success between.
+    /// Quarantines a machine on which tasks of too many different jobs failed without a success in between.
     fn quarantine_if_faulty(&mut self, now: Instant, machine_id: &MachineId) {
         let max_failed_jobs = self.policy.operator.sick_errors as usize;
         let Some(machine) = self.machines.get_mut(machine_id) else {
