--- a/src/coordination/attempts/reconciliation/absent.rs
+++ b/src/coordination/attempts/reconciliation/absent.rs
@@ -1,4 +1,4 @@
-//! Attempts that a worker's status does not list: which of them are proven gone, and which launches were lost.
+//! Handles attempts that a worker status does not list: removes those proven gone, and finds dropped launches.
 
 use crate::coordination::attempts::ledger::{RemovalProof, StatusEvidence};
 use crate::coordination::Scheduler;
@@ -6,7 +6,7 @@
 use crate::time::Instant;
 
 impl Scheduler {
-    /// Settles the launches that the status shows to be over, and removes the attempts that it proves gone.
+    /// Settles launches in flight from the status, and removes the attempts that the status proves gone.
     pub(super) fn reconcile_absent(
         &mut self,
         now: Instant,
@@ -23,7 +23,7 @@
             if evidence.lists(attempt) || attempt.was_never_launched() {
                 continue;
             }
-            // The response that carried the launch was dropped: the launch shows nowhere.
+            // The response that carried the launch was dropped, since no status lists the attempt.
             is_unacknowledged |= response_settled;
             if let Some(proof) = RemovalProof::from_status(attempt, evidence) {
                 proven_gone.push((attempt.key(), proof));
@@ -49,8 +49,8 @@
         }
     }
 
-    /// An attempt that is proven to be nowhere, though its worker's session goes on: its launch was dropped and
-    /// nothing was started, so it may simply be launched again. False if it is to be removed.
+    /// Makes an attempt launchable again whose launch was dropped: it is proven absent while its worker's
+    /// session continues, so nothing was started. Returns false if the attempt has to be removed instead.
     fn plan_launch_again(&mut self, machine_id: &MachineId, key: &AttemptKey) -> bool {
         let Some(machine) = self.machines.get_mut(machine_id) else {
             return false;
--- a/src/coordination/attempts/reconciliation/listed.rs
+++ b/src/coordination/attempts/reconciliation/listed.rs
@@ -1,4 +1,4 @@
-//! Attempts that a worker's status lists.
+//! Handles attempts that a worker status lists.
 
 use crate::coordination::attempts::ledger::{LastStatus, StatusEvidence};
 use crate::coordination::Scheduler;
@@ -7,7 +7,7 @@
 use crate::time::{Instant, TimeSpan};
 
 impl Scheduler {
-    /// Takes in what a status says of one attempt.
+    /// Updates the ledger from one task entry of a worker status.
     pub(super) fn reconcile_listed(
         &mut self,
         now: Instant,
@@ -21,8 +21,8 @@
         };
         if !self.holds_attempt(machine_id, &key) {
             if !evidence.is_confirmed {
-                // Every attempt that is on a machine has an intent. One without was proven gone: this is a
-                // status from before that, and a later one will tell.
+                // An attempt that may be on a machine has a launch intent. One without was proven gone before,
+                // and this status may be older than that proof: a later status decides.
                 return;
             }
             self.adopt_attempt(now, machine_id, &key, task.phase);
@@ -38,7 +38,7 @@
         let status = LastStatus::after(before, task, evidence.at, now);
         let is_news = before.is_none_or(|before| !before.reports_same_state_as(&status));
         if !is_news {
-            // Only noted, so that the attempt isn't taken for absent.
+            // Only marks the attempt as listed by the newest status.
             attempt.last_status = Some(status);
         }
         if shows_our_launch {
@@ -57,8 +57,8 @@
         machine.is_some_and(|machine| machine.attempts.contains(key))
     }
 
-    /// Enters an attempt that a worker lists and the ledger doesn't: a tombstone, for its intent needn't be
-    /// kept.
+    /// Inserts an attempt that a worker lists and the ledger lacks: usually a tombstone, as launch intents of
+    /// ended attempts need not be kept.
     fn adopt_attempt(
         &mut self,
         now: Instant,
@@ -99,7 +99,8 @@
         }
     }
 
-    /// A member has its image: those that had theirs at once may be launched now.
+    /// Queues pushes to a gang's machines when a member has its image: members that had theirs before may be
+    /// launched now.
     fn push_to_gang(&mut self, job_id: &JobId) {
         if let Some(job) = self.jobs.get(job_id) {
             let machines = job.placements().values().flatten();
@@ -107,7 +108,7 @@
         }
     }
 
-    /// Notes what a status says of an attempt in the ledger.
+    /// Records the reported status of an attempt in the ledger, and the start of its job.
     fn record_status(
         &mut self,
         now: Instant,
@@ -124,8 +125,8 @@
         }
     }
 
-    /// Since when an attempt that is first seen running now has run, at the latest. What a former leader
-    /// launched may have run for long: since its image was there.
+    /// Returns the latest time at which an attempt that is first seen running may have started. An attempt of a
+    /// former leader may have started as soon as its image was fetched.
     fn running_since(&self, now: Instant, machine_id: &MachineId, key: &AttemptKey) -> Instant {
         let machine = self.machines.get(machine_id);
         let attempt = machine.and_then(|machine| machine.attempts.get(key));
--- a/src/coordination/attempts/reconciliation/mod.rs
+++ b/src/coordination/attempts/reconciliation/mod.rs
@@ -1,7 +1,7 @@
-//! Reconciliation of what workers report with the ledger: which message is newer, what follows from it for
-//! the machine, for the attempts that it lists, and for those that it doesn't.
+//! Reconciliation of worker statuses with the ledger: discards outdated messages, and updates the machine, the
+//! attempts that the status lists and those that it does not list.
 //!
-//! What a status proves is decided in `ledger::proof`.
+//! `ledger::proof` decides what a status proves.
 
 mod absent;
 mod listed;
@@ -14,25 +14,26 @@
 
 use super::ledger::PushDelivery;
 
-/// How a status came.
+/// The message that carried a status.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum StatusSource {
     Heartbeat,
     PushResponse,
 }
 
-/// The answer to a heartbeat.
+/// How to answer a heartbeat.
 #[derive(Debug, PartialEq)]
 pub enum HeartbeatOutcome {
-    /// 200 with these commands.
+    /// Respond with 200 and these commands.
     Commands(Vec<Command>),
-    /// Not to be answered with 200: the machine is terminated or given up, or a newer leader exists.
+    /// Do not respond with 200: the heartbeat is a duplicate, the machine is terminated or its lease is
+    /// withheld, or a newer leader exists.
     Refused,
 }
 
 impl Scheduler {
-    /// A worker's heartbeat. The caller has made sure of the leader's authority, and sends the commands only
-    /// if it still holds then.
+    /// Handles a worker's heartbeat. The caller has checked the leader's authority, and checks it again before
+    /// the commands are sent.
     pub fn heartbeat(&mut self, now: Instant, status: &WorkerStatus) -> HeartbeatOutcome {
         let machine_id = &status.machine_id;
         if self.is_superseded(status.token)
@@ -50,22 +51,23 @@
         machine.last_heartbeat = (status.session, status.tick);
         machine.last_heartbeat_at = Some(now);
         if machine.lease_withheld {
-            // Its lease is to run out: that is the proof that removes its attempts.
+            // The lease has to expire: its expiry is the proof that removes the machine's attempts.
             return HeartbeatOutcome::Refused;
         }
         machine.last_response_at = now;
         machine.reachability.response_sent(token);
         let mut commands = self.heartbeat_commands(now, machine_id, is_news);
         if !is_news {
-            // Overtaken by the answer to a push: what it lists is old. It renews the lease all the same, so
-            // it says what is to stop: otherwise a cancelled task might be renewed without being told.
+            // A push response overtook this heartbeat, so its task list is outdated. The response still renews
+            // the lease and therefore carries the stops: otherwise the lease of a cancelled task might be
+            // renewed without a stop.
             commands.retain(|command| matches!(command, Command::Stop { .. }));
         }
         HeartbeatOutcome::Commands(commands)
     }
 
-    /// A push was answered: its commands were executed, or certainly not. Either way it no longer is in
-    /// flight, and what the status lists is what came of it.
+    /// Handles the response to a push. The worker has executed the commands or certainly never will, so the
+    /// push is no longer in flight, and the status lists the result.
     pub(crate) fn push_answered(
         &mut self,
         now: Instant,
@@ -86,8 +88,8 @@
         }
     }
 
-    /// Whether a worker has seen a higher fencing token than ours: then another controller leads, and this
-    /// one steps down.
+    /// Whether a worker has seen a higher fencing token than this leader's. If so, another controller leads and
+    /// this one steps down.
     fn is_superseded(&mut self, token: FencingToken) -> bool {
         let is_superseded = token > self.leadership.token();
         if is_superseded {
@@ -98,9 +100,8 @@
         is_superseded
     }
 
-    /// Guards against late copies: each heartbeat has a larger (session, tick) than the one before, so one
-    /// that has not is a copy. It renews no clock and is answered by nothing, for the worker does not wait
-    /// for it.
+    /// Whether a heartbeat is a delayed duplicate: a new one has a higher (session, sequence number) than all
+    /// before. A duplicate is refused and renews no lease, because the worker no longer waits for its response.
     fn is_duplicate_heartbeat(&self, status: &WorkerStatus) -> bool {
         let machine = self.machines.get(&status.machine_id);
         let is_duplicate =
@@ -111,7 +112,7 @@
         is_duplicate
     }
 
-    /// Takes a status in. False if it is no news: the list of an old status proves nothing.
+    /// Updates the ledger from a status. Returns false for an outdated status, whose task list proves nothing.
     fn take_status(&mut self, now: Instant, status: &WorkerStatus, source: StatusSource) -> bool {
         self.add_unknown_machine(now, status);
         let Some(evidence) = self.update_session(now, status, source) else {
--- a/src/coordination/attempts/reconciliation/session.rs
+++ b/src/coordination/attempts/reconciliation/session.rs
@@ -1,5 +1,4 @@
-//! What a worker's status says of its machine: that it is up, its session, whether it hears us, and that it
-//! is to be reclaimed.
+//! Updates a machine from a worker status: its state, session, reachability and preemption notice.
 
 use super::StatusSource;
 use crate::coordination::attempts::ledger::StatusEvidence;
@@ -11,8 +10,9 @@
 use crate::time::{Instant, TimeSpan};
 
 impl Scheduler {
-    /// A machine that is not known is not verified by its status, which may be a late copy of one of a machine
-    /// long terminated: it is given work once it has shown our token.
+    /// Adds the machine of a status if it is unknown. The machine stays unverified, since the status may be a
+    /// delayed duplicate from a machine terminated long ago, and gets work once it has acknowledged this
+    /// leader's fencing token.
     pub(super) fn add_unknown_machine(&mut self, now: Instant, status: &WorkerStatus) {
         if self.machines.contains_key(&status.machine_id) {
             return;
@@ -26,8 +26,8 @@
         self.add_machine(now, &status.machine_id, &offer, now, false);
     }
 
-    /// Notes what a status says of its machine, and returns what it proves of attempts; `None` if it is not
-    /// newer than all before.
+    /// Updates the machine from its status, and returns what the status proves about attempts; `None` if the
+    /// status is not newer than all earlier ones.
     pub(super) fn update_session(
         &mut self,
         now: Instant,
@@ -100,7 +100,8 @@
         }
     }
 
-    /// A status with a token of this leadership was written after it began.
+    /// Marks a machine as confirmed: its status carries a token of this term, so it was written after the term
+    /// began.
     fn confirm_machine(&mut self, machine_id: &MachineId) {
         let unconfirmed = self.machines.get_mut(machine_id).filter(|m| !m.confirmed);
         let Some(machine) = unconfirmed else {
@@ -113,7 +114,8 @@
     }
 }
 
-/// Guards against launches where a job does not allow them, should two sources ever disagree on what a machine is.
+/// Drains a machine whose status contradicts the type, zone or spot flag on record. Guards against launches on
+/// machines that a job's constraints exclude.
 fn note_reported_kind(machine: &mut Machine, now: Instant, status: &WorkerStatus) {
     if machine.kind_reported(now, &status.machine_type, &status.zone, status.spot) {
         tracing::error!(
@@ -129,7 +131,7 @@
     }
 }
 
-/// The machine's worker has begun another session: the lease of the one before has run out.
+/// Records that the worker has begun a new session, after the lease of the previous one expired.
 fn start_session(machine: &mut Machine, now: Instant, lease_expiry_bound: TimeSpan) {
     let is_first = machine.session == Session(0);
     if !is_first && now - machine.last_response_at < lease_expiry_bound {
