--- a/src/coordination/leadership/authority.rs
+++ b/src/coordination/leadership/authority.rs
@@ -1,48 +1,48 @@
-//! Authority: until when a leader may act, on its own steady clock.
+//! Authority: until when a leader may act, by its own monotonic clock.
 //!
-//! Promises that a leader's authority ends before another controller can take over. It is shared by the
-//! tasks of a leader without a lock, and knows nothing of the scheduler.
+//! Guarantees that a leader's authority ends before another controller can take over. The leader's tasks share
+//! it without a lock; it does not depend on the scheduler.
 
 use crate::config::LeaderTimes;
 use crate::time::{Instant, TimeSpan};
 use std::sync::atomic::{AtomicBool, AtomicI64, Ordering};
 
-/// Each of two steady clocks may drift by 0.05%: one part in so many of a lease's duration covers both, with
-/// room.
+/// The allowance for clock drift is the lease's duration divided by this: 0.2%, while each of the two monotonic
+/// clocks drifts by up to 0.05%.
 const CLOCK_DRIFT_DIVISOR: i64 = 500;
 
 /// Why a leader may not act.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AuthorityLoss {
-    /// It gave its authority up, or a record or a worker showed it that another controller leads.
+    /// The leader resigned, or a record or a worker showed that another controller leads.
     Resigned,
-    /// No lease renewal that was sent recently has succeeded.
+    /// No recent lease renewal has succeeded.
     LeaseExpired,
-    /// What it knows of the open jobs is too old.
+    /// The leader's view of the open jobs is too old.
     ViewTooOld,
 }
 
-/// A leader's right to act. It ends with the earlier of two:
+/// A leader's right to act. It ends with the earlier of two times:
 ///
-/// - the moment the last successful lease renewal was *sent*, plus the lease's duration, less a margin: the
-///   state store can't have ended the lease before that, so no other controller can have taken over;
-/// - the moment the last answered request for the open jobs was *sent*, plus the staleness allowed.
+/// - the time the last successful lease renewal was *sent*, plus the lease's duration, minus a margin: the
+///   state store cannot have ended the lease before, so no other controller can have taken over;
+/// - the time the last answered request for the open jobs was *sent*, plus the allowed staleness.
 ///
-/// The second guards against a leader whose renewals succeed while what it knows of the jobs grows old: each
-/// of its responses would renew the lease of a worker whose tasks were cancelled meanwhile. It bounds what a
-/// cancellation that the leader never hears of costs, see docs/SAFETY.md.
+/// The second guards against a leader with a stale view whose renewals still succeed: its responses would keep
+/// renewing the leases of workers whose tasks have been cancelled meanwhile. It limits how long tasks run on
+/// after a cancellation that the leader never learns of, see docs/SAFETY.md.
 #[derive(Debug)]
 pub struct Authority {
     times: LeaderTimes,
-    /// Milliseconds on the steady clock, as the two bounds; neither ever moves back.
+    /// Both times in milliseconds on the monotonic clock; neither moves back.
     lease_valid_until_ms: AtomicI64,
     view_valid_until_ms: AtomicI64,
     resigned: AtomicBool,
 }
 
 impl Authority {
-    /// Authority from a lease granted by a request that was sent at `sent_at`. The open jobs are read later
-    /// than that.
+    /// Creates authority from a lease whose grant was requested at `sent_at`. The open jobs must be read after
+    /// that.
     pub fn new(times: LeaderTimes, sent_at: Instant) -> Authority {
         let authority = Authority {
             times,
@@ -55,7 +55,8 @@
         authority
     }
 
-    /// A lease renewal sent at that moment succeeded. Later answers to earlier renewals change nothing.
+    /// Extends the authority after a lease renewal sent at `sent_at` succeeded. Responses that arrive out of
+    /// order have no effect.
     pub fn lease_renewed(&self, sent_at: Instant) {
         let lease_duration = self.times.lease_duration;
         let drift = TimeSpan(lease_duration.0 / CLOCK_DRIFT_DIVISOR + 1);
@@ -64,26 +65,26 @@
             .fetch_max(until.0, Ordering::Relaxed);
     }
 
-    /// A request for the open jobs, or for what changed in them, sent at that moment was answered, and the
-    /// scheduler has taken the answer in.
+    /// Extends the authority after a request for the open jobs or their changes, sent at `sent_at`, was
+    /// answered and the scheduler has processed the response.
     pub fn view_refreshed(&self, sent_at: Instant) {
         let until = sent_at + self.times.max_staleness;
         self.view_valid_until_ms
             .fetch_max(until.0, Ordering::Relaxed);
     }
 
-    /// Gives authority up for good: a renewal still under way can't bring it back.
+    /// Ends the authority permanently: a renewal in flight cannot restore it.
     pub fn resign(&self) {
         self.resigned.store(true, Ordering::Relaxed);
     }
 
-    /// Whether the leader may act at this moment.
+    /// Whether the leader may act at `now`.
     #[must_use]
     pub fn is_held(&self, now: Instant) -> bool {
         self.loss(now).is_none()
     }
 
-    /// Why the leader may not act at this moment; None if it may.
+    /// Returns why the leader may not act at `now`; `None` if it may.
     #[must_use]
     pub fn loss(&self, now: Instant) -> Option<AuthorityLoss> {
         if self.resigned.load(Ordering::Relaxed) {
@@ -96,7 +97,7 @@
         view_too_old.then_some(AuthorityLoss::ViewTooOld)
     }
 
-    /// How long ago the last answered request for the open jobs was sent.
+    /// Returns the age of the view: the time since the last answered request for the open jobs was sent.
     pub fn view_age(&self, now: Instant) -> TimeSpan {
         let valid_until = Instant(self.view_valid_until_ms.load(Ordering::Relaxed));
         now - (valid_until - self.times.max_staleness)
--- a/src/coordination/leadership/mod.rs
+++ b/src/coordination/leadership/mod.rs
@@ -1,5 +1,5 @@
-//! Leadership: what a leader holds and until when it may act, what a new leader recovers, and when it hands
-//! over. Winning an election and renewing the lease are the runtime's.
+//! Leadership: a leader's term and authority, recovery after an election, and leadership transfer. The runtime
+//! runs elections and renews the lease.
 
 pub mod authority;
 pub mod recovery;
