--- a/src/coordination/leadership/transfer.rs
+++ b/src/coordination/leadership/transfer.rs
@@ -1,34 +1,33 @@
-//! Leadership transfer: when a leader that receives no heartbeats hands over to a peer that does.
+//! Leadership transfer: when a leader that receives no heartbeats gives way to a peer that does.
 //!
-//! Decides only; whoever asks resigns the authority first and ends the lease then.
+//! Only decides. The caller resigns the authority first and then revokes the lease.
 
 use crate::time::TimeSpan;
 
-/// A leader that receives no heartbeat for so many heartbeat intervals receives none at all, however few
-/// machines there are.
+/// Upper limit of the silence timeout, in heartbeat intervals: applies with few machines.
 const MAX_SILENT_HEARTBEAT_INTERVALS: f64 = 2.5;
-/// For the way of the last of those heartbeats.
+/// Added to the upper limit for the delivery of the last heartbeat.
 const HEARTBEAT_DELIVERY_SECS: f64 = 0.5;
-/// So many heartbeats missed in a row are no chance.
+/// Number of missed heartbeats after which the silence can't be random loss.
 const MISSED_HEARTBEATS: f64 = 50.0;
-/// Never sooner than this: a process that was paused for a moment receives everything late.
+/// Lower limit of the silence timeout: after a short pause a process receives all messages late.
 const MIN_SILENCE_SECS: f64 = 3.0;
 
-/// How long a leader that receives no heartbeats waits before it looks whether a peer does; the heartbeat
-/// interval is in seconds.
+/// Returns how long a leader without heartbeats waits before it asks whether a peer receives some.
+/// `heartbeat_interval_s` is in seconds.
 ///
-/// The more machines send heartbeats, the sooner silence tells. Guards against a standstill of 13 s each time
-/// that the leader of a thousand machines lost its workers (recorded days 8dda and 2589): two and a half
-/// heartbeat intervals of 5 s, in which 2,500 heartbeats had been missed.
+/// The timeout shrinks with the number of machines. Guards against an outage of 13 s each time the leader of a
+/// thousand machines lost contact with its workers: it waited 2.5 heartbeat intervals of 5 s, in which 2,500
+/// heartbeats were missed.
 pub fn silence_timeout(machines_up: usize, heartbeat_interval_s: f64) -> TimeSpan {
     let max = heartbeat_interval_s * MAX_SILENT_HEARTBEAT_INTERVALS + HEARTBEAT_DELIVERY_SECS;
     let missed = MISSED_HEARTBEATS * heartbeat_interval_s / machines_up.max(1) as f64;
     TimeSpan::from_secs(missed.max(MIN_SILENCE_SECS).min(max))
 }
 
-/// Whether a leader that receives no heartbeats should hand over: it has machines that should send some, none
-/// has for longer than the bound, and some peer received one well within it. Without such a peer nobody would
-/// do better.
+/// Whether a leader should transfer its leadership: it has machines that should send heartbeats, has received
+/// none for longer than `timeout`, and a peer has received one within that time. Without such a peer a transfer
+/// would not help.
 pub fn should_transfer_leadership(
     machines_up: usize,
     own_silence: TimeSpan,
