--- a/src/coordination/leadership/recovery/intent_pages.rs
+++ b/src/coordination/leadership/recovery/intent_pages.rs
@@ -1,4 +1,4 @@
-//! Recovery of task attempts from the pages of launch intents.
+//! Recovery of task attempts from pages of launch intents.
 
 use super::{parse_record, Recovery, UnreadableRecord};
 use crate::coordination::attempts::ledger::TaskAttempt;
@@ -34,12 +34,12 @@
             attempt: key,
         } = &intent;
         let Some(machine) = self.scheduler.machines.get_mut(machine_id) else {
-            // Proof 4, on record: an intent is written only once its machine's page is, and a machine
-            // leaves its page only once the cloud has confirmed that it is gone.
+            // Proof 4 holds by the records: an intent is written after its machine's page, and the machine is
+            // removed from its page only after the cloud has confirmed its termination.
             self.scheduler.writer.recover_void_intent(self.now, page);
             return;
         };
-        // It had been given work: its worker has reported.
+        // Only machines whose worker has reported are given work, so this one is up.
         machine.state = MachineState::Up;
         if machine.attempts.contains(key) {
             return;
@@ -49,7 +49,8 @@
         self.scheduler.writer.recover_intent(page, intent);
     }
 
-    /// An attempt of a former leader. The page says what it takes, for its job may be over and unknown.
+    /// Creates an attempt of a former leader. The resource request comes from the page, since the job may be
+    /// closed and unknown.
     fn recovered_attempt(
         &self,
         page: PageNumber,
--- a/src/coordination/leadership/recovery/machine_pages.rs
+++ b/src/coordination/leadership/recovery/machine_pages.rs
@@ -10,8 +10,8 @@
 use std::collections::BTreeSet;
 
 impl Recovery {
-    /// Small pages first: a machine that a former leader was moving from a page that had grown too large is
-    /// on both, and stays on the small one.
+    /// Loads the smallest pages first. A machine that a former leader was moving off an oversized page is on
+    /// two pages and stays on the smaller one.
     pub(super) fn load_machine_pages(
         &mut self,
         mut pages: Vec<KeyValue>,
@@ -42,8 +42,8 @@
         Ok(())
     }
 
-    /// Takes a page over with those of its machines that no page before listed, and returns them. A page that
-    /// lists others too is to be written again without them.
+    /// Registers a page with those of its machines that no page loaded before lists, and returns these. A page
+    /// with other machines as well is queued to be rewritten without them.
     fn register_machine_page(
         &mut self,
         page: PageNumber,
@@ -62,7 +62,7 @@
         new_machines
     }
 
-    /// A machine as its page lists it; None if the page does not name its kind.
+    /// Creates a machine from its page entry; `None` if the page does not list its kind.
     fn machine_of_entry(
         &self,
         page: PageNumber,
@@ -94,7 +94,7 @@
         Some(machine)
     }
 
-    /// When a machine was rented, from the seconds since 1970 that are on record; 0 if that was not known.
+    /// Converts a recorded rental time in seconds since 1970; 0 means unknown.
     fn rented_at(&self, time_of_day_s: u64) -> Instant {
         if time_of_day_s == 0 {
             return self.now;
@@ -102,7 +102,7 @@
         self.recorded_instant(time_of_day_s)
     }
 
-    /// A time of day on record, in seconds since 1970, on this process's steady clock; never in the future.
+    /// Converts a recorded Unix time in seconds to this process's monotonic clock; never in the future.
     pub(super) fn recorded_instant(&self, time_of_day_s: u64) -> Instant {
         let time_of_day = TimeSpan((time_of_day_s as i64).saturating_mul(1000));
         let leadership = &self.scheduler.leadership;
@@ -110,7 +110,7 @@
     }
 }
 
-/// How many machines a page lists, without reading them.
+/// Returns the number of machines on a page without decoding them.
 fn listed_machines(page: &KeyValue) -> Option<usize> {
     let machines = page.data.get("hosts")?.as_object()?;
     Some(machines.len())
