--- a/src/coordination/attempts/ledger/audit.rs
+++ b/src/coordination/attempts/ledger/audit.rs
@@ -1,4 +1,5 @@
-//! Counts everything again that the ledger keeps in step, and compares. For tests: no decision calls it.
+//! Recomputes the totals and indexes that the ledger updates incrementally, and compares them. Only tests call
+//! it.
 
 use super::{TaskAttempt, TeamUsage};
 use crate::coordination::jobs::index::JobIndexMismatch;
@@ -12,70 +13,71 @@
 use crate::resources::Resources;
 use std::collections::BTreeSet;
 
-/// Sums of decimal numbers may differ by this much in all.
+/// Allowed rounding difference, summed over CPUs, GPUs and GB of memory.
 const TOLERANCE: f64 = 1e-3;
 
-/// What is kept in step differs from what was counted.
+/// A tracked total or index differs from the recomputed one.
 #[derive(Debug, thiserror::Error)]
 pub enum AuditError {
-    /// The free capacity or the number of live attempts of a machine.
-    #[error("machine {machine}: free {kept:?}, counted {counted:?}")]
+    /// The free capacity or the number of live attempts of a machine differs.
+    #[error("machine {machine}: free capacity tracked as {tracked:?}, counted {counted:?}")]
     Machine {
         /// The machine's id.
         machine: String,
-        /// As kept.
-        kept: Resources,
-        /// As counted.
+        /// Free capacity as tracked.
+        tracked: Resources,
+        /// Free capacity as recomputed.
         counted: Resources,
     },
-    /// What a team uses.
-    #[error("teams use {kept:?}, counted {counted:?}")]
+    /// The usage of a team differs.
+    #[error("team usage tracked as {tracked:?}, counted {counted:?}")]
     TeamUsage {
-        /// As kept, team by team.
-        kept: TeamUsage,
-        /// As counted.
+        /// Usage as tracked, by team.
+        tracked: TeamUsage,
+        /// Usage as recomputed.
         counted: TeamUsage,
     },
-    /// The machines with room.
-    #[error("machines with room {kept:?}, counted {counted:?}")]
+    /// The index of machines with free capacity differs.
+    #[error("machines with free capacity tracked as {tracked:?}, counted {counted:?}")]
     MachineIndex {
-        /// As kept.
-        kept: MachineIndex,
-        /// As counted.
+        /// Index as tracked.
+        tracked: MachineIndex,
+        /// Index as recomputed.
         counted: MachineIndex,
     },
-    /// The attempts of a job.
-    #[error("{job}: {attempts} attempts, {running} run")]
+    /// The attempt counts of a job differ.
+    #[error("{job}: {attempts} attempts and {running} running tracked, the counts differ")]
     Job {
         /// The job.
         job: JobId,
-        /// Attempts as kept.
+        /// Number of attempts as tracked.
         attempts: u32,
-        /// Running attempts as kept.
+        /// Number of running attempts as tracked.
         running: u32,
     },
-    /// The places of a job's tasks: every live attempt has one.
-    #[error("{job}: places by zone {kept:?}, counted {counted:?}")]
+    /// The placements of a job's tasks differ: each live attempt must have one.
+    #[error("{job}: tasks by zone tracked as {tracked:?}, counted {counted:?}")]
     Placements {
         /// The job.
         job: JobId,
-        /// As kept.
-        kept: TasksByZone,
-        /// As counted.
+        /// Tasks by zone as tracked.
+        tracked: TasksByZone,
+        /// Tasks by zone as recomputed.
         counted: TasksByZone,
     },
-    /// An attempt that this leader planned is where its job does not allow it, given the others that it planned.
+    /// An attempt planned by this leader violates its job's constraints, given the other attempts that it
+    /// planned.
     #[error("{task} on {machine}: {denial}")]
     Placement {
         /// The task.
         task: TaskId,
         /// The machine.
         machine: MachineId,
-        /// Why it may not be there.
+        /// The violated constraint.
         denial: StartDenial,
     },
-    /// The sets of jobs by state.
-    #[error("jobs by state {0:?}")]
+    /// The index of jobs by state differs.
+    #[error("jobs by state differ: {0:?}")]
     JobIndex(Box<JobIndexMismatch>),
 }
 
@@ -84,10 +86,10 @@
 }
 
 impl Scheduler {
-    /// Counts everything again and compares.
+    /// Recomputes all tracked totals and indexes and compares them.
     ///
     /// # Errors
-    /// The first thing found that differs.
+    /// Returns the first difference found.
     pub fn audit(&self) -> Result<(), AuditError> {
         for machine in self.machines.values() {
             self.audit_machine(machine)?;
@@ -96,7 +98,7 @@
         self.audit_machine_index()?;
         for (id, job) in &self.jobs {
             self.audit_job(id, job)?;
-            self.audit_places(id, job)?;
+            self.audit_placements(id, job)?;
             self.audit_constraints(id, job)?;
         }
         self.jobs.audit_index().map_err(AuditError::JobIndex)
@@ -112,7 +114,7 @@
         }
         Err(AuditError::Machine {
             machine: machine.id.to_string(),
-            kept: *machine.free(),
+            tracked: *machine.free(),
             counted,
         })
     }
@@ -131,7 +133,7 @@
             return Ok(());
         }
         Err(AuditError::TeamUsage {
-            kept: self.team_usage.clone(),
+            tracked: self.team_usage.clone(),
             counted,
         })
     }
@@ -150,12 +152,12 @@
             return Ok(());
         }
         Err(AuditError::MachineIndex {
-            kept: self.machines.index.clone(),
+            tracked: self.machines.index.clone(),
             counted,
         })
     }
 
-    fn audit_places(&self, id: &JobId, job: &Job) -> Result<(), AuditError> {
+    fn audit_placements(&self, id: &JobId, job: &Job) -> Result<(), AuditError> {
         let live = self.live_attempts_of(id);
         let places: BTreeSet<(u32, &MachineId)> = live
             .map(|(machine, attempt)| (attempt.task.index, &machine.id))
@@ -166,21 +168,21 @@
                 counted.add(&machine.zone);
             }
         }
-        let kept = job.placements().iter();
-        let kept: BTreeSet<(u32, &MachineId)> = kept
+        let tracked = job.placements().iter();
+        let tracked: BTreeSet<(u32, &MachineId)> = tracked
             .flat_map(|(index, machines)| machines.iter().map(|machine| (*index, machine)))
             .collect();
-        if kept == places && counted == *job.tasks_by_zone() {
+        if tracked == places && counted == *job.tasks_by_zone() {
             return Ok(());
         }
         Err(AuditError::Placements {
             job: id.clone(),
-            kept: job.tasks_by_zone().clone(),
+            tracked: job.tasks_by_zone().clone(),
             counted,
         })
     }
 
-    /// Attempts of former leaders are left out: old intents may name several zones until they are settled.
+    /// Attempts of former leaders are left out: their intents may name several zones until they are settled.
     fn audit_constraints(&self, id: &JobId, job: &Job) -> Result<(), AuditError> {
         let mut check = StartCheck::of_no_tasks(job);
         let live = self.live_attempts_of(id);
--- a/src/coordination/attempts/ledger/machine_attempts.rs
+++ b/src/coordination/attempts/ledger/machine_attempts.rs
@@ -124,8 +124,8 @@
         if !attempt.has_ended() {
             self.charge(&attempt.request);
         }
-        let before = self.attempts.insert(attempt.key(), attempt);
-        debug_assert!(before.is_none(), "an attempt is inserted once");
+        let previous = self.attempts.insert(attempt.key(), attempt);
+        debug_assert!(previous.is_none(), "an attempt is inserted once");
     }
 
     pub(super) fn remove(&mut self, key: &AttemptKey) -> Option<TaskAttempt> {
--- a/src/coordination/attempts/ledger/mod.rs
+++ b/src/coordination/attempts/ledger/mod.rs
@@ -61,12 +61,16 @@
     /// Inserts an attempt and records its machine as a placement of its task.
     pub(crate) fn insert(&mut self, machine_id: &MachineId, attempt: TaskAttempt) {
         let task = attempt.task.clone();
-        self.insert_without_place(machine_id, attempt);
-        self.add_place(machine_id, &task);
+        self.insert_without_placement(machine_id, attempt);
+        self.add_placement(machine_id, &task);
     }
 
     /// Inserts an attempt without a placement of its task, because it is about to be recorded as ended.
-    pub(crate) fn insert_without_place(&mut self, machine_id: &MachineId, attempt: TaskAttempt) {
+    pub(crate) fn insert_without_placement(
+        &mut self,
+        machine_id: &MachineId,
+        attempt: TaskAttempt,
+    ) {
         let Some(machine) = self.machines.get_mut(machine_id) else {
             return;
         };
@@ -74,9 +78,10 @@
         if !attempt.has_ended() {
             self.team_usage.charge(attempt.team, &attempt.request);
         }
-        let runs = attempt.is_running();
+        let is_running = attempt.is_running();
         machine.attempts.insert(attempt);
-        self.jobs.update(&job_id, |job| job.attempt_added(runs));
+        self.jobs
+            .update(&job_id, |job| job.attempt_added(is_running));
         self.machines.reindex(machine_id);
     }
 
@@ -102,7 +107,7 @@
         } else if change.has_revived() {
             self.team_usage.charge(change.team, &change.request);
             self.machines.reindex(machine_id);
-            self.add_place(machine_id, &key.task);
+            self.add_placement(machine_id, &key.task);
         }
         let job_id = &key.task.job;
         match (change.was_running, change.is_running) {
@@ -128,8 +133,8 @@
         if attempt.has_ended() {
             return None;
         }
-        let before = attempt.intent_page.replace(page);
-        Some(before.is_none())
+        let previous = attempt.intent_page.replace(page);
+        Some(previous.is_none())
     }
 
     /// Removes an attempt that is proven not to run and never to run later.
@@ -140,7 +145,7 @@
         key: &AttemptKey,
         proof: RemovalProof,
     ) {
-        let Some(attempt) = self.take_out(now, machine_id, key) else {
+        let Some(attempt) = self.remove_entry(now, machine_id, key) else {
             return;
         };
         if let Some(machine) = self.machines.get_mut(machine_id) {
@@ -148,11 +153,11 @@
         }
         if !attempt.has_ended() {
             tracing::debug!(task = %key.task, attempt = %key.attempt_id, machine = %machine_id, proof = ?proof.reason(), "attempt removed");
-            self.drop_place(machine_id, &key.task);
+            self.remove_placement(machine_id, &key.task);
         }
     }
 
-    fn take_out(
+    fn remove_entry(
         &mut self,
         now: Instant,
         machine_id: &MachineId,
@@ -209,7 +214,7 @@
     /// Records that an attempt has ended on its machine: its task may be placed again, while the attempt stays
     /// as a tombstone.
     pub(crate) fn attempt_ended(&mut self, machine_id: &MachineId, task: &TaskId) {
-        self.drop_place(machine_id, task);
+        self.remove_placement(machine_id, task);
     }
 
     /// Returns an attempt for changes to its launch and stop state.
@@ -221,7 +226,7 @@
         self.machines.get_mut(machine_id)?.attempts.get_mut(key)
     }
 
-    fn add_place(&mut self, machine_id: &MachineId, task: &TaskId) {
+    fn add_placement(&mut self, machine_id: &MachineId, task: &TaskId) {
         let Some(machine) = self.machines.get(machine_id) else {
             return;
         };
@@ -232,7 +237,7 @@
 
     /// Updates a task's placement after a live attempt on the machine has ended or was removed. The task is
     /// pending again unless another attempt of it may be live.
-    fn drop_place(&mut self, machine_id: &MachineId, task: &TaskId) {
+    fn remove_placement(&mut self, machine_id: &MachineId, task: &TaskId) {
         self.placement.request_pass();
         let Some(machine) = self.machines.get(machine_id) else {
             return;
--- a/src/coordination/attempts/ledger/proof.rs
+++ b/src/coordination/attempts/ledger/proof.rs
@@ -73,7 +73,7 @@
         lease_expiry_bound: TimeSpan,
         now: Instant,
     ) -> Option<RemovalProof> {
-        let lease_from = lease_valid_from(machine, attempt).max(leadership_started_at);
+        let lease_from = latest_lease_start(machine, attempt).max(leadership_started_at);
         (now - lease_from > lease_expiry_bound).then_some(RemovalProof(RemovalReason::LeaseExpired))
     }
 
@@ -90,12 +90,12 @@
 /// response alone removed attempts launched in that session too early, and their tasks were started elsewhere.
 /// An attempt of a former leader belongs to a session that began before this term, unless a status of a later
 /// session lists it.
-fn lease_valid_from(machine: &Machine, attempt: &TaskAttempt) -> Instant {
-    let in_present_session = attempt.launch_session == Some(machine.session)
+fn latest_lease_start(machine: &Machine, attempt: &TaskAttempt) -> Instant {
+    let in_current_session = attempt.launch_session == Some(machine.session)
         || attempt
             .last_status
-            .is_some_and(|status| status.at.0 == machine.session);
-    if in_present_session {
+            .is_some_and(|status| status.message_id.0 == machine.session);
+    if in_current_session {
         machine.last_response_at.max(machine.session_first_seen_at)
     } else {
         machine.last_response_at
@@ -107,7 +107,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct StatusEvidence {
     /// The worker's session and the status's sequence number in it.
-    pub at: (Session, Tick),
+    pub message_id: (Session, Tick),
     /// The highest fencing token that the worker has seen.
     pub token: FencingToken,
     /// Whether the status came in a heartbeat rather than in a push response.
@@ -123,6 +123,6 @@
     pub fn lists(&self, attempt: &TaskAttempt) -> bool {
         attempt
             .last_status
-            .is_some_and(|status| status.at == self.at)
+            .is_some_and(|status| status.message_id == self.message_id)
     }
 }
--- a/src/coordination/attempts/ledger/task_attempt.rs
+++ b/src/coordination/attempts/ledger/task_attempt.rs
@@ -30,29 +30,29 @@
     /// Why the attempt ended, if it has.
     pub cause: Option<Cause>,
     /// Whether the task saved its progress when it was stopped.
-    pub stored: bool,
+    pub progress_saved: bool,
     /// When the attempt was first seen in this phase.
     pub since: Instant,
     /// The session and sequence number of the status.
-    pub at: (Session, Tick),
+    pub message_id: (Session, Tick),
 }
 
 impl LastStatus {
     /// Builds the status of an attempt from a task entry of the worker status that `message_id` identifies.
     /// `previous` is the status recorded before.
     pub(in crate::coordination::attempts) fn after(
-        before: Option<LastStatus>,
+        previous: Option<LastStatus>,
         task: &TaskStatus,
-        at: (Session, Tick),
+        message_id: (Session, Tick),
         now: Instant,
     ) -> LastStatus {
-        let same_phase = before.filter(|before| before.phase == task.phase);
+        let same_phase = previous.filter(|previous| previous.phase == task.phase);
         LastStatus {
             phase: task.phase,
             cause: task.cause,
-            stored: task.stored,
-            since: same_phase.map_or(now, |before| before.since),
-            at,
+            progress_saved: task.stored,
+            since: same_phase.map_or(now, |previous| previous.since),
+            message_id,
         }
     }
 
@@ -61,7 +61,8 @@
         &self,
         other: &LastStatus,
     ) -> bool {
-        (self.phase, self.cause, self.stored) == (other.phase, other.cause, other.stored)
+        (self.phase, self.cause, self.progress_saved)
+            == (other.phase, other.cause, other.progress_saved)
     }
 }
 
@@ -173,13 +174,14 @@
         status: &StatusEvidence,
     ) -> bool {
         if let PushDelivery::Unconfirmed(session, token) = self.last_push {
-            if session < status.at.0 || token < status.token {
+            if session < status.message_id.0 || token < status.token {
                 // From now on the worker refuses that push if it has not executed it yet.
                 self.last_push = PushDelivery::None;
             }
         }
         let carrier = self.launch_heartbeat.filter(|_| status.is_heartbeat);
-        let is_settled = carrier.is_some_and(|tick| tick < status.at.1 || status.starts_session);
+        let is_settled =
+            carrier.is_some_and(|tick| tick < status.message_id.1 || status.starts_session);
         if is_settled {
             // A later heartbeat shows that the response was either executed or dropped.
             self.launch_heartbeat = None;
--- a/src/coordination/attempts/ledger/team_usage.rs
+++ b/src/coordination/attempts/ledger/team_usage.rs
@@ -47,7 +47,7 @@
             return 0;
         };
         let used = self.of(team);
-        let left = |max: f64, used: f64| {
+        let remaining = |max: f64, used: f64| {
             if max > 0.0 {
                 max - used
             } else {
@@ -55,8 +55,8 @@
             }
         };
         let room = Resources {
-            cpus: left(limit.cpus_max, used.cpus),
-            gpus: left(limit.gpus_max, used.gpus),
+            cpus: remaining(limit.cpus_max, used.cpus),
+            gpus: remaining(limit.gpus_max, used.gpus),
             ram_gb: f64::INFINITY,
         };
         Resources::of(spec).count_in(&room, spec.tasks)
--- a/src/coordination/attempts/reconciliation/listed.rs
+++ b/src/coordination/attempts/reconciliation/listed.rs
@@ -34,8 +34,9 @@
             return;
         };
         let before = attempt.last_status;
-        let shows_our_launch = before.is_none() && attempt.launch_session == Some(evidence.at.0);
-        let status = LastStatus::after(before, task, evidence.at, now);
+        let shows_our_launch =
+            before.is_none() && attempt.launch_session == Some(evidence.message_id.0);
+        let status = LastStatus::after(before, task, evidence.message_id, now);
         let is_news = before.is_none_or(|before| !before.reports_same_state_as(&status));
         if !is_news {
             // Only marks the attempt as listed by the newest status.
@@ -69,7 +70,7 @@
         let mut attempt = self.new_attempt(machine_id, key.clone(), now);
         attempt.recovered = true;
         if phase == TaskPhase::Ended {
-            self.ledger().insert_without_place(machine_id, attempt);
+            self.ledger().insert_without_placement(machine_id, attempt);
         } else {
             self.ledger().insert(machine_id, attempt);
         }
--- a/src/coordination/attempts/reconciliation/session.rs
+++ b/src/coordination/attempts/reconciliation/session.rs
@@ -46,7 +46,7 @@
         let machine = self.machines.get_mut(&status.machine_id)?;
         note_reported_kind(machine, now, status);
         let evidence = StatusEvidence {
-            at: (status.session, status.tick),
+            message_id: (status.session, status.tick),
             token: status.token,
             is_heartbeat: source == StatusSource::Heartbeat,
             starts_session: status.session > machine.session,
--- a/src/coordination/attempts/task_ends.rs
+++ b/src/coordination/attempts/task_ends.rs
@@ -43,7 +43,7 @@
                 let until = now + UNKNOWN_JOB_DELAY;
                 self.jobs.update(&task.job, |job| job.postpone(until));
             }
-            Cause::Incomplete => self.gang_member_gave_up(now, machine_id, &task.job),
+            Cause::Incomplete => self.gang_wait_timed_out(now, machine_id, &task.job),
             Cause::Done | Cause::Stopped | Cause::MatesGone => {}
         }
     }
@@ -67,7 +67,7 @@
 
     /// Handles a gang member that timed out waiting for the others. Its image is cached, so the machine is
     /// reserved for the gang's next attempt.
-    fn gang_member_gave_up(&mut self, now: Instant, machine_id: &MachineId, job: &JobId) {
+    fn gang_wait_timed_out(&mut self, now: Instant, machine_id: &MachineId, job: &JobId) {
         let lease = TimeSpan::from_secs(self.policy.facts.workers.lease_s);
         if let Some(machine) = self.machines.get_mut(machine_id) {
             machine.reserve_for(job.clone(), now + lease);
