--- a/src/coordination/attempts/commands.rs
+++ b/src/coordination/attempts/commands.rs
@@ -40,7 +40,7 @@
 
     /// Whether a planned attempt may be launched now: its intent is durable, its job still needs the task and
     /// allows it on the machine, and the machine is in use.
-    pub(super) fn wants_launch(&self, machine: &Machine, attempt: &TaskAttempt) -> bool {
+    pub(super) fn should_launch(&self, machine: &Machine, attempt: &TaskAttempt) -> bool {
         attempt.intent_page.is_some()
             && !self.waits_for_gang_members(attempt)
             && attempt.stop.is_none()
@@ -48,7 +48,7 @@
             && !attempt.recovered
             && !machine.is_leaving()
             && machine.state == MachineState::Up
-            && self.allows_launch(machine, &attempt.task)
+            && self.job_allows_launch(machine, &attempt.task)
     }
 
     /// Whether the job still needs the task to run and allows it on the machine, given where its other tasks
@@ -56,7 +56,7 @@
     ///
     /// Guards against launches that were planned before other attempts of the job became known: every launch is
     /// checked again when it is sent.
-    fn allows_launch(&self, machine: &Machine, task: &TaskId) -> bool {
+    fn job_allows_launch(&self, machine: &Machine, task: &TaskId) -> bool {
         self.jobs.get(&task.job).is_some_and(|job| {
             job.needs_run(task.index) && check_planned_start(job, machine).is_ok()
         })
@@ -98,7 +98,7 @@
         &mut self,
         now: Instant,
         machine_id: &MachineId,
-        is_news: bool,
+        is_newer: bool,
     ) -> Vec<Command> {
         let Some(machine) = self.machines.get(machine_id) else {
             return Vec::new();
@@ -110,7 +110,7 @@
             if commands.len() >= MAX_COMMANDS {
                 break;
             }
-            let Some(command) = self.heartbeat_command(now, machine, attempt, is_news) else {
+            let Some(command) = self.heartbeat_command(now, machine, attempt, is_newer) else {
                 continue;
             };
             if matches!(command, Command::Launch { .. }) {
@@ -133,7 +133,7 @@
         now: Instant,
         machine: &Machine,
         attempt: &TaskAttempt,
-        is_news: bool,
+        is_newer: bool,
     ) -> Option<Command> {
         let (task, attempt_id) = (attempt.task.clone(), attempt.attempt_id);
         if attempt.has_ended() {
@@ -144,7 +144,7 @@
             return Self::stop_command(attempt, now);
         }
         let push_in_flight = matches!(attempt.last_push, PushDelivery::InFlight(_));
-        let may_launch = is_news && self.wants_launch(machine, attempt) && !push_in_flight;
+        let may_launch = is_newer && self.should_launch(machine, attempt) && !push_in_flight;
         may_launch.then_some(Command::Launch { task, attempt_id })
     }
 
@@ -161,7 +161,7 @@
         let machine = self.machines.get(machine_id);
         commands.retain(|command| match command {
             Command::Launch { task, .. } => {
-                machine.is_some_and(|machine| self.allows_launch(machine, task))
+                machine.is_some_and(|machine| self.job_allows_launch(machine, task))
             }
             Command::Stop { .. } | Command::Clear { .. } => true,
         });
--- a/src/coordination/attempts/gang_stops.rs
+++ b/src/coordination/attempts/gang_stops.rs
@@ -10,7 +10,7 @@
 use std::collections::BTreeSet;
 
 /// What to do with a gang that may have lost a member.
-enum GangVerdict {
+enum GangAction {
     /// The gang is complete, its job is closed, or none of its tasks is placed.
     Keep,
     /// The gang is incomplete; its members are stopped once they have their images.
@@ -31,40 +31,41 @@
 impl Scheduler {
     /// Stops the remaining members of incomplete gangs.
     pub(super) fn stop_broken_gangs(&mut self, now: Instant) {
-        let mut awaiting_images = BTreeSet::new();
+        let mut gangs_awaiting_images = BTreeSet::new();
         for job_id in std::mem::take(&mut self.outbox.gangs_to_check) {
-            match self.judge_gang(&job_id) {
-                GangVerdict::Keep => {}
-                GangVerdict::AwaitImages => drop(awaiting_images.insert(job_id)),
-                GangVerdict::Stop(stop) => self.stop_gang(now, &job_id, stop),
+            match self.gang_action(&job_id) {
+                GangAction::Keep => {}
+                GangAction::AwaitImages => drop(gangs_awaiting_images.insert(job_id)),
+                GangAction::Stop(stop) => self.stop_gang(now, &job_id, stop),
             }
         }
-        self.outbox.gangs_to_check = awaiting_images;
+        self.outbox.gangs_to_check = gangs_awaiting_images;
     }
 
-    fn judge_gang(&self, job_id: &JobId) -> GangVerdict {
+    fn gang_action(&self, job_id: &JobId) -> GangAction {
         let Some(job) = self.jobs.get(job_id) else {
-            return GangVerdict::Keep;
+            return GangAction::Keep;
         };
         if job.is_closed() || !job.needs_gang_scheduling() || job.placements().is_empty() {
-            return GangVerdict::Keep;
+            return GangAction::Keep;
         }
         let machine_ids: BTreeSet<MachineId> =
             job.placements().values().flatten().cloned().collect();
-        let has_stopping = self.any_member(job_id, &machine_ids, |member| member.stop.is_some());
-        if !has_stopping && job.pending().is_empty() {
-            return GangVerdict::Keep;
+        let has_stopping_member =
+            self.any_member(job_id, &machine_ids, |member| member.stop.is_some());
+        if !has_stopping_member && job.pending().is_empty() {
+            return GangAction::Keep;
         }
         // Guards against image fetches that are aborted when nearly done: a member that had its image early
         // timed out waiting for the others, and stopping them aborted their fetches, again and again. The other
         // members are stopped only when they have their images too.
-        if job.gang_attempt_failed() && !has_stopping {
-            let fetches = |member: &TaskAttempt| {
+        if job.gang_attempt_failed() && !has_stopping_member {
+            let is_fetching = |member: &TaskAttempt| {
                 let status = member.last_status;
                 status.is_some_and(|status| status.phase == TaskPhase::Fetching)
             };
-            if self.any_member(job_id, &machine_ids, fetches) {
-                return GangVerdict::AwaitImages;
+            if self.any_member(job_id, &machine_ids, is_fetching) {
+                return GangAction::AwaitImages;
             }
         }
         let grace_s = if job.pending().is_empty() {
@@ -72,7 +73,7 @@
         } else {
             0.0
         };
-        GangVerdict::Stop(GangStop {
+        GangAction::Stop(GangStop {
             machine_ids,
             grace_s,
             reserves_machines: job.gang_attempt_failed(),
--- a/src/coordination/attempts/pushes.rs
+++ b/src/coordination/attempts/pushes.rs
@@ -24,7 +24,7 @@
     /// Sends the launches and stops that are due to the workers: one push at a time to each machine, and a
     /// bounded number in flight to all machines.
     pub(crate) fn send_pushes(&mut self, now: Instant) {
-        let mut later = BTreeSet::new();
+        let mut deferred = BTreeSet::new();
         while let Some(machine_id) = self.outbox.pushes_due.pop_first() {
             let Some(machine) = self.machines.get(&machine_id) else {
                 continue;
@@ -39,15 +39,15 @@
             if machine.push_not_before > now
                 || self.outbox.pushes_in_flight >= self.policy.max_pushes
             {
-                later.insert(machine_id);
+                deferred.insert(machine_id);
                 continue;
             }
-            self.push_to(now, &machine_id);
+            self.send_push(now, &machine_id);
         }
-        self.outbox.pushes_due = later;
+        self.outbox.pushes_due = deferred;
     }
 
-    fn push_to(&mut self, now: Instant, machine_id: &MachineId) {
+    fn send_push(&mut self, now: Instant, machine_id: &MachineId) {
         let Some(machine) = self.machines.get(machine_id) else {
             return;
         };
@@ -58,7 +58,7 @@
         }
         let (endpoint, session) = (machine.endpoint.clone(), machine.session);
         let request_id = self.next_request_id();
-        self.push_leaves(machine_id, request_id, session, &draft);
+        self.record_push_in_flight(machine_id, request_id, session, &draft);
         self.effects.push(Effect::Push {
             machine_id: machine_id.clone(),
             endpoint,
@@ -82,7 +82,7 @@
                     draft.commands.extend(Self::stop_command(attempt, now));
                     draft.stops.push(attempt.key());
                 }
-            } else if self.wants_launch(machine, attempt) && !attempt.has_launch_in_flight() {
+            } else if self.should_launch(machine, attempt) && !attempt.has_launch_in_flight() {
                 draft.commands.push(Command::Launch {
                     task: attempt.task.clone(),
                     attempt_id: attempt.attempt_id,
@@ -94,7 +94,7 @@
     }
 
     /// Records on the machine and its attempts that a push is in flight.
-    fn push_leaves(
+    fn record_push_in_flight(
         &mut self,
         machine_id: &MachineId,
         request_id: RequestId,
@@ -138,13 +138,13 @@
         // Guards against a push that a partition or a stalled process has delayed: the worker may execute it at
         // any later time in this session, until it has seen a higher token. Until then the launch counts as in
         // flight.
-        let end = if sent {
+        let delivery = if sent {
             PushDelivery::Unconfirmed(machine.session, token)
         } else {
             PushDelivery::None
         };
         tracing::debug!(machine = %machine_id, sent, "push unanswered");
-        self.settle_push(machine_id, request_id, end);
+        self.settle_push(machine_id, request_id, delivery);
         self.stop_again(now, machine_id);
         self.outbox.pushes_due.insert(machine_id.clone());
     }
@@ -154,7 +154,7 @@
         &mut self,
         machine_id: &MachineId,
         request_id: RequestId,
-        end: PushDelivery,
+        delivery: PushDelivery,
     ) {
         let Some(machine) = self.machines.get_mut(machine_id) else {
             return;
@@ -165,7 +165,7 @@
         }
         for attempt in machine.attempts.iter_mut() {
             if attempt.last_push == PushDelivery::InFlight(request_id) {
-                attempt.last_push = end;
+                attempt.last_push = delivery;
             }
         }
         self.outbox.pushes_due.insert(machine_id.clone());
