--- a/src/coordination/attempts/leases.rs
+++ b/src/coordination/attempts/leases.rs
@@ -9,16 +9,16 @@
 
 /// How long a launch whose push was not answered, and which no status lists, keeps its placement before its
 /// machine is drained.
-const LOST_LAUNCH_TIMEOUT: TimeSpan = TimeSpan(45_000);
+const UNCONFIRMED_LAUNCH_TIMEOUT: TimeSpan = TimeSpan(45_000);
 /// Every machine is reviewed at least once in this many seconds, in slices of one a second.
-const REVIEW_PARTS: u64 = 4;
+const REVIEW_CYCLE_SECS: u64 = 4;
 
 impl Scheduler {
     /// Runs the checks that are due once a second.
     pub(crate) fn recheck_machines(&mut self, now: Instant) {
         self.remove_attempts_of_expired_leases(now);
-        self.give_up_machines(now);
-        self.review_a_part_of_machines();
+        self.drain_unresponsive_machines(now);
+        self.review_next_machines();
     }
 
     fn remove_attempts_of_expired_leases(&mut self, now: Instant) {
@@ -49,14 +49,14 @@
         }
     }
 
-    fn give_up_machines(&mut self, now: Instant) {
+    fn drain_unresponsive_machines(&mut self, now: Instant) {
         let timeout = self.policy.heartbeat_timeout();
-        let mut given_up = Vec::new();
+        let mut drained = Vec::new();
         for machine in self.machines.values_mut() {
-            if !machine.draining && has_lost_launch(machine, now) {
+            if !machine.draining && has_overdue_launch(machine, now) {
                 tracing::info!(machine = %machine.id, reason = "lost launch", "machine given up");
                 machine.start_draining(now);
-                given_up.push(machine.id.clone());
+                drained.push(machine.id.clone());
             }
             // Guards against an inbound-unreachable machine: its heartbeats arrive but the responses to them do
             // not. Each response would extend the lease as recorded here, though not on the worker, so the
@@ -67,29 +67,29 @@
                 tracing::info!(machine = %machine.id, reason = "unreachable", "machine given up, lease withheld");
                 machine.lease_withheld = true;
                 machine.start_draining(now);
-                given_up.push(machine.id.clone());
+                drained.push(machine.id.clone());
             }
         }
-        self.outbox.machines_to_review.extend(given_up);
+        self.outbox.machines_to_review.extend(drained);
     }
 
     /// Queues the next slice of all machines for review, in case an event that should have done so was missed.
-    fn review_a_part_of_machines(&mut self) {
+    fn review_next_machines(&mut self) {
         self.outbox.review_round += 1;
-        let part = self.outbox.review_round % REVIEW_PARTS;
+        let slice = self.outbox.review_round % REVIEW_CYCLE_SECS;
         let ids = self.machines.keys().enumerate();
-        let ids = ids.filter(|(position, _)| *position as u64 % REVIEW_PARTS == part);
+        let ids = ids.filter(|(position, _)| *position as u64 % REVIEW_CYCLE_SECS == slice);
         let ids = ids.map(|(_, id)| id.clone());
         self.outbox.machines_to_review.extend(ids);
     }
 }
 
 /// Whether the machine has a launch that has been unconfirmed for longer than the timeout.
-fn has_lost_launch(machine: &Machine, now: Instant) -> bool {
-    let is_lost = |attempt: &TaskAttempt| {
+fn has_overdue_launch(machine: &Machine, now: Instant) -> bool {
+    let is_overdue = |attempt: &TaskAttempt| {
         matches!(attempt.last_push, PushDelivery::Unconfirmed(..))
             && attempt.last_status.is_none()
-            && now - attempt.placed_at > LOST_LAUNCH_TIMEOUT
+            && now - attempt.placed_at > UNCONFIRMED_LAUNCH_TIMEOUT
     };
-    machine.attempts.iter().any(is_lost)
+    machine.attempts.iter().any(is_overdue)
 }
--- a/src/coordination/attempts/reconciliation/mod.rs
+++ b/src/coordination/attempts/reconciliation/mod.rs
@@ -43,7 +43,7 @@
             return HeartbeatOutcome::Refused;
         }
         let is_news = self.take_status(now, status, StatusSource::Heartbeat);
-        self.review(now, machine_id);
+        self.review_machine(now, machine_id);
         let token = self.leadership.token();
         let Some(machine) = self.machines.get_mut(machine_id) else {
             return HeartbeatOutcome::Refused;
--- a/src/coordination/attempts/stops.rs
+++ b/src/coordination/attempts/stops.rs
@@ -14,7 +14,7 @@
 pub(super) const SAVE_MARGIN_SECS: f64 = 2.0;
 
 /// What to do with an attempt when its machine is reviewed.
-enum Verdict {
+enum ReviewAction {
     Keep,
     /// Remove the attempt, which was never launched and is not needed.
     Remove(RemovalProof),
@@ -33,7 +33,7 @@
     reclaim_at: Option<Instant>,
     is_draining: bool,
     /// Whether the machine is suspected or unreachable.
-    is_out_of_contact: bool,
+    is_unresponsive: bool,
 }
 
 impl Review {
@@ -42,29 +42,29 @@
             now,
             reclaim_at: machine.reclaim_at,
             is_draining: machine.draining,
-            is_out_of_contact: is_silent || machine.is_unreachable(),
+            is_unresponsive: is_silent || machine.is_unreachable(),
         }
     }
 
-    fn judge(&self, attempt: &TaskAttempt, job: Option<&Job>) -> Verdict {
-        let is_wanted = job.is_some_and(|job| job.needs_run(attempt.task.index));
+    fn action_for(&self, attempt: &TaskAttempt, job: Option<&Job>) -> ReviewAction {
+        let is_needed = job.is_some_and(|job| job.needs_run(attempt.task.index));
         let must_leave = self.reclaim_at.is_some() || self.is_draining;
         // A stop request on an attempt that was never launched would stay for ever, because no worker reports
         // its end.
-        if self.is_out_of_contact || attempt.stop.is_some() || !is_wanted || must_leave {
+        if self.is_unresponsive || attempt.stop.is_some() || !is_needed || must_leave {
             if let Some(proof) = RemovalProof::never_launched(attempt) {
-                return Verdict::Remove(proof);
+                return ReviewAction::Remove(proof);
             }
         }
-        if is_wanted && !must_leave {
-            return Verdict::Keep;
+        if is_needed && !must_leave {
+            return ReviewAction::Keep;
         }
         match attempt.stop {
             // The job no longer needs the task, so its progress need not be saved either.
-            Some(request) if !is_wanted && request.grace_s > 0.0 => Verdict::StopAtOnce,
-            Some(_) => Verdict::Keep,
-            None => Verdict::Stop {
-                grace_s: self.grace_s(job.filter(|_| is_wanted)),
+            Some(request) if !is_needed && request.grace_s > 0.0 => ReviewAction::StopAtOnce,
+            Some(_) => ReviewAction::Keep,
+            None => ReviewAction::Stop {
+                grace_s: self.grace_s(job.filter(|_| is_needed)),
             },
         }
     }
@@ -90,7 +90,7 @@
     /// Requests the stops that are due on the machines queued for review, then those of incomplete gangs.
     pub(crate) fn stop_unwanted_attempts(&mut self, now: Instant) {
         for machine_id in std::mem::take(&mut self.outbox.machines_to_review) {
-            self.review(now, &machine_id);
+            self.review_machine(now, &machine_id);
         }
         self.stop_broken_gangs(now);
     }
@@ -103,7 +103,7 @@
     /// answered between a cancellation and its next step. The machines then became unreachable, and the tasks
     /// ran on past `cancel_s` (docs/incidents/production-size.md). So every heartbeat is answered after a
     /// review.
-    pub(crate) fn review(&mut self, now: Instant, machine_id: &MachineId) {
+    pub(crate) fn review_machine(&mut self, now: Instant, machine_id: &MachineId) {
         let max_silence = self.policy.heartbeat_timeout();
         let Some(machine) = self.machines.get_mut(machine_id) else {
             return;
@@ -116,14 +116,14 @@
                 continue;
             }
             let job = self.jobs.get(&attempt.task.job);
-            match review.judge(attempt, job) {
-                Verdict::Keep => {}
-                Verdict::Remove(proof) => never_launched.push((attempt.key(), proof)),
-                Verdict::StopAtOnce => {
+            match review.action_for(attempt, job) {
+                ReviewAction::Keep => {}
+                ReviewAction::Remove(proof) => never_launched.push((attempt.key(), proof)),
+                ReviewAction::StopAtOnce => {
                     attempt.stop = Some(StopRequest::new(0.0));
                     has_stops_to_push = true;
                 }
-                Verdict::Stop { grace_s } => {
+                ReviewAction::Stop { grace_s } => {
                     attempt.stop = Some(StopRequest::new(grace_s));
                     has_stops_to_push = true;
                     if job.is_some_and(Job::needs_gang_scheduling) {
@@ -169,14 +169,14 @@
     /// Makes the machine's stops due for another push after a push without a response. Heartbeat responses
     /// repeat stops too, but not if the machine's heartbeats reach no controller. Skips a machine from which no
     /// recent message came: otherwise the machines of a partitioned zone would take all connections for pushes.
-    pub(crate) fn stop_again(&mut self, now: Instant, machine_id: &MachineId) {
+    pub(crate) fn resend_stops(&mut self, now: Instant, machine_id: &MachineId) {
         let max_silence = self.policy.heartbeat_timeout();
         let machine = self.machines.get_mut(machine_id);
-        let heard_lately = machine.filter(|machine| {
+        let active_machine = machine.filter(|machine| {
             let last_message_at = machine.last_message_at;
             last_message_at.is_some_and(|at| now - at <= max_silence)
         });
-        let Some(machine) = heard_lately else {
+        let Some(machine) = active_machine else {
             return;
         };
         let attempts = machine.attempts.iter_mut();
--- a/src/coordination/attempts/task_ends.rs
+++ b/src/coordination/attempts/task_ends.rs
@@ -37,8 +37,8 @@
         self.ledger().attempt_ended(machine_id, task);
         match cause {
             Cause::Error => self.task_failed(now, machine_id, task),
-            Cause::Full => self.rest_machine(machine_id, now + FULL_MACHINE_DELAY),
-            Cause::Busy => self.rest_machine(machine_id, now + BUSY_MACHINE_DELAY),
+            Cause::Full => self.suspend_placement_on(machine_id, now + FULL_MACHINE_DELAY),
+            Cause::Busy => self.suspend_placement_on(machine_id, now + BUSY_MACHINE_DELAY),
             Cause::Unknown => {
                 let until = now + UNKNOWN_JOB_DELAY;
                 self.jobs.update(&task.job, |job| job.postpone(until));
@@ -59,7 +59,7 @@
     }
 
     /// Excludes the machine from placement until the given time.
-    fn rest_machine(&mut self, machine_id: &MachineId, until: Instant) {
+    fn suspend_placement_on(&mut self, machine_id: &MachineId, until: Instant) {
         if let Some(machine) = self.machines.get_mut(machine_id) {
             machine.unschedulable_until = until;
         }
@@ -85,9 +85,9 @@
         // A job that failed on several machines is retried with backoff and counts against none of them.
         let fails_everywhere = job.fails_everywhere();
         if fails_everywhere {
-            self.forgive_failures_of(&task.job);
+            self.discount_failures_of(&task.job);
         }
-        self.rest_machine(machine_id, now + FAILED_MACHINE_DELAY);
+        self.suspend_placement_on(machine_id, now + FAILED_MACHINE_DELAY);
         if let Some(machine) = self.machines.get_mut(machine_id) {
             if !fails_everywhere {
                 machine.failed_jobs.insert(task.job.clone());
@@ -99,7 +99,7 @@
     /// Removes the failures of a job that fails everywhere from the records of the machines that it failed on.
     ///
     /// Guards against faulty jobs that cause healthy machines to be quarantined.
-    fn forgive_failures_of(&mut self, job_id: &JobId) {
+    fn discount_failures_of(&mut self, job_id: &JobId) {
         let max_failed_jobs = self.policy.operator.sick_errors as usize;
         let Some(job) = self.jobs.get(job_id) else {
             return;
