--- a/src/coordination/attempts/reconciliation/absent.rs
+++ b/src/coordination/attempts/reconciliation/absent.rs
@@ -30,16 +30,16 @@
             }
         }
         if evidence.is_heartbeat && is_unacknowledged {
-            self.note_unacknowledged_response(now, machine_id);
+            self.record_unacknowledged_response(now, machine_id);
         }
         for (key, proof) in proven_gone {
-            if !self.plan_launch_again(machine_id, &key) {
+            if !self.reset_dropped_launch(machine_id, &key) {
                 self.ledger().remove(now, machine_id, &key, proof);
             }
         }
     }
 
-    fn note_unacknowledged_response(&mut self, now: Instant, machine_id: &MachineId) {
+    fn record_unacknowledged_response(&mut self, now: Instant, machine_id: &MachineId) {
         let Some(machine) = self.machines.get_mut(machine_id) else {
             return;
         };
@@ -51,7 +51,7 @@
 
     /// Makes an attempt launchable again whose launch was dropped: it is proven absent while its worker's
     /// session continues, so nothing was started. Returns false if the attempt has to be removed instead.
-    fn plan_launch_again(&mut self, machine_id: &MachineId, key: &AttemptKey) -> bool {
+    fn reset_dropped_launch(&mut self, machine_id: &MachineId, key: &AttemptKey) -> bool {
         let Some(machine) = self.machines.get_mut(machine_id) else {
             return false;
         };
--- a/src/coordination/attempts/reconciliation/listed.rs
+++ b/src/coordination/attempts/reconciliation/listed.rs
@@ -19,7 +19,7 @@
             task: task.task.clone(),
             attempt_id: task.attempt_id,
         };
-        if !self.holds_attempt(machine_id, &key) {
+        if !self.has_attempt(machine_id, &key) {
             if !evidence.is_confirmed {
                 // An attempt that may be on a machine has a launch intent. One without was proven gone before,
                 // and this status may be older than that proof: a later status decides.
@@ -33,27 +33,27 @@
         let Some(attempt) = machine.attempts.get_mut(&key) else {
             return;
         };
-        let before = attempt.last_status;
-        let shows_our_launch =
-            before.is_none() && attempt.launch_session == Some(evidence.message_id.0);
-        let status = LastStatus::after(before, task, evidence.message_id, now);
-        let is_news = before.is_none_or(|before| !before.reports_same_state_as(&status));
-        if !is_news {
+        let previous = attempt.last_status;
+        let confirms_launch =
+            previous.is_none() && attempt.launch_session == Some(evidence.message_id.0);
+        let status = LastStatus::after(previous, task, evidence.message_id, now);
+        let has_changed = previous.is_none_or(|previous| !previous.reports_same_state_as(&status));
+        if !has_changed {
             // Only marks the attempt as listed by the newest status.
             attempt.last_status = Some(status);
         }
-        if shows_our_launch {
+        if confirms_launch {
             machine.mark_reachable();
         }
-        if is_news {
+        if has_changed {
             self.record_status(now, machine_id, &key, status);
-            if before.map(|before| before.phase) != Some(task.phase) {
+            if previous.map(|previous| previous.phase) != Some(task.phase) {
                 self.phase_changed(now, machine_id, &key, task);
             }
         }
     }
 
-    fn holds_attempt(&self, machine_id: &MachineId, key: &AttemptKey) -> bool {
+    fn has_attempt(&self, machine_id: &MachineId, key: &AttemptKey) -> bool {
         let machine = self.machines.get(machine_id);
         machine.is_some_and(|machine| machine.attempts.contains(key))
     }
@@ -85,12 +85,12 @@
     ) {
         match task.phase {
             TaskPhase::Waiting => {
-                self.note_image(now, machine_id, &key.task.job);
-                self.push_to_gang(&key.task.job);
+                self.record_cached_image(now, machine_id, &key.task.job);
+                self.queue_gang_pushes(&key.task.job);
             }
             TaskPhase::Running => {
                 tracing::debug!(task = %key.task, attempt = %key.attempt_id, machine = %machine_id, "task running");
-                self.note_image(now, machine_id, &key.task.job);
+                self.record_cached_image(now, machine_id, &key.task.job);
             }
             TaskPhase::Ended => {
                 let cause = task.cause.unwrap_or(Cause::Error);
@@ -102,7 +102,7 @@
 
     /// Queues pushes to a gang's machines when a member has its image: members that had theirs before may be
     /// launched now.
-    fn push_to_gang(&mut self, job_id: &JobId) {
+    fn queue_gang_pushes(&mut self, job_id: &JobId) {
         if let Some(job) = self.jobs.get(job_id) {
             let machines = job.placements().values().flatten();
             self.outbox.pushes_due.extend(machines.cloned());
@@ -140,7 +140,7 @@
         }
     }
 
-    fn note_image(&mut self, now: Instant, machine_id: &MachineId, job: &JobId) {
+    fn record_cached_image(&mut self, now: Instant, machine_id: &MachineId, job: &JobId) {
         let Some(job) = self.jobs.get(job) else {
             return;
         };
@@ -148,9 +148,9 @@
         let Some(machine) = self.machines.get_mut(machine_id) else {
             return;
         };
-        let new = !machine.has_image(&job.spec().image);
+        let is_new = !machine.has_image(&job.spec().image);
         machine.use_image(&job.spec().image, job.spec().image_gb, cache_gb);
-        if let Some(page) = machine.page.filter(|_| new) {
+        if let Some(page) = machine.page.filter(|_| is_new) {
             self.writer.machine_changed(now, page);
         }
     }
--- a/src/coordination/attempts/reconciliation/mod.rs
+++ b/src/coordination/attempts/reconciliation/mod.rs
@@ -42,7 +42,7 @@
         {
             return HeartbeatOutcome::Refused;
         }
-        let is_news = self.take_status(now, status, StatusSource::Heartbeat);
+        let is_newer = self.apply_status(now, status, StatusSource::Heartbeat);
         self.review_machine(now, machine_id);
         let token = self.leadership.token();
         let Some(machine) = self.machines.get_mut(machine_id) else {
@@ -56,8 +56,8 @@
         }
         machine.last_response_at = now;
         machine.reachability.response_sent(token);
-        let mut commands = self.heartbeat_commands(now, machine_id, is_news);
-        if !is_news {
+        let mut commands = self.heartbeat_commands(now, machine_id, is_newer);
+        if !is_newer {
             // A push response overtook this heartbeat, so its task list is outdated. The response still renews
             // the lease and therefore carries the stops: otherwise the lease of a cancelled task might be
             // renewed without a stop.
@@ -82,7 +82,7 @@
             return;
         }
         self.settle_push(machine_id, request_id, PushDelivery::None);
-        self.take_status(now, status, StatusSource::PushResponse);
+        self.apply_status(now, status, StatusSource::PushResponse);
         if let Some(machine) = self.machines.get_mut(machine_id) {
             machine.mark_reachable();
         }
@@ -113,7 +113,7 @@
     }
 
     /// Updates the ledger from a status. Returns false for an outdated status, whose task list proves nothing.
-    fn take_status(&mut self, now: Instant, status: &WorkerStatus, source: StatusSource) -> bool {
+    fn apply_status(&mut self, now: Instant, status: &WorkerStatus, source: StatusSource) -> bool {
         self.add_unknown_machine(now, status);
         let Some(evidence) = self.update_session(now, status, source) else {
             return false;
--- a/src/coordination/attempts/reconciliation/session.rs
+++ b/src/coordination/attempts/reconciliation/session.rs
@@ -44,7 +44,7 @@
         let initial_token = self.leadership.initial_token();
         let lease_expiry_bound = self.policy.lease_expiry_bound();
         let machine = self.machines.get_mut(&status.machine_id)?;
-        note_reported_kind(machine, now, status);
+        verify_reported_kind(machine, now, status);
         let evidence = StatusEvidence {
             message_id: (status.session, status.tick),
             token: status.token,
@@ -116,7 +116,7 @@
 
 /// Drains a machine whose status contradicts the type, zone or spot flag on record. Guards against launches on
 /// machines that a job's constraints exclude.
-fn note_reported_kind(machine: &mut Machine, now: Instant, status: &WorkerStatus) {
+fn verify_reported_kind(machine: &mut Machine, now: Instant, status: &WorkerStatus) {
     if machine.kind_reported(now, &status.machine_type, &status.zone, status.spot) {
         tracing::error!(
             machine = %machine.id,
