--- a/src/coordination/leadership/recovery/intent_pages.rs
+++ b/src/coordination/leadership/recovery/intent_pages.rs
@@ -61,9 +61,7 @@
         let placed_at = record
             .placed_s
             .get(&key.attempt_id)
-            .map_or(self.now, |time_of_day_s| {
-                self.recorded_instant(*time_of_day_s)
-            });
+            .map_or(self.now, |unix_time_s| self.recorded_instant(*unix_time_s));
         let scheduler = &self.scheduler;
         let mut attempt = scheduler.new_attempt(machine_id, key.clone(), placed_at);
         if let Some(resources) = record.jobs.get(&key.task.job) {
--- a/src/coordination/leadership/recovery/machine_pages.rs
+++ b/src/coordination/leadership/recovery/machine_pages.rs
@@ -16,7 +16,7 @@
         &mut self,
         mut pages: Vec<KeyValue>,
     ) -> Result<(), UnreadableRecord> {
-        pages.sort_by_key(|page| listed_machines(page).unwrap_or(0));
+        pages.sort_by_key(|page| machine_count(page).unwrap_or(0));
         for page in &pages {
             self.load_machine_page(page)?;
         }
@@ -32,7 +32,7 @@
         let new_machines = self.register_machine_page(page, item.revision, &record);
         let is_new = |(id, _): &(&MachineId, &MachineEntry)| new_machines.contains(id);
         for (id, entry) in record.machines.iter().filter(is_new) {
-            let Some(machine) = self.machine_of_entry(page, &record, id, entry) else {
+            let Some(machine) = self.machine_from_entry(page, &record, id, entry) else {
                 let machine = id.clone();
                 let cause = UnreadableCause::UnknownMachineKind { machine };
                 return Err(UnreadableRecord::new(item, cause));
@@ -63,7 +63,7 @@
     }
 
     /// Creates a machine from its page entry; `None` if the page does not list its kind.
-    fn machine_of_entry(
+    fn machine_from_entry(
         &self,
         page: PageNumber,
         record: &MachinePage,
@@ -95,23 +95,23 @@
     }
 
     /// Converts a recorded rental time in seconds since 1970; 0 means unknown.
-    fn rented_at(&self, time_of_day_s: u64) -> Instant {
-        if time_of_day_s == 0 {
+    fn rented_at(&self, unix_time_s: u64) -> Instant {
+        if unix_time_s == 0 {
             return self.now;
         }
-        self.recorded_instant(time_of_day_s)
+        self.recorded_instant(unix_time_s)
     }
 
     /// Converts a recorded Unix time in seconds to this process's monotonic clock; never in the future.
-    pub(super) fn recorded_instant(&self, time_of_day_s: u64) -> Instant {
-        let time_of_day = TimeSpan((time_of_day_s as i64).saturating_mul(1000));
+    pub(super) fn recorded_instant(&self, unix_time_s: u64) -> Instant {
+        let unix_time = TimeSpan((unix_time_s as i64).saturating_mul(1000));
         let leadership = &self.scheduler.leadership;
-        leadership.monotonic_from_unix(time_of_day).min(self.now)
+        leadership.monotonic_from_unix(unix_time).min(self.now)
     }
 }
 
 /// Returns the number of machines on a page without decoding them.
-fn listed_machines(page: &KeyValue) -> Option<usize> {
+fn machine_count(page: &KeyValue) -> Option<usize> {
     let machines = page.data.get("hosts")?.as_object()?;
     Some(machines.len())
 }
--- a/src/coordination/leadership/recovery/mod.rs
+++ b/src/coordination/leadership/recovery/mod.rs
@@ -1,7 +1,7 @@
-//! Failover: a new leader's scheduler is rebuilt from durable records, at a cost in proportion to open jobs
-//! and machines.
+//! Failover: rebuilds a new leader's scheduler from durable records, in time proportional to open jobs and
+//! machines.
 //!
-//! Promises that every task attempt with a launch intent counts as running until proven otherwise. An attempt
+//! Guarantees that every task attempt with a launch intent counts as running until proven otherwise. An attempt
 //! without an intent was never launched, so its task may start at once.
 
 mod intent_pages;
@@ -17,44 +17,44 @@
 use crate::time::Instant;
 use std::sync::Arc;
 
-/// What a new leader has read, all of it after its own leader key was written.
+/// What a new leader has read from the state store after writing its leader key.
 #[derive(Debug, Default)]
 pub struct RecoveredState {
     /// All open jobs.
     pub open_jobs: Vec<OpenJob>,
-    /// Records of completed tasks, also of jobs that are over.
+    /// Progress records, including those of closed jobs.
     pub progress_records: Vec<KeyValue>,
     /// Pages of launch intents.
     pub intent_pages: Vec<KeyValue>,
     /// Pages of machines.
     pub machine_pages: Vec<KeyValue>,
-    /// Machine types and prices, as last seen.
+    /// Machine types and prices as last read.
     pub machine_types: Vec<MachineTypeInfo>,
-    /// What former leaders observed of arrivals and run times.
+    /// Arrivals and run times observed by former leaders.
     pub hints: Option<KeyValue>,
-    /// The time of day at the steady clock's zero, in milliseconds since 1970.
+    /// Unix time in milliseconds at the monotonic clock's zero.
     pub unix_time_at_zero_ms: u64,
 }
 
-/// A record that stops a failover: whatever rests on it would be taken for never launched.
+/// An unreadable record that aborts the failover: attempts that depend on it would count as never launched.
 #[derive(Debug, thiserror::Error)]
 #[error("{key}: {cause}")]
 pub struct UnreadableRecord {
     /// The record's key.
     pub key: String,
-    /// What is wrong with it.
+    /// Why the record can't be read.
     #[source]
     pub cause: UnreadableCause,
 }
 
-/// What is wrong with a record that can't be read.
+/// Why a record can't be read.
 #[derive(Debug, thiserror::Error)]
 pub enum UnreadableCause {
-    /// Its value is not of the form that it should have.
+    /// The value does not have the expected format.
     #[error(transparent)]
     Malformed(#[from] serde_json::Error),
-    /// A machine names its type, zone and spot flag by a number that the page doesn't explain.
-    #[error("{machine} is of no kind that the page names")]
+    /// A machine refers to a kind (type, zone and spot flag) that its page does not list.
+    #[error("machine {machine} has a kind that its page does not list")]
     UnknownMachineKind {
         /// The machine's id.
         machine: MachineId,
@@ -75,10 +75,10 @@
 }
 
 impl Scheduler {
-    /// The scheduler of a new leadership term that begins now.
+    /// Rebuilds the scheduler for a leadership term that begins now.
     ///
     /// # Errors
-    /// A page of machines or intents that can't be read: the new leader must not act.
+    /// Fails if a page of machines or launch intents can't be read: the new leader must not act then.
     pub fn recover(
         policy: Arc<Policy>,
         term: LeadershipTerm,
@@ -98,8 +98,8 @@
     }
 }
 
-/// A scheduler that is being rebuilt. The order of its steps counts: progress belongs to open jobs, and
-/// intents to machines.
+/// A scheduler that is being rebuilt. Open jobs are loaded before their progress, and machines before their
+/// attempts.
 struct Recovery {
     scheduler: Scheduler,
     now: Instant,
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Hints that can't be read are learnt again.
+    /// Unreadable hints are ignored: they are learned again.
     fn load_hints(&mut self, item: Option<KeyValue>) {
         let Some(item) = item else {
             return;
@@ -146,7 +146,7 @@
         scheduler.writer.recover_progress(key, item.revision);
     }
 
-    /// Machines on which nothing runs count as idle from now on.
+    /// Indexes all machines, and marks those without live attempts as idle from now on.
     fn index_machines(&mut self) {
         let ids: Vec<MachineId> = self.scheduler.machines.keys().cloned().collect();
         for id in ids {
--- a/src/coordination/leadership/term.rs
+++ b/src/coordination/leadership/term.rs
@@ -135,8 +135,8 @@
 
     /// Converts a recorded Unix time to this process's monotonic clock. Wall clocks differ, so use it for hints
     /// only.
-    pub(crate) fn monotonic_from_unix(&self, time_of_day: TimeSpan) -> Instant {
-        Instant(time_of_day.0) - TimeSpan(self.unix_time_at_zero_ms as i64)
+    pub(crate) fn monotonic_from_unix(&self, unix_time: TimeSpan) -> Instant {
+        Instant(unix_time.0) - TimeSpan(self.unix_time_at_zero_ms as i64)
     }
 
     /// Converts a time on the monotonic clock to Unix time in milliseconds, as a hint for records.
--- a/src/coordination/leadership/transfer.rs
+++ b/src/coordination/leadership/transfer.rs
@@ -32,8 +32,10 @@
     machines_up: usize,
     own_silence: TimeSpan,
     peers_silence: &[Option<TimeSpan>],
-    bound: TimeSpan,
+    timeout: TimeSpan,
 ) -> bool {
-    let hears_workers = |silence: &TimeSpan| *silence < bound;
-    machines_up > 0 && own_silence > bound && peers_silence.iter().flatten().any(hears_workers)
+    let receives_heartbeats = |silence: &TimeSpan| *silence < timeout;
+    machines_up > 0
+        && own_silence > timeout
+        && peers_silence.iter().flatten().any(receives_heartbeats)
 }
