--- a/src/coordination/attempts/leases.rs
+++ b/src/coordination/attempts/leases.rs
@@ -22,11 +22,10 @@
     }
 
     fn remove_attempts_of_expired_leases(&mut self, now: Instant) {
-        let lease_expiry_bound = self.policy.lease_expiry_bound();
+        let expiry_bound = self.policy.lease_expiry_bound();
         let started_at = self.leadership.started_at();
-        let is_expired = |machine: &&Machine| {
-            now - machine.last_response_at.max(started_at) > lease_expiry_bound
-        };
+        let is_expired =
+            |machine: &&Machine| now - machine.last_response_at.max(started_at) > expiry_bound;
         let occupied = self.machines.values().filter(|m| !m.attempts.is_empty());
         let expired: Vec<(MachineId, AttemptKey, RemovalProof)> = occupied
             .filter(is_expired)
@@ -36,7 +35,7 @@
                         machine,
                         attempt,
                         started_at,
-                        lease_expiry_bound,
+                        expiry_bound,
                         now,
                     )?;
                     Some((machine.id.clone(), attempt.key(), proof))
