--- a/src/coordination/attempts/stops.rs
+++ b/src/coordination/attempts/stops.rs
@@ -10,7 +10,7 @@
 use crate::protocol::workers::{Command, TaskPhase};
 use crate::time::Instant;
 
-/// Seconds that a task is given in addition to the time that it needs to save its progress.
+/// Seconds that the grace period of a stop exceeds the time that the job needs to save its progress.
 pub(super) const SAVE_MARGIN_SECS: f64 = 2.0;
 
 /// What to do with an attempt when its machine is reviewed.
@@ -69,8 +69,8 @@
         }
     }
 
-    /// Returns the seconds to save progress: 0 if the job does not need the task or saves no checkpoints, or if
-    /// the machine is reclaimed before a checkpoint is complete.
+    /// Returns the grace period of a stop in seconds: 0 if the job does not need the task or saves no checkpoints, or
+    /// if the cloud reclaims the machine before a checkpoint can be complete.
     fn grace_s(&self, job: Option<&Job>) -> f64 {
         let Some(spec) = job.map(Job::spec).filter(|spec| spec.checkpoint_s > 0.0) else {
             return 0.0;
--- a/src/coordination/leadership/authority.rs
+++ b/src/coordination/leadership/authority.rs
@@ -7,8 +7,8 @@
 use crate::time::{Instant, TimeSpan};
 use std::sync::atomic::{AtomicBool, AtomicI64, Ordering};
 
-/// The allowance for clock drift is the lease's duration divided by this: 0.2%, while each of the two monotonic
-/// clocks drifts by up to 0.05%.
+/// The allowance for clock drift is the lease's duration divided by this. The resulting 0.2% covers two monotonic
+/// clocks that drift by up to 0.05% each.
 const CLOCK_DRIFT_DIVISOR: i64 = 500;
 
 /// Why a leader may not act.
