--- a/src/coordination/leadership/transfer.rs
+++ b/src/coordination/leadership/transfer.rs
@@ -6,7 +6,7 @@
 
 /// Upper limit of the silence timeout, in heartbeat intervals: applies with few machines.
 const MAX_SILENT_HEARTBEAT_INTERVALS: f64 = 2.5;
-/// Added to the upper limit for the delivery of the last heartbeat.
+/// Time for the delivery of the last heartbeat, added to the upper limit.
 const HEARTBEAT_DELIVERY_SECS: f64 = 0.5;
 /// Number of missed heartbeats after which the silence can't be random loss.
 const MISSED_HEARTBEATS: f64 = 50.0;
