--- a/src/coordination/attempts/ledger/proof.rs
+++ b/src/coordination/attempts/ledger/proof.rs
@@ -17,7 +17,8 @@
     AbsentFromStatus,
     /// Proof 2: the attempt was launched in a worker session that has ended.
     SessionEnded,
-    /// Proof 3: no controller has renewed the lease that the attempt depends on for longer than a lease lasts.
+    /// Proof 3: the lease that the attempt depends on has expired. No controller with the authority to renew it has
+    /// done so for longer than a lease lasts.
     LeaseExpired,
     /// Proof 4: the cloud has confirmed that the machine is terminated.
     MachineTerminated,
--- a/src/coordination/attempts/reconciliation/listed.rs
+++ b/src/coordination/attempts/reconciliation/listed.rs
@@ -100,8 +100,8 @@
         }
     }
 
-    /// Queues pushes to a gang's machines when a member has its image: members that had theirs before may be
-    /// launched now.
+    /// Queues pushes to a gang's machines when a member has its image: members that waited for it
+    /// may be launched now.
     fn queue_gang_pushes(&mut self, job_id: &JobId) {
         if let Some(job) = self.jobs.get(job_id) {
             let machines = job.placements().values().flatten();
--- a/src/coordination/attempts/stops.rs
+++ b/src/coordination/attempts/stops.rs
@@ -10,7 +10,7 @@
 use crate::protocol::workers::{Command, TaskPhase};
 use crate::time::Instant;
 
-/// Seconds that the grace period of a stop exceeds the time that the job needs to save its progress.
+/// Seconds by which a stop's grace period exceeds the time that the job needs to save its progress.
 pub(super) const SAVE_MARGIN_SECS: f64 = 2.0;
 
 /// What to do with an attempt when its machine is reviewed.
