--- a/src/coordination/attempts/commands.rs
+++ b/src/coordination/attempts/commands.rs
@@ -32,7 +32,7 @@
         let index = attempt.task.index;
         match self.jobs.get(&attempt.task.job) {
             Some(job) if is_done && !job.is_closed() => {
-                job.completed().has(index) && !job.unpersisted().contains(&index)
+                job.completed().contains(index) && !job.unpersisted().contains(&index)
             }
             _ => true,
         }
@@ -46,7 +46,7 @@
             && attempt.stop.is_none()
             && attempt.last_status.is_none()
             && !attempt.recovered
-            && !machine.is_leaving()
+            && !machine.is_draining_or_reclaimed()
             && machine.state == MachineState::Up
             && self.job_allows_launch(machine, &attempt.task)
     }
@@ -74,7 +74,7 @@
         let Some(job) = self.jobs.get(&attempt.task.job) else {
             return false;
         };
-        let max_spread_s = self.policy.facts.workers.gang_wait_s * MAX_FETCH_SPREAD_SHARE;
+        let max_spread_s = self.policy.facts.workers.gang_wait_timeout_s * MAX_FETCH_SPREAD_SHARE;
         let is_fetching_much_longer = |other: &TaskAttempt| {
             let is_fetching = |status: LastStatus| status.phase == TaskPhase::Fetching;
             other.task.job == attempt.task.job
--- a/src/coordination/attempts/ledger/mod.rs
+++ b/src/coordination/attempts/ledger/mod.rs
@@ -111,7 +111,7 @@
         }
         let job_id = &key.task.job;
         match (change.was_running, change.is_running) {
-            (false, true) => self.jobs.update(job_id, Job::attempt_began) == Some(true),
+            (false, true) => self.jobs.update(job_id, Job::attempt_started) == Some(true),
             (true, false) => {
                 self.jobs.update(job_id, Job::attempt_stopped_running);
                 false
@@ -149,7 +149,7 @@
             return;
         };
         if let Some(machine) = self.machines.get_mut(machine_id) {
-            machine.note_idle(now);
+            machine.update_idle_since(now);
         }
         if !attempt.has_ended() {
             tracing::debug!(task = %key.task, attempt = %key.attempt_id, machine = %machine_id, proof = ?proof.reason(), "attempt removed");
@@ -173,7 +173,7 @@
         });
         if let Some(page) = attempt.intent_page {
             let removed = LaunchIntent::new(machine_id, key);
-            self.writer.intent_obsolete(now, page, &removed);
+            self.writer.remove_intent(now, page, &removed);
         }
         self.machines.reindex(machine_id);
         Some(attempt)
--- a/src/coordination/attempts/ledger/proof.rs
+++ b/src/coordination/attempts/ledger/proof.rs
@@ -5,7 +5,7 @@
 
 use super::task_attempt::TaskAttempt;
 use crate::coordination::machines::machine::Machine;
-use crate::ids::{FencingToken, Session, Tick};
+use crate::ids::{FencingToken, SequenceNumber, Session};
 use crate::time::{Instant, TimeSpan};
 
 /// Why an attempt certainly does not run and never will.
@@ -108,7 +108,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct StatusEvidence {
     /// The worker's session and the status's sequence number in it.
-    pub message_id: (Session, Tick),
+    pub message_id: (Session, SequenceNumber),
     /// The highest fencing token that the worker has seen.
     pub token: FencingToken,
     /// Whether the status came in a heartbeat rather than in a push response.
--- a/src/coordination/attempts/ledger/task_attempt.rs
+++ b/src/coordination/attempts/ledger/task_attempt.rs
@@ -4,7 +4,8 @@
 use crate::coordination::jobs::job::Job;
 use crate::coordination::RequestId;
 use crate::ids::{
-    AttemptId, AttemptKey, FencingToken, Image, PageNumber, Session, TaskId, TeamIndex, Tick,
+    AttemptId, AttemptKey, FencingToken, Image, PageNumber, SequenceNumber, Session, TaskId,
+    TeamIndex,
 };
 use crate::protocol::workers::{Cause, TaskPhase, TaskStatus};
 use crate::resources::Resources;
@@ -34,7 +35,7 @@
     /// When the attempt was first seen in this phase.
     pub since: Instant,
     /// The session and sequence number of the status.
-    pub message_id: (Session, Tick),
+    pub message_id: (Session, SequenceNumber),
 }
 
 impl LastStatus {
@@ -43,7 +44,7 @@
     pub(in crate::coordination::attempts) fn after(
         previous: Option<LastStatus>,
         task: &TaskStatus,
-        message_id: (Session, Tick),
+        message_id: (Session, SequenceNumber),
         now: Instant,
     ) -> LastStatus {
         let same_phase = previous.filter(|previous| previous.phase == task.phase);
@@ -106,7 +107,7 @@
     pub intent_page: Option<PageNumber>,
     /// The sequence number of the heartbeat whose response carried the launch, until a later heartbeat settles
     /// whether it arrived.
-    pub launch_heartbeat: Option<Tick>,
+    pub launch_heartbeat: Option<SequenceNumber>,
     /// State of the last push that launched the attempt.
     pub last_push: PushDelivery,
     /// The worker session in which this leader launched the attempt, if it did.
--- a/src/coordination/attempts/reconciliation/listed.rs
+++ b/src/coordination/attempts/reconciliation/listed.rs
@@ -122,7 +122,7 @@
             .ledger()
             .record_status(machine_id, key, status, running_since);
         if let Some(job) = self.jobs.get(&key.task.job).filter(|_| is_first) {
-            self.aging.job_began(now, job);
+            self.aging.job_started(now, job);
         }
     }
 
@@ -133,7 +133,7 @@
         let attempt = machine.and_then(|machine| machine.attempts.get(key));
         match attempt.filter(|attempt| attempt.recovered) {
             Some(attempt) => {
-                let fetch_s = self.longest_fetch_s(machine_id, &key.task.job);
+                let fetch_s = self.image_fetch_s_on(machine_id, &key.task.job);
                 (attempt.placed_at + TimeSpan::from_secs(fetch_s)).min(now)
             }
             None => now,
@@ -149,9 +149,9 @@
             return;
         };
         let is_new = !machine.has_image(&job.spec().image);
-        machine.use_image(&job.spec().image, job.spec().image_gb, cache_gb);
+        machine.record_image_use(&job.spec().image, job.spec().image_gb, cache_gb);
         if let Some(page) = machine.page.filter(|_| is_new) {
-            self.writer.machine_changed(now, page);
+            self.writer.mark_machine_page_outdated(now, page);
         }
     }
 }
--- a/src/coordination/attempts/reconciliation/mod.rs
+++ b/src/coordination/attempts/reconciliation/mod.rs
@@ -55,7 +55,7 @@
             return HeartbeatOutcome::Refused;
         }
         machine.last_response_at = now;
-        machine.reachability.response_sent(token);
+        machine.reachability.record_response(token);
         let mut commands = self.heartbeat_commands(now, machine_id, is_newer);
         if !is_newer {
             // A push response overtook this heartbeat, so its task list is outdated. The response still renews
--- a/src/coordination/leadership/recovery/intent_pages.rs
+++ b/src/coordination/leadership/recovery/intent_pages.rs
@@ -36,7 +36,9 @@
         let Some(machine) = self.scheduler.machines.get_mut(machine_id) else {
             // Proof 4 holds by the records: an intent is written after its machine's page, and the machine is
             // removed from its page only after the cloud has confirmed its termination.
-            self.scheduler.writer.recover_void_intent(self.now, page);
+            self.scheduler
+                .writer
+                .recover_obsolete_intent(self.now, page);
             return;
         };
         // Only machines whose worker has reported are given work, so this one is up.
--- a/tests/support/recorded_scheduler.rs
+++ b/tests/support/recorded_scheduler.rs
@@ -57,11 +57,11 @@
         request_id: RequestId,
         store_revision: StoreRevision,
     ) {
-        let event = Event::Written {
+        let event = Event::WriteApplied {
             request_id,
             store_revision,
         };
-        self.scheduler.on(now, event);
+        self.scheduler.handle(now, event);
     }
 }
 
