--- a/src/coordination/attempts/commands.rs
+++ b/src/coordination/attempts/commands.rs
@@ -103,7 +103,7 @@
         let Some(machine) = self.machines.get(machine_id) else {
             return Vec::new();
         };
-        let (session, tick) = (machine.session, machine.tick);
+        let (session, sequence_number) = (machine.session, machine.tick);
         let mut commands = Vec::new();
         let mut launched = Vec::new();
         for attempt in machine.attempts.iter() {
@@ -120,7 +120,7 @@
         }
         for key in launched {
             if let Some(attempt) = self.ledger().get_mut(machine_id, &key) {
-                attempt.launch_heartbeat = Some(tick);
+                attempt.launch_heartbeat = Some(sequence_number);
                 attempt.launch_session = Some(session);
             }
         }
--- a/src/coordination/attempts/ledger/proof.rs
+++ b/src/coordination/attempts/ledger/proof.rs
@@ -89,7 +89,7 @@
 /// Guards against a task that runs twice: the worker's heartbeats don't arrive while pushes still reach it, so
 /// its session changes after the last response. The new session has a lease of its own; counting from the last
 /// response alone removed attempts launched in that session too early, and their tasks were started elsewhere.
-/// An attempt of a former leader belongs to a session that began before this term, unless a status of a later
+/// An attempt of a former leader belongs to a session that started before this term, unless a status of a later
 /// session lists it.
 fn latest_lease_start(machine: &Machine, attempt: &TaskAttempt) -> Instant {
     let in_current_session = attempt.launch_session == Some(machine.session)
--- a/src/coordination/attempts/ledger/task_attempt.rs
+++ b/src/coordination/attempts/ledger/task_attempt.rs
@@ -182,7 +182,7 @@
         }
         let carrier = self.launch_heartbeat.filter(|_| status.is_heartbeat);
         let is_settled =
-            carrier.is_some_and(|tick| tick < status.message_id.1 || status.starts_session);
+            carrier.is_some_and(|carrier| carrier < status.message_id.1 || status.starts_session);
         if is_settled {
             // A later heartbeat shows that the response was either executed or dropped.
             self.launch_heartbeat = None;
--- a/src/coordination/attempts/reconciliation/session.rs
+++ b/src/coordination/attempts/reconciliation/session.rs
@@ -102,8 +102,7 @@
         }
     }
 
-    /// Marks a machine as confirmed: its status carries a token of this term, so it was written after the term
-    /// began.
+    /// Marks a machine as confirmed: its status carries a token of this term, so it was written after the term started.
     fn confirm_machine(&mut self, machine_id: &MachineId) {
         let unconfirmed = self.machines.get_mut(machine_id).filter(|m| !m.confirmed);
         let Some(machine) = unconfirmed else {
@@ -133,7 +132,7 @@
     }
 }
 
-/// Records that the worker has begun a new session, after the lease of the previous one expired.
+/// Records that the worker has started a new session, after the lease of the previous one expired.
 fn start_session(machine: &mut Machine, now: Instant, lease_expiry_bound: TimeSpan) {
     let is_first = machine.session == Session(0);
     if !is_first && now - machine.last_response_at < lease_expiry_bound {
--- a/src/coordination/leadership/recovery/mod.rs
+++ b/src/coordination/leadership/recovery/mod.rs
@@ -75,7 +75,7 @@
 }
 
 impl Scheduler {
-    /// Rebuilds the scheduler for a leadership term that begins now.
+    /// Rebuilds the scheduler for a leadership term that starts now.
     ///
     /// # Errors
     /// Fails if a page of machines or launch intents can't be read: the new leader must not act then.
