--- a/src/coordination/attempts/ledger/proof.rs
+++ b/src/coordination/attempts/ledger/proof.rs
@@ -78,7 +78,7 @@
         (now - lease_from > lease_expiry_bound).then_some(RemovalProof(RemovalReason::LeaseExpired))
     }
 
-    /// Proof 4: for the ledger's handling of the cloud's 200 response to the machine's termination.
+    /// Proof 4: the cloud has answered the machine's termination with 200. The caller has checked that.
     pub(super) fn machine_terminated() -> RemovalProof {
         RemovalProof(RemovalReason::MachineTerminated)
     }
--- a/src/coordination/attempts/mod.rs
+++ b/src/coordination/attempts/mod.rs
@@ -1,7 +1,6 @@
 //! Task attempts: launching and stopping them, and the ledger of all attempts that may be on machines.
 //!
-//! - `ledger`: all attempts, and the proofs by which they are removed. Decides whether a task may be started
-//!   twice.
+//! - `ledger`: all attempts, and the proofs by which they are removed. Ensures that no task runs twice at once.
 //! - `reconciliation`: updates the ledger from worker statuses.
 //! - `leases`: periodic checks of lease expiry and of machines that no command reaches.
 //! - `stops`, `gang_stops`: decide which attempts to stop.
--- a/src/coordination/attempts/task_ends.rs
+++ b/src/coordination/attempts/task_ends.rs
@@ -96,7 +96,7 @@
         self.quarantine_if_faulty(now, machine_id);
     }
 
-    /// Removes the failures of a job that fails everywhere from the records of the machines that it failed on.
+    /// Removes a job that fails everywhere from the failed jobs of the machines that it failed on.
     ///
     /// Guards against faulty jobs that cause healthy machines to be quarantined.
     fn discount_failures_of(&mut self, job_id: &JobId) {
