--- a/src/coordination/attempts/leases.rs
+++ b/src/coordination/attempts/leases.rs
@@ -1,5 +1,5 @@
-//! Checks made once a second: leases that have expired, machines that are given up, and a review of a part of
-//! all machines.
+//! Checks made once a second: expired leases, machines that no command reaches, and the periodic review of all
+//! machines.
 
 use crate::coordination::attempts::ledger::{PushDelivery, RemovalProof, TaskAttempt};
 use crate::coordination::machines::machine::Machine;
@@ -7,26 +7,25 @@
 use crate::ids::{AttemptKey, MachineId};
 use crate::time::{Instant, TimeSpan};
 
-/// A launch whose push was never answered, and which no status has shown, keeps its place for this long
-/// before the whole machine is given up.
-const LOST_LAUNCH_TIMEOUT: TimeSpan = TimeSpan(45_000);
-/// One machine in so many is reviewed each second, beyond those that something happened to.
-const REVIEW_PARTS: u64 = 4;
+/// How long a launch whose push was not answered, and which no status lists, keeps its placement before its
+/// machine is drained.
+const UNCONFIRMED_LAUNCH_TIMEOUT: TimeSpan = TimeSpan(45_000);
+/// Every machine is reviewed at least once in this many seconds, in slices of one a second.
+const REVIEW_CYCLE_SECS: u64 = 4;
 
 impl Scheduler {
-    /// Once a second.
+    /// Runs the checks that are due once a second.
     pub(crate) fn recheck_machines(&mut self, now: Instant) {
         self.remove_attempts_of_expired_leases(now);
-        self.give_up_machines(now);
-        self.review_a_part_of_machines();
+        self.drain_unresponsive_machines(now);
+        self.review_next_machines();
     }
 
     fn remove_attempts_of_expired_leases(&mut self, now: Instant) {
-        let lease_expiry_bound = self.policy.lease_expiry_bound();
+        let expiry_bound = self.policy.lease_expiry_bound();
         let started_at = self.leadership.started_at();
-        let is_expired = |machine: &&Machine| {
-            now - machine.last_response_at.max(started_at) > lease_expiry_bound
-        };
+        let is_expired =
+            |machine: &&Machine| now - machine.last_response_at.max(started_at) > expiry_bound;
         let occupied = self.machines.values().filter(|m| !m.attempts.is_empty());
         let expired: Vec<(MachineId, AttemptKey, RemovalProof)> = occupied
             .filter(is_expired)
@@ -36,7 +35,7 @@
                         machine,
                         attempt,
                         started_at,
-                        lease_expiry_bound,
+                        expiry_bound,
                         now,
                     )?;
                     Some((machine.id.clone(), attempt.key(), proof))
@@ -49,46 +48,47 @@
         }
     }
 
-    fn give_up_machines(&mut self, now: Instant) {
+    fn drain_unresponsive_machines(&mut self, now: Instant) {
         let timeout = self.policy.heartbeat_timeout();
-        let mut given_up = Vec::new();
+        let mut drained = Vec::new();
         for machine in self.machines.values_mut() {
-            if !machine.draining && has_lost_launch(machine, now) {
+            if !machine.draining && has_overdue_launch(machine, now) {
                 tracing::info!(machine = %machine.id, reason = "lost launch", "machine given up");
                 machine.start_draining(now);
-                given_up.push(machine.id.clone());
+                drained.push(machine.id.clone());
             }
-            // Guards against a machine whose heartbeats reach us but which nothing reaches: each of them
-            // would renew the clock of its lease for us, though not for it, and a task that may be on it
-            // would be held for ever. So it is answered no more.
+            // Guards against an inbound-unreachable machine: its heartbeats arrive but the responses to them do
+            // not. Each response would extend the lease as recorded here, though not on the worker, so the
+            // lease would never count as expired and its attempts would stay in the ledger for ever. So its
+            // heartbeats are refused from now on.
             let unreachable_since = machine.reachability.unreachable_since();
             if !machine.lease_withheld && unreachable_since.is_some_and(|t| now - t > timeout) {
                 tracing::info!(machine = %machine.id, reason = "unreachable", "machine given up, lease withheld");
                 machine.lease_withheld = true;
                 machine.start_draining(now);
-                given_up.push(machine.id.clone());
+                drained.push(machine.id.clone());
             }
         }
-        self.outbox.machines_to_review.extend(given_up);
+        self.outbox.machines_to_review.extend(drained);
     }
 
-    /// Whatever may have been missed.
-    fn review_a_part_of_machines(&mut self) {
+    /// Queues the next slice of all machines for review, in case an event that should have done so was missed.
+    fn review_next_machines(&mut self) {
         self.outbox.review_round += 1;
-        let part = self.outbox.review_round % REVIEW_PARTS;
+        let slice = self.outbox.review_round % REVIEW_CYCLE_SECS;
         let ids = self.machines.keys().enumerate();
-        let ids = ids.filter(|(position, _)| *position as u64 % REVIEW_PARTS == part);
+        let ids = ids.filter(|(position, _)| *position as u64 % REVIEW_CYCLE_SECS == slice);
         let ids = ids.map(|(_, id)| id.clone());
         self.outbox.machines_to_review.extend(ids);
     }
 }
 
-/// Whether a launch on the machine has been unaccounted for for too long.
-fn has_lost_launch(machine: &Machine, now: Instant) -> bool {
-    let is_lost = |attempt: &TaskAttempt| {
+/// Whether the machine has a launch that has been unconfirmed for longer than the timeout.
+fn has_overdue_launch(machine: &Machine, now: Instant) -> bool {
+    let is_overdue = |attempt: &TaskAttempt| {
         matches!(attempt.last_push, PushDelivery::Unconfirmed(..))
             && attempt.last_status.is_none()
-            && now - attempt.placed_at > LOST_LAUNCH_TIMEOUT
+            && now - attempt.placed_at > UNCONFIRMED_LAUNCH_TIMEOUT
     };
-    machine.attempts.iter().any(is_lost)
+    machine.attempts.iter().any(is_overdue)
 }
--- a/src/coordination/leadership/recovery/intent_pages.rs
+++ b/src/coordination/leadership/recovery/intent_pages.rs
@@ -1,4 +1,4 @@
-//! Recovery of task attempts from the pages of launch intents.
+//! Recovery of task attempts from pages of launch intents.
 
 use super::{parse_record, Recovery, UnreadableRecord};
 use crate::coordination::attempts::ledger::TaskAttempt;
@@ -34,14 +34,14 @@
             attempt: key,
         } = &intent;
         let Some(machine) = self.scheduler.machines.get_mut(machine_id) else {
-            // Proof 4, on record: an intent is written only once its machine's page is, and a machine
-            // leaves its page only once the cloud has confirmed that it is gone.
+            // Proof 4 holds by the records: an intent is written after its machine's page, and the machine is
+            // removed from its page only after the cloud has confirmed its termination.
             self.scheduler
                 .writer
                 .recover_obsolete_intent(self.now, page);
             return;
         };
-        // It had been given work: its worker has reported.
+        // Only machines whose worker has reported are given work, so this one is up.
         machine.state = MachineState::Up;
         if machine.attempts.contains(key) {
             return;
@@ -51,7 +51,8 @@
         self.scheduler.writer.recover_intent(page, intent);
     }
 
-    /// An attempt of a former leader. The page says what it takes, for its job may be over and unknown.
+    /// Creates an attempt of a former leader. The resource request comes from the page, since the job may be
+    /// closed and unknown.
     fn recovered_attempt(
         &self,
         page: PageNumber,
@@ -62,9 +63,7 @@
         let placed_at = record
             .placed_s
             .get(&key.attempt_id)
-            .map_or(self.now, |time_of_day_s| {
-                self.recorded_instant(*time_of_day_s)
-            });
+            .map_or(self.now, |unix_time_s| self.recorded_instant(*unix_time_s));
         let scheduler = &self.scheduler;
         let mut attempt = scheduler.new_attempt(machine_id, key.clone(), placed_at);
         if let Some(resources) = record.jobs.get(&key.task.job) {
