--- a/src/cli.rs
+++ b/src/cli.rs
@@ -7,15 +7,15 @@
 use tracing_subscriber::filter::{LevelFilter, Targets};
 use tracing_subscriber::prelude::*;
 
-/// The exit code for settings that can't be used.
+/// Exit code for invalid settings.
 const EXIT_INVALID_CONFIG: u8 = 2;
-/// The environment variable that sets the log level.
+/// Environment variable that sets the log level.
 const LOG_LEVEL_VARIABLE: &str = "LOG_LEVEL";
 
 /// Cluster scheduler for rented machines.
 ///
-/// Run one controller on each of a few hosts. One of them is elected leader and schedules; every one accepts jobs,
-/// answers polls and cancels jobs.
+/// Run one controller on each of several hosts. The controllers elect a leader, which schedules; every controller
+/// accepts jobs, serves status requests and cancels jobs.
 #[derive(Parser)]
 #[command(name = "chalklug", version, about, subcommand_required = true)]
 #[command(after_help = "\
@@ -36,11 +36,11 @@
     /// Run a controller until it is killed
     ///
     /// Listens on the addresses in the platform's settings, connects to the state store and the cloud, and takes
-    /// part in the election of the leader.
+    /// part in leader election.
     Serve(ConfigFiles),
     /// Check the settings files and exit
     ///
-    /// Reports the first invalid value with its file, field and what would be right. Connects to nothing.
+    /// Reports the first invalid value with its file, its field and what was expected. Opens no connections.
     Check(ConfigFiles),
     /// Print the JSON schema of the operators' settings
     ///
@@ -79,12 +79,12 @@
 fn serve(files: &ConfigFiles) -> ExitCode {
     let config = match files.load() {
         Ok(config) => config,
-        Err(error) => return fail(&error, ExitCode::from(EXIT_INVALID_CONFIG)),
+        Err(error) => return report_error(&error, ExitCode::from(EXIT_INVALID_CONFIG)),
     };
     init_logging();
     match crate::runtime::run(config) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(error) => fail(&error, ExitCode::FAILURE),
+        Err(error) => report_error(&error, ExitCode::FAILURE),
     }
 }
 
@@ -94,31 +94,31 @@
             println!("settings are in order");
             ExitCode::SUCCESS
         }
-        Err(error) => fail(&error, ExitCode::from(EXIT_INVALID_CONFIG)),
+        Err(error) => report_error(&error, ExitCode::from(EXIT_INVALID_CONFIG)),
     }
 }
 
-fn fail(error: &dyn std::error::Error, code: ExitCode) -> ExitCode {
+fn report_error(error: &dyn std::error::Error, code: ExitCode) -> ExitCode {
     eprintln!("chalklug: {error}");
     code
 }
 
-/// Logs to standard error at the level that `LOG_LEVEL` sets; anything unknown means `info`.
+/// Starts logging to standard error at the level in `LOG_LEVEL`, or at `info` if that is unset or invalid.
 fn init_logging() {
     let level = std::env::var(LOG_LEVEL_VARIABLE)
         .ok()
         .and_then(|name| name.parse::<tracing::Level>().ok())
         .unwrap_or(tracing::Level::INFO);
-    // Our own events at the level asked for; libraries only when something is wrong.
+    // The level applies to this crate. Other crates log at most warnings, and warp's server logs nothing.
     let filter = Targets::new()
         .with_default(level.min(tracing::Level::WARN))
         .with_target("chalklug", level)
         .with_target("warp::server", LevelFilter::OFF);
-    let lines = tracing_subscriber::fmt::layer()
+    let layer = tracing_subscriber::fmt::layer()
         .with_writer(std::io::stderr)
         .with_ansi(false)
         .without_time();
     tracing_subscriber::registry()
-        .with(lines.with_filter(filter))
+        .with(layer.with_filter(filter))
         .init();
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,14 +1,14 @@
 //! chalklug, a small cluster scheduler.
 //!
-//! Several controllers run it; one of them, the elected leader, schedules. Layers, dependencies pointing down:
+//! Several controllers run, and the elected leader among them schedules. Layers, with dependencies pointing down:
 //!
-//! - [`cli`] and [`config`]: the command line and the checked settings;
+//! - [`cli`] and [`config`]: the command line and the validated settings;
 //! - [`runtime`]: all I/O around the scheduler: the HTTP API, the leader's tasks, the clients;
-//! - [`coordination`]: the deterministic scheduler: events in, effects out;
+//! - [`coordination`]: the deterministic scheduler, which turns events into effects;
 //! - [`storage`]: the records in the state store, their keys and pages;
-//! - [`transport`]: HTTP server and client, the link between controllers, rate limits, sockets; no policy;
-//! - [`protocol`]: the messages on each wire, and the only place of the wire's words;
-//! - [`ids`], [`time`], [`resources`]: small types that all of them use.
+//! - [`transport`]: HTTP server and client, connections between controllers, rate limits, sockets; no policy;
+//! - [`protocol`]: the messages of each wire protocol, and the only module that uses their field names;
+//! - [`ids`], [`time`], [`resources`]: small types shared by all layers.
 #![forbid(unsafe_code)]
 
 pub mod cli;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The thin binary: everything of substance lives in the library.
+//! The `chalklug` binary; the implementation is in the library crate.
 #![forbid(unsafe_code)]
 
 fn main() -> std::process::ExitCode {
