--- a/src/ids.rs
+++ b/src/ids.rs
@@ -1,10 +1,10 @@
-//! Ids and versions as small types of their own, so that none is mistaken for another.
+//! Newtypes for ids, versions and sequence numbers, so that the compiler tells them apart.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::sync::Arc;
 
-macro_rules! number {
+macro_rules! integer_newtype {
     ($(#[$m:meta])* $name:ident) => {
         $(#[$m])*
         #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -18,37 +18,37 @@
     };
 }
 
-number!(/// Names the controller entitled to command; unique and increasing for ever.
+integer_newtype!(/// A leader's fencing token: unique and strictly increasing.
     FencingToken);
-number!(/// A worker's session; a new one begins when its lease ran out.
+integer_newtype!(/// The number of a worker session; a worker starts a new session when its lease expires.
     Session);
-number!(/// Orders a worker's messages within a session.
+integer_newtype!(/// The sequence number of a worker's message within its session.
     SequenceNumber);
-number!(/// Tells one start of a task from another; never used twice for a task.
+integer_newtype!(/// The id of a task attempt; never reused for the same task.
     AttemptId);
-number!(/// The revision of one key in the state store; 0 means absent.
+integer_newtype!(/// The revision of a key in the state store; 0 means that the key is absent.
     KeyRevision);
-number!(/// The revision of the whole state store.
+integer_newtype!(/// The revision of the whole state store.
     StoreRevision);
-number!(/// A lease in the state store.
+integer_newtype!(/// The id of a lease in the state store.
     LeaseId);
 
-/// One page of records that are packed together on the state service.
+/// The number of a page: records packed under one key of the state store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PageNumber(pub u32);
 
-/// A team's place in the settings.
+/// A team's index in the settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TeamIndex(pub usize);
 
-macro_rules! name {
+macro_rules! string_newtype {
     ($(#[$m:meta])* $name:ident) => {
         $(#[$m])*
         #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
         #[serde(transparent)]
         pub struct $name(pub Arc<str>);
         impl $name {
-            /// The name as text.
+            /// Returns the value as a string slice.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -66,39 +66,39 @@
     };
 }
 
-name!(/// A job's id, chosen by its user.
+string_newtype!(/// A job's id, chosen by its user.
     JobId);
-name!(/// A rented machine.
+string_newtype!(/// The id of a rented machine.
     MachineId);
-name!(/// A machine type.
+string_newtype!(/// The name of a machine type.
     MachineType);
-name!(/// A zone.
+string_newtype!(/// The name of a zone.
     Zone);
-name!(/// An image that tasks need.
+string_newtype!(/// The name of a container image.
     Image);
-name!(/// Names one scale-out request for ever: the cloud answers a repetition with what it answered first.
+string_newtype!(/// The idempotency key of a scale-out request: the cloud answers a retry with its first response.
     IdempotencyKey);
 
 impl JobId {
-    /// Reads an id as users write it: `wk-` and digits; anything else is no job's id.
+    /// Parses a job id: `wk-` followed by 1 to 40 digits.
     pub fn parse(s: &str) -> Option<JobId> {
         let digits = s.strip_prefix("wk-")?;
-        let plain =
+        let is_valid =
             !digits.is_empty() && digits.len() <= 40 && digits.bytes().all(|b| b.is_ascii_digit());
-        plain.then(|| JobId::from(s))
+        is_valid.then(|| JobId::from(s))
     }
 }
 
-/// One task of a job, written `wk-000412/3`.
+/// The id of a task, written `wk-000412/3`.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskId {
     /// The job.
     pub job: JobId,
-    /// The task's number within the job, from 0.
+    /// The task's index within the job, from 0.
     pub index: u32,
 }
 
-/// One attempt of one task. Attempt ids are never reused, so neither is a key.
+/// Identifies a task attempt. Attempt ids are never reused, so neither are these keys.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptKey {
     /// The task.
@@ -114,7 +114,7 @@
 }
 
 impl TaskId {
-    /// Reads the wire form.
+    /// Parses the wire form, `wk-000412/3`.
     pub fn parse(s: &str) -> Option<TaskId> {
         let (job, index) = s.rsplit_once('/')?;
         Some(TaskId {
