--- a/src/resources.rs
+++ b/src/resources.rs
@@ -1,4 +1,4 @@
-//! Resources: what tasks request, what machines have, what teams use.
+//! Resource amounts: the requests of tasks, the capacities of machines and the usage of teams.
 
 use crate::protocol::users::JobSpec;
 
@@ -13,11 +13,11 @@
     pub ram_gb: f64,
 }
 
-/// Amounts are decimal fractions: sums are compared with this tolerance.
+/// Tolerance for comparing sums of fractional amounts.
 const ROUNDING_TOLERANCE: f64 = 1e-6;
 
 impl Resources {
-    /// What one task of a job requests.
+    /// Returns the resource request of one task of a job.
     pub fn of(spec: &JobSpec) -> Resources {
         Resources {
             cpus: spec.cpus,
@@ -25,7 +25,7 @@
             ram_gb: spec.ram_gb,
         }
     }
-    /// `count` times as much.
+    /// Returns the amount multiplied by `count`.
     pub fn times(self, count: f64) -> Resources {
         Resources {
             cpus: self.cpus * count,
@@ -33,24 +33,24 @@
             ram_gb: self.ram_gb * count,
         }
     }
-    /// Whether it fits into the `free` resources.
+    /// Whether the amount fits into the `free` resources.
     pub fn fits(&self, free: &Resources) -> bool {
         self.cpus <= free.cpus + ROUNDING_TOLERANCE
             && self.gpus <= free.gpus + ROUNDING_TOLERANCE
             && self.ram_gb <= free.ram_gb + ROUNDING_TOLERANCE
     }
-    /// How many of it fit into the `free` resources together, at most `max_count`.
+    /// Returns how many times the amount fits into the `free` resources, at most `max_count`.
     pub fn count_in(&self, free: &Resources, max_count: u32) -> u32 {
-        let count_of_one = |request: f64, free: f64| {
+        let count_of_resource = |request: f64, free: f64| {
             if request <= ROUNDING_TOLERANCE {
                 f64::from(max_count)
             } else {
                 ((free + ROUNDING_TOLERANCE) / request).floor().max(0.0)
             }
         };
-        count_of_one(self.cpus, free.cpus)
-            .min(count_of_one(self.gpus, free.gpus))
-            .min(count_of_one(self.ram_gb, free.ram_gb))
+        count_of_resource(self.cpus, free.cpus)
+            .min(count_of_resource(self.gpus, free.gpus))
+            .min(count_of_resource(self.ram_gb, free.ram_gb))
             .min(f64::from(max_count)) as u32
     }
     /// Adds another amount to this one.
@@ -67,7 +67,7 @@
     }
 }
 
-/// Whether a request is within a limit in which 0 means none (as in the settings' teams).
+/// Whether a request is within a team's limit; a limit of 0 means unlimited.
 pub fn within_limit(request: f64, limit: f64) -> bool {
     limit <= 0.0 || request <= limit + ROUNDING_TOLERANCE
 }
--- a/src/time.rs
+++ b/src/time.rs
@@ -1,43 +1,43 @@
-//! Time as the scheduler sees it: points on the steady clock of this process, and spans between them.
+//! Instants on the monotonic clock of this process, and the spans between them.
 //!
-//! Both are signed milliseconds: a job may have been submitted before this process began. Arithmetic
-//! saturates, for times may come from outside.
+//! Both are signed milliseconds, since a job may have been submitted before this process started. Arithmetic
+//! saturates, since times may come from external input.
 
 use std::ops::{Add, AddAssign, Sub};
 
-/// Seconds are clamped to this many milliseconds, so that sums of them can't overflow.
+/// Limit in milliseconds for spans converted from seconds, so that sums of them can't overflow.
 const MAX_MILLIS: f64 = 9.0e15;
 
-/// A point on the steady clock of this process, in milliseconds since it began.
+/// An instant on the monotonic clock of this process, in milliseconds since the process started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Instant(pub i64);
 
 impl Instant {
-    /// A point before all others that occur: for what never happened yet.
+    /// An instant before all others that occur, for events that have not happened yet.
     pub const LONG_AGO: Instant = Instant(i64::MIN / 4);
-    /// The moment at which this process began.
+    /// The start of this process.
     pub const ZERO: Instant = Instant(0);
 
-    /// The time since the clock's zero, in seconds.
+    /// Returns the seconds since the process started.
     pub fn secs(self) -> f64 {
         self.0 as f64 / 1000.0
     }
 }
 
-/// The time between two points, in milliseconds; negative if the second one comes first.
+/// The time from one instant to another, in milliseconds; negative if the second instant is the earlier one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TimeSpan(pub i64);
 
 impl TimeSpan {
-    /// No time at all.
+    /// A span of length zero.
     pub const ZERO: TimeSpan = TimeSpan(0);
 
-    /// A span from seconds; values that are not finite, or absurd, are clamped rather than wrapped.
+    /// Converts seconds to a span. Infinite and very large values are clamped; NaN becomes zero.
     pub fn from_secs(s: f64) -> Self {
         TimeSpan((s * 1000.0).clamp(-MAX_MILLIS, MAX_MILLIS) as i64)
     }
 
-    /// The span in seconds.
+    /// Returns the span in seconds.
     pub fn secs(self) -> f64 {
         self.0 as f64 / 1000.0
     }
