--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -1,18 +1,19 @@
-//! The scheduler: a deterministic state machine. Events and a `now` go in, effects come out; there is no I/O,
-//! clock, thread or random number inside. The runtime around it carries the effects out, and checks the
-//! leader's authority again as each one leaves.
+//! The scheduler: a deterministic state machine that turns events and the current time into effects, without I/O,
+//! clock, threads or random numbers. The runtime executes the effects, and checks the leader's authority again
+//! before each of them.
 //!
-//! This module has no rules of its own: it hands each event to the part that it concerns, and fixes the order
-//! of one step ([`Scheduler::step`]):
+//! This module has no rules of its own: it dispatches each event to the component concerned, and defines the
+//! order of work in a step ([`Scheduler::step`]):
 //!
-//! 1. once a second, what changes with time alone: releases, suspected machines, aging, image locality;
-//! 2. reads of terminal records, on which blocked jobs wait;
+//! 1. once a second, the periodic checks: job releases, suspected machines, aging, image locality;
+//! 2. reads of the terminal records that blocked jobs wait for;
 //! 3. stops of task attempts that are no longer wanted;
-//! 4. if a pass is due: the warm pool, placement of pending tasks, preemption, scale-out and scale-in;
+//! 4. if a placement pass is due: the warm pool, placement of pending tasks, preemption, scale-out and scale-in;
 //! 5. one transaction to the state store;
 //! 6. pushes to workers.
 //!
-//! A launch leaves, in a push or in the response to a heartbeat, only after the event that its intent is written.
+//! A launch is sent, in a push or in a heartbeat response, only after an event has confirmed that its launch
+//! intent is written.
 
 pub mod attempts;
 pub mod autoscaler;
@@ -49,16 +50,16 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// What changes with time alone is looked at this often.
-const RECHECK_INTERVAL: TimeSpan = TimeSpan(1000);
+/// Interval of the checks for state that changes with time alone.
+const PERIODIC_CHECK_INTERVAL: TimeSpan = TimeSpan(1000);
 
-/// The state of one leadership term: what each part owns, and what no part owns.
+/// The state of the scheduler during one leadership term.
 pub struct Scheduler {
     pub(crate) policy: Arc<Policy>,
     pub(crate) leadership: Leadership,
     pub(crate) jobs: JobTable,
     pub(crate) machines: MachineTable,
-    /// What each team uses, kept by the ledger.
+    /// Resource usage by team, maintained by the attempt ledger.
     pub(crate) team_usage: TeamUsage,
     pub(crate) outbox: Outbox,
     pub(crate) placement: PlacementState,
@@ -66,16 +67,16 @@
     pub(crate) estimates: RunTimeEstimates,
     pub(crate) aging: Aging,
     pub(crate) writer: Writer,
-    /// Planned launches that were dropped because their job did not allow them any more.
+    /// Planned launches that were dropped because their job no longer allowed them.
     pub(crate) denied_launch_count: u64,
-    /// What the present step asks the runtime to do.
+    /// The effects of the current step.
     pub(crate) effects: Vec<Effect>,
     last_request_id: RequestId,
-    last_recheck_at: Instant,
+    last_periodic_check_at: Instant,
 }
 
 impl Scheduler {
-    /// The scheduler of a leadership term that begins now, before anything is known of jobs and machines.
+    /// Creates the scheduler of a leadership term that starts now, without any jobs or machines.
     fn new(
         policy: Arc<Policy>,
         term: LeadershipTerm,
@@ -98,32 +99,33 @@
             denied_launch_count: 0,
             effects: Vec::new(),
             last_request_id: RequestId(0),
-            last_recheck_at: now,
+            last_periodic_check_at: now,
         }
     }
 
-    /// The fencing token in force.
+    /// Returns the current fencing token.
     pub fn token(&self) -> FencingToken {
         self.leadership.token()
     }
 
-    /// The fencing token that this leadership began with.
+    /// Returns the fencing token at the start of the leadership term.
     pub fn initial_token(&self) -> FencingToken {
         self.leadership.initial_token()
     }
 
-    /// An id for a request that this scheduler has not given to any other.
+    /// Returns a request id that is unique within the leadership term.
     pub(crate) fn next_request_id(&mut self) -> RequestId {
         self.last_request_id.0 += 1;
         self.last_request_id
     }
 
-    /// An attempt id that no attempt of any term has had.
+    /// Returns an attempt id that was never used before, in any leadership term.
     pub fn next_attempt_id(&mut self) -> AttemptId {
         self.leadership.next_attempt_id()
     }
 
-    /// Takes in an event. Each belongs to one part; what it leaves to be decided waits for the next step.
+    /// Handles an event: passes it to the component concerned. The decisions that follow from it are made in the
+    /// next step.
     pub fn handle(&mut self, now: Instant, event: Event) {
         match event {
             Event::JobOpened(open_job) => self.job_opened(now, *open_job),
@@ -177,10 +179,10 @@
         }
     }
 
-    /// Decides what is to be done. Called soon after events, and at least once a second.
+    /// Makes all pending decisions and returns their effects. Called soon after events, and at least once a second.
     pub fn step(&mut self, now: Instant) -> Vec<Effect> {
-        if now - self.last_recheck_at >= RECHECK_INTERVAL {
-            self.last_recheck_at = now;
+        if now - self.last_periodic_check_at >= PERIODIC_CHECK_INTERVAL {
+            self.last_periodic_check_at = now;
             self.run_periodic_checks(now);
         }
         self.read_terminal_records(now);
@@ -193,20 +195,19 @@
         std::mem::take(&mut self.effects)
     }
 
-    /// What changes with time alone, or is too costly to be kept in step with every event.
+    /// Checks state that changes with time alone, and state that is too costly to update with every event.
     fn run_periodic_checks(&mut self, now: Instant) {
         self.release_ready_jobs(now);
         self.recheck_machines(now);
         self.aging
             .update_endangered_groups(now, self.jobs.pending().map(|(_, job)| job));
         self.machines.recheck_cached_images();
-        self.forget_closed_jobs();
+        self.remove_closed_jobs();
         self.log_cluster_state(now);
         self.placement.request_pass();
     }
 
-    /// One pass over the pending tasks, and then over the machines that it has left without work or found
-    /// missing.
+    /// Places pending tasks, preempts tasks for those that were not placed, and scales the cluster in or out.
     fn place_and_scale(&mut self, now: Instant) {
         self.jobs.refresh_graph();
         self.update_warm_pool(now);
@@ -215,7 +216,7 @@
         self.autoscale(now, &unplaced);
     }
 
-    /// The whole list of open jobs: one that is missing from it is no longer open.
+    /// Handles the full list of open jobs: a job that is missing from the list is no longer open.
     fn open_jobs_listed(&mut self, now: Instant, open_jobs: Vec<OpenJob>) {
         let id_of = |open_job: &OpenJob| open_job.record.spec.id.clone();
         let listed: BTreeSet<JobId> = open_jobs.iter().map(id_of).collect();
@@ -233,15 +234,15 @@
         }
     }
 
-    /// Jobs that are over and have nothing left anywhere need not be remembered.
-    fn forget_closed_jobs(&mut self) {
-        let idle: Vec<JobId> = self
+    /// Removes closed jobs without task attempts and without a write in flight.
+    fn remove_closed_jobs(&mut self) {
+        let removable: Vec<JobId> = self
             .jobs
             .removable()
             .filter(|id| !self.writer.is_writing_about(id))
             .cloned()
             .collect();
-        for id in idle {
+        for id in removable {
             self.jobs.remove(&id);
         }
     }
