--- a/src/coordination/effect.rs
+++ b/src/coordination/effect.rs
@@ -1,4 +1,4 @@
-//! What the scheduler asks its runtime to do.
+//! Effects: the scheduler's requests to its runtime.
 
 use super::autoscaler::MachineOffer;
 use crate::ids::{FencingToken, IdempotencyKey, JobId, MachineId, Session};
@@ -6,17 +6,17 @@
 use crate::protocol::workers::Command;
 use std::fmt;
 
-/// Tells one request of the scheduler from another within a leadership term; the event that answers it
-/// repeats it.
+/// Identifies a request of the scheduler within a leadership term; the event that answers the request repeats
+/// the id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
-/// Why the scheduler asks its leader to step down.
+/// Why the scheduler asks the leader to step down.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StepDownReason {
-    /// A worker has seen a fencing token higher than ours, so another controller leads.
+    /// A worker has seen a fencing token higher than this leader's, so another controller leads.
     HigherFencingTokenSeen,
-    /// The leader key is gone, or another controller's.
+    /// The leader key is absent or belongs to another controller.
     LeaderKeyLost,
 }
 
@@ -29,37 +29,37 @@
     }
 }
 
-/// What is to be done. Every effect is carried out only while the leader's authority holds.
+/// A request to the runtime, which executes it only while the leader's authority is valid.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Effect {
-    /// Send a transaction to the state store. It is safe to apply late: the leader key and the records that
-    /// it changes are among its preconditions.
+    /// Send a transaction to the state store. Applying it late is safe: its preconditions include the leader key
+    /// and the records that it changes.
     Write {
-        /// The write.
+        /// The id of the write.
         request_id: RequestId,
         /// The transaction.
         transaction: Transaction,
     },
-    /// Read keys again, until all are read.
+    /// Read keys again after an unconfirmed write; retried until all keys are read.
     Reread {
-        /// The read.
+        /// The id of the read.
         request_id: RequestId,
         /// The keys.
         keys: Vec<String>,
     },
-    /// Read the terminal records of jobs that others wait for.
+    /// Read the terminal records of upstream jobs.
     ReadTerminalRecords {
-        /// The jobs.
+        /// The upstream jobs.
         ids: Vec<JobId>,
     },
-    /// Push commands to a worker, which executes them only in that session and if it has seen no higher
-    /// fencing token.
+    /// Push commands to a worker. The worker executes them only if it is still in the session and has seen no
+    /// higher fencing token.
     Push {
         /// The worker's machine.
         machine_id: MachineId,
-        /// Where the worker listens.
+        /// The address at which the worker listens.
         endpoint: String,
-        /// The push.
+        /// The id of the push.
         request_id: RequestId,
         /// The fencing token.
         token: FencingToken,
@@ -68,26 +68,26 @@
         /// The commands.
         commands: Vec<Command>,
     },
-    /// Ask the cloud for machines; the answer is [`Event::ScaleOutAnswered`] or [`Event::ScaleOutUnconfirmed`].
+    /// Rent machines; answered by [`Event::ScaleOutAnswered`] or [`Event::ScaleOutUnconfirmed`].
     ///
     /// [`Event::ScaleOutAnswered`]: super::Event::ScaleOutAnswered
     /// [`Event::ScaleOutUnconfirmed`]: super::Event::ScaleOutUnconfirmed
     ScaleOut {
-        /// The same for every repetition of one request.
+        /// The request's idempotency key, the same in every retry.
         idempotency_key: IdempotencyKey,
-        /// What kind of machine.
+        /// The machine type, the zone, and whether the machines are spot machines.
         offer: MachineOffer,
-        /// How many of them.
+        /// The number of machines.
         count: u32,
     },
-    /// Ask the cloud to terminate machines.
+    /// Terminate machines.
     ScaleIn {
         /// The machines.
         machine_ids: Vec<MachineId>,
     },
-    /// Another controller leads: stop acting.
+    /// Step down, because another controller leads.
     StepDown {
-        /// How that is known.
+        /// The evidence for another leader.
         reason: StepDownReason,
     },
 }
--- a/src/coordination/event.rs
+++ b/src/coordination/event.rs
@@ -1,6 +1,6 @@
-//! What the scheduler takes in: news of jobs, workers and the cloud, and the answers to its requests.
+//! Events, the scheduler's input: changes of jobs, workers and machines, and the answers to its requests.
 //!
-//! An answer repeats what names the request; one that comes late, or twice, changes nothing.
+//! An answer repeats the id of its request; a late or repeated answer has no effect.
 
 use super::effect::RequestId;
 use crate::ids::{IdempotencyKey, JobId, KeyRevision, MachineId, StoreRevision};
@@ -13,11 +13,11 @@
 /// An open job as read from the state store.
 #[derive(Clone, Debug)]
 pub struct OpenJob {
-    /// Its open record, with all upstream jobs.
+    /// The job's open record, with all upstream jobs.
     pub record: OpenJobRecord,
-    /// The revision of that record: a write with it as a precondition is applied only while the job is open.
+    /// The revision of the open record: a write with it as a precondition is applied only while the job is open.
     pub revision: KeyRevision,
-    /// When its user submitted it.
+    /// When the job was submitted.
     pub submitted_at: Instant,
 }
 
@@ -26,86 +26,86 @@
 pub struct TerminalRecordRead {
     /// The job.
     pub job: JobId,
-    /// Its terminal record; None if it has none, for it is still open.
+    /// The job's terminal record; `None` if the job is still open.
     pub record: Option<TerminalRecord>,
 }
 
-/// A key as read again after a write whose outcome was unclear.
+/// A key as read again after an unconfirmed write.
 #[derive(Clone, Debug)]
 pub struct KeyReread {
     /// The key.
     pub key: String,
-    /// What it holds; None if it is absent.
+    /// The key's value; `None` if the key is absent.
     pub item: Option<KeyValue>,
 }
 
 /// The cloud's answer to a scale-out request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ScaleOutAnswer {
-    /// These machines were started: perhaps fewer than asked for.
+    /// These machines were started, possibly fewer than requested.
     Granted(Vec<MachineId>),
-    /// There is no capacity for any.
+    /// The cloud has no capacity for any of the machines.
     NoCapacity,
 }
 
-/// What happened.
+/// An event for the scheduler.
 #[derive(Debug)]
 pub enum Event {
-    /// An open job appeared, or is told again.
+    /// A job was opened, or is reported again.
     JobOpened(Box<OpenJob>),
-    /// A job is no longer open: cancelled, or finished by us.
+    /// A job is no longer open: it was cancelled, or finished by this leader.
     JobClosed {
         /// The job.
         id: JobId,
     },
-    /// A controller has confirmed that a job is cancelled: its terminal record is written.
+    /// A controller has confirmed that a job is cancelled: the job's terminal record is written.
     JobCancelled {
         /// The job.
         id: JobId,
     },
-    /// The whole list of open jobs, read anew after a gap in the watch.
+    /// The full list of open jobs, read again after a gap in the watch.
     OpenJobsListed(Vec<OpenJob>),
     /// Answers [`super::Effect::ReadTerminalRecords`].
     TerminalRecordsRead(Vec<TerminalRecordRead>),
 
-    /// Answers [`super::Effect::Push`]: the worker executed the commands (200), or certainly did not (409).
+    /// Answers [`super::Effect::Push`]: the worker executed the commands (200) or rejected them (409).
     PushAnswered {
         /// The machine that the commands were pushed to.
         machine_id: MachineId,
-        /// The push.
+        /// The id of the push.
         request_id: RequestId,
-        /// The worker's status after it.
+        /// The worker's status after the push.
         status: Box<WorkerStatus>,
     },
     /// A push was not answered.
     PushFailed {
         /// The machine that the commands were pushed to.
         machine_id: MachineId,
-        /// The push.
+        /// The id of the push.
         request_id: RequestId,
-        /// False if it certainly never left. Otherwise it may be executed at any later time.
+        /// Whether the push may have been sent; if so, the worker may execute it at any later time.
         sent: bool,
     },
 
-    /// Machine types and their prices, as the cloud lists them.
+    /// The machine types and their prices, as listed by the cloud.
     MachineTypes(Vec<MachineTypeInfo>),
-    /// The whole list of machines. It lags behind, so a machine that is missing may exist.
+    /// The full list of machines. The cloud's list lags, so a machine that is missing from it may exist.
     MachinesListed {
-        /// When the list was asked for.
+        /// When the list was requested.
         requested_at: Instant,
         /// The machines.
         machines: Vec<ListedMachine>,
     },
     /// Answers [`super::Effect::ScaleOut`].
     ScaleOutAnswered {
-        /// The request.
+        /// The idempotency key of the request.
         idempotency_key: IdempotencyKey,
-        /// What was granted.
+        /// The cloud's answer.
         answer: ScaleOutAnswer,
     },
-    /// The outcome of a scale-out request is unclear; it is asked again with the same key.
+    /// The outcome of a scale-out request is unconfirmed; the request is retried with the same key.
     ScaleOutUnconfirmed {
-        /// The request.
+        /// The idempotency key of the request.
         idempotency_key: IdempotencyKey,
     },
     /// Answers [`super::Effect::ScaleIn`]: the cloud confirmed that the machines are terminated.
@@ -113,49 +113,49 @@
         /// The machines.
         machine_ids: Vec<MachineId>,
     },
-    /// The cloud did not confirm a scale-in; it may have been executed.
+    /// The cloud did not confirm a scale-in, which may have been executed.
     ScaleInFailed {
         /// The machines.
         machine_ids: Vec<MachineId>,
     },
 
-    /// Answers [`super::Effect::Write`]: the transaction is applied.
+    /// Answers [`super::Effect::Write`]: the transaction was applied.
     WriteApplied {
-        /// The write.
+        /// The id of the write.
         request_id: RequestId,
-        /// The store's revision after it, which is the revision of each key it wrote.
+        /// The store's revision after the transaction, which is the revision of each key that it wrote.
         store_revision: StoreRevision,
     },
-    /// A transaction was certainly not applied, nor will be.
+    /// A transaction was not applied and never will be.
     WriteNotApplied {
-        /// The write.
+        /// The id of the write.
         request_id: RequestId,
     },
-    /// A transaction was not applied: the store's rate limit is used up.
+    /// A transaction was not applied because the store's rate limit was exceeded.
     WriteRateLimited {
-        /// The write.
+        /// The id of the write.
         request_id: RequestId,
-        /// No write is to be sent for so long.
+        /// How long to wait before the next write.
         pause: TimeSpan,
     },
-    /// A transaction was refused for what it is, and would be each time: it has too many operations, or a value
+    /// A transaction was rejected as invalid and would be on every retry: it has too many operations, or a value
     /// is too large.
     WriteRejected {
-        /// The write.
+        /// The id of the write.
         request_id: RequestId,
     },
-    /// Preconditions of a transaction failed, or its outcome is unclear: its keys must be read again.
+    /// Preconditions of a transaction failed, or its outcome is unconfirmed: its keys must be read again.
     WriteUnconfirmed {
-        /// The write.
+        /// The id of the write.
         request_id: RequestId,
-        /// The keys of the preconditions that failed, if the store said which.
+        /// The keys of the failed preconditions, if the store returned them; otherwise empty.
         failed_preconditions: Vec<String>,
     },
     /// Answers [`super::Effect::Reread`].
     Reread {
-        /// The read.
+        /// The id of the read.
         request_id: RequestId,
-        /// Each key with what it holds.
+        /// The keys with their values.
         items: Vec<KeyReread>,
     },
 }
