--- a/src/coordination/counts.rs
+++ b/src/coordination/counts.rs
@@ -1,15 +1,15 @@
-//! Counts that are shown and logged; no decision rests on them.
+//! Counts for status responses, logs and the check for leadership transfer; placement does not use them.
 
 use super::machines::machine::{Machine, MachineState};
 use super::Scheduler;
 use crate::ids::JobId;
 
-/// How many tasks of a job are completed, and how many run.
+/// The numbers of completed and running tasks of a job.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TaskCounts {
-    /// Tasks that are done.
+    /// Completed tasks.
     pub completed: u32,
-    /// Tasks that were seen running and have not ended since.
+    /// Tasks that a worker has reported as running and that have not ended since.
     pub running: u32,
 }
 
@@ -18,27 +18,27 @@
 pub struct JobTaskCounts {
     /// The job.
     pub job: JobId,
-    /// Its counts.
+    /// The task counts of the job.
     pub tasks: TaskCounts,
 }
 
-/// How many task attempts may be on machines.
+/// The numbers of task attempts that may be on machines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AttemptCounts {
-    /// All of them.
+    /// All attempts.
     pub total: usize,
-    /// Those of jobs that are not open any more: they are to be stopped.
+    /// Attempts of jobs that are closed or unknown; they are to be stopped.
     pub of_closed_jobs: usize,
 }
 
 impl Scheduler {
-    /// Machines whose workers should be sending heartbeats.
+    /// Returns the number of machines that are up, whose workers should be sending heartbeats.
     pub fn machines_up(&self) -> usize {
         let is_up = |machine: &&Machine| machine.state == MachineState::Up;
         self.machines.values().filter(is_up).count()
     }
 
-    /// Task attempts that may be on machines.
+    /// Returns the numbers of task attempts that may be on machines.
     pub fn attempt_counts(&self) -> AttemptCounts {
         let mut counts = AttemptCounts::default();
         for attempt in self
@@ -56,7 +56,7 @@
         counts
     }
 
-    /// The task counts of each open job of which any task runs or is completed.
+    /// Returns the task counts of each open job with a running or completed task.
     pub fn task_counts(&self) -> Vec<JobTaskCounts> {
         let open = self.jobs.iter().filter(|(_, job)| !job.is_closed());
         let counts = open.map(|(id, job)| JobTaskCounts {
@@ -71,7 +71,7 @@
             .collect()
     }
 
-    /// The task counts of one job; zero if it is not known.
+    /// Returns the task counts of a job; zero if the job is unknown.
     pub fn task_counts_of(&self, id: &JobId) -> TaskCounts {
         let job = self.jobs.get(id);
         job.map_or(TaskCounts::default(), |job| TaskCounts {
--- a/src/coordination/policy.rs
+++ b/src/coordination/policy.rs
@@ -1,35 +1,35 @@
-//! The settings that the scheduler goes by, and the bounds in time that follow from them.
+//! The settings of the scheduler, and the timeouts derived from them.
 
 use crate::config::{Config, Facts, OperatorConfig, Slo, SloKind, Team};
 use crate::ids::TeamIndex;
 use crate::time::TimeSpan;
 use crate::transport::sockets::SocketAllocation;
 
-/// Two steady clocks may each drift by 0.05%: 0.2% covers both, with room.
+/// Covers the drift between two monotonic clocks, each up to 0.05%, with a margin.
 const CLOCK_DRIFT_FACTOR: f64 = 1.002;
-/// What a worker needs to act on the expiry of its lease.
+/// How long a worker may take to act on the expiry of its lease.
 const LEASE_EXPIRY_REACTION_SECS: f64 = 0.5;
-/// Heartbeats are sent at their interval, give or take a quarter.
+/// The interval between heartbeats varies by up to a quarter.
 const MAX_HEARTBEAT_JITTER_FACTOR: f64 = 1.25;
-/// For the way of a heartbeat.
+/// The maximum delivery time of a heartbeat.
 const HEARTBEAT_DELIVERY_SECS: f64 = 1.0;
-/// A worker whose heartbeat was under way to the former leader gives it up after 4 s, and tries the next
-/// controller a second later.
+/// A worker whose heartbeat was in flight to the former leader times out after 4 s and tries the next controller
+/// 1 s later.
 const HEARTBEAT_RETRY_SECS: f64 = 5.0;
 
-/// The settings that the scheduler goes by. They don't change while it lives.
+/// The settings of the scheduler; immutable.
 #[derive(Debug, Clone)]
 pub struct Policy {
-    /// What is known of the deployment.
+    /// Facts about the deployment, from the platform's settings.
     pub facts: Facts,
-    /// What the operator chose.
+    /// The operators' settings.
     pub operator: OperatorConfig,
-    /// Pushes that may await their answers at once.
+    /// The maximum number of pushes in flight.
     pub max_pushes: usize,
 }
 
 impl Policy {
-    /// The part of the settings that the scheduler needs.
+    /// Returns the part of the settings that the scheduler needs.
     pub fn new(config: &Config) -> Policy {
         let platform = &config.platform;
         let max_sockets = platform.facts.process_limits.max_sockets;
@@ -42,34 +42,34 @@
         }
     }
 
-    /// The place of a team in the settings, by its name.
+    /// Returns the index of the team with the given name in the settings.
     pub fn team_index(&self, name: &str) -> Option<TeamIndex> {
         let index = self.facts.teams.iter().position(|team| team.name == name);
         index.map(TeamIndex)
     }
 
-    /// A team's guaranteed shares and limits.
+    /// Returns a team's guaranteed shares and limits.
     pub fn team(&self, index: Option<TeamIndex>) -> Option<&Team> {
         index.and_then(|index| self.facts.teams.get(index.0))
     }
 
-    /// Seconds within which most tasks of a job class should have started, if the settings name any.
+    /// Returns the strictest start delay objective of a job class, in seconds, if the settings have one.
     pub fn max_start_delay_s(&self, class: &str) -> Option<f64> {
-        self.strictest_s(SloKind::StartDelay, class)
+        self.strictest_objective_s(SloKind::StartDelay, class)
     }
 
-    /// Seconds within which most jobs of a class should be completed, if the settings name any.
+    /// Returns the strictest completion time objective of a job class, in seconds, if the settings have one.
     pub fn max_completion_s(&self, class: &str) -> Option<f64> {
-        self.strictest_s(SloKind::Completion, class)
+        self.strictest_objective_s(SloKind::Completion, class)
     }
 
-    fn strictest_s(&self, kind: SloKind, class: &str) -> Option<f64> {
+    fn strictest_objective_s(&self, kind: SloKind, class: &str) -> Option<f64> {
         self.objectives(kind, class)
             .filter_map(|objective| objective.within_s)
             .min_by(f64::total_cmp)
     }
 
-    /// The objectives of one kind for a job class.
+    /// Returns the objectives of one kind for a job class.
     pub fn objectives<'a>(
         &'a self,
         kind: SloKind,
@@ -80,19 +80,21 @@
         all.filter(move |objective| objective.kind == kind && is_of_class(objective, class))
     }
 
-    /// How long after a worker was last answered its lease has certainly expired, by its own clock.
+    /// Returns the time after the last response to a worker by which its lease has certainly expired, by the
+    /// worker's clock.
     pub fn lease_expiry_bound(&self) -> TimeSpan {
         let lease_s = self.facts.workers.lease_s;
         TimeSpan::from_secs(lease_s * CLOCK_DRIFT_FACTOR + LEASE_EXPIRY_REACTION_SECS)
     }
 
-    /// The time after a failover in which every worker that can reach the new leader has sent it a heartbeat.
+    /// Returns the time after a failover within which every worker that can reach the new leader has sent it a
+    /// heartbeat.
     pub fn first_heartbeats_bound(&self) -> TimeSpan {
         let max_interval_s = self.facts.workers.report_s * MAX_HEARTBEAT_JITTER_FACTOR;
         TimeSpan::from_secs(max_interval_s + HEARTBEAT_RETRY_SECS)
     }
 
-    /// A machine from which no heartbeat came for longer than this is suspected.
+    /// Returns the time without a heartbeat after which a machine is suspected.
     pub fn heartbeat_timeout(&self) -> TimeSpan {
         let max_interval_s = self.facts.workers.report_s * MAX_HEARTBEAT_JITTER_FACTOR;
         let missed_s = max_interval_s * self.operator.silent_reports;
--- a/src/coordination/view.rs
+++ b/src/coordination/view.rs
@@ -1,4 +1,4 @@
-//! What decisions read: the parts of the scheduler that several of them need, borrowed together.
+//! The cluster view: read-only state of the scheduler that several decisions share.
 
 use super::attempts::ledger::TeamUsage;
 use super::jobs::estimates::RunTimeEstimates;
@@ -8,10 +8,10 @@
 use super::{Policy, Scheduler};
 use crate::time::Instant;
 
-/// The cluster as a decision sees it at one moment. Nothing can be changed through it.
+/// A read-only view of the cluster at one instant.
 #[derive(Clone, Copy)]
 pub struct ClusterView<'a> {
-    /// The moment of the decision.
+    /// The time of the decision.
     pub now: Instant,
     /// The settings.
     pub policy: &'a Policy,
@@ -19,21 +19,21 @@
     pub jobs: &'a JobTable,
     /// All machines, with the task attempts on them.
     pub machines: &'a MachineTable,
-    /// What each team uses.
+    /// Resource usage by team.
     pub team_usage: &'a TeamUsage,
-    /// What is known of run times.
+    /// Run time estimates by job class.
     pub estimates: &'a RunTimeEstimates,
 }
 
 impl ClusterView<'_> {
-    /// Whether a machine may be given new work.
+    /// Whether new tasks may be placed on a machine.
     pub(crate) fn is_schedulable(&self, machine: &Machine) -> bool {
         machine.is_schedulable(self.now, self.policy.heartbeat_timeout())
     }
 }
 
 impl Scheduler {
-    /// The cluster at that moment, for a decision to read.
+    /// Returns a view of the cluster at `now`.
     pub(crate) fn view(&self, now: Instant) -> ClusterView<'_> {
         ClusterView {
             now,
