--- a/src/coordination/jobs/graph/derivation.rs
+++ b/src/coordination/jobs/graph/derivation.rs
@@ -1,46 +1,46 @@
-//! What follows for each job from the jobs upstream and downstream of it: its depth, and, backwards from the
-//! outputs, its deadline, its label and its priority.
+//! DerivedAttributes attributes of jobs in the graph: the depth, from upstream jobs; the deadline, the scheduling preference
+//! and the priority, propagated from downstream jobs to upstream jobs.
 
-use super::node::{Derived, SchedulingPreference};
+use super::node::{DerivedAttributes, SchedulingPreference};
 use super::DependencyGraph;
 use crate::ids::JobId;
 use crate::time::Instant;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Jobs at most so many steps upstream of an output with a deadline are latency jobs.
+/// Jobs at most this many edges upstream of an output job with a deadline are latency jobs.
 const MAX_LATENCY_STEPS: u32 = 2;
 
 impl DependencyGraph {
-    /// Derives depths, deadlines, labels and priorities anew if anything changed; linear in the jobs that
-    /// have upstream or downstream jobs.
+    /// Recomputes depths, deadlines, scheduling preferences and priorities if anything changed. Takes time linear
+    /// in the number of jobs that have upstream or downstream jobs.
     pub fn refresh(&mut self) {
-        if !std::mem::take(&mut self.is_stale) {
+        if !std::mem::take(&mut self.needs_refresh) {
             return;
         }
-        for id in std::mem::take(&mut self.linked) {
+        for id in std::mem::take(&mut self.linked_jobs) {
             if let Some(node) = self.nodes.get_mut(&id) {
-                node.derived = Derived::alone(&node.traits);
+                node.derived = DerivedAttributes::without_edges(&node.attributes);
             }
         }
         let order = self.topological_order();
         self.derive_backwards(&order);
-        self.linked = order.into_iter().collect();
+        self.linked_jobs = order.into_iter().collect();
     }
 
-    /// Open jobs directly upstream of an open job.
+    /// Returns the open jobs directly upstream of an open job.
     fn open_upstream<'a>(&'a self, id: &JobId) -> impl Iterator<Item = &'a JobId> {
         let node = self.nodes.get(id).filter(|node| node.state.is_open());
         let unfinished = node.into_iter().flat_map(|node| &node.unfinished_upstream);
         unfinished.filter(|upstream| self.is_open(upstream))
     }
 
-    /// Open jobs directly downstream of a job.
+    /// Returns the open jobs directly downstream of a job.
     fn open_downstream<'a>(&'a self, id: &JobId) -> impl Iterator<Item = &'a JobId> {
         let all = self.downstream.get(id).into_iter().flatten();
         all.filter(|downstream| self.is_open(downstream))
     }
 
-    /// Open jobs that have upstream or downstream jobs.
+    /// Returns the open jobs that have upstream or downstream jobs.
     fn open_linked_jobs(&self) -> BTreeSet<JobId> {
         let upstream = self.downstream.keys();
         let downstream = self.downstream.values().flatten();
@@ -48,8 +48,9 @@
         linked.filter(|id| self.is_open(id)).cloned().collect()
     }
 
-    /// Open jobs with dependencies, upstream jobs first, with their depths set. Jobs in a cycle, which no
-    /// accepted submission can make, never come up: they keep what is their own and are never released.
+    /// Returns the open jobs with edges in topological order, upstream jobs first, and sets their depths. Jobs in
+    /// a cycle, which accepted submissions can't create, are left out: they keep their own attributes and are
+    /// never released.
     fn topological_order(&mut self) -> Vec<JobId> {
         let mut unordered_upstream: BTreeMap<JobId, usize> = BTreeMap::new();
         let mut ready: VecDeque<JobId> = VecDeque::new();
@@ -78,9 +79,9 @@
         order
     }
 
-    /// Backwards from the outputs: each job has to be done before its downstream jobs must begin, and has the
-    /// highest of their priorities; the latency label goes to the jobs directly upstream of an output with a
-    /// deadline and to those directly upstream of them.
+    /// Propagates attributes from downstream jobs to upstream jobs: each job has to be done before its downstream
+    /// jobs must start, and gets the highest of their priorities. Output jobs with a deadline, and jobs up to
+    /// [`MAX_LATENCY_STEPS`] edges upstream of them, are latency jobs.
     fn derive_backwards(&mut self, order: &[JobId]) {
         let mut steps_to_deadline: BTreeMap<JobId, u32> = BTreeMap::new();
         for id in order.iter().rev() {
@@ -89,7 +90,7 @@
                 continue;
             };
             let mut steps = steps_to_deadline.get(id).copied();
-            if is_output && node.traits.deadline.is_some() {
+            if is_output && node.attributes.deadline.is_some() {
                 steps = Some(0);
             }
             node.derived.scheduling_preference = match steps {
@@ -97,7 +98,7 @@
                 None => SchedulingPreference::Throughput,
             };
             let derived = node.derived;
-            let latest_start = derived.deadline.map(|at| at - node.traits.run_time);
+            let latest_start = derived.deadline.map(|at| at - node.attributes.run_time);
             for upstream in self.open_upstream(id).cloned().collect::<Vec<_>>() {
                 self.derive_upstream(&upstream, &derived, latest_start);
                 if let Some(steps) = steps.filter(|steps| *steps < MAX_LATENCY_STEPS) {
@@ -108,8 +109,13 @@
         }
     }
 
-    /// Carries priority and deadline over to a job from one directly downstream of it.
-    fn derive_upstream(&mut self, id: &JobId, downstream: &Derived, latest_start: Option<Instant>) {
+    /// Propagates priority and deadline to a job from a job directly downstream of it.
+    fn derive_upstream(
+        &mut self,
+        id: &JobId,
+        downstream: &DerivedAttributes,
+        latest_start: Option<Instant>,
+    ) {
         let Some(node) = self.nodes.get_mut(id) else {
             return;
         };
--- a/src/coordination/jobs/graph/mod.rs
+++ b/src/coordination/jobs/graph/mod.rs
@@ -1,11 +1,11 @@
-//! The graph of dependencies, after the Parrot paper: a job's output is a variable, an edge leads from the
+//! The dependency graph of jobs, after the Parrot paper: a job's output is a variable, and an edge leads from the
 //! job that produces it to each job that consumes it. A job is released when the terminal record of its last
-//! upstream job is durable; deadlines, labels and priorities are derived backwards from the downstream jobs;
-//! parallel jobs at one stage form a task group.
+//! upstream job is durable. Deadlines, scheduling preferences and priorities are propagated from downstream jobs to
+//! upstream jobs. Parallel jobs at one stage form a task group.
 //!
-//! The graph says what changed ([`DependencyGraph::take_changes`]), and of which upstream jobs the terminal records have
-//! to be read because nothing is known of them here ([`DependencyGraph::unresolved_after`]). A release is never decided
-//! on anything but a terminal record.
+//! [`DependencyGraph::take_changes`] returns the jobs that were released or cancelled.
+//! [`DependencyGraph::unresolved_after`] returns the upstream jobs in an unknown state, whose terminal records have
+//! to be read. Only a terminal record can release a job.
 
 mod derivation;
 mod node;
@@ -15,50 +15,50 @@
 use crate::ids::JobId;
 use crate::protocol::users::Priority;
 use crate::time::Instant;
-use node::{Derived, Node, NodeState};
+use node::{DerivedAttributes, Node, NodeState};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A job that has been released.
+/// A job that was released.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReleasedJob {
     /// The job.
     pub id: JobId,
-    /// When the terminal record of its last upstream job was written, if it has any.
+    /// When the terminal record of the last upstream job was written, if there are upstream jobs.
     pub last_upstream_finish: Option<Instant>,
 }
 
-/// What has changed since it was last asked.
+/// Changes of the graph since they were last taken.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct GraphChanges {
     /// Jobs that may run now.
     pub released: Vec<ReleasedJob>,
-    /// Open jobs downstream of a job that is cancelled.
+    /// Open jobs downstream of a cancelled job.
     pub cancelled: Vec<JobId>,
 }
 
-/// All jobs of which something upstream or downstream matters.
+/// The dependency graph of jobs.
 #[derive(Debug, Default)]
 pub struct DependencyGraph {
     nodes: BTreeMap<JobId, Node>,
-    /// Finished jobs that are forgotten but still named as upstream jobs, and when they finished.
+    /// Finished jobs without a node that are still upstream of other jobs, with the times when they finished.
     finished: BTreeMap<JobId, Instant>,
     /// The jobs directly downstream of each job.
     downstream: BTreeMap<JobId, BTreeSet<JobId>>,
-    /// Upstream jobs of blocked jobs whose terminal records have to be read.
+    /// Upstream jobs in an unknown state, whose terminal records have to be read.
     unresolved: BTreeSet<JobId>,
     changes: GraphChanges,
-    /// Jobs with more than their own traits to go by, as of the last `refresh`.
-    linked: BTreeSet<JobId>,
-    /// Whether edges or states changed since the last `refresh`.
-    is_stale: bool,
+    /// Open jobs that had upstream or downstream jobs at the last `refresh`.
+    linked_jobs: BTreeSet<JobId>,
+    /// Whether edges or states have changed since the last `refresh`.
+    needs_refresh: bool,
 }
 
-/// What happens to jobs.
+/// Changes of jobs.
 impl DependencyGraph {
-    /// Adds a job with the jobs that it depends on directly.
-    pub fn add_job(&mut self, id: &JobId, upstream: &[JobId], traits: JobAttributes) {
+    /// Adds a job with its direct upstream jobs.
+    pub fn add_job(&mut self, id: &JobId, upstream: &[JobId], attributes: JobAttributes) {
         self.unresolved.remove(id);
-        let mut node = Node::new(upstream, traits);
+        let mut node = Node::new(upstream, attributes);
         let mut is_upstream_cancelled = false;
         for upstream_id in upstream {
             let downstream = self.downstream.entry(upstream_id.clone()).or_default();
@@ -75,7 +75,7 @@
                 }
             }
         }
-        self.is_stale |= !upstream.is_empty() || self.has_downstream(id);
+        self.needs_refresh |= !upstream.is_empty() || self.has_downstream(id);
         self.nodes.insert(id.clone(), node);
         if is_upstream_cancelled {
             self.cancel_if_open(id.clone());
@@ -84,18 +84,18 @@
         }
     }
 
-    /// A job's terminal record says that it is done, and is durable since about that time: downstream jobs
-    /// whose last upstream job it was are released.
+    /// Marks a job as done; its terminal record is durable since about `at`. Releases the downstream jobs that
+    /// have no other unfinished upstream job.
     pub fn mark_finished(&mut self, id: &JobId, at: Instant) {
         self.unresolved.remove(id);
-        let is_held = self.set_state(id, NodeState::Finished(at));
+        let is_tracked = self.set_state(id, NodeState::Finished(at));
         let Some(downstream) = self.downstream.get(id).cloned() else {
             return;
         };
-        if !is_held {
+        if !is_tracked {
             self.finished.insert(id.clone(), at);
         }
-        self.is_stale = true;
+        self.needs_refresh = true;
         for downstream_id in downstream {
             if let Some(node) = self.nodes.get_mut(&downstream_id) {
                 node.upstream_finished(id, at);
@@ -104,7 +104,7 @@
         }
     }
 
-    /// A job is cancelled: all open jobs downstream of it, directly or through others, are too.
+    /// Marks a job as cancelled, and all open jobs that depend on it directly or indirectly.
     pub fn mark_cancelled(&mut self, id: &JobId) {
         self.unresolved.remove(id);
         self.set_state(id, NodeState::Cancelled);
@@ -114,8 +114,8 @@
         }
     }
 
-    /// A job is no longer open, and whether it was finished or cancelled is not known: its terminal record has
-    /// to be read if a job waits for it.
+    /// Marks a job as no longer open when it is unknown whether it finished or was cancelled. Its terminal record
+    /// has to be read if other jobs depend on it.
     pub fn mark_closed(&mut self, id: &JobId) {
         if !self.is_open(id) {
             return;
@@ -126,7 +126,8 @@
         }
     }
 
-    /// Releases whatever should have been released already. To be called about once a second.
+    /// Releases blocked jobs without unfinished upstream jobs, in case an earlier release was missed. To be called
+    /// about once a second.
     pub fn release_ready_jobs(&mut self) {
         let nodes = self.nodes.iter();
         let ready = nodes.filter(|(_, node)| {
@@ -137,12 +138,12 @@
         }
     }
 
-    /// A job is no longer held. It stays known as finished while a downstream job names it.
+    /// Removes a job. A finished job stays known as finished while other jobs depend on it.
     pub fn remove(&mut self, id: &JobId) {
         let Some(node) = self.nodes.remove(id) else {
             return;
         };
-        self.linked.remove(id);
+        self.linked_jobs.remove(id);
         for upstream_id in &node.upstream {
             self.remove_edge(upstream_id, id);
         }
@@ -151,31 +152,31 @@
         }
     }
 
-    /// What has changed since this was last called.
+    /// Returns the changes since the last call.
     pub fn take_changes(&mut self) -> GraphChanges {
         std::mem::take(&mut self.changes)
     }
 
-    /// Whether the job is held here; it has the given state then.
+    /// Sets the state of a job. Returns whether the job is in the graph.
     fn set_state(&mut self, id: &JobId, state: NodeState) -> bool {
         let has_downstream = self.has_downstream(id);
         let Some(node) = self.nodes.get_mut(id) else {
             return false;
         };
         node.state = state;
-        self.is_stale |= !node.upstream.is_empty() || has_downstream;
+        self.needs_refresh |= !node.upstream.is_empty() || has_downstream;
         true
     }
 
-    /// Cancels a job, if it is open, because one directly upstream of it is cancelled; says which are directly
-    /// downstream of it in turn.
+    /// Cancels a job, if it is open, because a direct upstream job is cancelled. Returns the direct downstream jobs
+    /// of a job that it cancelled.
     fn cancel_if_open(&mut self, id: JobId) -> Vec<JobId> {
         let node = self.nodes.get_mut(&id);
         let Some(node) = node.filter(|node| node.state.is_open()) else {
             return Vec::new();
         };
         node.state = NodeState::Cancelled;
-        self.is_stale = true;
+        self.needs_refresh = true;
         let downstream = self.directly_downstream(&id);
         self.changes.cancelled.push(id);
         downstream
@@ -195,7 +196,8 @@
         });
     }
 
-    /// Removes an edge, and what is only kept for the sake of the edges of the upstream job.
+    /// Removes an edge, and with the last edge of an upstream job also the job's entries in `finished` and
+    /// `unresolved`.
     fn remove_edge(&mut self, upstream_id: &JobId, downstream_id: &JobId) {
         let Some(downstream) = self.downstream.get_mut(upstream_id) else {
             return;
@@ -209,17 +211,17 @@
     }
 }
 
-/// What is known of jobs.
+/// Queries.
 impl DependencyGraph {
-    /// Upstream jobs of which nothing is known here, after the given one in order and then from the start:
-    /// their terminal records have to be read. At most so many.
+    /// Returns at most `max_count` upstream jobs whose terminal records have to be read: first those after `last`
+    /// in the order of ids, then from the start.
     pub fn unresolved_after(&self, last: Option<&JobId>, max_count: usize) -> Vec<JobId> {
         let after = self.unresolved.iter().filter(|id| Some(*id) > last);
         let before = self.unresolved.iter().filter(|id| Some(*id) <= last);
         after.chain(before).take(max_count).cloned().collect()
     }
 
-    /// Whether a job depends, or depended, directly on this one.
+    /// Whether any job depends, or depended, directly on the job.
     pub fn has_downstream(&self, id: &JobId) -> bool {
         self.downstream.contains_key(id)
     }
@@ -230,7 +232,7 @@
         node.is_some_and(|node| node.state == NodeState::Released)
     }
 
-    /// The label; that of jobs not held here is throughput.
+    /// Returns the job's scheduling preference; throughput for unknown jobs.
     pub fn scheduling_preference(&self, id: &JobId) -> SchedulingPreference {
         self.derived(id)
             .map_or(SchedulingPreference::Throughput, |derived| {
@@ -238,25 +240,25 @@
             })
     }
 
-    /// The place in topological order: unfinished upstream jobs before downstream ones.
+    /// Returns the number of jobs on the longest path of unfinished upstream jobs; 0 for unknown jobs.
     pub fn depth(&self, id: &JobId) -> u32 {
         self.derived(id).map_or(0, |derived| derived.depth)
     }
 
-    /// The time by which the job has to be done for its own deadline and all downstream of it.
+    /// Returns the time by which the job has to be done to meet its own deadline and all downstream deadlines.
     pub fn deadline(&self, id: &JobId) -> Option<Instant> {
         self.derived(id).and_then(|derived| derived.deadline)
     }
 
-    /// The highest priority of the job and of all jobs downstream of it; `None` if it is not held here.
+    /// Returns the highest priority of the job and all its downstream jobs; `None` for unknown jobs.
     pub fn priority(&self, id: &JobId) -> Option<Priority> {
         self.derived(id).map(|derived| derived.priority)
     }
 
-    /// The task group: parallel latency jobs at one stage before the same downstream jobs. A job without
-    /// downstream jobs is a group of its own tasks.
+    /// Returns the jobs of the job's task group: parallel latency jobs of the same depth with the same downstream
+    /// jobs. Any other job is the only one in its group.
     pub fn task_group(&self, id: &JobId) -> Vec<JobId> {
-        let group = self.latency_jobs_alongside(id).unwrap_or_default();
+        let group = self.parallel_latency_jobs(id).unwrap_or_default();
         if group.is_empty() {
             vec![id.clone()]
         } else {
@@ -264,16 +266,16 @@
         }
     }
 
-    /// The latency jobs, itself included, that are at the same depth as a latency job and before the same
-    /// downstream jobs, in the order in which the first of those names them.
-    fn latency_jobs_alongside(&self, id: &JobId) -> Option<Vec<JobId>> {
+    /// Returns the latency jobs, including the job itself, of the same depth and with the same downstream jobs as a
+    /// latency job, in the order of the first downstream job's list of upstream jobs.
+    fn parallel_latency_jobs(&self, id: &JobId) -> Option<Vec<JobId>> {
         let node = self.nodes.get(id)?;
         let downstream = self.downstream.get(id)?;
         if node.derived.scheduling_preference != SchedulingPreference::Latency {
             return None;
         }
         let first_downstream = self.nodes.get(downstream.first()?)?;
-        let is_alike = |other_id: &&JobId| {
+        let is_in_group = |other_id: &&JobId| {
             self.nodes.get(*other_id).is_some_and(|other| {
                 other.state.is_open()
                     && other.derived.depth == node.derived.depth
@@ -281,11 +283,11 @@
                     && self.downstream.get(*other_id) == Some(downstream)
             })
         };
-        let siblings = first_downstream.upstream.iter().filter(is_alike);
-        Some(siblings.cloned().collect())
+        let group = first_downstream.upstream.iter().filter(is_in_group);
+        Some(group.cloned().collect())
     }
 
-    fn derived(&self, id: &JobId) -> Option<&Derived> {
+    fn derived(&self, id: &JobId) -> Option<&DerivedAttributes> {
         self.nodes.get(id).map(|node| &node.derived)
     }
 
@@ -294,8 +296,8 @@
     }
 
     fn state_of(&self, id: &JobId) -> Option<NodeState> {
-        let held = self.nodes.get(id).map(|node| node.state);
-        held.or_else(|| self.finished.get(id).map(|at| NodeState::Finished(*at)))
+        let tracked = self.nodes.get(id).map(|node| node.state);
+        tracked.or_else(|| self.finished.get(id).map(|at| NodeState::Finished(*at)))
     }
 
     fn directly_downstream(&self, id: &JobId) -> Vec<JobId> {
--- a/src/coordination/jobs/graph/node.rs
+++ b/src/coordination/jobs/graph/node.rs
@@ -1,68 +1,68 @@
-//! What the graph holds of one job.
+//! The nodes of the dependency graph: one for each job.
 
 use crate::ids::JobId;
 use crate::protocol::users::Priority;
 use crate::time::{Instant, TimeSpan};
 use std::collections::BTreeSet;
 
-/// How a job is to be served.
+/// Whether a job is scheduled for low latency or for throughput.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum SchedulingPreference {
-    /// Its end, or that of a job close downstream of it, is waited for.
+    /// The job is an output job with a deadline, or at most two edges upstream of one.
     Latency,
-    /// Only the throughput of the whole matters.
+    /// Only total throughput matters.
     Throughput,
 }
 
-/// What a job brings into the graph.
+/// A job's own attributes, from which the graph derives those of its upstream jobs.
 #[derive(Clone, Copy, Debug)]
 pub struct JobAttributes {
-    /// Its own deadline.
+    /// The job's own deadline.
     pub deadline: Option<Instant>,
-    /// How long it should take from its release to its end.
+    /// The estimated time from the job's release to its end.
     pub run_time: TimeSpan,
-    /// Its own priority.
+    /// The job's own priority.
     pub priority: Priority,
 }
 
-/// What follows for a job from its own traits and those of all downstream jobs.
+/// Attributes derived from a job's own attributes and those of all its downstream jobs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct Derived {
-    /// The number of jobs on the longest path of unfinished jobs upstream of it.
+pub(super) struct DerivedAttributes {
+    /// The number of jobs on the longest path of unfinished upstream jobs.
     pub(super) depth: u32,
     pub(super) scheduling_preference: SchedulingPreference,
-    /// The time by which it has to be done for every deadline downstream of it.
+    /// The time by which the job has to be done to meet its own deadline and all downstream deadlines.
     pub(super) deadline: Option<Instant>,
     pub(super) priority: Priority,
 }
 
-impl Derived {
-    /// What holds for a job without upstream and downstream jobs.
-    pub(super) fn alone(traits: &JobAttributes) -> Derived {
-        Derived {
+impl DerivedAttributes {
+    /// Returns the derived attributes of a job without upstream and downstream jobs.
+    pub(super) fn without_edges(attributes: &JobAttributes) -> DerivedAttributes {
+        DerivedAttributes {
             depth: 0,
-            scheduling_preference: match traits.deadline {
+            scheduling_preference: match attributes.deadline {
                 Some(_) => SchedulingPreference::Latency,
                 None => SchedulingPreference::Throughput,
             },
-            deadline: traits.deadline,
-            priority: traits.priority,
+            deadline: attributes.deadline,
+            priority: attributes.priority,
         }
     }
 }
 
-/// How far a job of the graph has come.
+/// The state of a job in the graph.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum NodeState {
     /// Waits for upstream jobs.
     Blocked,
     /// May run.
     Released,
-    /// Its terminal record is durable, since about then.
+    /// Done; the terminal record is durable since about this time.
     Finished(Instant),
-    /// Cancelled by its user, or downstream of a job that was.
+    /// Cancelled by its user, or downstream of a cancelled job.
     Cancelled,
-    /// No longer open; whether it was finished or cancelled is not known.
+    /// No longer open; whether the job finished or was cancelled is unknown.
     Closed,
 }
 
@@ -72,34 +72,34 @@
     }
 }
 
-/// A job of the graph.
+/// A job in the graph.
 #[derive(Debug)]
 pub(super) struct Node {
-    /// All jobs that it depends on directly.
+    /// All jobs directly upstream of the job.
     pub(super) upstream: Vec<JobId>,
-    /// Those of them whose terminal record is not known to be durable.
+    /// Upstream jobs whose terminal record is not known to be durable.
     pub(super) unfinished_upstream: BTreeSet<JobId>,
-    /// When the last known terminal record of an upstream job was written.
+    /// The time of the latest known terminal record of an upstream job.
     pub(super) last_upstream_finish: Option<Instant>,
     pub(super) state: NodeState,
-    pub(super) traits: JobAttributes,
-    pub(super) derived: Derived,
+    pub(super) attributes: JobAttributes,
+    pub(super) derived: DerivedAttributes,
 }
 
 impl Node {
-    /// A job of which nothing is known yet but what it depends on.
-    pub(super) fn new(upstream: &[JobId], traits: JobAttributes) -> Node {
+    /// Creates a blocked job, before the states of its upstream jobs are known.
+    pub(super) fn new(upstream: &[JobId], attributes: JobAttributes) -> Node {
         Node {
             upstream: upstream.to_vec(),
             unfinished_upstream: BTreeSet::new(),
             last_upstream_finish: None,
             state: NodeState::Blocked,
-            traits,
-            derived: Derived::alone(&traits),
+            attributes,
+            derived: DerivedAttributes::without_edges(&attributes),
         }
     }
 
-    /// An upstream job finished: its terminal record was written at that time.
+    /// Records that an upstream job finished; its terminal record was written at `at`.
     pub(super) fn upstream_finished(&mut self, id: &JobId, at: Instant) {
         self.unfinished_upstream.remove(id);
         self.last_upstream_finish = self.last_upstream_finish.max(Some(at));
