--- a/src/coordination/jobs/index.rs
+++ b/src/coordination/jobs/index.rs
@@ -1,4 +1,4 @@
-//! Sets of jobs by state. Only the job table changes them, with each change of a job.
+//! Sets of jobs by state, which the job table updates with each change of a job.
 
 use super::job::Job;
 use super::table::JobTable;
@@ -9,29 +9,29 @@
 /// Sets of jobs by state.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct JobIndex {
-    /// Released jobs with tasks that are placed nowhere.
+    /// Released jobs with pending tasks.
     pub(super) pending: BTreeSet<JobId>,
-    /// Open jobs that wait for upstream jobs to be done.
+    /// Open jobs that wait for upstream jobs.
     pub(super) blocked: BTreeSet<JobId>,
-    /// Open jobs that are to be cancelled because a job upstream of them is.
+    /// Open jobs that are to be cancelled because an upstream job was cancelled.
     pub(super) ancestor_cancelled: BTreeSet<JobId>,
-    /// Released jobs by team, in the order in which they became ready: for guaranteed shares.
+    /// Released jobs by team, ordered by the time when they became ready; used for guaranteed shares.
     pub(super) released_by_team: Vec<BTreeSet<(Instant, JobId)>>,
-    /// Open jobs of which every task is completed.
+    /// Open jobs whose tasks are all completed.
     pub(super) complete: BTreeSet<JobId>,
     /// Open jobs with completed tasks that are not persisted yet.
     pub(super) unpersisted: BTreeSet<JobId>,
-    /// Jobs that are closed and have no task attempt left anywhere.
+    /// Closed jobs without task attempts.
     pub(super) removable: BTreeSet<JobId>,
 }
 
-/// The sets that a job belongs to; the default is none.
+/// The sets that a job belongs to; by default none.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct Memberships {
     pending: bool,
     blocked: bool,
     ancestor_cancelled: bool,
-    /// When it became ready, if it is released.
+    /// When the job became ready, if it is released.
     released: Option<Instant>,
     complete: bool,
     unpersisted: bool,
@@ -39,7 +39,7 @@
 }
 
 impl Memberships {
-    /// The sets that a job belongs to in its present state.
+    /// Returns the sets that a job belongs to in its current state.
     pub(super) fn of(job: &Job) -> Memberships {
         let open = !job.is_closed();
         Memberships {
@@ -55,7 +55,7 @@
 }
 
 impl JobIndex {
-    /// Empty sets for so many teams.
+    /// Creates empty sets for the given number of teams.
     pub(super) fn new(teams: usize) -> JobIndex {
         JobIndex {
             released_by_team: vec![BTreeSet::new(); teams],
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Brings the sets in step with a job whose memberships may have changed.
+    /// Updates the sets for a job whose memberships may have changed.
     pub(super) fn update(
         &mut self,
         id: &JobId,
@@ -90,7 +90,7 @@
     }
 }
 
-/// Puts an id into a set or takes it out.
+/// Inserts an id into a set or removes it.
 pub(crate) fn set_membership<T: Ord + Clone>(set: &mut BTreeSet<T>, id: &T, member: bool) {
     if !member {
         set.remove(id);
@@ -99,53 +99,59 @@
     }
 }
 
-/// The sets as kept, and as counted anew: they differ.
+/// A difference between the maintained and the recomputed sets of jobs.
 #[derive(Debug)]
 pub struct JobIndexMismatch {
-    /// As kept.
-    pub kept: JobIndex,
-    /// As counted.
-    pub counted: JobIndex,
+    /// The maintained sets.
+    pub maintained: JobIndex,
+    /// The recomputed sets.
+    pub recomputed: JobIndex,
 }
 
 impl JobTable {
-    /// Counts the sets anew and compares. For tests: no decision calls it.
+    /// Recomputes the sets of jobs and compares them with the maintained ones. For tests only.
     ///
-    /// The rules of membership stand here once more, apart from those that keep the sets in step.
+    /// The membership rules are repeated here on purpose, to check those in [`Memberships`].
     ///
     /// # Errors
-    /// Both sets, if they differ.
+    /// Returns the maintained and the recomputed sets if they differ.
     pub fn audit_index(&self) -> Result<(), Box<JobIndexMismatch>> {
-        let mut counted = JobIndex::new(self.team_count());
+        let mut recomputed = JobIndex::new(self.team_count());
         for (id, job) in self {
             let (open, released) = (!job.is_closed(), job.is_released());
             for (set, member) in [
-                (&mut counted.pending, released && !job.pending().is_empty()),
-                (&mut counted.blocked, open && !released),
                 (
-                    &mut counted.ancestor_cancelled,
+                    &mut recomputed.pending,
+                    released && !job.pending().is_empty(),
+                ),
+                (&mut recomputed.blocked, open && !released),
+                (
+                    &mut recomputed.ancestor_cancelled,
                     open && job.is_ancestor_cancelled(),
                 ),
-                (&mut counted.complete, open && job.is_complete()),
+                (&mut recomputed.complete, open && job.is_complete()),
                 (
-                    &mut counted.unpersisted,
+                    &mut recomputed.unpersisted,
                     open && !job.unpersisted().is_empty(),
                 ),
-                (&mut counted.removable, !open && job.attempt_count() == 0),
+                (&mut recomputed.removable, !open && job.attempt_count() == 0),
             ] {
                 if member {
                     set.insert(id.clone());
                 }
             }
             let team = job.team().filter(|_| released);
-            if let Some(set) = team.and_then(|team| counted.released_by_team.get_mut(team.0)) {
+            if let Some(set) = team.and_then(|team| recomputed.released_by_team.get_mut(team.0)) {
                 set.insert((job.ready_at(), id.clone()));
             }
         }
-        if counted == self.index {
+        if recomputed == self.index {
             return Ok(());
         }
-        let kept = self.index.clone();
-        Err(Box::new(JobIndexMismatch { kept, counted }))
+        let maintained = self.index.clone();
+        Err(Box::new(JobIndexMismatch {
+            maintained,
+            recomputed,
+        }))
     }
 }
--- a/src/coordination/jobs/table.rs
+++ b/src/coordination/jobs/table.rs
@@ -1,7 +1,7 @@
-//! The job table: every job that the leader holds, the graph of their dependencies, and the sets of jobs by
-//! state that decisions look up often.
+//! The job table: all jobs that the leader tracks, their dependency graph, and sets of jobs by state for frequent
+//! lookups.
 //!
-//! Jobs change only through the table, so the sets are always in step with them.
+//! Jobs change only through the table, so the sets are always consistent with them.
 
 use super::graph::DependencyGraph;
 use super::index::{JobIndex, Memberships};
@@ -10,19 +10,19 @@
 use crate::ids::{JobId, TeamIndex};
 use std::collections::{btree_map, BTreeMap, BTreeSet};
 
-/// All jobs of a leadership.
+/// All jobs that the leader tracks during its leadership term.
 #[derive(Debug)]
 pub struct JobTable {
     jobs: BTreeMap<JobId, Job>,
     pub(super) index: JobIndex,
-    /// Which jobs depend on which.
+    /// The dependencies between jobs.
     pub(super) graph: DependencyGraph,
-    /// Reads of the terminal records of upstream jobs that are not held here.
+    /// Reads of the terminal records of upstream jobs in an unknown state.
     pub(super) terminal_record_reads: TerminalRecordReads,
 }
 
 impl JobTable {
-    /// An empty table for so many teams.
+    /// Creates an empty table for the given number of teams.
     pub fn new(teams: usize) -> JobTable {
         JobTable {
             jobs: BTreeMap::new(),
@@ -32,32 +32,32 @@
         }
     }
 
-    /// The job with that id, if it is held.
+    /// Returns the job with the given id, if it is in the table.
     pub fn get(&self, id: &JobId) -> Option<&Job> {
         self.jobs.get(id)
     }
 
-    /// Whether a job is held.
+    /// Whether a job is in the table.
     pub fn contains(&self, id: &JobId) -> bool {
         self.jobs.contains_key(id)
     }
 
-    /// Every job, in the order of ids.
+    /// Returns all jobs in the order of their ids.
     pub fn iter(&self) -> btree_map::Iter<'_, JobId, Job> {
         self.jobs.iter()
     }
 
-    /// How many jobs are held.
+    /// Returns the number of jobs.
     pub fn len(&self) -> usize {
         self.jobs.len()
     }
 
-    /// Whether no job is held.
+    /// Whether the table is empty.
     pub fn is_empty(&self) -> bool {
         self.jobs.is_empty()
     }
 
-    /// Takes a job in.
+    /// Inserts a job.
     pub fn insert(&mut self, id: JobId, job: Job) {
         let after = Memberships::of(&job);
         let team = job.team();
@@ -66,7 +66,7 @@
         self.index.update(&id, team, &before, &after);
     }
 
-    /// Changes a job; the sets by state follow. `None`: it is not held, and nothing was done.
+    /// Changes a job and updates the sets by state. Returns `None` if the job is not in the table.
     pub fn update<R>(&mut self, id: &JobId, change: impl FnOnce(&mut Job) -> R) -> Option<R> {
         let job = self.jobs.get_mut(id)?;
         let before = Memberships::of(job);
@@ -76,7 +76,7 @@
         Some(result)
     }
 
-    /// Forgets a job and its place in the graph.
+    /// Removes a job from the table and the graph.
     pub fn remove(&mut self, id: &JobId) {
         if let Some(job) = self.jobs.remove(id) {
             let before = Memberships::of(&job);
@@ -86,57 +86,57 @@
         self.graph.remove(id);
     }
 
-    /// Released jobs with tasks that are placed nowhere.
+    /// Returns the released jobs with pending tasks.
     pub fn pending(&self) -> impl Iterator<Item = (&JobId, &Job)> {
         self.in_set(&self.index.pending)
     }
 
-    /// Whether any job is pending.
+    /// Whether any job has pending tasks.
     pub fn has_pending(&self) -> bool {
         !self.index.pending.is_empty()
     }
 
-    /// Open jobs that wait for upstream jobs to be done.
+    /// Returns the open jobs that wait for upstream jobs.
     pub fn blocked(&self) -> impl Iterator<Item = (&JobId, &Job)> {
         self.in_set(&self.index.blocked)
     }
 
-    /// Open jobs that are to be cancelled because a job upstream of them is.
+    /// Returns the open jobs that are to be cancelled because an upstream job was cancelled.
     pub fn ancestor_cancelled(&self) -> impl Iterator<Item = (&JobId, &Job)> {
         self.in_set(&self.index.ancestor_cancelled)
     }
 
-    /// Open jobs of which every task is completed.
+    /// Returns the open jobs whose tasks are all completed.
     pub fn complete(&self) -> impl Iterator<Item = (&JobId, &Job)> {
         self.in_set(&self.index.complete)
     }
 
-    /// Open jobs with completed tasks that are not persisted yet.
+    /// Returns the open jobs with completed tasks that are not persisted yet.
     pub fn unpersisted(&self) -> impl Iterator<Item = (&JobId, &Job)> {
         self.in_set(&self.index.unpersisted)
     }
 
-    /// Jobs that are closed and have no task attempt left anywhere.
+    /// Returns the closed jobs without task attempts.
     pub fn removable(&self) -> impl Iterator<Item = &JobId> {
         self.index.removable.iter()
     }
 
-    /// Which jobs depend on which, and what follows from it.
+    /// Returns the dependency graph.
     pub fn graph(&self) -> &DependencyGraph {
         &self.graph
     }
 
-    /// Derives deadlines, labels and priorities anew if anything changed in the graph.
+    /// Recomputes depths, deadlines, scheduling preferences and priorities if the graph changed.
     pub fn refresh_graph(&mut self) {
         self.graph.refresh();
     }
 
-    /// The number of teams.
+    /// Returns the number of teams.
     pub fn team_count(&self) -> usize {
         self.index.released_by_team.len()
     }
 
-    /// Released jobs of a team, in the order in which they became ready.
+    /// Returns a team's released jobs, ordered by the time when they became ready.
     pub fn released_of_team(&self, team: TeamIndex) -> impl Iterator<Item = (&JobId, &Job)> {
         let released = self.index.released_by_team.get(team.0);
         let ids = released.into_iter().flatten().map(|(_, id)| id);
