--- a/src/coordination/jobs/job.rs
+++ b/src/coordination/jobs/job.rs
@@ -1,4 +1,4 @@
-//! A job as the leader holds it.
+//! A job as tracked by the leader.
 
 use super::retry::RetryBackoff;
 use super::run_times::TaskRunTimes;
@@ -11,20 +11,20 @@
 use crate::time::Instant;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How far a job has come.
+/// The lifecycle state of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum JobState {
-    /// Waits for upstream jobs to be done. Until then it counts for nothing but its deadline.
+    /// Waits for upstream jobs; only the deadline counts in this state.
     Blocked,
-    /// All upstream jobs are done: its tasks may be placed.
+    /// All upstream jobs are done: the tasks may be placed.
     Released,
-    /// Cancelled or finished: nothing may start, what runs is stopped.
+    /// Cancelled or finished: no task may start, and running tasks are stopped.
     Closed,
 }
 
-/// A job that the leader holds: open, or closed but with task attempts not yet proven gone.
+/// A job that the leader tracks: an open job, or a closed one until all its task attempts are removed.
 ///
-/// Changed only through [`JobTable::update`](super::table::JobTable::update) and the events of the table.
+/// Jobs are changed only through the job table, mostly by [`JobTable::update`](super::table::JobTable::update).
 #[derive(Debug)]
 pub struct Job {
     spec: JobSpec,
@@ -46,7 +46,7 @@
 }
 
 impl Job {
-    /// A job of which nothing has happened yet.
+    /// Creates a blocked job with all its tasks pending.
     pub fn new(
         spec: JobSpec,
         team: Option<TeamIndex>,
@@ -74,160 +74,160 @@
         }
     }
 
-    /// What its user asked for.
+    /// Returns the user's job specification.
     pub fn spec(&self) -> &JobSpec {
         &self.spec
     }
 
-    /// Its team, if the settings know it.
+    /// Returns the job's team, if it is in the settings.
     pub fn team(&self) -> Option<TeamIndex> {
         self.team
     }
 
-    /// The revision of its open record: the precondition of every write on the job's behalf.
+    /// Returns the revision of the open record, which is a precondition of every write for the job.
     pub fn open_record_revision(&self) -> KeyRevision {
         self.open_record_revision
     }
 
-    /// When it was accepted, on the leader's clock: deadlines count from here.
+    /// Returns when the job was accepted, on the leader's clock; deadlines count from this time.
     pub fn submitted_at(&self) -> Instant {
         self.submitted_at
     }
 
-    /// When it could first have run: when it was accepted, or the last upstream job was done. All times but
-    /// its deadline count from here.
+    /// Returns when the job became ready to run: when it was accepted or, if later, when its last upstream job was
+    /// done. All times but the deadline count from this time.
     pub fn ready_at(&self) -> Instant {
         self.ready_at
     }
 
-    /// How many pages on the state service name upstream jobs of it.
+    /// Returns the number of pages in the state store that list the job's upstream jobs.
     pub fn dependency_pages(&self) -> u32 {
         self.dependency_pages
     }
 
-    /// Whether it is cancelled or finished: nothing may start, what runs is stopped.
+    /// Whether the job is cancelled or finished.
     pub fn is_closed(&self) -> bool {
         self.state == JobState::Closed
     }
 
-    /// Whether it is open and waits for upstream jobs to be done.
+    /// Whether the job is open and waits for upstream jobs.
     pub fn is_blocked(&self) -> bool {
         self.state == JobState::Blocked
     }
 
-    /// Whether it is open and all upstream jobs are done.
+    /// Whether the job is open and all its upstream jobs are done.
     pub fn is_released(&self) -> bool {
         self.state == JobState::Released
     }
 
-    /// Whether a job upstream of it, directly or through others, is cancelled: it is to be cancelled too.
+    /// Whether a direct or indirect upstream job is cancelled, so that this job is to be cancelled too.
     pub fn is_ancestor_cancelled(&self) -> bool {
         self.ancestor_cancelled
     }
 
-    /// Its completed tasks.
+    /// Returns the completed tasks.
     pub fn completed(&self) -> &CompletedTasks {
         self.tasks.completed()
     }
 
-    /// Completed tasks of which the state service does not know yet.
+    /// Returns the completed tasks whose completion is not yet persisted in the state store.
     pub fn unpersisted(&self) -> &BTreeSet<u32> {
         self.tasks.unpersisted()
     }
 
-    /// Tasks that are neither completed nor on any machine.
+    /// Returns the tasks that are neither completed nor placed.
     pub fn pending(&self) -> &BTreeSet<u32> {
         self.tasks.pending()
     }
 
-    /// The machines on which each task may be: more than one only after a failover.
+    /// Returns the machines on which each task may be; more than one only after a failover.
     pub fn placements(&self) -> &BTreeMap<u32, Vec<MachineId>> {
         self.tasks.placements()
     }
 
-    /// How many of its tasks may be in each zone.
+    /// Returns the number of tasks that may be in each zone.
     pub fn tasks_by_zone(&self) -> &TasksByZone {
         self.tasks.by_zone()
     }
 
-    /// Whether all its tasks have to be in one zone.
+    /// Whether all tasks of the job have to be in one zone.
     pub fn has_affinity(&self) -> bool {
         self.spec.together && self.spec.tasks > 1
     }
 
-    /// Whether its tasks have to share a zone and may be in several: nothing of it can start until all but one
-    /// of these are proven empty.
+    /// Whether the job has zone affinity but its tasks may be in several zones. No task can start until all but one
+    /// of these zones are proven empty.
     pub fn is_in_conflicting_zones(&self) -> bool {
         self.has_affinity() && self.tasks_by_zone().zones().len() > 1
     }
 
-    /// How many attempts of its tasks are in the ledger.
+    /// Returns the number of task attempts in the ledger.
     pub fn attempt_count(&self) -> u32 {
         self.attempt_count
     }
 
-    /// How many of its attempts were seen running and have not ended since.
+    /// Returns the number of task attempts reported as running that have not ended since.
     pub fn running_count(&self) -> u32 {
         self.running_count
     }
 
-    /// Whether a task of it has run, or may have under a former leader.
+    /// Whether a task of the job has run, possibly under a former leader.
     pub fn has_run(&self) -> bool {
         self.has_run
     }
 
-    /// How long its completed tasks ran.
+    /// Returns the run times of the completed tasks.
     pub fn run_times(&self) -> &TaskRunTimes {
         &self.run_times
     }
 
-    /// Whether a member of its last gang attempt gave up waiting for the others.
+    /// Whether a member of the last gang attempt timed out waiting for the other members.
     pub fn gang_attempt_failed(&self) -> bool {
         self.gang_attempt_failed
     }
 
-    /// Since when it has left free capacity to other jobs, for machines that have its image.
+    /// Returns when the job started to wait for machines with its image cached, leaving free capacity to other jobs.
     pub fn image_wait_since(&self) -> Option<Instant> {
         self.image_wait_since
     }
 
-    /// Where its tasks failed, and when it may be placed again.
+    /// Returns the retry backoff: where tasks failed, and when the job may be placed again.
     pub fn retry(&self) -> &RetryBackoff {
         &self.retry
     }
 
-    /// Whether every task is completed. A service never is.
+    /// Whether all tasks are completed; never true for a service.
     pub fn is_complete(&self) -> bool {
         self.spec.shape != Shape::Service && self.completed().count() >= self.spec.tasks
     }
 
-    /// Whether it has failed on several machines and never succeeded: most likely it fails on all.
+    /// Whether the job has failed on several machines and completed no task, so that it probably fails everywhere.
     pub fn fails_everywhere(&self) -> bool {
         self.retry.failed_on_several() && self.completed().count() == 0
     }
 
-    /// Whether a task still has to run.
+    /// Whether the task still has to run.
     pub fn needs_run(&self, index: u32) -> bool {
         !self.is_closed() && index < self.spec.tasks && !self.completed().has(index)
     }
 
-    /// What its uncompleted tasks take together.
+    /// Returns the total resource request of the tasks that are not completed.
     pub fn remaining_request(&self) -> Resources {
         let completed = self.completed().count().min(self.spec.tasks);
         Resources::of(&self.spec).times(f64::from(self.spec.tasks - completed))
     }
 
-    /// Whether its tasks can only run all at once: a gang of several of which none has completed.
+    /// Whether all tasks have to be placed at once: the job is a gang of several tasks, none of them completed.
     pub fn needs_gang_scheduling(&self) -> bool {
         self.spec.shape == Shape::Gang && self.spec.tasks > 1 && self.completed().count() == 0
     }
 
-    /// Its open record was found at another revision.
+    /// Updates the revision of the open record.
     pub fn set_open_record_revision(&mut self, revision: KeyRevision) {
         self.open_record_revision = revision;
     }
 
-    /// All upstream jobs are done, the last of them at that time if there was one.
+    /// Releases the job, because all upstream jobs are done, the last of them at `last_upstream_done_at`.
     pub(super) fn release(&mut self, now: Instant, last_upstream_done_at: Option<Instant>) {
         if self.is_blocked() {
             self.state = JobState::Released;
@@ -237,23 +237,24 @@
         }
     }
 
-    /// A job upstream of it is cancelled.
+    /// Records that an upstream job is cancelled.
     pub(super) fn cancel_with_ancestor(&mut self) {
         self.ancestor_cancelled = true;
     }
 
-    /// It is cancelled or finished: none of its tasks may start any more.
+    /// Closes the job, so that none of its tasks may start any more.
     pub(super) fn close(&mut self) {
         self.state = JobState::Closed;
         self.tasks.drop_pending();
     }
 
-    /// A task may be on that machine, in that zone, from now on.
+    /// Records that a task may be on a machine in the given zone.
     pub fn task_placed(&mut self, index: u32, machine_id: &MachineId, zone: &Zone) {
         self.tasks.placed(index, machine_id, zone);
     }
 
-    /// A task is not on that machine, in that zone, any more: it is pending again if it still has to run.
+    /// Records that a task is no longer on a machine in the given zone. The task becomes pending if it still has to
+    /// run.
     pub fn task_left_machine(&mut self, index: u32, machine_id: &MachineId, zone: &Zone) {
         self.tasks.left_machine(index, machine_id, zone);
         if self.needs_run(index) {
@@ -261,78 +262,78 @@
         }
     }
 
-    /// A task is completed. Without effect on a closed job.
+    /// Marks a task as completed. Has no effect on a closed job.
     pub fn task_completed(&mut self, index: u32) {
         if !self.is_closed() && index < self.spec.tasks {
             self.tasks.complete(index);
         }
     }
 
-    /// The state service knows that these tasks are completed.
+    /// Records that the completion of these tasks is persisted.
     pub fn progress_persisted(&mut self, indices: &BTreeSet<u32>) {
         self.tasks.persisted(indices);
     }
 
-    /// Takes in a progress record: tasks that were completed under a former leader.
+    /// Loads a chunk of the progress record: tasks completed under a former leader.
     pub fn load_progress(&mut self, chunk: u32, text: &str) {
         self.tasks.load_progress(chunk, text);
         self.has_run |= self.completed().count() > 0;
     }
 
-    /// An attempt of a task is in the ledger.
-    pub fn attempt_added(&mut self, runs: bool) {
+    /// Counts a task attempt that was inserted into the ledger.
+    pub fn attempt_added(&mut self, is_running: bool) {
         self.attempt_count += 1;
-        self.running_count += u32::from(runs);
+        self.running_count += u32::from(is_running);
     }
 
-    /// An attempt of a task is off the ledger.
-    pub fn attempt_removed(&mut self, runs: bool) {
+    /// Uncounts a task attempt that was removed from the ledger.
+    pub fn attempt_removed(&mut self, is_running: bool) {
         self.attempt_count = self.attempt_count.saturating_sub(1);
-        self.running_count = self.running_count.saturating_sub(u32::from(runs));
+        self.running_count = self.running_count.saturating_sub(u32::from(is_running));
     }
 
-    /// An attempt began to run. True if it is the first of the job that does.
+    /// Records that a task attempt started to run. Returns whether it is the first of the job to do so.
     pub fn attempt_started(&mut self) -> bool {
         self.running_count += 1;
         !std::mem::replace(&mut self.has_run, true)
     }
 
-    /// An attempt that ran has ended.
+    /// Records that a running task attempt has ended.
     pub fn attempt_stopped_running(&mut self) {
         self.running_count = self.running_count.saturating_sub(1);
     }
 
-    /// A completed task ran for so many seconds.
+    /// Records the run time of a completed task, in seconds.
     pub fn run_time_measured(&mut self, run_time_s: f64) {
         self.run_times.add(run_time_s);
     }
 
-    /// A task ended in an error on that machine.
+    /// Records that a task ended in an error on a machine.
     pub fn task_failed(&mut self, now: Instant, machine_id: &MachineId) {
         self.retry.task_failed(now, machine_id);
     }
 
-    /// Nothing of it is to be placed before that time.
+    /// Delays placement of the job until at least `until`.
     pub fn postpone(&mut self, until: Instant) {
         self.retry.postpone(until);
     }
 
-    /// A member of a gang gave up waiting for the others.
+    /// Records that a gang member timed out waiting for the other members.
     pub fn gang_member_timed_out(&mut self) {
         self.gang_attempt_failed = true;
     }
 
-    /// Tasks of it were placed: a new gang attempt, if it is a gang.
+    /// Records that tasks of the job were placed, which starts a new attempt of a gang.
     pub fn gang_attempt_started(&mut self) {
         self.gang_attempt_failed = false;
     }
 
-    /// It leaves free capacity to other jobs, for machines that have its image.
+    /// Records that the job waits for machines with its image cached, leaving free capacity to other jobs.
     pub fn image_wait_started(&mut self, now: Instant) {
         self.image_wait_since.get_or_insert(now);
     }
 
-    /// Tasks of it were placed on machines that have its image.
+    /// Records that tasks of the job were placed on machines with its image cached.
     pub fn image_wait_ended(&mut self) {
         self.image_wait_since = None;
     }
--- a/src/coordination/jobs/tasks.rs
+++ b/src/coordination/jobs/tasks.rs
@@ -1,4 +1,4 @@
-//! The tasks of a job: which are completed, which may be on a machine, which are pending.
+//! The states of a job's tasks: completed, placed on machines, or pending.
 
 use super::tasks_by_zone::TasksByZone;
 use crate::ids::{MachineId, Zone};
@@ -7,21 +7,21 @@
 
 /// The state of each task of a job.
 ///
-/// A task that is pending is neither completed nor placed.
+/// A pending task is neither completed nor placed.
 #[derive(Debug)]
 pub(super) struct TaskStates {
     completed: CompletedTasks,
-    /// Completed tasks of which the state service does not know yet.
+    /// Completed tasks whose completion is not yet persisted in the state store.
     unpersisted: BTreeSet<u32>,
     pending: BTreeSet<u32>,
-    /// The machines on which a task may be: more than one only after a failover.
+    /// The machines on which each task may be; more than one only after a failover.
     placements: BTreeMap<u32, Vec<MachineId>>,
-    /// The zones of these machines.
+    /// The number of placements in each zone.
     by_zone: TasksByZone,
 }
 
 impl TaskStates {
-    /// So many tasks, all of them pending.
+    /// Creates the given number of tasks, all pending.
     pub(super) fn all_pending(count: u32) -> TaskStates {
         TaskStates {
             completed: CompletedTasks::new(count),
@@ -52,7 +52,7 @@
         &self.by_zone
     }
 
-    /// The task may be on that machine, in that zone, from now on.
+    /// Records that the task may be on a machine in the given zone.
     pub(super) fn placed(&mut self, index: u32, machine_id: &MachineId, zone: &Zone) {
         let machines = self.placements.entry(index).or_default();
         if !machines.contains(machine_id) {
@@ -62,29 +62,29 @@
         self.pending.remove(&index);
     }
 
-    /// The task is not on that machine, in that zone, any more.
+    /// Records that the task is no longer on a machine in the given zone.
     pub(super) fn left_machine(&mut self, index: u32, machine_id: &MachineId, zone: &Zone) {
         let Some(machines) = self.placements.get_mut(&index) else {
             return;
         };
-        let Some(place) = machines.iter().position(|other| other == machine_id) else {
+        let Some(position) = machines.iter().position(|other| other == machine_id) else {
             return;
         };
-        machines.remove(place);
+        machines.remove(position);
         if machines.is_empty() {
             self.placements.remove(&index);
         }
         self.by_zone.remove(zone);
     }
 
-    /// The task has to run: it is pending unless it may still be on some machine.
+    /// Makes a task that has to run pending, unless it may still be on a machine.
     pub(super) fn requeue(&mut self, index: u32) {
         if !self.placements.contains_key(&index) {
             self.pending.insert(index);
         }
     }
 
-    /// The task is completed; that is to be persisted if it is news.
+    /// Marks the task as completed; if it was not completed before, that has to be persisted.
     pub(super) fn complete(&mut self, index: u32) {
         if self.completed.add(index) {
             self.unpersisted.insert(index);
@@ -92,19 +92,19 @@
         }
     }
 
-    /// The state service knows that these tasks are completed.
+    /// Records that the completion of these tasks is persisted.
     pub(super) fn persisted(&mut self, indices: &BTreeSet<u32>) {
         self.unpersisted.retain(|index| !indices.contains(index));
     }
 
-    /// Takes in a progress record: tasks that were completed under a former leader.
+    /// Loads a chunk of the progress record: tasks completed under a former leader.
     pub(super) fn load_progress(&mut self, chunk: u32, text: &str) {
         self.completed.load(chunk, text);
         let completed = &self.completed;
         self.pending.retain(|index| !completed.has(*index));
     }
 
-    /// No task is to be placed any more.
+    /// Removes all pending tasks, so that none is placed any more.
     pub(super) fn drop_pending(&mut self) {
         self.pending.clear();
     }
