--- a/src/coordination/jobs/estimates.rs
+++ b/src/coordination/jobs/estimates.rs
@@ -1,4 +1,4 @@
-//! How long tasks run: the users' estimates, corrected by what was observed of each class and of each job.
+//! Estimates of how long tasks run: the users' estimates, corrected by the observed run times of each class and job.
 
 use crate::coordination::jobs::job::Job;
 use crate::coordination::{ClusterView, Scheduler};
@@ -8,24 +8,24 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// So many tasks of a job must be measured to say how long the others run.
+/// The minimum number of measured tasks of a job for statements about its other tasks.
 const MIN_MEASURED_TASKS: u32 = 3;
-/// Tasks of one job differ by up to this factor.
+/// The run times of a job's tasks differ by up to this factor.
 const MAX_SPREAD_WITHIN_JOB: f64 = 1.4;
-/// A task past its estimate is taken to run on for this fraction of what it has run, while nothing is known
-/// of the others.
+/// The estimated remaining run time of a task past its estimate, as a fraction of the time that it has run, while
+/// too few other tasks of the job are measured.
 const TAIL_FRACTION: f64 = 0.35;
-/// So many tasks of a class must be measured to correct the users' estimates.
+/// The minimum number of measured tasks of a class for a correction of the users' estimates.
 const MIN_MEASURED_TASKS_OF_CLASS: u32 = 5;
-/// The users' estimates are corrected by a factor within these bounds.
+/// Bounds of the factor that corrects the users' estimates.
 const MIN_CORRECTION: f64 = 0.25;
 const MAX_CORRECTION: f64 = 4.0;
-/// How much the last job counts in what is known of the longest tasks of a class.
+/// The weight of the latest job in the moving average of `longest_over_mean`.
 const LONGEST_TASK_WEIGHT: f64 = 0.1;
-/// No running task is taken to end in less than this.
+/// The minimum estimated remaining run time of a running task.
 const MIN_REMAINING_SECS: f64 = 2.0;
 
-/// Run times observed of one class, against those that the users estimated.
+/// The observed run times of one class, and the users' estimates of them.
 #[derive(Debug, Default, Clone, Copy, Serialize, Deserialize)]
 pub struct ObservedRunTimes {
     #[serde(rename = "ran_s")]
@@ -33,7 +33,7 @@
     #[serde(rename = "guessed_s")]
     total_estimated_s: f64,
     count: u32,
-    /// By what part of a job's mean its longest task outlasts it.
+    /// How far the longest run time in a job exceeds the job's mean, as a fraction of the mean: a moving average.
     #[serde(default, rename = "longer")]
     longest_over_mean: Option<f64>,
 }
@@ -51,7 +51,7 @@
         self.longest_over_mean = Some(before + change);
     }
 
-    /// The factor by which the users' estimates are corrected, once enough is known.
+    /// Returns the factor that corrects the users' estimates, once enough tasks are measured.
     fn correction(&self) -> Option<f64> {
         let is_known = self.count >= MIN_MEASURED_TASKS_OF_CLASS && self.total_estimated_s > 0.0;
         is_known
@@ -59,25 +59,25 @@
     }
 }
 
-/// What has been learnt of how long tasks run.
+/// Run time estimates, based on the observed run times of each class.
 #[derive(Debug, Default)]
 pub struct RunTimeEstimates {
     by_class: BTreeMap<String, ObservedRunTimes>,
 }
 
 impl RunTimeEstimates {
-    /// What was observed, by class.
+    /// Returns the observed run times by class.
     pub fn observed(&self) -> &BTreeMap<String, ObservedRunTimes> {
         &self.by_class
     }
 
-    /// Takes over what a former leader observed.
+    /// Loads the observations of a former leader.
     pub fn load(&mut self, by_class: BTreeMap<String, ObservedRunTimes>) {
         self.by_class = by_class;
     }
 
-    /// A task of the job ran for so many seconds and is about to be completed. Returns whether anything was
-    /// learnt from it.
+    /// Records the run time, in seconds, of a task that is about to be completed. Returns whether the observations
+    /// changed.
     pub(crate) fn task_completed(&mut self, job: &Job, run_time_s: f64) -> bool {
         let spec = job.spec();
         if spec.guess_s <= 0.0 {
@@ -94,30 +94,30 @@
         true
     }
 
-    /// Seconds that a task of a job like this should run: the user's estimate, corrected by what was observed
-    /// of the class.
+    /// Returns the estimated run time, in seconds, of a task of a job with this specification: the user's estimate,
+    /// corrected by the observations of the class.
     pub fn run_time_s(&self, spec: &JobSpec) -> f64 {
         let observed = self.by_class.get(&spec.class);
         let correction = observed.and_then(ObservedRunTimes::correction);
         spec.guess_s * correction.unwrap_or(1.0)
     }
 
-    /// Seconds that a task of the job should run: tasks of a job are alike, so what was measured of those that
-    /// are completed soon counts more than the estimate.
+    /// Returns the estimated run time, in seconds, of a task of the job. Tasks of a job are alike, so the measured
+    /// run times of its completed tasks soon outweigh the user's estimate.
     pub fn task_run_time_s(&self, job: &Job) -> f64 {
         let estimate_s = self.run_time_s(job.spec());
         job.run_times().mean_with_estimate_s(estimate_s)
     }
 
-    /// Seconds that a task of the job which has run for so long should still run.
+    /// Returns the estimated remaining run time, in seconds, of a task of the job that has run for `ran_s` seconds.
     pub fn remaining_run_time_s(&self, job: &Job, ran_s: f64) -> f64 {
         let run_time_s = self.task_run_time_s(job);
         let past_estimate_s = if job.run_times().count() >= MIN_MEASURED_TASKS {
-            // Its like took about as long, so it can't be far from its end.
+            // Other tasks of the job ran for about as long, so the end is near.
             (run_time_s * MAX_SPREAD_WITHIN_JOB - ran_s) / 2.0
         } else {
-            // Guards against a forecast in which whatever is past its estimate is about to end: run times
-            // have long tails, and during a burst no machine was added for thousands of tasks.
+            // Run times have long tails. When the forecast took every task past its estimate to be about to end, no
+            // machine was added for thousands of pending tasks during a burst.
             ran_s * TAIL_FRACTION
         };
         (run_time_s - ran_s)
@@ -125,7 +125,7 @@
             .max(MIN_REMAINING_SECS)
     }
 
-    /// Seconds that the longest task of the job should run.
+    /// Returns the estimated run time, in seconds, of the longest task of the job.
     pub fn longest_task_run_time_s(&self, job: &Job) -> f64 {
         let observed = self.by_class.get(&job.spec().class);
         let excess = observed.and_then(|observed| observed.longest_over_mean);
@@ -136,12 +136,11 @@
 }
 
 impl ClusterView<'_> {
-    /// The work that is left to be placed of a job, in machine-seconds.
+    /// Returns the work of a job's pending tasks, in machine-seconds.
     ///
-    /// Of jobs that can still meet the same objective the least work goes first. When there is enough room
-    /// the order matters little; when there is too much to do, going by the least slack made every job just
-    /// late: on the grown site's rough day half of all deadlines were missed for hours of machine time that
-    /// went to a fifth of the jobs.
+    /// Among jobs that can still meet the same objective, those with the least work go first. With enough capacity
+    /// the order matters little. Under overload, ordering by least slack made every job slightly late: half of all
+    /// deadlines were missed, while a fifth of the jobs took hours of machine time.
     pub(crate) fn pending_work_s(&self, job: &Job) -> f64 {
         let tasks = job.pending().len() as f64;
         let fraction = self.machines.smallest_fraction_taken(job.spec());
@@ -150,10 +149,10 @@
 }
 
 impl Scheduler {
-    /// A task is about to be completed: what its attempt says of run times is learnt.
+    /// Records the run time of a task that is about to be completed.
     ///
-    /// Guards against estimates that shrink with each failover: when an attempt of a former leader began to
-    /// run is not known, and it seemed to have run only since this leader saw it.
+    /// Ignores attempts launched by a former leader: when they started is unknown, and counting only the time since
+    /// this leader first saw them would shrink the estimates with each failover.
     pub(crate) fn record_run_time(
         &mut self,
         now: Instant,
