--- a/src/coordination/jobs/aging.rs
+++ b/src/coordination/jobs/aging.rs
@@ -1,9 +1,9 @@
-//! Aging against starvation: which jobs go ahead of all others because they have waited for too long.
+//! Aging: jobs that have waited too long go ahead of all others, to prevent starvation.
 //!
-//! Whatever ranks work (guarantees, priorities, shortest first) may let some job wait for ever. Its objectives
-//! are lost by then; what remains is that most of each class, of each team and of a class's largest jobs must
-//! begin in time. So a job past its time goes first only if one of its groups is endangered: otherwise it
-//! would only make others late that can still meet their objectives.
+//! Ranking by guarantees, priorities and shortest job first can make a job wait forever. By then the job has missed
+//! its own objectives, but most jobs of each class, of each team and among a class's largest jobs must still start
+//! on time. So a late job goes first only if too many jobs of one of its groups are late: otherwise it would only
+//! delay jobs that can still meet their objectives.
 
 use crate::coordination::jobs::job::Job;
 use crate::ids::TeamIndex;
@@ -11,48 +11,48 @@
 use crate::time::{Instant, TimeSpan};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// A job that has not begun after this fraction of the time in which all should is late: what is left must
-/// do for a machine to boot and to pull the image.
+/// A job that has not started after this fraction of the target time is late. The rest of the target time is for a
+/// machine to boot and to fetch the image.
 const LATE_AFTER_FRACTION: f64 = 0.67;
-/// The fraction of a group that may be late before its jobs go first.
+/// The fraction of a group's jobs that may be late before its late jobs go first.
 const MAX_LATE_FRACTION: f64 = 0.25;
-/// Beginnings count less with age, by this time constant.
+/// The time constant with which counted starts decay.
 const DECAY_TIME_SECS: f64 = 300.0;
-/// Task counts remembered of each class.
+/// The number of recent jobs of a class whose task counts are recorded.
 const MAX_TASK_COUNTS_PER_CLASS: usize = 99;
 
-/// Jobs of which most must begin in time.
+/// A group of jobs most of which must start on time.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Group {
     Class(String),
     Team(TeamIndex),
-    /// Those of a class with more tasks than its median job.
+    /// Jobs of a class with more tasks than the median.
     Largest(String),
 }
 
-/// How many jobs of a group began in time and late, counting less with age.
+/// The numbers of jobs of a group that started on time and late, with exponential decay.
 #[derive(Clone, Copy, Debug)]
-struct Beginnings {
-    in_time: f64,
+struct StartCounts {
+    on_time: f64,
     late: f64,
-    /// When the two were last decayed.
+    /// When the decay was last applied.
     as_of: Instant,
 }
 
-impl Beginnings {
-    fn none(now: Instant) -> Beginnings {
-        Beginnings {
-            in_time: 0.0,
+impl StartCounts {
+    fn zero(now: Instant) -> StartCounts {
+        StartCounts {
+            on_time: 0.0,
             late: 0.0,
             as_of: now,
         }
     }
 
-    /// What they count at that time.
-    fn decayed(self, now: Instant) -> Beginnings {
+    /// Returns the counts after decay until `now`.
+    fn decayed(self, now: Instant) -> StartCounts {
         let remaining = (-(now - self.as_of).secs().max(0.0) / DECAY_TIME_SECS).exp();
-        Beginnings {
-            in_time: self.in_time * remaining,
+        StartCounts {
+            on_time: self.on_time * remaining,
             late: self.late * remaining,
             as_of: now,
         }
@@ -62,40 +62,40 @@
         if is_late {
             self.late += 1.0;
         } else {
-            self.in_time += 1.0;
+            self.on_time += 1.0;
         }
     }
 
-    /// Whether too many are late, if so many jobs that have not begun yet are late too.
-    fn endanger_group(&self, late_pending: f64) -> bool {
+    /// Whether too many jobs are late, including `late_pending` jobs that have not started.
+    fn exceeds_late_fraction(&self, late_pending: f64) -> bool {
         let late = self.late + late_pending;
-        late > (self.in_time + late) * MAX_LATE_FRACTION
+        late > (self.on_time + late) * MAX_LATE_FRACTION
     }
 }
 
-/// What is remembered of the beginnings of jobs, and the groups that are endangered.
+/// Recent job starts by group, and the groups in which too many jobs are late.
 #[derive(Debug)]
 pub struct Aging {
-    /// A job that has not begun so long after it became ready is late.
+    /// The time after becoming ready at which a job that has not started is late.
     late_after: TimeSpan,
-    beginnings: BTreeMap<Group, Beginnings>,
-    /// Task counts of the last jobs of each class.
+    start_counts: BTreeMap<Group, StartCounts>,
+    /// Task counts of the most recent jobs of each class.
     task_counts: BTreeMap<String, VecDeque<u32>>,
     endangered: BTreeSet<Group>,
 }
 
 impl Aging {
-    /// Nothing is remembered. Jobs should begin within so many seconds.
-    pub fn new(begin_within_s: f64) -> Aging {
+    /// Creates the state without any starts. Jobs should start within `start_target_s` seconds.
+    pub fn new(start_target_s: f64) -> Aging {
         Aging {
-            late_after: TimeSpan::from_secs(begin_within_s * LATE_AFTER_FRACTION),
-            beginnings: BTreeMap::new(),
+            late_after: TimeSpan::from_secs(start_target_s * LATE_AFTER_FRACTION),
+            start_counts: BTreeMap::new(),
             task_counts: BTreeMap::new(),
             endangered: BTreeSet::new(),
         }
     }
 
-    /// A job was released.
+    /// Records the task count of a job that was released.
     pub(crate) fn job_released(&mut self, spec: &JobSpec) {
         let counts = self.task_counts.entry(spec.class.clone()).or_default();
         counts.push_back(spec.tasks);
@@ -104,19 +104,19 @@
         }
     }
 
-    /// The first task of a job began to run.
+    /// Records that the first task of a job started to run.
     pub(crate) fn job_started(&mut self, now: Instant, job: &Job) {
         let is_late = self.is_late(now, job);
         for group in self.groups_of(job) {
-            let none = Beginnings::none(now);
-            let beginnings = self.beginnings.entry(group).or_insert(none);
-            *beginnings = beginnings.decayed(now);
-            beginnings.add(is_late);
+            let zero = StartCounts::zero(now);
+            let start_counts = self.start_counts.entry(group).or_insert(zero);
+            *start_counts = start_counts.decayed(now);
+            start_counts.add(is_late);
         }
     }
 
-    /// Finds the endangered groups, counting pending jobs as late that have waited for too long. To be called
-    /// about once a second.
+    /// Updates the endangered groups, those with too many late jobs. Pending jobs that have waited too long count
+    /// as late. To be called about once a second.
     pub(crate) fn update_endangered_groups<'a>(
         &mut self,
         now: Instant,
@@ -129,26 +129,26 @@
             }
         }
         let endangered = late_pending.into_iter().filter(|(group, late)| {
-            let begun = self.beginnings.get(group);
-            let begun = begun.map_or(Beginnings::none(now), |begun| begun.decayed(now));
-            begun.endanger_group(*late)
+            let counts = self.start_counts.get(group);
+            let counts = counts.map_or(StartCounts::zero(now), |counts| counts.decayed(now));
+            counts.exceeds_late_fraction(*late)
         });
         self.endangered = endangered.map(|(group, _)| group).collect();
     }
 
-    /// Whether a job goes ahead of all others: it is late, and one of its groups is endangered.
+    /// Whether a job goes ahead of all others because it is late and one of its groups is endangered.
     pub(crate) fn is_aged(&self, now: Instant, job: &Job) -> bool {
         !self.endangered.is_empty()
             && !job.has_run()
             && self.is_late(now, job)
-            && self.is_of_endangered_group(job)
+            && self.is_in_endangered_group(job)
     }
 
     fn is_late(&self, now: Instant, job: &Job) -> bool {
         now - job.ready_at() > self.late_after
     }
 
-    fn is_of_endangered_group(&self, job: &Job) -> bool {
+    fn is_in_endangered_group(&self, job: &Job) -> bool {
         let groups = self.groups_of(job);
         groups.iter().any(|group| self.endangered.contains(group))
     }
