--- a/src/coordination/jobs/lifecycle.rs
+++ b/src/coordination/jobs/lifecycle.rs
@@ -1,8 +1,8 @@
-//! Opening and closing of jobs, and what follows from it for the jobs downstream of them.
+//! The lifecycle of jobs: opening, release and closing, and the effects on downstream jobs.
 //!
-//! A job is released only by terminal records known to be durable: one that this leader's own transaction
-//! has written, or one that was read. A heartbeat, a write without an answer, or an open record that is gone
-//! decide nothing.
+//! A job is released only by terminal records known to be durable: written by a confirmed transaction of this
+//! leader, or read from the state store. A heartbeat, an unconfirmed write or a missing open record never releases
+//! a job.
 
 use crate::coordination::jobs::graph::{GraphChanges, JobAttributes, ReleasedJob};
 use crate::coordination::jobs::job::Job;
@@ -13,35 +13,35 @@
 use crate::time::{Instant, TimeSpan};
 use std::collections::BTreeSet;
 
-/// How a job came to be no longer open.
+/// Why a job is no longer open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CloseReason {
-    /// Its terminal record is durable and says that it is done.
+    /// The job is done, and its terminal record is durable.
     Finished,
-    /// Its cancellation is durable.
+    /// The job's cancellation is durable.
     Cancelled,
-    /// Its open record is gone: by a write of ours whose answer is still to come, by a cancellation, or
-    /// long ago, if what we see is old. Its terminal record says which.
+    /// The open record is gone: removed by a write of this leader that is still in flight, by a cancellation, or
+    /// long ago if the view is stale. The terminal record tells which.
     Unknown,
 }
 
 impl JobTable {
-    /// Takes in a job that was opened, with the jobs that it depends on directly.
-    fn open(&mut self, id: JobId, job: Job, upstream: &[JobId], traits: JobAttributes) {
+    /// Inserts a job that was opened, with its direct upstream jobs.
+    fn open(&mut self, id: JobId, job: Job, upstream: &[JobId], attributes: JobAttributes) {
         self.insert(id.clone(), job);
-        self.graph.add_job(&id, upstream, traits);
+        self.graph.add_job(&id, upstream, attributes);
     }
 
-    /// Tells the graph how a job was closed.
-    fn closed_by(&mut self, now: Instant, id: &JobId, closure: CloseReason) {
-        match closure {
+    /// Marks a job as closed in the graph.
+    fn mark_closed_in_graph(&mut self, now: Instant, id: &JobId, reason: CloseReason) {
+        match reason {
             CloseReason::Finished => self.graph.mark_finished(id, now),
             CloseReason::Cancelled => self.graph.mark_cancelled(id),
             CloseReason::Unknown => self.graph.mark_closed(id),
         }
     }
 
-    /// Carries over to the jobs what the graph says. Returns the released ones that are held.
+    /// Applies the changes of the graph to the jobs. Returns the released jobs that are in the table.
     #[must_use]
     fn apply_graph_changes(&mut self, now: Instant) -> Vec<ReleasedJob> {
         let GraphChanges {
@@ -61,7 +61,7 @@
 }
 
 impl Scheduler {
-    /// An open job has appeared, or is listed again.
+    /// Handles a job that was opened or is listed again.
     pub(crate) fn job_opened(&mut self, now: Instant, open_job: OpenJob) {
         let OpenJob {
             record,
@@ -70,7 +70,7 @@
         } = open_job;
         let id = record.spec.id.clone();
         if let Some(job) = self.jobs.get(&id) {
-            // A job that is closed here never opens again: the terminal record stands for ever.
+            // A closed job never reopens: terminal records are permanent.
             if !job.is_closed() {
                 self.jobs
                     .update(&id, |job| job.set_open_record_revision(revision));
@@ -80,24 +80,24 @@
         let team = self.policy.team_index(&record.spec.team);
         let pages = record.dependency_pages;
         let job = Job::new(record.spec, team, revision, submitted_at, pages);
-        let traits = self.traits_of(&job, &record.after);
-        self.jobs.open(id, job, &record.after, traits);
+        let attributes = self.graph_attributes(&job, &record.after);
+        self.jobs.open(id, job, &record.after, attributes);
         self.apply_graph_changes(now);
         self.placement.request_pass();
     }
 
-    /// What the job brings into the graph. Its deadline is its own, or else the class's `finished`
-    /// objective (an exception of ours, see docs/DESIGN.md: most deployed jobs state no deadline); that
-    /// one counts from the release, so it says nothing for a job that waits for others.
-    fn traits_of(&self, job: &Job, upstream: &[JobId]) -> JobAttributes {
+    /// Returns the job's own attributes for the graph. Most deployed jobs state no deadline, so the `finished`
+    /// objective of the job's class is the default (see docs/DESIGN.md). That objective counts from the release, so
+    /// it does not apply to jobs with upstream jobs.
+    fn graph_attributes(&self, job: &Job, upstream: &[JobId]) -> JobAttributes {
         let spec = job.spec();
         let objective = || self.policy.max_completion_s(&spec.class);
         let fallback = || objective().filter(|_| upstream.is_empty());
         let deadline_s = spec.due_s.or_else(fallback);
-        // Without machine types nothing is known of the image pull.
-        let pull_s =
+        // The image fetch time is unknown until the machine types are known.
+        let fetch_s =
             Some(self.machines.shortest_image_pull_s(spec)).filter(|seconds| seconds.is_finite());
-        let run_time_s = self.estimates.longest_task_run_time_s(job) + pull_s.unwrap_or(0.0);
+        let run_time_s = self.estimates.longest_task_run_time_s(job) + fetch_s.unwrap_or(0.0);
         JobAttributes {
             deadline: deadline_s.map(|seconds| job.submitted_at() + TimeSpan::from_secs(seconds)),
             run_time: TimeSpan::from_secs(run_time_s),
@@ -105,22 +105,21 @@
         }
     }
 
-    /// A job is no longer open.
+    /// Handles a job that is no longer open.
     ///
-    /// Guards against a cancellation inferred from what is known of the tasks: changes can come twice, so
-    /// that a job which was done and forgotten opens once more without its tasks, and closes; the jobs
-    /// downstream of it were cancelled. Where the closure is unknown, only the terminal record says what it
-    /// was.
-    pub(crate) fn job_closed(&mut self, now: Instant, id: &JobId, closure: CloseReason) {
+    /// An unknown reason is resolved by the terminal record only, never inferred from the state of the job's tasks.
+    /// Changes can arrive twice, so a job that was done and removed can reopen without its completed tasks and
+    /// close again; inferring a cancellation from that cancelled the jobs downstream of it.
+    pub(crate) fn job_closed(&mut self, now: Instant, id: &JobId, reason: CloseReason) {
         if !self.jobs.contains(id) {
             return;
         }
-        self.jobs.closed_by(now, id, closure);
+        self.jobs.mark_closed_in_graph(now, id, reason);
         self.apply_graph_changes(now);
         self.close_job(now, id);
     }
 
-    /// Nothing of the job may start any more, and what runs is stopped.
+    /// Closes a job: none of its tasks may start any more, and running tasks are stopped.
     fn close_job(&mut self, now: Instant, id: &JobId) {
         let Some(job) = self.jobs.get(id).filter(|job| !job.is_closed()) else {
             return;
@@ -139,7 +138,7 @@
         }
     }
 
-    /// Carries over to the jobs what the graph says. A released job counts from now on for its team, for the
+    /// Applies the changes of the graph to the jobs. From its release, a job counts for its team, for the demand
     /// forecast and for its objectives.
     pub(crate) fn apply_graph_changes(&mut self, now: Instant) {
         for release in self.jobs.apply_graph_changes(now) {
@@ -156,13 +155,14 @@
         }
     }
 
-    /// Releases whatever should have been released already. To be called about once a second.
+    /// Releases blocked jobs without unfinished upstream jobs, in case an earlier release was missed. To be called
+    /// about once a second.
     pub(crate) fn release_ready_jobs(&mut self, now: Instant) {
         self.jobs.graph.release_ready_jobs();
         self.apply_graph_changes(now);
     }
 
-    /// Asks for the terminal records of upstream jobs of which nothing is known here.
+    /// Starts a read of the terminal records of upstream jobs in an unknown state, if one is due.
     pub(crate) fn read_terminal_records(&mut self, now: Instant) {
         let jobs = &mut self.jobs;
         if let Some(ids) = jobs.terminal_record_reads.start(now, &jobs.graph) {
@@ -170,7 +170,7 @@
         }
     }
 
-    /// Terminal records as they stand, with `None` for a job that has none.
+    /// Handles the answer to a read of terminal records, with `None` for a job without one.
     pub(crate) fn terminal_records_read(&mut self, now: Instant, records: Vec<TerminalRecordRead>) {
         let mut any_missing = false;
         for TerminalRecordRead { job: id, record } in records {
@@ -184,7 +184,7 @@
                 Some(record) if record.phase == JobPhase::Cancelled => {
                     self.jobs.graph.mark_cancelled(&id);
                 }
-                // Still open as far as the state store goes: its record comes with the next changes.
+                // The job is still open in the state store; its open record arrives with the next changes.
                 _ => any_missing = true,
             }
         }
