--- a/src/coordination/jobs/mod.rs
+++ b/src/coordination/jobs/mod.rs
@@ -1,5 +1,5 @@
-//! Jobs: their table, the graph of what depends on what, their life from submission to the end, and what is
-//! known of how long they take.
+//! Jobs: the job table, the dependency graph, the lifecycle of jobs, their retry and aging, and estimates of their
+//! run times.
 
 pub mod aging;
 pub mod estimates;
--- a/src/coordination/jobs/pending.rs
+++ b/src/coordination/jobs/pending.rs
@@ -1,4 +1,4 @@
-//! Why jobs wait, for the log: an operator who sees pending work must not have to guess.
+//! The reasons why jobs wait, logged for operators.
 
 use crate::coordination::jobs::job::Job;
 use crate::coordination::{ClusterView, Scheduler};
@@ -7,38 +7,38 @@
 use crate::time::Instant;
 use std::collections::BTreeMap;
 
-/// What a job with tasks that are placed nowhere waits for: the first of these that holds.
+/// Why a job is waiting; one reason even if several apply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum PendingReason {
-    /// A job upstream of it is not done.
+    /// An upstream job is not done.
     UpstreamJobs,
-    /// It failed on several machines: it backs off, or tries one task at a time.
+    /// The job failed on several machines: it backs off, or runs one task at a time.
     RetryBackoff,
-    /// Its team is at its limit.
+    /// The job's team is at its limit.
     TeamLimit,
-    /// It is a gang, and members of its last attempt have not ended everywhere yet.
+    /// The job is a gang, and members of its last attempt may still be on machines.
     LastGangAttempt,
-    /// Its tasks have to share a zone and may be in several, until all but one of these are proven empty.
+    /// The job has zone affinity, but its tasks may be in several zones; all but one must be proven empty first.
     ConflictingZones,
-    /// No machine that fits has free capacity.
+    /// No suitable machine has enough free capacity.
     FreeCapacity,
 }
 
-/// The jobs that wait for one reason.
+/// The jobs that are waiting for one reason.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PendingJobs {
-    /// How many jobs.
+    /// The number of jobs.
     pub jobs: usize,
-    /// How many pending tasks of theirs.
+    /// The number of pending tasks of these jobs.
     pub tasks: usize,
-    /// The job that has waited for longest.
+    /// The job that has waited the longest.
     pub oldest: JobId,
-    /// Since when it has: its release, or, while it waits for upstream jobs, its submission.
+    /// When the oldest job started to wait: at its release, or at its submission if it waits for upstream jobs.
     pub since: Instant,
 }
 
 impl PendingJobs {
-    fn none(id: &JobId, job: &Job) -> PendingJobs {
+    fn empty(id: &JobId, job: &Job) -> PendingJobs {
         PendingJobs {
             jobs: 0,
             tasks: 0,
@@ -58,13 +58,13 @@
 }
 
 impl ClusterView<'_> {
-    /// The jobs that wait, by what they wait for.
+    /// Returns the waiting jobs by reason.
     fn pending_jobs(&self) -> BTreeMap<PendingReason, PendingJobs> {
         let mut by_reason: BTreeMap<PendingReason, PendingJobs> = BTreeMap::new();
         for (id, job) in self.jobs.pending().chain(self.jobs.blocked()) {
             let pending = by_reason.entry(self.pending_reason(job));
             pending
-                .or_insert_with(|| PendingJobs::none(id, job))
+                .or_insert_with(|| PendingJobs::empty(id, job))
                 .add(id, job);
         }
         by_reason
@@ -100,12 +100,12 @@
 }
 
 impl Scheduler {
-    /// The jobs that wait, by what they wait for.
+    /// Returns the waiting jobs by reason.
     pub fn pending_jobs(&self, now: Instant) -> BTreeMap<PendingReason, PendingJobs> {
         self.view(now).pending_jobs()
     }
 
-    /// Logs a line for each reason for which jobs wait.
+    /// Logs the waiting jobs, one line for each reason.
     pub(crate) fn log_pending_jobs(&self, now: Instant) {
         for (reason, pending) in self.pending_jobs(now) {
             tracing::info!(
--- a/src/coordination/jobs/retry.rs
+++ b/src/coordination/jobs/retry.rs
@@ -1,21 +1,21 @@
-//! Back-off of a job whose tasks fail.
+//! Retry backoff of jobs whose tasks fail.
 
 use crate::ids::MachineId;
 use crate::time::{Instant, TimeSpan};
 use std::collections::BTreeSet;
 
-/// The delay after failures on two machines; it doubles with each further machine.
+/// The retry delay after failures on two machines; it doubles with each further machine.
 const MIN_RETRY_DELAY: TimeSpan = TimeSpan(2_000);
-/// The longest delay.
+/// The maximum retry delay.
 const MAX_RETRY_DELAY: TimeSpan = TimeSpan(60_000);
-/// The number of doublings after which the delay grows no more.
+/// The maximum number of times that the retry delay doubles.
 const MAX_DELAY_DOUBLINGS: u32 = 5;
-/// Failures on so many machines, without any success, are taken for the job's own fault.
-const MIN_MACHINES_TO_BLAME_JOB: usize = 3;
+/// Failures on this many machines, without any completed task, are attributed to the job.
+const MIN_MACHINES_FOR_JOB_FAULT: usize = 3;
 
-/// Where tasks of a job failed, and when the job may be placed again.
+/// The machines on which tasks of a job failed, and the time before which the job is not placed again.
 ///
-/// A failure on one machine delays nothing: mostly it is that machine's fault. From the second machine on the
+/// A failure on one machine causes no delay, since the machine is the likely cause. From the second machine on, the
 /// job backs off.
 #[derive(Clone, Debug)]
 pub struct RetryBackoff {
@@ -33,22 +33,23 @@
 }
 
 impl RetryBackoff {
-    /// Whether the job may be placed at that time.
+    /// Whether the job may be placed at `now`.
     pub fn allows_start(&self, now: Instant) -> bool {
         self.not_before <= now
     }
 
-    /// Machines on which a task of the job ended in an error.
+    /// Returns the machines on which a task of the job ended in an error.
     pub fn failed_on(&self) -> &BTreeSet<MachineId> {
         &self.failed_on
     }
 
-    /// Whether tasks failed on so many machines that the job is to blame, unless a task of it succeeded.
+    /// Whether tasks failed on enough machines to attribute the failures to the job, unless one of its tasks
+    /// completed.
     pub fn failed_on_several(&self) -> bool {
-        self.failed_on.len() >= MIN_MACHINES_TO_BLAME_JOB
+        self.failed_on.len() >= MIN_MACHINES_FOR_JOB_FAULT
     }
 
-    /// A task ended in an error on that machine.
+    /// Records that a task ended in an error on a machine.
     pub(super) fn task_failed(&mut self, now: Instant, machine_id: &MachineId) {
         self.failed_on.insert(machine_id.clone());
         let machines = self.failed_on.len() as u32;
@@ -58,7 +59,7 @@
         }
     }
 
-    /// Nothing is to be placed before that time, whatever has failed.
+    /// Delays placement of the job until at least `until`.
     pub(super) fn postpone(&mut self, until: Instant) {
         self.not_before = self.not_before.max(until);
     }
--- a/src/coordination/jobs/terminal_record_reads.rs
+++ b/src/coordination/jobs/terminal_record_reads.rs
@@ -1,30 +1,30 @@
-//! When the terminal records of upstream jobs are read, of which nothing is known here.
+//! Scheduling of the reads of terminal records of upstream jobs in an unknown state.
 
 use super::graph::DependencyGraph;
 use crate::ids::JobId;
 use crate::time::{Instant, TimeSpan};
 
-/// Terminal records read in one go.
+/// The maximum number of terminal records in one read.
 const MAX_RECORDS_PER_READ: usize = 32;
-/// The pause after a read in which a job had no record: its open record is on the way to us.
+/// The delay after a read in which a job had no terminal record: its open record is still to arrive.
 const MISSING_RECORD_RETRY_DELAY: TimeSpan = TimeSpan(1_000);
-/// A read that is not answered within this is made again, should the runtime have lost it.
+/// A read that is not answered within this time is repeated, in case the runtime lost it.
 const READ_TIMEOUT: TimeSpan = TimeSpan(30_000);
 
-/// Whether a read is under way.
+/// Whether a read is in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ReadState {
-    /// None is; the next one is made at that time at the earliest.
+    /// No read is in flight; the next read starts no earlier than `not_before`.
     Idle { not_before: Instant },
-    /// One is, since then.
+    /// A read is in flight.
     InFlight { since: Instant },
 }
 
-/// The reads of terminal records: one at a time, with a bounded number of jobs, which take turns.
+/// The reads of terminal records: one at a time, each of a bounded number of jobs in round-robin order.
 #[derive(Debug)]
 pub struct TerminalRecordReads {
     state: ReadState,
-    /// The last job of the last read: the next one goes on after it.
+    /// The last job of the last read; the next read continues after it.
     last: Option<JobId>,
 }
 
@@ -40,7 +40,7 @@
 }
 
 impl TerminalRecordReads {
-    /// The jobs of which the terminal records are to be read now; the read is under way from then on.
+    /// Starts a read if one is due. Returns the jobs whose terminal records are to be read.
     #[must_use]
     pub(super) fn start(&mut self, now: Instant, graph: &DependencyGraph) -> Option<Vec<JobId>> {
         let may_read = match self.state {
@@ -56,7 +56,7 @@
         Some(ids)
     }
 
-    /// A read was answered.
+    /// Records that a read was answered, and whether any of the jobs had no terminal record.
     pub(super) fn answered(&mut self, now: Instant, any_missing: bool) {
         if any_missing {
             let not_before = now + MISSING_RECORD_RETRY_DELAY;
