--- a/src/coordination/effect.rs
+++ b/src/coordination/effect.rs
@@ -82,7 +82,7 @@
     },
     /// Terminate machines.
     ScaleIn {
-        /// The machines.
+        /// The machines to terminate.
         machine_ids: Vec<MachineId>,
     },
     /// Step down, because another controller leads.
--- a/src/coordination/event.rs
+++ b/src/coordination/event.rs
@@ -93,7 +93,7 @@
     MachinesListed {
         /// When the list was requested.
         requested_at: Instant,
-        /// The machines.
+        /// The listed machines.
         machines: Vec<ListedMachine>,
     },
     /// Answers [`super::Effect::ScaleOut`].
@@ -110,12 +110,12 @@
     },
     /// Answers [`super::Effect::ScaleIn`]: the cloud confirmed that the machines are terminated.
     MachinesTerminated {
-        /// The machines.
+        /// The terminated machines.
         machine_ids: Vec<MachineId>,
     },
     /// The cloud did not confirm a scale-in, which may have been executed.
     ScaleInFailed {
-        /// The machines.
+        /// The machines that were to be terminated.
         machine_ids: Vec<MachineId>,
     },
 
--- a/src/coordination/jobs/graph/derivation.rs
+++ b/src/coordination/jobs/graph/derivation.rs
@@ -1,5 +1,5 @@
-//! DerivedAttributes attributes of jobs in the graph: the depth, from upstream jobs; the deadline, the scheduling preference
-//! and the priority, propagated from downstream jobs to upstream jobs.
+//! Derived attributes of the jobs in the graph: the depth, from upstream jobs; the deadline, the scheduling
+//! preference and the priority, from downstream jobs.
 
 use super::node::{DerivedAttributes, SchedulingPreference};
 use super::DependencyGraph;
--- a/src/coordination/jobs/job.rs
+++ b/src/coordination/jobs/job.rs
@@ -286,7 +286,7 @@
         self.running_count += u32::from(is_running);
     }
 
-    /// Uncounts a task attempt that was removed from the ledger.
+    /// Subtracts a task attempt that was removed from the ledger.
     pub fn attempt_removed(&mut self, is_running: bool) {
         self.attempt_count = self.attempt_count.saturating_sub(1);
         self.running_count = self.running_count.saturating_sub(u32::from(is_running));
