--- a/src/coordination/attempts/ledger/mod.rs
+++ b/src/coordination/attempts/ledger/mod.rs
@@ -125,7 +125,7 @@
         if attempt.has_ended() {
             return None;
         }
-        let before = attempt.page.replace(page);
+        let before = attempt.intent_page.replace(page);
         Some(before.is_none())
     }
 
@@ -141,7 +141,7 @@
             return;
         };
         if let Some(machine) = self.machines.get_mut(machine_id) {
-            machine.note_idle(now);
+            machine.update_idle_since(now);
         }
         if !attempt.has_ended() {
             tracing::debug!(task = %key.task, attempt = %key.attempt_id, machine = %machine_id, proof = ?proof.reason(), "attempt removed");
@@ -163,9 +163,9 @@
         self.jobs.update(&key.task.job, |job| {
             job.attempt_removed(attempt.is_running())
         });
-        if let Some(page) = attempt.page {
+        if let Some(page) = attempt.intent_page {
             let removed = LaunchIntent::new(machine_id, key);
-            self.writer.intent_obsolete(now, page, &removed);
+            self.writer.remove_intent(now, page, &removed);
         }
         self.machines.reindex(machine_id);
         Some(attempt)
--- a/src/coordination/attempts/task_ends.rs
+++ b/src/coordination/attempts/task_ends.rs
@@ -29,7 +29,7 @@
         let task = &key.task;
         tracing::debug!(task = %task, machine = %machine_id, cause = ?cause, "task ended");
         if let Some(machine) = self.machines.get_mut(machine_id) {
-            machine.note_idle(now);
+            machine.update_idle_since(now);
         }
         if cause == Cause::Done {
             self.task_completed(now, machine_id, key);
@@ -100,13 +100,13 @@
     ///
     /// Guards against jobs submitted with a mistake that take machines down with them.
     fn forgive_failures_of(&mut self, job_id: &JobId) {
-        let max_failed_jobs = self.policy.operator.sick_errors as usize;
+        let max_failed_jobs = self.policy.operator.quarantine_threshold as usize;
         let Some(job) = self.jobs.get(job_id) else {
             return;
         };
         for machine_id in job.retry().failed_on() {
             if let Some(machine) = self.machines.get_mut(machine_id) {
-                machine.forget_failures_of(job_id, max_failed_jobs);
+                machine.clear_failures_of(job_id, max_failed_jobs);
             }
             self.machines.reindex(machine_id);
         }
@@ -114,7 +114,7 @@
 
     /// Quarantines a machine on which tasks of too many different jobs failed with no success between.
     fn quarantine_if_faulty(&mut self, now: Instant, machine_id: &MachineId) {
-        let max_failed_jobs = self.policy.operator.sick_errors as usize;
+        let max_failed_jobs = self.policy.operator.quarantine_threshold as usize;
         let Some(machine) = self.machines.get_mut(machine_id) else {
             return;
         };
--- a/src/coordination/jobs/estimates.rs
+++ b/src/coordination/jobs/estimates.rs
@@ -143,7 +143,7 @@
     /// deadlines were missed, while a fifth of the jobs took hours of machine time.
     pub(crate) fn pending_work_s(&self, job: &Job) -> f64 {
         let tasks = job.pending().len() as f64;
-        let fraction = self.machines.smallest_fraction_taken(job.spec());
+        let fraction = self.machines.smallest_machine_fraction(job.spec());
         fraction * tasks * self.estimates.task_run_time_s(job)
     }
 }
@@ -171,7 +171,7 @@
             .update(id, |job| job.run_time_measured(run_time_s));
         if let Some(job) = self.jobs.get(id) {
             if self.estimates.task_completed(job, run_time_s) {
-                self.writer.hints_changed();
+                self.writer.mark_hints_changed();
             }
         }
     }
--- a/src/coordination/jobs/lifecycle.rs
+++ b/src/coordination/jobs/lifecycle.rs
@@ -80,8 +80,8 @@
         let team = self.policy.team_index(&record.spec.team);
         let pages = record.dependency_pages;
         let job = Job::new(record.spec, team, revision, submitted_at, pages);
-        let attributes = self.graph_attributes(&job, &record.after);
-        self.jobs.open(id, job, &record.after, attributes);
+        let attributes = self.graph_attributes(&job, &record.upstream_jobs);
+        self.jobs.open(id, job, &record.upstream_jobs, attributes);
         self.apply_graph_changes(now);
         self.placement.request_pass();
     }
@@ -96,7 +96,7 @@
         let deadline_s = spec.due_s.or_else(fallback);
         // The image fetch time is unknown until the machine types are known.
         let fetch_s =
-            Some(self.machines.shortest_image_pull_s(spec)).filter(|seconds| seconds.is_finite());
+            Some(self.machines.shortest_image_fetch_s(spec)).filter(|seconds| seconds.is_finite());
         let run_time_s = self.estimates.longest_task_run_time_s(job) + fetch_s.unwrap_or(0.0);
         JobAttributes {
             deadline: deadline_s.map(|seconds| job.submitted_at() + TimeSpan::from_secs(seconds)),
@@ -150,7 +150,7 @@
             }
             let (spec, ready_at) = (job.spec().clone(), job.ready_at());
             self.aging.job_released(&spec);
-            self.note_arrival(&spec, ready_at);
+            self.record_arrival(&spec, ready_at);
             self.placement.request_pass();
         }
     }
@@ -176,8 +176,8 @@
         for TerminalRecordRead { job: id, record } in records {
             match record {
                 Some(record) if record.phase == JobPhase::Done => {
-                    let at = record.at_ms;
-                    let at = at.map(|ms| self.leadership.on_steady_clock(TimeSpan(ms as i64)));
+                    let at = record.done_at_ms;
+                    let at = at.map(|ms| self.leadership.monotonic_from_unix(TimeSpan(ms as i64)));
                     let at = at.map_or(now, |at| at.min(now));
                     self.jobs.graph.mark_finished(&id, at);
                 }
--- a/src/coordination/jobs/tasks.rs
+++ b/src/coordination/jobs/tasks.rs
@@ -86,7 +86,7 @@
 
     /// Marks the task as completed; if it was not completed before, that has to be persisted.
     pub(super) fn complete(&mut self, index: u32) {
-        if self.completed.add(index) {
+        if self.completed.insert(index) {
             self.unpersisted.insert(index);
             self.pending.remove(&index);
         }
@@ -99,9 +99,9 @@
 
     /// Loads a chunk of the progress record: tasks completed under a former leader.
     pub(super) fn load_progress(&mut self, chunk: u32, text: &str) {
-        self.completed.load(chunk, text);
+        self.completed.load_chunk(chunk, text);
         let completed = &self.completed;
-        self.pending.retain(|index| !completed.has(*index));
+        self.pending.retain(|index| !completed.contains(*index));
     }
 
     /// Removes all pending tasks, so that none is placed any more.
--- a/src/coordination/leadership/recovery/machine_pages.rs
+++ b/src/coordination/leadership/recovery/machine_pages.rs
@@ -57,7 +57,7 @@
         let writer = &mut self.scheduler.writer;
         writer.recover_machine_page(page, revision, new_machines.clone());
         if new_machines.len() < record.machines.len() {
-            writer.machine_changed(self.now, page);
+            writer.mark_machine_page_outdated(self.now, page);
         }
         new_machines
     }
@@ -106,7 +106,7 @@
     pub(super) fn recorded_instant(&self, time_of_day_s: u64) -> Instant {
         let time_of_day = TimeSpan((time_of_day_s as i64).saturating_mul(1000));
         let leadership = &self.scheduler.leadership;
-        leadership.on_steady_clock(time_of_day).min(self.now)
+        leadership.monotonic_from_unix(time_of_day).min(self.now)
     }
 }
 
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -81,11 +81,11 @@
         policy: Arc<Policy>,
         term: LeadershipTerm,
         now: Instant,
-        time_of_day_at_zero_ms: u64,
+        unix_time_at_zero_ms: u64,
     ) -> Scheduler {
         let teams = policy.facts.teams.len();
         Scheduler {
-            leadership: Leadership::new(term, now, time_of_day_at_zero_ms),
+            leadership: Leadership::new(term, now, unix_time_at_zero_ms),
             jobs: JobTable::new(teams),
             machines: MachineTable::default(),
             team_usage: TeamUsage::new(teams),
@@ -93,7 +93,7 @@
             placement: PlacementState::new(policy.facts.process_limits.cores),
             autoscaler: Autoscaler::new(policy.facts.cloud.rps),
             estimates: RunTimeEstimates::default(),
-            aging: Aging::new(policy.operator.begin_within_s),
+            aging: Aging::new(policy.operator.start_target_s),
             writer: Writer::new(&policy.facts.state, now),
             policy,
             denied_launch_count: 0,
@@ -156,7 +156,7 @@
                 answer,
             } => self.scale_out_answered(now, &idempotency_key, answer),
             Event::ScaleOutUnconfirmed { idempotency_key } => {
-                self.autoscaler.scale_out_unclear(now, &idempotency_key)
+                self.autoscaler.scale_out_unconfirmed(now, &idempotency_key)
             }
             Event::MachinesTerminated { machine_ids } => {
                 self.machines_terminated(now, &machine_ids)
@@ -165,16 +165,16 @@
             Event::WriteApplied {
                 request_id,
                 store_revision,
-            } => self.written(now, request_id, store_revision),
-            Event::WriteNotApplied { request_id } => self.not_written(now, request_id),
+            } => self.write_applied(now, request_id, store_revision),
+            Event::WriteNotApplied { request_id } => self.write_not_applied(now, request_id),
             Event::WriteRateLimited { request_id, pause } => {
-                self.write_limited(now, request_id, pause)
+                self.write_rate_limited(now, request_id, pause)
             }
             Event::WriteRejected { request_id } => self.write_rejected(now, request_id),
             Event::WriteUnconfirmed {
                 request_id,
                 failed_preconditions,
-            } => self.write_unclear(now, request_id, &failed_preconditions),
+            } => self.write_unconfirmed(now, request_id, &failed_preconditions),
             Event::Reread { request_id, items } => self.reread(now, request_id, items),
         }
     }
@@ -186,11 +186,11 @@
             self.run_periodic_checks(now);
         }
         self.read_terminal_records(now);
-        self.stop_unwanted(now);
+        self.stop_unwanted_attempts(now);
         if self.placement.start_pass_if_due(now) {
             self.place_and_scale(now);
         }
-        self.write(now);
+        self.write_records(now);
         self.send_pushes(now);
         std::mem::take(&mut self.effects)
     }
@@ -201,7 +201,7 @@
         self.recheck_machines(now);
         self.aging
             .update_endangered_groups(now, self.jobs.pending().map(|(_, job)| job));
-        self.machines.recheck_cached_images();
+        self.machines.recount_cached_images();
         self.remove_closed_jobs();
         self.log_cluster_state(now);
         self.placement.request_pass();
@@ -239,7 +239,7 @@
         let removable: Vec<JobId> = self
             .jobs
             .removable()
-            .filter(|id| !self.writer.is_writing_about(id))
+            .filter(|id| !self.writer.has_job_write_in_flight(id))
             .cloned()
             .collect();
         for id in removable {
--- a/src/coordination/persistence/draft/launches.rs
+++ b/src/coordination/persistence/draft/launches.rs
@@ -7,7 +7,9 @@
 use crate::coordination::persistence::intent_pages::IntentPageSize;
 use crate::ids::{JobId, KeyRevision, PageNumber};
 use crate::protocol::state::Change;
-use crate::storage::records::{intent_page_key, open_key, IntentPage, JobResources, LaunchIntent};
+use crate::storage::records::{
+    intent_page_key, open_job_key, IntentPage, JobResources, LaunchIntent,
+};
 use std::collections::BTreeSet;
 use std::iter::Peekable;
 
@@ -17,7 +19,7 @@
     intent: &LaunchIntent,
 ) -> bool {
     let attempt = attempt_of(machines, intent);
-    attempt.is_some_and(|attempt| attempt.page.is_none() && attempt.was_never_launched())
+    attempt.is_some_and(|attempt| attempt.intent_page.is_none() && attempt.was_never_launched())
 }
 
 fn attempt_of<'a>(machines: &'a MachineTable, intent: &LaunchIntent) -> Option<&'a TaskAttempt> {
@@ -124,7 +126,7 @@
             let (task, attempt_id) = (&intent.attempt.task, intent.attempt.attempt_id);
             page.add(&intent.machine_id, task, attempt_id);
             if let Some(attempt) = attempt_of(self.cluster.machines, intent) {
-                let placed_s = self.leadership.time_of_day_ms(attempt.since) / 1000;
+                let placed_s = self.leadership.unix_time_ms(attempt.placed_at) / 1000;
                 page.placed_s.entry(attempt_id).or_insert(placed_s);
             }
             if !page.jobs.contains_key(&task.job) {
@@ -192,7 +194,7 @@
         if !draft.has_room_for_preconditions(self.preconditions.len() + 1) {
             return false;
         }
-        self.preconditions.push((open_key(job), revision));
+        self.preconditions.push((open_job_key(job), revision));
         self.jobs.insert(job.clone());
         true
     }
--- a/src/coordination/policy.rs
+++ b/src/coordination/policy.rs
@@ -1,6 +1,6 @@
 //! The settings of the scheduler, and the timeouts derived from them.
 
-use crate::config::{Config, Facts, OperatorConfig, Slo, SloKind, Team};
+use crate::config::{Config, DeploymentFacts, OperatorConfig, Slo, SloKind, Team};
 use crate::ids::TeamIndex;
 use crate::time::TimeSpan;
 use crate::transport::sockets::SocketAllocation;
@@ -21,7 +21,7 @@
 #[derive(Debug, Clone)]
 pub struct Policy {
     /// Facts about the deployment, from the platform's settings.
-    pub facts: Facts,
+    pub facts: DeploymentFacts,
     /// The operators' settings.
     pub operator: OperatorConfig,
     /// The maximum number of pushes in flight.
@@ -90,14 +90,14 @@
     /// Returns the time after a failover within which every worker that can reach the new leader has sent it a
     /// heartbeat.
     pub fn first_heartbeats_bound(&self) -> TimeSpan {
-        let max_interval_s = self.facts.workers.report_s * MAX_HEARTBEAT_JITTER_FACTOR;
+        let max_interval_s = self.facts.workers.heartbeat_interval_s * MAX_HEARTBEAT_JITTER_FACTOR;
         TimeSpan::from_secs(max_interval_s + HEARTBEAT_RETRY_SECS)
     }
 
     /// Returns the time without a heartbeat after which a machine is suspected.
     pub fn heartbeat_timeout(&self) -> TimeSpan {
-        let max_interval_s = self.facts.workers.report_s * MAX_HEARTBEAT_JITTER_FACTOR;
-        let missed_s = max_interval_s * self.operator.silent_reports;
+        let max_interval_s = self.facts.workers.heartbeat_interval_s * MAX_HEARTBEAT_JITTER_FACTOR;
+        let missed_s = max_interval_s * self.operator.max_missed_heartbeats;
         TimeSpan::from_secs(missed_s + HEARTBEAT_DELIVERY_SECS)
     }
 }
--- a/src/runtime/leader/job_watch.rs
+++ b/src/runtime/leader/job_watch.rs
@@ -47,7 +47,7 @@
         machine_pages,
         machine_types: node.catalog.machine_types(),
         hints,
-        time_of_day_at_zero_ms: time_of_day_ms().saturating_sub(node.now().0.max(0) as u64),
+        unix_time_at_zero_ms: time_of_day_ms().saturating_sub(node.now().0.max(0) as u64),
     };
     Some((recovered, store_revision))
 }
@@ -74,7 +74,7 @@
 }
 
 fn submitted_at(node: &Node, record: &OpenJobRecord) -> Instant {
-    let age_ms = time_of_day_ms().saturating_sub(record.at_ms);
+    let age_ms = time_of_day_ms().saturating_sub(record.accepted_at_ms);
     node.now() - TimeSpan(age_ms.min(MAX_JOB_AGE_MS) as i64)
 }
 
--- a/tests/stale_knowledge.rs
+++ b/tests/stale_knowledge.rs
@@ -48,8 +48,8 @@
         "guessS": 50, "markEveryS": 0, "markCostS": 0});
     OpenJobRecord {
         spec: parse_submission(body.to_string().as_bytes()).unwrap().spec,
-        at_ms: 0,
-        after: after.iter().map(|n| job(*n)).collect(),
+        accepted_at_ms: 0,
+        upstream_jobs: after.iter().map(|n| job(*n)).collect(),
         dependency_pages: 0,
     }
 }
@@ -213,12 +213,12 @@
     };
     assert_eq!(commands, [vec![launch.clone()]]);
     assert_eq!(
-        scheduler.still_wanted(&machine_id(), commands[0].clone()),
+        scheduler.revalidate_commands(&machine_id(), commands[0].clone()),
         [launch]
     );
     scheduler.handle(START + TimeSpan(3_000), Event::JobCancelled { id: job(2) });
     assert_eq!(
-        scheduler.still_wanted(&machine_id(), commands[0].clone()),
+        scheduler.revalidate_commands(&machine_id(), commands[0].clone()),
         []
     );
     scheduler.audit().unwrap();
--- a/tests/upgrade/page_splitting.rs
+++ b/tests/upgrade/page_splitting.rs
@@ -37,8 +37,8 @@
         quota = { cores = 0.1, memory_mb = 150.0, max_sockets = 3000 }
     "#;
     let text = text.replace("NEXT", announced);
-    let mut facts: chalklug::config::Facts = toml::from_str(&text).expect("facts");
-    facts.state = facts.state.lowest();
+    let mut facts: chalklug::config::DeploymentFacts = toml::from_str(&text).expect("facts");
+    facts.state = facts.state.effective();
     Arc::new(Policy {
         facts,
         operator: OperatorConfig::default(),
@@ -98,7 +98,7 @@
         machine_pages: store.list(MACHINE_PAGE_PREFIX),
         intent_pages: store.list(INTENT_PAGE_PREFIX),
         machine_types: vec![machine_type(8.0)],
-        time_of_day_at_zero_ms: 1_700_000_000_000,
+        unix_time_at_zero_ms: 1_700_000_000_000,
         ..RecoveredState::default()
     };
     RecordedScheduler::recover(policy(announced), term, now, recovered)
@@ -205,8 +205,8 @@
             .spec;
         let record = OpenJobRecord {
             spec,
-            at_ms: 0,
-            after: vec![JobId::from("wk-900")],
+            accepted_at_ms: 0,
+            upstream_jobs: vec![JobId::from("wk-900")],
             dependency_pages: 0,
         };
         let opened = Event::JobOpened(Box::new(OpenJob {
