--- a/src/coordination/persistence/draft/job_ends.rs
+++ b/src/coordination/persistence/draft/job_ends.rs
@@ -11,22 +11,22 @@
 impl DraftContext<'_> {
     /// Finishes of jobs that others depend on, in at most half of a transaction: a burst of them must not hold up
     /// launches.
-    pub fn draft_upstream_finishes(&self, draft: &mut Draft) {
+    pub fn draft_done_upstream_jobs(&self, draft: &mut Draft) {
         let max_ops = (draft.limits().max_ops / 2).max(JOB_END_OPS);
         for (id, job) in self.cluster.jobs.complete() {
             if draft.op_count() + JOB_END_OPS > max_ops {
                 return;
             }
-            if self.has_downstream_jobs(id) && !self.draft_finish(id, job, draft) {
+            if self.has_downstream_jobs(id) && !self.draft_done_job(id, job, draft) {
                 return;
             }
         }
     }
 
     /// Finishes of jobs that no other depends on.
-    pub fn draft_other_finishes(&self, draft: &mut Draft) {
+    pub fn draft_other_done_jobs(&self, draft: &mut Draft) {
         for (id, job) in self.cluster.jobs.complete() {
-            if !self.has_downstream_jobs(id) && !self.draft_finish(id, job, draft) {
+            if !self.has_downstream_jobs(id) && !self.draft_done_job(id, job, draft) {
                 return;
             }
         }
@@ -43,7 +43,7 @@
         }
     }
 
-    fn draft_finish(&self, id: &JobId, job: &Job, draft: &mut Draft) -> bool {
+    fn draft_done_job(&self, id: &JobId, job: &Job, draft: &mut Draft) -> bool {
         let now = self.cluster.now;
         let time_of_day_ms = || self.leadership.time_of_day_ms(now);
         let record = TerminalRecord {
--- a/src/coordination/persistence/draft/launches.rs
+++ b/src/coordination/persistence/draft/launches.rs
@@ -32,7 +32,7 @@
 impl DraftContext<'_> {
     /// Intents that wait to be written, in the order in which the attempts were planned, packed into pages;
     /// `reserved_ops` changes are left to others.
-    pub fn draft_launches(&self, reserved_ops: usize, draft: &mut Draft) {
+    pub fn draft_launch_intents(&self, reserved_ops: usize, draft: &mut Draft) {
         let drafted: BTreeSet<LaunchIntent> = draft.launch_intents().cloned().collect();
         let queue = self.writer.intent_pages.queued();
         let machines = self.cluster.machines;
--- a/src/coordination/persistence/draft/machines.rs
+++ b/src/coordination/persistence/draft/machines.rs
@@ -66,8 +66,8 @@
 #[derive(Default)]
 struct MachinePageBuilder {
     page: MachinePage,
-    kind_numbers: BTreeMap<MachineKind, usize>,
-    image_numbers: BTreeMap<Image, usize>,
+    kind_indices: BTreeMap<MachineKind, usize>,
+    image_indices: BTreeMap<Image, usize>,
 }
 
 impl MachinePageBuilder {
@@ -75,30 +75,30 @@
     fn add(&mut self, machine: &Machine, rented_s: u64, max_images: usize) {
         let images = machine.images.iter().rev().take(max_images).rev();
         let entry = MachineEntry {
-            kind: self.kind_number(machine),
+            kind: self.kind_index(machine),
             rented_s,
             has_reported: machine.state != MachineState::Booting,
             images: images
-                .map(|CachedImage { image, size_gb }| self.image_number(image, *size_gb))
+                .map(|CachedImage { image, size_gb }| self.image_index(image, *size_gb))
                 .collect(),
         };
         self.page.machines.insert(machine.id.clone(), entry);
     }
 
-    fn kind_number(&mut self, machine: &Machine) -> usize {
+    fn kind_index(&mut self, machine: &Machine) -> usize {
         let machine_type = machine.machine_type.clone();
         let kind = MachineKind::new(machine_type, machine.zone.clone(), machine.spot);
         let kinds = &mut self.page.kinds;
-        *self.kind_numbers.entry(kind).or_insert_with_key(|kind| {
+        *self.kind_indices.entry(kind).or_insert_with_key(|kind| {
             kinds.push(kind.clone());
             kinds.len() - 1
         })
     }
 
-    fn image_number(&mut self, image: &Image, gb: f64) -> usize {
+    fn image_index(&mut self, image: &Image, gb: f64) -> usize {
         let images = &mut self.page.images;
-        let numbers = &mut self.image_numbers;
-        *numbers.entry(image.clone()).or_insert_with_key(|image| {
+        let indices = &mut self.image_indices;
+        *indices.entry(image.clone()).or_insert_with_key(|image| {
             images.push((image.clone(), gb));
             images.len() - 1
         })
--- a/src/coordination/persistence/draft/token.rs
+++ b/src/coordination/persistence/draft/token.rs
@@ -13,7 +13,7 @@
 /// It is raised this often while a machine has too many tombstones.
 const URGENT_TOKEN_RAISE_INTERVAL: TimeSpan = TimeSpan(5_000);
 /// So many tombstones on one machine are too many.
-const MAX_TOMBSTONES_PER_MACHINE: usize = 150;
+const URGENT_TOMBSTONE_COUNT: usize = 150;
 
 impl DraftContext<'_> {
     /// A leader raises its own token from time to time, so that tombstones of pushed launches can be cleared: a
@@ -50,17 +50,16 @@
             return false;
         }
         let mut machines = self.cluster.machines.values();
-        if machines.any(|machine| machine.attempts.tombstone_count() >= MAX_TOMBSTONES_PER_MACHINE)
-        {
+        if machines.any(|machine| machine.attempts.tombstone_count() >= URGENT_TOMBSTONE_COUNT) {
             return true;
         }
         let mut machines = self.cluster.machines.values();
         since_last_raise >= TOKEN_RAISE_INTERVAL
-            && machines.any(|machine| self.waits_for_higher_token(machine))
+            && machines.any(|machine| self.needs_higher_token(machine))
     }
 
     /// Whether a machine has a launch without a response, or a tombstone launched with the token in force.
-    fn waits_for_higher_token(&self, machine: &Machine) -> bool {
+    fn needs_higher_token(&self, machine: &Machine) -> bool {
         let is_blocked = |attempt: &TaskAttempt| {
             attempt.has_ended() && attempt.launched_with == Some(self.leadership.token())
         };
--- a/src/coordination/persistence/hints.rs
+++ b/src/coordination/persistence/hints.rs
@@ -31,12 +31,12 @@
     }
 
     /// The record has been read.
-    pub fn read(&mut self, revision: KeyRevision) {
+    pub fn set_revision(&mut self, revision: KeyRevision) {
         self.revision = revision;
     }
 
     /// The record has been written.
-    pub fn written(&mut self, now: Instant, revision: KeyRevision) {
+    pub fn mark_written(&mut self, now: Instant, revision: KeyRevision) {
         self.revision = revision;
         self.last_written_at = now;
         self.has_changed = false;
--- a/src/coordination/persistence/intent_pages.rs
+++ b/src/coordination/persistence/intent_pages.rs
@@ -28,7 +28,7 @@
     }
 
     /// Drops intents from the front of the queue as long as they need not be written any more.
-    pub fn drop_settled(&mut self, awaits_page: impl Fn(&LaunchIntent) -> bool) {
+    pub fn pop_obsolete(&mut self, awaits_page: impl Fn(&LaunchIntent) -> bool) {
         while self
             .queue
             .front()
@@ -95,7 +95,7 @@
         bound: TimeSpan,
     ) -> impl Iterator<Item = (PageNumber, KeyRevision)> + '_ {
         let is_obsolete = move |page: &StoredPage<LaunchIntent>| {
-            page.entries.is_empty() && page.is_outdated_for_longer(now, bound)
+            page.entries.is_empty() && page.is_outdated_longer_than(now, bound)
         };
         self.pages
             .iter()
@@ -104,7 +104,7 @@
     }
 
     /// A page has been written. Of what was written, `intents` are still true; `outdated` if that isn't all.
-    pub fn written(
+    pub fn mark_written(
         &mut self,
         now: Instant,
         page: PageNumber,
@@ -114,16 +114,16 @@
     ) {
         let page = self.pages.entry(page).or_default();
         page.entries = intents.into_iter().collect();
-        page.written(now, revision, outdated);
+        page.mark_written(now, revision, outdated);
     }
 
     /// A page has been deleted.
-    pub fn deleted(&mut self, page: PageNumber) {
+    pub fn remove_page(&mut self, page: PageNumber) {
         self.pages.remove(&page);
     }
 
     /// The key of a page has been read again: what it holds beyond what is true isn't known, so it is outdated.
-    pub fn reread(&mut self, now: Instant, page: PageNumber, revision: KeyRevision) {
+    pub fn refresh(&mut self, now: Instant, page: PageNumber, revision: KeyRevision) {
         let state = self.pages.entry(page).or_default();
         state.revision = revision;
         if state.is_stored() {
--- a/src/coordination/persistence/limits.rs
+++ b/src/coordination/persistence/limits.rs
@@ -11,7 +11,7 @@
 /// Bytes of one transaction: the state store takes 64 KiB.
 pub(super) const MAX_TRANSACTION_BYTES: usize = 56 * 1024;
 /// The part of the state store's limit on values that is used: a little room.
-const VALUE_LIMIT_USED: f64 = 0.95;
+const VALUE_LIMIT_FRACTION: f64 = 0.95;
 /// Values are never held smaller than this: the lists of one machine and one attempt need about as much.
 const MIN_VALUE_BYTES: usize = 512;
 
@@ -29,7 +29,7 @@
     pub fn new(state: &StateStoreLimits) -> WriteLimits {
         WriteLimits {
             max_ops: state.txn_ops,
-            max_value_bytes: (state.value_kb * 1024.0 * VALUE_LIMIT_USED) as usize,
+            max_value_bytes: (state.value_kb * 1024.0 * VALUE_LIMIT_FRACTION) as usize,
         }
     }
 
@@ -40,7 +40,7 @@
 
     /// The limits to try after a transaction was rejected for what it is: fewer operations, or, if it had the
     /// fewest already, smaller values.
-    pub fn below(self, rejected: &Transaction) -> WriteLimits {
+    pub fn reduced_after(self, rejected: &Transaction) -> WriteLimits {
         let ops = rejected.changes.len();
         if ops > JOB_END_OPS {
             return WriteLimits {
--- a/src/coordination/persistence/machine_pages.rs
+++ b/src/coordination/persistence/machine_pages.rs
@@ -40,7 +40,7 @@
         let is_due = match urgency {
             WriteUrgency::Urgent => self.is_urgent,
             WriteUrgency::Deferrable => {
-                !self.is_urgent && self.page.is_outdated_for_longer(now, bound)
+                !self.is_urgent && self.page.is_outdated_longer_than(now, bound)
             }
         };
         is_due && self.moving.is_empty()
@@ -109,11 +109,11 @@
     /// Guards against pages written under a larger limit on values, which could never be written again.
     pub fn split(&mut self) -> Vec<(MachineId, PageNumber)> {
         let max_machines = self.max_machines_per_page;
-        let is_large = |state: &MachinePageState| state.page.entries.len() > max_machines;
-        let large = self.pages.iter().filter(|(_, state)| is_large(state));
-        let large: Vec<PageNumber> = large.map(|(n, _)| *n).collect();
+        let is_oversized = |state: &MachinePageState| state.page.entries.len() > max_machines;
+        let oversized = self.pages.iter().filter(|(_, state)| is_oversized(state));
+        let oversized: Vec<PageNumber> = oversized.map(|(n, _)| *n).collect();
         let mut moved = Vec::new();
-        for old in large {
+        for old in oversized {
             let (surplus, is_urgent) = self.take_surplus(old);
             for machine_id in surplus {
                 let page = self.page_with_room();
@@ -145,10 +145,10 @@
     }
 
     /// Machines that are listed on other pages now, or terminated, keep no page from being written any more.
-    fn settle_moving(&mut self, now: Instant, is_settled: impl Fn(&MachineId) -> bool) {
+    fn finish_moves(&mut self, now: Instant, is_done: impl Fn(&MachineId) -> bool) {
         let moving = self.pages.values_mut().filter(|s| !s.moving.is_empty());
         for state in moving {
-            state.moving.retain(|machine_id| !is_settled(machine_id));
+            state.moving.retain(|machine_id| !is_done(machine_id));
             if state.moving.is_empty() {
                 state.page.mark_outdated(now);
             }
@@ -160,7 +160,7 @@
         if let Some(state) = self.pages.get_mut(&page) {
             state.page.remove(now, machine_id);
         }
-        self.settle_moving(now, |moving| moving == machine_id);
+        self.finish_moves(now, |moving| moving == machine_id);
     }
 
     /// What is known of a machine on the page has changed.
@@ -189,7 +189,7 @@
     }
 
     /// A page has been written with these machines.
-    pub fn written(
+    pub fn mark_written(
         &mut self,
         now: Instant,
         page: PageNumber,
@@ -199,12 +199,12 @@
         let state = self.pages.entry(page).or_default();
         state.is_urgent = !state.page.entries.is_subset(machine_ids);
         let outdated = state.page.entries != *machine_ids;
-        state.page.written(now, revision, outdated);
-        self.settle_moving(now, |moving| machine_ids.contains(moving));
+        state.page.mark_written(now, revision, outdated);
+        self.finish_moves(now, |moving| machine_ids.contains(moving));
     }
 
     /// The key of a page has been read again.
-    pub fn reread(&mut self, now: Instant, page: PageNumber, revision: KeyRevision) {
+    pub fn refresh(&mut self, now: Instant, page: PageNumber, revision: KeyRevision) {
         let state = self.pages.entry(page).or_default();
         state.page.revision = revision;
         state.is_urgent = !state.page.entries.is_empty();
--- a/src/coordination/persistence/mod.rs
+++ b/src/coordination/persistence/mod.rs
@@ -42,7 +42,7 @@
         let machines = &self.machines;
         self.writer
             .intent_pages
-            .drop_settled(|intent| draft::awaits_page(machines, intent));
+            .pop_obsolete(|intent| draft::awaits_page(machines, intent));
         let draft = self.draft_transaction(now);
         if draft.is_empty() || !self.writer.take_budget(now, draft.op_count()) {
             return;
@@ -69,12 +69,12 @@
         context.draft_token(&mut draft);
         context.draft_machine_pages(WriteUrgency::Urgent, &mut draft);
         // Every step of a chain of jobs waits for a terminal record: those go first.
-        context.draft_upstream_finishes(&mut draft);
+        context.draft_done_upstream_jobs(&mut draft);
         // Launches leave room for finishes: neither starves the other.
-        context.draft_launches(JOB_END_OPS, &mut draft);
-        context.draft_other_finishes(&mut draft);
+        context.draft_launch_intents(JOB_END_OPS, &mut draft);
+        context.draft_other_done_jobs(&mut draft);
         context.draft_cancellations(&mut draft);
-        context.draft_launches(0, &mut draft);
+        context.draft_launch_intents(0, &mut draft);
         if self.writer.has_spare_budget(now) {
             context.draft_progress(&mut draft);
             context.draft_garbage_collection(&mut draft);
--- a/src/coordination/persistence/orphans.rs
+++ b/src/coordination/persistence/orphans.rs
@@ -37,20 +37,20 @@
     }
 
     /// A record has been deleted.
-    pub fn deleted(&mut self, key: &str) {
+    pub fn remove(&mut self, key: &str) {
         self.progress.remove(key);
         self.dependencies.remove(key);
     }
 
     /// A dependency list or page has been read again; revision 0: it is absent.
-    pub fn dependencies_reread(&mut self, key: &str, revision: KeyRevision) {
+    pub fn update_dependencies(&mut self, key: &str, revision: KeyRevision) {
         if revision == KeyRevision(0) {
             self.dependencies.remove(key);
         }
     }
 
     /// A progress record has been read again; revision 0: it is absent. False if it isn't an orphan.
-    pub fn progress_reread(&mut self, key: &str, revision: KeyRevision) -> bool {
+    pub fn update_progress(&mut self, key: &str, revision: KeyRevision) -> bool {
         let Some(known) = self.progress.get_mut(key) else {
             return false;
         };
--- a/src/coordination/persistence/outcomes.rs
+++ b/src/coordination/persistence/outcomes.rs
@@ -18,11 +18,11 @@
         request_id: RequestId,
         store_revision: StoreRevision,
     ) {
-        let Some(settled) = self.writer.settle(request_id) else {
+        let Some(finished) = self.writer.finish_transaction(request_id) else {
             return;
         };
         let revision = KeyRevision(store_revision.0);
-        for update in settled.updates {
+        for update in finished.updates {
             self.update_written(now, revision, update);
         }
     }
@@ -32,7 +32,7 @@
             RecordUpdate::IntentPage { page, intents } => {
                 self.intent_page_written(now, page, revision, intents);
             }
-            RecordUpdate::IntentPageDeleted { page } => self.writer.intent_pages.deleted(page),
+            RecordUpdate::IntentPageDeleted { page } => self.writer.intent_pages.remove_page(page),
             RecordUpdate::MachinePage { page, machine_ids } => {
                 self.machine_page_written(now, page, revision, &machine_ids);
             }
@@ -49,8 +49,8 @@
                 tracing::debug!(%job, "job cancelled with an upstream job");
                 self.job_closed(now, &job, Closure::Cancelled);
             }
-            RecordUpdate::OrphanDeleted { key } => self.writer.orphans.deleted(&key),
-            RecordUpdate::Hints => self.writer.hints.written(now, revision),
+            RecordUpdate::OrphanDeleted { key } => self.writer.orphans.remove(&key),
+            RecordUpdate::Hints => self.writer.hints.mark_written(now, revision),
         }
     }
 
@@ -79,7 +79,7 @@
         let outdated = live.len() < written_count;
         self.writer
             .intent_pages
-            .written(now, page, revision, live, outdated);
+            .mark_written(now, page, revision, live, outdated);
         self.outbox.pushes_due.extend(launchable_on);
     }
 
@@ -93,7 +93,7 @@
     ) {
         self.writer
             .machine_pages
-            .written(now, page, revision, machine_ids);
+            .mark_written(now, page, revision, machine_ids);
         for machine_id in machine_ids {
             if let Some(machine) = self.machines.get_mut(machine_id) {
                 machine.is_recorded = true;
@@ -104,7 +104,7 @@
     fn token_written(&mut self, now: Instant, token: FencingToken, revision: KeyRevision) {
         tracing::debug!(fencing_token = %token, "fencing token raised");
         self.leadership.token_raised(token, revision);
-        self.writer.token_raised(now);
+        self.writer.set_token_raised_at(now);
     }
 
     fn progress_written(
@@ -115,7 +115,7 @@
         tasks: &BTreeSet<u32>,
     ) {
         let id = key.job.clone();
-        self.writer.progress.written(now, key, revision);
+        self.writer.progress.mark_written(now, key, revision);
         let is_closed = self.jobs.update(&id, |job| {
             job.progress_persisted(tasks);
             job.is_closed()
@@ -127,7 +127,7 @@
 
     /// A transaction was certainly not executed, nor will it be.
     pub(crate) fn write_not_applied(&mut self, now: Instant, request_id: RequestId) {
-        if self.writer.settle(request_id).is_some() {
+        if self.writer.finish_transaction(request_id).is_some() {
             self.writer.back_off(now);
         }
     }
@@ -140,19 +140,19 @@
         request_id: RequestId,
         pause: TimeSpan,
     ) {
-        if self.writer.settle(request_id).is_some() {
-            self.writer.rate_limited(now, pause);
+        if self.writer.finish_transaction(request_id).is_some() {
+            self.writer.pause_writes(now, pause);
         }
     }
 
     /// The state store rejects a transaction for what it is, and would each time. Guards against a leader that
     /// sends it again and again while nothing else is written: the limits may be lower than the settings say.
     pub(crate) fn write_rejected(&mut self, now: Instant, request_id: RequestId) {
-        let Some(settled) = self.writer.settle(request_id) else {
+        let Some(finished) = self.writer.finish_transaction(request_id) else {
             return;
         };
         self.writer.back_off(now);
-        let limits = self.writer.reduce_limits(&settled.transaction);
+        let limits = self.writer.reduce_limits(&finished.transaction);
         tracing::info!(
             max_ops = limits.max_ops,
             max_value_bytes = limits.max_value_bytes,
@@ -168,7 +168,7 @@
         request_id: RequestId,
         failed: &[String],
     ) {
-        if let Some(keys) = self.writer.unclear_keys(request_id, failed) {
+        if let Some(keys) = self.writer.unconfirmed_keys(request_id, failed) {
             self.begin_reread(now, keys);
         }
     }
--- a/src/coordination/persistence/progress.rs
+++ b/src/coordination/persistence/progress.rs
@@ -27,18 +27,18 @@
     }
 
     /// A record has been read.
-    pub fn read(&mut self, key: ProgressKey, revision: KeyRevision) {
+    pub fn set_revision(&mut self, key: ProgressKey, revision: KeyRevision) {
         self.revisions.insert(key, revision);
     }
 
     /// A record has been written.
-    pub fn written(&mut self, now: Instant, key: ProgressKey, revision: KeyRevision) {
+    pub fn mark_written(&mut self, now: Instant, key: ProgressKey, revision: KeyRevision) {
         self.revisions.insert(key, revision);
         self.last_written_at = now;
     }
 
     /// Takes the records of a job out.
-    pub fn take_job(&mut self, job: &JobId) -> Vec<(ProgressKey, KeyRevision)> {
+    pub fn remove_job(&mut self, job: &JobId) -> Vec<(ProgressKey, KeyRevision)> {
         let keys = self.revisions.keys().filter(|key| key.job == *job);
         let keys: Vec<ProgressKey> = keys.cloned().collect();
         keys.into_iter()
--- a/src/coordination/persistence/reread.rs
+++ b/src/coordination/persistence/reread.rs
@@ -32,11 +32,11 @@
         match record_key {
             RecordKey::Leader => self.leader_key_reread(now, item),
             RecordKey::FencingToken => self.leadership.token_counter_reread(revision),
-            RecordKey::Hints => writer.hints.read(revision),
+            RecordKey::Hints => writer.hints.set_revision(revision),
             RecordKey::OpenJob(job) => self.open_record_reread(now, &job, revision),
-            RecordKey::IntentPage(page) => writer.intent_pages.reread(now, page, revision),
-            RecordKey::MachinePage(page) => writer.machine_pages.reread(now, page, revision),
-            RecordKey::Dependencies => writer.orphans.dependencies_reread(key, revision),
+            RecordKey::IntentPage(page) => writer.intent_pages.refresh(now, page, revision),
+            RecordKey::MachinePage(page) => writer.machine_pages.refresh(now, page, revision),
+            RecordKey::Dependencies => writer.orphans.update_dependencies(key, revision),
             RecordKey::Progress(progress) => self.progress_reread(key, progress, revision),
             // The leader keeps no revision of these.
             RecordKey::Terminal(_) | RecordKey::Catalog => {}
@@ -44,8 +44,8 @@
     }
 
     fn progress_reread(&mut self, key: &str, progress: ProgressKey, revision: KeyRevision) {
-        if !self.writer.orphans.progress_reread(key, revision) {
-            self.writer.progress.read(progress, revision);
+        if !self.writer.orphans.update_progress(key, revision) {
+            self.writer.progress.set_revision(progress, revision);
         }
     }
 
@@ -61,7 +61,7 @@
     fn leader_key_reread(&mut self, now: Instant, item: Option<KeyValue>) {
         match self.leadership.leader_key_reread(item) {
             LeaderKeyOwner::Us => {}
-            LeaderKeyOwner::UsWithRaisedToken => self.writer.token_raised(now),
+            LeaderKeyOwner::UsWithRaisedToken => self.writer.set_token_raised_at(now),
             LeaderKeyOwner::Other => self.effects.push(Effect::StepDown {
                 reason: StepDownReason::LeaderKeyLost,
             }),
--- a/src/coordination/persistence/stored_page.rs
+++ b/src/coordination/persistence/stored_page.rs
@@ -42,7 +42,7 @@
     }
 
     /// Whether the page has been outdated for longer than the bound.
-    pub fn is_outdated_for_longer(&self, now: Instant, bound: TimeSpan) -> bool {
+    pub fn is_outdated_longer_than(&self, now: Instant, bound: TimeSpan) -> bool {
         self.outdated_since.is_some_and(|since| now - since > bound)
     }
 
@@ -53,7 +53,7 @@
     }
 
     /// The page has been written; `outdated`: what was written is no longer all that is true.
-    pub fn written(&mut self, now: Instant, revision: KeyRevision, outdated: bool) {
+    pub fn mark_written(&mut self, now: Instant, revision: KeyRevision, outdated: bool) {
         self.revision = revision;
         self.outdated_since = outdated.then_some(now);
     }
--- a/src/coordination/persistence/writer.rs
+++ b/src/coordination/persistence/writer.rs
@@ -20,7 +20,7 @@
 
 /// The part of the state store's rate of changes that the writer uses: the rest is left to submissions,
 /// cancellations and the lease.
-const WRITE_RATE_USED: f64 = 0.7;
+const WRITE_RATE_FRACTION: f64 = 0.7;
 /// Transactions are begun at most this often: what is ready meanwhile goes together.
 const WRITE_INTERVAL: TimeSpan = TimeSpan(100);
 /// The pause after a transaction that was not executed.
@@ -28,7 +28,7 @@
 /// A response this late is taken for none, should the runtime have lost it.
 const RESPONSE_TIMEOUT: TimeSpan = TimeSpan(8_000);
 /// Updates that may wait are drafted only while more than this part of the budget is left.
-const MIN_BUDGET_FOR_DEFERRABLE: f64 = 0.4;
+const MIN_FILL_RATIO_FOR_DEFERRABLE: f64 = 0.4;
 
 /// The request under way.
 #[derive(Debug)]
@@ -61,7 +61,7 @@
 }
 
 /// A transaction whose outcome is known now.
-pub(super) struct SettledTransaction {
+pub(super) struct FinishedTransaction {
     /// As it was sent.
     pub transaction: Transaction,
     /// What it was to make durable.
@@ -75,7 +75,7 @@
     limits: WriteLimits,
     budget: TokenBucket,
     not_before: Instant,
-    last_begun_at: Instant,
+    last_sent_at: Instant,
     token_raised_at: Instant,
     pub(super) intent_pages: IntentPages,
     pub(super) machine_pages: MachinePages,
@@ -87,14 +87,14 @@
 impl Writer {
     /// A writer that keeps within its part of the rate of changes.
     pub fn new(state: &StateStoreLimits, now: Instant) -> Writer {
-        let changes_per_s = state.write_rps * WRITE_RATE_USED;
+        let changes_per_s = state.write_rps * WRITE_RATE_FRACTION;
         let limits = WriteLimits::new(state);
         Writer {
             in_flight: InFlight::Idle,
             limits,
             budget: TokenBucket::new(changes_per_s, changes_per_s),
             not_before: Instant::ZERO,
-            last_begun_at: Instant::LONG_AGO,
+            last_sent_at: Instant::LONG_AGO,
             token_raised_at: now,
             intent_pages: IntentPages::default(),
             machine_pages: MachinePages::new(limits.max_value_bytes),
@@ -146,14 +146,14 @@
 
     /// The progress records of a job that is closed are deleted when there is time.
     pub(super) fn orphan_progress(&mut self, job: &JobId) {
-        for (key, revision) in self.progress.take_job(job) {
+        for (key, revision) in self.progress.remove_job(job) {
             self.orphans.add_progress(&key, revision);
         }
     }
 
     /// A new leader has found a progress record of an open job.
     pub(crate) fn recover_progress(&mut self, key: ProgressKey, revision: KeyRevision) {
-        self.progress.read(key, revision);
+        self.progress.set_revision(key, revision);
     }
 
     /// A new leader has found a progress record of a job that isn't open.
@@ -163,7 +163,7 @@
 
     /// A new leader has found the hints.
     pub(crate) fn recover_hints(&mut self, revision: KeyRevision) {
-        self.hints.read(revision);
+        self.hints.set_revision(revision);
     }
 
     /// A new leader has found a page of machines, and takes these over from it.
@@ -222,13 +222,13 @@
     }
 
     /// The leader's fencing token is known to be raised.
-    pub(super) fn token_raised(&mut self, now: Instant) {
+    pub(super) fn set_token_raised_at(&mut self, now: Instant) {
         self.token_raised_at = now;
     }
 
     /// Whether enough of the budget is left for what may wait.
     pub(super) fn has_spare_budget(&self, now: Instant) -> bool {
-        self.budget.fill_ratio(now) > MIN_BUDGET_FOR_DEFERRABLE
+        self.budget.fill_ratio(now) > MIN_FILL_RATIO_FOR_DEFERRABLE
     }
 
     /// What is to be done now.
@@ -236,7 +236,7 @@
         match &self.in_flight {
             InFlight::Idle => {
                 let is_too_early =
-                    now < self.not_before || now - self.last_begun_at < WRITE_INTERVAL;
+                    now < self.not_before || now - self.last_sent_at < WRITE_INTERVAL;
                 if is_too_early {
                     NextStep::Wait
                 } else {
@@ -271,7 +271,7 @@
         transaction: Transaction,
         updates: Vec<RecordUpdate>,
     ) {
-        self.last_begun_at = now;
+        self.last_sent_at = now;
         self.in_flight = InFlight::Writing {
             request_id,
             transaction,
@@ -290,14 +290,17 @@
     }
 
     /// The outcome of a transaction is known; `None` if another request is under way.
-    pub(super) fn settle(&mut self, request_id: RequestId) -> Option<SettledTransaction> {
+    pub(super) fn finish_transaction(
+        &mut self,
+        request_id: RequestId,
+    ) -> Option<FinishedTransaction> {
         match std::mem::replace(&mut self.in_flight, InFlight::Idle) {
             InFlight::Writing {
                 request_id: writing,
                 transaction,
                 updates,
                 ..
-            } if writing == request_id => Some(SettledTransaction {
+            } if writing == request_id => Some(FinishedTransaction {
                 transaction,
                 updates,
             }),
@@ -310,7 +313,7 @@
 
     /// The keys to be read again, now that the outcome of a transaction is unclear; `None` if another request is
     /// under way. `failed`: the preconditions that failed, if the state store said which.
-    pub(super) fn unclear_keys(
+    pub(super) fn unconfirmed_keys(
         &self,
         request_id: RequestId,
         failed: &[String],
@@ -341,14 +344,14 @@
     }
 
     /// The state store takes no changes for so long. What may wait does so until the budget has come up again.
-    pub(super) fn rate_limited(&mut self, now: Instant, pause: TimeSpan) {
+    pub(super) fn pause_writes(&mut self, now: Instant, pause: TimeSpan) {
         self.not_before = now + pause;
         self.budget.drain(now);
     }
 
     /// From now on less is written at once than the transaction that was rejected had.
     pub(super) fn reduce_limits(&mut self, rejected: &Transaction) -> WriteLimits {
-        self.limits = self.limits.below(rejected);
+        self.limits = self.limits.reduced_after(rejected);
         self.machine_pages
             .set_max_value_bytes(self.limits.max_value_bytes);
         self.limits
