--- a/src/storage/mod.rs
+++ b/src/storage/mod.rs
@@ -1,6 +1,6 @@
-//! What the controllers keep on the state store.
+//! Records that the controllers keep in the state store.
 //!
-//! Owns the stored form only: keys, values and their encoding, byte for byte. It holds no state in memory, does
-//! no I/O and takes no decision. What a leader remembers about stored pages is in `coordination::persistence`.
+//! Defines the stored form only: keys, values and their encoding, byte for byte. Holds no state in memory, does no
+//! I/O and makes no decisions. What a leader knows about the stored pages is in `coordination::persistence`.
 
 pub mod records;
--- a/src/storage/records/keys.rs
+++ b/src/storage/records/keys.rs
@@ -1,4 +1,4 @@
-//! Keys of the records: how each is built, and how any of them is read back.
+//! Formatting and parsing of record keys.
 
 use crate::ids::{JobId, PageNumber};
 use std::fmt;
@@ -7,29 +7,30 @@
 pub const LEADER_KEY: &str = "lead";
 /// Key of the counter of fencing tokens.
 pub const FENCING_TOKEN_KEY: &str = "baton";
-/// Key of the machine types, so that a controller can judge submissions while the cloud is unavailable.
+/// Key of the machine types. A controller validates submissions against them while the cloud is unavailable.
 pub const CATALOG_KEY: &str = "catalog";
-/// Key of what was observed of job classes: hints for a new leader, no safety rests on them.
+/// Key of the arrival rates and run times observed for each job class: hints for a new leader, on which no safety
+/// property depends.
 pub const HINTS_KEY: &str = "hints";
 /// Prefix of the keys of open jobs.
 pub const OPEN_JOB_PREFIX: &str = "o/";
-/// Prefix of the keys of dependency lists and their pages.
+/// Prefix of the keys of dependency lists and dependency pages.
 pub const DEPENDENCY_PREFIX: &str = "e/";
 /// Prefix of the keys of terminal records.
 pub const TERMINAL_PREFIX: &str = "f/";
 /// Prefix of the keys of progress records.
 pub const PROGRESS_PREFIX: &str = "p/";
-/// Prefix of the keys of pages of launch intents.
+/// Prefix of the keys of launch intent pages.
 pub const INTENT_PAGE_PREFIX: &str = "i/";
-/// Prefix of the keys of pages of machines.
+/// Prefix of the keys of machine pages.
 pub const MACHINE_PAGE_PREFIX: &str = "h/";
 
-/// Key of an open job.
+/// Key of a job's open record.
 pub fn open_job_key(job: &JobId) -> String {
     format!("{OPEN_JOB_PREFIX}{job}")
 }
 
-/// Key that stands for one attempt to write the dependency pages of a job.
+/// Key of a job's dependency list. Its revision identifies one attempt to write the job's dependency pages.
 pub fn dependency_list_key(job: &JobId) -> String {
     format!("{DEPENDENCY_PREFIX}{job}")
 }
@@ -39,32 +40,33 @@
     format!("{DEPENDENCY_PREFIX}{job}/{page}")
 }
 
-/// Key of a terminal record.
+/// Key of a job's terminal record.
 pub fn terminal_key(job: &JobId) -> String {
     format!("{TERMINAL_PREFIX}{job}")
 }
 
-/// Key of a page of launch intents.
+/// Key of a launch intent page.
 pub fn intent_page_key(page: PageNumber) -> String {
     format!("{INTENT_PAGE_PREFIX}{}", page.0)
 }
 
-/// Key of a page of machines.
+/// Key of a machine page.
 pub fn machine_page_key(page: PageNumber) -> String {
     format!("{MACHINE_PAGE_PREFIX}{}", page.0)
 }
 
-/// Names one progress record: a chunk of the completed tasks of a job. Displayed as its key.
+/// Identifies one progress record: a chunk of the completed tasks of a job. Displayed as the record's key.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ProgressKey {
     /// The job.
     pub job: JobId,
-    /// Which [`TASKS_PER_PROGRESS_RECORD`](super::TASKS_PER_PROGRESS_RECORD) tasks of it, from 0.
+    /// Index of the chunk, from 0. Each chunk covers [`TASKS_PER_PROGRESS_RECORD`](super::TASKS_PER_PROGRESS_RECORD)
+    /// tasks.
     pub chunk: u32,
 }
 
 impl ProgressKey {
-    /// Reads a key back; `None` if it is no progress record's.
+    /// Parses the key of a progress record. Returns `None` for any other key.
     pub fn parse(key: &str) -> Option<ProgressKey> {
         let (job, chunk) = key.strip_prefix(PROGRESS_PREFIX)?.rsplit_once('/')?;
         Some(ProgressKey {
@@ -80,7 +82,7 @@
     }
 }
 
-/// Any key of ours, with what it names.
+/// The parsed key of any record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RecordKey {
     /// The [`LeaderRecord`](super::LeaderRecord).
@@ -89,24 +91,24 @@
     FencingToken,
     /// The machine types.
     Catalog,
-    /// What was observed of job classes.
+    /// The arrival rates and run times observed for each job class.
     Hints,
-    /// An open job.
+    /// The open record of a job.
     OpenJob(JobId),
-    /// How a job ended.
+    /// The terminal record of a job.
     Terminal(JobId),
-    /// A job's dependency list, or one of its pages.
+    /// The dependency list of a job, or one of its dependency pages.
     Dependencies,
-    /// Completed tasks of a job.
+    /// A progress record.
     Progress(ProgressKey),
-    /// A page of launch intents.
+    /// A launch intent page.
     IntentPage(PageNumber),
-    /// A page of machines.
+    /// A machine page.
     MachinePage(PageNumber),
 }
 
 impl RecordKey {
-    /// Reads a key; `None` if it isn't one of ours.
+    /// Parses a key. Returns `None` if no record has such a key.
     pub fn parse(key: &str) -> Option<RecordKey> {
         match key {
             LEADER_KEY => return Some(RecordKey::Leader),
--- a/src/storage/records/leader.rs
+++ b/src/storage/records/leader.rs
@@ -1,17 +1,17 @@
-//! The record of who leads.
+//! The record that names the current leader.
 
 use crate::ids::FencingToken;
 use serde::{Deserialize, Serialize};
 
-/// Who leads. Stored under [`LEADER_KEY`](super::LEADER_KEY), attached to the leader's lease: it disappears when
-/// the lease expires.
+/// The current leader. Stored under [`LEADER_KEY`](super::LEADER_KEY) and attached to the leader's lease, so the
+/// state store deletes the record when the lease expires.
 ///
-/// Written by a candidate that wins, and by a leader that raises its own token.
+/// Written by a candidate that wins an election, and by a leader that raises its own fencing token.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct LeaderRecord {
-    /// The name of the controller's own host.
+    /// The name of the host that the leader runs on.
     pub host_name: String,
-    /// The token that all its commands carry.
+    /// The fencing token that all commands of the leader carry.
     #[serde(rename = "baton")]
     pub token: FencingToken,
 }
