--- a/src/storage/records/completed_tasks.rs
+++ b/src/storage/records/completed_tasks.rs
@@ -1,19 +1,19 @@
-//! The set of a job's completed tasks, and its stored form.
+//! The set of a job's completed tasks and its encoding in progress records.
 
 use base64::engine::general_purpose::STANDARD_NO_PAD;
 use base64::Engine;
 
-/// Tasks in one progress record. Their bits take 683 characters of base64, which is within the smallest limit on
-/// values.
+/// Number of tasks in one progress record. Their bits take 683 characters of base64, which is within the smallest
+/// size limit for values.
 pub const TASKS_PER_PROGRESS_RECORD: u32 = 4096;
 
 const BYTES_PER_PROGRESS_RECORD: usize = TASKS_PER_PROGRESS_RECORD as usize / 8;
 
-/// The completed tasks of a job, a bit for each task.
+/// The completed tasks of a job, as a bitmap.
 ///
-/// Task `i` is bit `i % 8` (the lowest is 0) of byte `i / 8`. It is stored in chunks of
-/// [`TASKS_PER_PROGRESS_RECORD`] tasks under a [`ProgressKey`](super::ProgressKey) each, as base64 without padding.
-/// A bit that is set is never cleared. Written by the leader, read by a new one.
+/// Task `i` is bit `i % 8` (the lowest is 0) of byte `i / 8`. The bitmap is stored in chunks of
+/// [`TASKS_PER_PROGRESS_RECORD`] tasks, each under a [`ProgressKey`](super::ProgressKey), as base64 without padding.
+/// A bit that is set is never cleared. Written by the leader, read by a new leader.
 #[derive(Clone, Debug, Default)]
 pub struct CompletedTasks {
     bits: Vec<u8>,
@@ -21,7 +21,7 @@
 }
 
 impl CompletedTasks {
-    /// An empty set for a job of so many tasks.
+    /// Returns an empty set for a job with the given number of tasks.
     pub fn new(tasks: u32) -> Self {
         CompletedTasks {
             bits: vec![0; (tasks as usize).div_ceil(8)],
@@ -36,7 +36,7 @@
             .is_some_and(|byte| byte & (1 << (task % 8)) != 0)
     }
 
-    /// Adds a task; true if it was not in the set. Numbers out of range are ignored.
+    /// Adds a task. Returns whether it was newly added; an index out of range is ignored.
     pub fn insert(&mut self, task: u32) -> bool {
         let Some(byte) = self.bits.get_mut(task as usize / 8) else {
             return false;
@@ -48,19 +48,20 @@
         is_new
     }
 
-    /// How many tasks are completed.
+    /// Returns the number of completed tasks.
     pub fn count(&self) -> u32 {
         self.count
     }
 
-    /// The stored form of one chunk.
+    /// Returns the base64 encoding of one chunk.
     pub fn encode_chunk(&self, chunk: u32) -> String {
         let start = chunk as usize * BYTES_PER_PROGRESS_RECORD;
         let end = (start + BYTES_PER_PROGRESS_RECORD).min(self.bits.len());
         STANDARD_NO_PAD.encode(self.bits.get(start..end).unwrap_or(&[]))
     }
 
-    /// Adds the tasks of a stored chunk. Text that isn't one adds nothing: its tasks run again.
+    /// Adds the tasks of an encoded chunk. Text that can't be decoded is ignored, so the tasks of that chunk run
+    /// again.
     pub fn load_chunk(&mut self, chunk: u32, text: &str) {
         let Ok(bytes) = STANDARD_NO_PAD.decode(text) else {
             return;
--- a/src/storage/records/jobs.rs
+++ b/src/storage/records/jobs.rs
@@ -1,4 +1,4 @@
-//! Records of open jobs and of how jobs ended.
+//! Open records and terminal records of jobs.
 
 use crate::ids::JobId;
 use crate::protocol::users::{JobPhase, JobSpec};
@@ -6,21 +6,22 @@
 
 /// An accepted job that is neither done nor cancelled. Stored under [`open_job_key`](super::open_job_key).
 ///
-/// Written once by the controller that accepts the job; deleted, with the job's [`TerminalRecord`] written, by
-/// the one that cancels it or by the leader. Every controller reads it.
+/// Written once by the controller that accepts the job. Deleted, in the transaction that writes the job's
+/// [`TerminalRecord`], by the controller that cancels the job or by the leader. Read by every controller.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct OpenJobRecord {
-    /// The job as its user describes it.
+    /// The job specification, as submitted by the user.
     pub spec: JobSpec,
-    /// Time of day of the acceptance, in milliseconds since 1970; only for deadlines, never for safety.
+    /// Unix time at which the job was accepted, in milliseconds. Used for deadlines only; no safety property depends
+    /// on it.
     #[serde(rename = "at_ms")]
     pub accepted_at_ms: u64,
-    /// Upstream jobs that this one waits for: those of its dependencies that were not done yet when it was
-    /// accepted.
+    /// Upstream jobs that this job waits for: its dependencies that were not done when it was accepted, except those
+    /// on dependency pages.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     #[serde(rename = "after")]
     pub upstream_jobs: Vec<JobId>,
-    /// How many pages name further upstream jobs, for which there was no room here.
+    /// Number of dependency pages, which list the upstream jobs if they don't fit in this record.
     #[serde(default, skip_serializing_if = "is_zero")]
     #[serde(rename = "edge_pages")]
     pub dependency_pages: u32,
@@ -30,17 +31,17 @@
     *n == 0
 }
 
-/// A record that exceeds the limit on values even with its dependencies on pages of their own.
+/// The record exceeds the size limit for values even after its upstream jobs have been moved to dependency pages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the record exceeds {max_bytes} bytes")]
 pub struct RecordTooLarge {
-    /// The limit.
+    /// The size limit, in bytes.
     pub max_bytes: usize,
 }
 
 impl OpenJobRecord {
-    /// Moves the upstream jobs to pages of their own if a value of `max_bytes` has no room for them. Each page is
-    /// within the limit too; there are none if everything fits.
+    /// Moves the upstream jobs to dependency pages if the record would exceed `max_bytes` with them. Returns the
+    /// pages, each within the same limit, or none if the whole record fits.
     pub fn move_dependencies_to_pages(
         &mut self,
         max_bytes: usize,
@@ -49,7 +50,7 @@
             return Ok(Vec::new());
         }
         let upstream_jobs = std::mem::take(&mut self.upstream_jobs);
-        // The longest number there can be.
+        // The number of pages isn't known yet: check the size with the longest possible number.
         self.dependency_pages = u32::MAX;
         if !self.fits(max_bytes) {
             return Err(RecordTooLarge { max_bytes });
@@ -64,7 +65,7 @@
     }
 }
 
-/// Distributes ids over JSON arrays of at most `max_bytes` each.
+/// Distributes job ids over pages whose JSON arrays take at most `max_bytes` each.
 fn split_into_pages(ids: Vec<JobId>, max_bytes: usize) -> Vec<Vec<JobId>> {
     const BRACKETS_BYTES: usize = 2;
     const QUOTES_AND_COMMA_BYTES: usize = 3;
@@ -84,27 +85,27 @@
     pages
 }
 
-/// How a job ended. Stored under [`terminal_key`](super::terminal_key).
+/// The final state of a job. Stored under [`terminal_key`](super::terminal_key).
 ///
-/// Written, in the transaction that deletes the open record, by the leader when all tasks are done or when an
-/// upstream job was cancelled, or by the controller that cancels. Kept for ever, so it holds little more than what
-/// users are told; never rewritten.
+/// Written in the transaction that deletes the open record: by the leader when all tasks are done or an upstream
+/// job was cancelled, or by the controller that cancels the job. Never rewritten. Kept forever, so it holds little
+/// more than what the API reports to users.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TerminalRecord {
     /// Done or cancelled.
     pub phase: JobPhase,
-    /// How many tasks the job had.
+    /// Number of tasks of the job.
     #[serde(rename = "pieces")]
     pub tasks: u32,
-    /// Time of day at which a job with downstream jobs was done, in milliseconds since 1970: a hint, from which a
-    /// new leader tells how long those have been ready.
+    /// Unix time at which the job was done, in milliseconds; set only if the job had downstream jobs. A hint: a new
+    /// leader derives from it how long the downstream jobs have been ready.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[serde(rename = "at_ms")]
     pub done_at_ms: Option<u64>,
 }
 
 impl TerminalRecord {
-    /// The record of a job that its user, or the user of a job upstream of it, has cancelled.
+    /// Returns the record of a job that was cancelled, either itself or through one of its upstream jobs.
     pub fn cancelled(tasks: u32) -> TerminalRecord {
         TerminalRecord {
             phase: JobPhase::Cancelled,
