--- a/src/storage/records/intents.rs
+++ b/src/storage/records/intents.rs
@@ -1,4 +1,4 @@
-//! Pages of launch intents: which task attempts may be on which machines.
+//! Launch intent pages: which task attempts may be on which machines.
 
 use crate::ids::{AttemptId, AttemptKey, JobId, MachineId, TaskId};
 use crate::protocol::users::JobSpec;
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// One task attempt and the machine that it is, or is to be, launched on.
+/// One task attempt and the machine on which it has been or will be launched.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LaunchIntent {
     /// The machine.
@@ -16,7 +16,7 @@
 }
 
 impl LaunchIntent {
-    /// The intent to launch an attempt on a machine.
+    /// Returns the intent to launch an attempt on a machine.
     pub fn new(machine_id: &MachineId, attempt: &AttemptKey) -> LaunchIntent {
         LaunchIntent {
             machine_id: machine_id.clone(),
@@ -24,22 +24,22 @@
         }
     }
 
-    /// The job that the attempt is of.
+    /// Returns the job that the attempt belongs to.
     pub fn job(&self) -> &JobId {
         &self.attempt.task.job
     }
 }
 
-/// What each task of a job takes, and whose it is, stored as `[team, cpus, gpus, ram_gb]`.
+/// The team of a job and the resource request of each of its tasks, stored as `[team, cpus, gpus, ram_gb]`.
 ///
-/// An intent page says it itself, for a new leader must know it also of jobs that are closed but whose tasks may
-/// still be on a machine.
+/// Stored on the intent page itself because a new leader also needs it for closed jobs whose tasks may still be on
+/// a machine.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(from = "StoredJobResources", into = "StoredJobResources")]
 pub struct JobResources {
     /// The name of the job's team.
     pub team: String,
-    /// What one task requests.
+    /// The resource request of one task.
     pub request: Resources,
 }
 
@@ -59,7 +59,7 @@
 }
 
 impl JobResources {
-    /// From a job's description.
+    /// Returns the team and the resource request of a job.
     pub fn of(spec: &JobSpec) -> JobResources {
         JobResources {
             team: spec.team.clone(),
@@ -68,20 +68,20 @@
     }
 }
 
-/// A page of launch intents. Stored under [`intent_page_key`](super::intent_page_key).
+/// A launch intent page. Stored under [`intent_page_key`](super::intent_page_key).
 ///
-/// Written by the leader before any launch on it leaves; read by a new leader, which takes every attempt on it for
-/// running until proven otherwise. Many attempts on many machines share one value, so that a burst of launches
-/// costs few changes.
+/// Written by the leader before it sends any of the launches on the page. A new leader reads it and assumes that
+/// every attempt on it is running until proven otherwise. One page holds attempts of many machines, so that a burst
+/// of launches takes few changes in the state store.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct IntentPage {
-    /// Attempt id -> job -> machine -> numbers of the tasks.
+    /// Attempt id -> job -> machine -> indices of the tasks.
     #[serde(rename = "starts")]
     pub attempts: BTreeMap<AttemptId, BTreeMap<JobId, BTreeMap<MachineId, Vec<u32>>>>,
-    /// What the tasks of the jobs named above take.
+    /// Team and resource request of each job in `attempts`.
     pub jobs: BTreeMap<JobId, JobResources>,
-    /// The time of day at which each attempt was placed, in seconds since 1970. A hint: it tells a new leader how
-    /// long the tasks have been running.
+    /// Unix time at which each attempt was placed, in seconds. A hint: a new leader derives from it how long the
+    /// tasks have been running.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub placed_s: BTreeMap<AttemptId, u64>,
 }
@@ -100,7 +100,7 @@
         tasks.push(task.index);
     }
 
-    /// Every intent on the page, by attempt id, job, machine and then as listed.
+    /// Iterates over the intents on the page, ordered by attempt id, job and machine; tasks keep their listed order.
     pub fn intents(&self) -> impl Iterator<Item = LaunchIntent> + '_ {
         self.attempts.iter().flat_map(|(attempt_id, jobs)| {
             jobs.iter().flat_map(move |(job, machines)| {
--- a/src/storage/records/machines.rs
+++ b/src/storage/records/machines.rs
@@ -1,10 +1,10 @@
-//! Pages of machines: what the cluster has rented.
+//! Machine pages: the machines that the cluster has rented.
 
 use crate::ids::{Image, MachineId, MachineType, Zone};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// What machines are rented as, stored as `[type, zone, spot]`.
+/// The machine type, zone and pricing (spot or not) of a rented machine, stored as `[type, zone, spot]`.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(from = "StoredKind", into = "StoredKind")]
 pub struct MachineKind {
@@ -12,12 +12,12 @@
     pub machine_type: MachineType,
     /// The zone.
     pub zone: Zone,
-    /// Whether it is a spot instance.
+    /// Whether the machine is a spot machine.
     pub spot: bool,
 }
 
 impl MachineKind {
-    /// A kind of machine.
+    /// Returns the kind with these properties.
     pub fn new(machine_type: MachineType, zone: Zone, spot: bool) -> MachineKind {
         MachineKind {
             machine_type,
@@ -41,17 +41,19 @@
     }
 }
 
-/// A machine on its page, stored as `[kind, rented_s, has_reported, images]`. Only the kind matters for safety.
+/// A machine on its page, stored as `[kind, rented_s, has_reported, images]`. No safety property depends on any
+/// field but `kind`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(from = "StoredMachine", into = "StoredMachine")]
 pub struct MachineEntry {
-    /// Its kind, by its place in [`MachinePage::kinds`].
+    /// Index of the machine's kind in [`MachinePage::kinds`].
     pub kind: usize,
-    /// The time of day at which it was rented, in seconds since 1970; 0 if that isn't known.
+    /// Unix time at which the machine was rented, in seconds; 0 if unknown.
     pub rented_s: u64,
-    /// Whether its worker has sent a heartbeat.
+    /// Whether the machine's worker has sent a heartbeat.
     pub has_reported: bool,
-    /// Images that should be in its cache, by their place in [`MachinePage::images`], least recently used first.
+    /// Indices in [`MachinePage::images`] of the images that should be in the machine's cache, least recently used
+    /// first.
     pub images: Vec<usize>,
 }
 
@@ -74,17 +76,17 @@
     }
 }
 
-/// A page of machines. Stored under [`machine_page_key`](super::machine_page_key).
+/// A machine page. Stored under [`machine_page_key`](super::machine_page_key).
 ///
-/// Written by the leader before anything is launched on a machine that is on it; read by a new leader. Kinds and
-/// images are named once and then by number.
+/// Written by the leader before it launches anything on a machine of the page; read by a new leader. Each kind and
+/// each image is listed once, and machines refer to it by index.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct MachinePage {
     /// The kinds of machines on the page.
     pub kinds: Vec<MachineKind>,
-    /// The images named on the page, and their sizes in GB.
+    /// The images in the caches of the machines on the page, with their sizes in GB.
     pub images: Vec<(Image, f64)>,
-    /// The machines.
+    /// The machines on the page.
     #[serde(rename = "hosts")]
     pub machines: BTreeMap<MachineId, MachineEntry>,
 }
