--- a/src/coordination/persistence/intent_pages.rs
+++ b/src/coordination/persistence/intent_pages.rs
@@ -1,7 +1,8 @@
-//! Which page of launch intents holds which task attempts, and which attempts wait for a page.
+//! Launch intents: which page contains which of them, and which wait to be written.
 //!
-//! A page is rewritten as a whole: what on it is still true, and what is new. So garbage collection costs no
-//! change of its own, and there are never many more pages than what is true needs.
+//! A page is always rewritten as a whole, with its intents that are still valid and with new ones. Garbage
+//! collection therefore needs no changes of its own, and there are never many more pages than the valid intents
+//! need.
 
 use super::stored_page::StoredPage;
 use crate::ids::{AttemptId, JobId, KeyRevision, MachineId, PageNumber};
@@ -9,7 +10,7 @@
 use crate::time::{Instant, TimeSpan};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// The pages of launch intents, and the intents that wait to be written.
+/// The launch intent pages, and the queue of intents that wait to be written.
 #[derive(Debug, Default)]
 pub(super) struct IntentPages {
     pages: BTreeMap<PageNumber, StoredPage<LaunchIntent>>,
@@ -17,17 +18,17 @@
 }
 
 impl IntentPages {
-    /// An intent joins those that wait to be written.
+    /// Appends an intent to the queue.
     pub fn enqueue(&mut self, intent: LaunchIntent) {
         self.queue.push_back(intent);
     }
 
-    /// The intents that wait to be written, the longest waiting first. Some may be settled already.
+    /// Iterates over the queued intents, oldest first. Some may no longer need to be written.
     pub fn queued(&self) -> impl Iterator<Item = &LaunchIntent> {
         self.queue.iter()
     }
 
-    /// Drops intents from the front of the queue as long as they need not be written any more.
+    /// Drops intents from the front of the queue, up to the first one that still has to be written.
     pub fn pop_obsolete(&mut self, awaits_page: impl Fn(&LaunchIntent) -> bool) {
         while self
             .queue
@@ -38,31 +39,31 @@
         }
     }
 
-    /// A new leader has found a page.
+    /// Adds a page that a new leader has read from the state store.
     pub fn recover_page(&mut self, page: PageNumber, revision: KeyRevision) {
         self.pages.entry(page).or_default().revision = revision;
     }
 
-    /// A new leader has found an intent on a page.
+    /// Adds a valid intent that a new leader has read from a page.
     pub fn recover_intent(&mut self, page: PageNumber, intent: LaunchIntent) {
         self.pages.entry(page).or_default().entries.insert(intent);
     }
 
-    /// The stored page holds something that is no longer true.
+    /// Marks a page whose stored form contains an obsolete intent.
     pub fn mark_outdated(&mut self, now: Instant, page: PageNumber) {
         if let Some(page) = self.pages.get_mut(&page) {
             page.mark_outdated(now);
         }
     }
 
-    /// An intent is no longer true: its page may be written without it.
+    /// Removes an intent that has become obsolete, so that the next write of its page omits it.
     pub fn remove_intent(&mut self, now: Instant, page: PageNumber, intent: &LaunchIntent) {
         if let Some(page) = self.pages.get_mut(&page) {
             page.remove(now, intent);
         }
     }
 
-    /// The page with the fewest intents that are still true, none of `excluded`.
+    /// Returns the page with the fewest valid intents, disregarding the pages in `excluded`.
     pub fn emptiest(&self, excluded: &BTreeSet<PageNumber>) -> Option<PageNumber> {
         let pages = self.pages.iter().filter(|(n, _)| !excluded.contains(n));
         pages
@@ -70,7 +71,7 @@
             .map(|(n, _)| *n)
     }
 
-    /// The first page that doesn't exist, none of `excluded`.
+    /// Returns the lowest page number that is neither in use nor in `excluded`.
     pub fn first_unused(&self, excluded: &BTreeSet<PageNumber>) -> PageNumber {
         let is_used = |n: &PageNumber| self.pages.contains_key(n) || excluded.contains(n);
         let mut page = PageNumber(0);
@@ -80,7 +81,7 @@
         page
     }
 
-    /// What on a page is still true, and the revision of its key.
+    /// Returns the valid intents of a page, and the page's key revision.
     pub fn contents(&self, page: PageNumber) -> (Vec<LaunchIntent>, KeyRevision) {
         let Some(page) = self.pages.get(&page) else {
             return (Vec::new(), KeyRevision(0));
@@ -88,7 +89,8 @@
         (page.entries.iter().cloned().collect(), page.revision)
     }
 
-    /// Pages of which nothing has been true any more for longer than the bound, with the revisions of their keys.
+    /// Returns the pages without valid intents that have been outdated for longer than `bound`, with their key
+    /// revisions.
     pub fn obsolete(
         &self,
         now: Instant,
@@ -103,7 +105,8 @@
             .map(|(n, page)| (*n, page.revision))
     }
 
-    /// A page has been written. Of what was written, `intents` are still true; `outdated` if that isn't all.
+    /// Records a successful write of a page. `intents` are the written intents that are still valid; `outdated`
+    /// tells whether the written page contains others.
     pub fn mark_written(
         &mut self,
         now: Instant,
@@ -117,12 +120,13 @@
         page.mark_written(now, revision, outdated);
     }
 
-    /// A page has been deleted.
+    /// Removes a page that has been deleted from the state store.
     pub fn remove_page(&mut self, page: PageNumber) {
         self.pages.remove(&page);
     }
 
-    /// The key of a page has been read again: what it holds beyond what is true isn't known, so it is outdated.
+    /// Updates the revision of a page whose key has been read again. A stored page is marked as outdated, because it
+    /// may contain obsolete intents.
     pub fn refresh(&mut self, now: Instant, page: PageNumber, revision: KeyRevision) {
         let state = self.pages.entry(page).or_default();
         state.revision = revision;
@@ -133,29 +137,28 @@
         }
     }
 
-    /// How many pages there are.
     pub fn page_count(&self) -> usize {
         self.pages.len()
     }
 
-    /// How many intents wait to be written.
+    /// Returns the number of queued intents.
     pub fn queue_len(&self) -> usize {
         self.queue.len()
     }
 }
 
-/// Braces and names of the fields of a page.
+/// Braces and field names of a page.
 const EMPTY_PAGE_BYTES: usize = 32;
-/// A task's number, of at most six digits, and a comma.
+/// A task index of at most six digits, and a comma.
 const TASK_BYTES: usize = 7;
 /// Quotes, colon, comma and brackets around a name.
 const NAME_OVERHEAD_BYTES: usize = 6;
-/// An attempt id over its tasks, and the same one over the time at which it was placed.
+/// An attempt id as the key of its tasks, and the same id as the key of its placement time.
 const ATTEMPT_ID_BYTES: usize = 26 + 36;
-/// Three decimal numbers of at most 18 characters each, with what is around them.
+/// Three decimal numbers of at most 18 characters each, with the punctuation around them.
 const JOB_RESOURCES_BYTES: usize = 66;
 
-/// An upper bound for the bytes of a page that holds the intents added so far.
+/// An upper bound for the encoded size of a page with the intents added so far.
 #[derive(Default)]
 pub(super) struct IntentPageSize {
     entry_bytes: usize,
@@ -166,12 +169,12 @@
 }
 
 impl IntentPageSize {
-    /// The bytes of a page with what was added.
+    /// Returns the upper bound, in bytes.
     pub fn bytes(&self) -> usize {
         self.entry_bytes + EMPTY_PAGE_BYTES
     }
 
-    /// Adds an intent of a job of that team.
+    /// Adds an intent of a job that belongs to `team`.
     pub fn add(&mut self, intent: &LaunchIntent, team: &str) {
         let attempt_id = intent.attempt.attempt_id;
         let job = intent.job();
