--- a/src/coordination/persistence/machine_pages.rs
+++ b/src/coordination/persistence/machine_pages.rs
@@ -1,37 +1,37 @@
-//! Which page of machines lists which machine, and which pages are to be written.
+//! Machine pages: which page lists which machine, and which pages have to be written.
 //!
-//! Every machine is on a page from the moment it is known, and on a stored page before anything is launched on it.
-//! No machine is ever on no stored page between being recorded and being terminated.
+//! A machine is assigned to a page as soon as it is known, and nothing is launched on it before that page is
+//! stored. From then until the machine is terminated, at least one stored page lists it.
 
 use super::stored_page::StoredPage;
 use crate::ids::{KeyRevision, MachineId, PageNumber};
 use crate::time::{Instant, TimeSpan};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Bytes that a machine takes on its page, beyond its name, with some images named.
+/// Bytes of a machine's entry on its page, without the machine's name and with some images.
 const MACHINE_ENTRY_BYTES: usize = 60;
 /// Bytes of a machine's name on its page.
 const MACHINE_NAME_BYTES: usize = 16;
-/// Bytes of the names of kinds and images on a page, at most.
+/// Maximum number of bytes reserved for the lists of kinds and images on a page.
 const MAX_SHARED_NAMES_BYTES: usize = 1000;
 
 /// How soon a page has to be written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum WriteUrgency {
-    /// A machine on it isn't recorded yet: nothing can be launched there.
+    /// The page lists a machine that isn't stored yet; nothing can be launched on that machine until it is.
     Urgent,
-    /// Only hints are outdated, or machines listed that are gone.
+    /// The stored page only has outdated hints, or lists machines that no longer exist.
     Deferrable,
 }
 
-/// One page of machines.
+/// The state of one machine page.
 #[derive(Debug, Default)]
 struct MachinePageState {
     page: StoredPage<MachineId>,
-    /// Whether a machine on it isn't recorded yet.
+    /// Whether the page lists a machine that isn't stored yet.
     is_urgent: bool,
-    /// Machines that the stored page lists and that are to be listed on other pages. It isn't written before they
-    /// are.
+    /// Machines that the stored page lists but that have been moved to other pages. The page is not rewritten
+    /// without them until those pages are stored.
     moving: BTreeSet<MachineId>,
 }
 
@@ -47,7 +47,7 @@
     }
 }
 
-/// The pages of machines.
+/// All machine pages.
 #[derive(Debug)]
 pub(super) struct MachinePages {
     pages: BTreeMap<PageNumber, MachinePageState>,
@@ -55,7 +55,7 @@
 }
 
 impl MachinePages {
-    /// No pages yet; each is to take at most so many bytes.
+    /// Creates the state without any pages. Each page will take at most `max_value_bytes`.
     pub fn new(max_value_bytes: usize) -> MachinePages {
         let mut pages = MachinePages {
             pages: BTreeMap::new(),
@@ -65,14 +65,14 @@
         pages
     }
 
-    /// From now on a page is to take at most so many bytes: [`MachinePages::split`] shrinks those that are larger.
+    /// Sets the maximum size of a page, in bytes. [`MachinePages::split`] shrinks the pages that exceed it.
     pub fn set_max_value_bytes(&mut self, max_value_bytes: usize) {
         let for_machines = max_value_bytes - (max_value_bytes / 4).min(MAX_SHARED_NAMES_BYTES);
         let per_machine = MACHINE_ENTRY_BYTES + MACHINE_NAME_BYTES;
         self.max_machines_per_page = (for_machines / per_machine).max(1);
     }
 
-    /// A new leader has found a page.
+    /// Adds a page that a new leader has read, with those of its machines that stay on it.
     pub fn recover_page(
         &mut self,
         page: PageNumber,
@@ -85,7 +85,7 @@
         self.pages.insert(page, state);
     }
 
-    /// Puts a new machine on a page.
+    /// Assigns a new machine to a page and returns the page's number.
     pub fn assign(&mut self, machine_id: &MachineId) -> PageNumber {
         let page = self.page_with_room();
         let state = self.pages.entry(page).or_default();
@@ -103,10 +103,10 @@
         found.map_or_else(|| PageNumber(next()), |(n, _)| *n)
     }
 
-    /// Spreads the machines of pages that list more than may be written now over further pages, and says which
-    /// go where. The new pages are written when there is time, the old ones after them.
+    /// Moves machines from pages that exceed the maximum size to other pages, and returns the moved machines with
+    /// their new pages. The other pages are due at once, the oversized pages only after them.
     ///
-    /// Guards against pages written under a larger limit on values, which could never be written again.
+    /// Guards against pages written under a higher size limit for values, which could never be rewritten.
     pub fn split(&mut self) -> Vec<(MachineId, PageNumber)> {
         let max_machines = self.max_machines_per_page;
         let is_oversized = |state: &MachinePageState| state.page.entries.len() > max_machines;
@@ -127,14 +127,14 @@
         moved
     }
 
-    /// Takes from a page the machines for which there is no room, and says whether it is urgent to write them.
+    /// Removes the machines that exceed the maximum size of a page. Returns them, and whether writing them is urgent.
     fn take_surplus(&mut self, page: PageNumber) -> (Vec<MachineId>, bool) {
         let Some(state) = self.pages.get_mut(&page) else {
             return (Vec::new(), false);
         };
         let entries = state.page.entries.iter();
         let surplus: Vec<MachineId> = entries.skip(self.max_machines_per_page).cloned().collect();
-        // Only what is stored there keeps the page from being written.
+        // A page that isn't stored can be written at once: none of its machines depend on the stored page.
         if state.page.is_stored() {
             state.moving.extend(surplus.iter().cloned());
         }
@@ -144,7 +144,8 @@
         (surplus, state.is_urgent)
     }
 
-    /// Machines that are listed on other pages now, or terminated, keep no page from being written any more.
+    /// Completes the moves of those machines for which `is_done` returns true: they are stored on another page, or
+    /// terminated. A page whose moves are all complete may be rewritten.
     fn finish_moves(&mut self, now: Instant, is_done: impl Fn(&MachineId) -> bool) {
         let moving = self.pages.values_mut().filter(|s| !s.moving.is_empty());
         for state in moving {
@@ -155,7 +156,7 @@
         }
     }
 
-    /// A machine is terminated.
+    /// Removes a terminated machine.
     pub fn remove_machine(&mut self, now: Instant, page: PageNumber, machine_id: &MachineId) {
         if let Some(state) = self.pages.get_mut(&page) {
             state.page.remove(now, machine_id);
@@ -163,15 +164,15 @@
         self.finish_moves(now, |moving| moving == machine_id);
     }
 
-    /// What is known of a machine on the page has changed.
+    /// Marks a page as outdated because the data of a machine on it has changed.
     pub fn mark_outdated(&mut self, now: Instant, page: PageNumber) {
         if let Some(state) = self.pages.get_mut(&page) {
             state.page.mark_outdated(now);
         }
     }
 
-    /// Pages of that urgency that are to be written; deferrable ones once they have been outdated for longer than
-    /// the bound.
+    /// Returns the pages of the given urgency that have to be written; deferrable pages only if they have been
+    /// outdated for longer than `bound`.
     pub fn due(&self, now: Instant, bound: TimeSpan, urgency: WriteUrgency) -> Vec<PageNumber> {
         let pages = self.pages.iter();
         pages
@@ -180,7 +181,7 @@
             .collect()
     }
 
-    /// The machines on a page, and the revision of its key.
+    /// Returns the machines on a page, and the page's key revision.
     pub fn contents(&self, page: PageNumber) -> (BTreeSet<MachineId>, KeyRevision) {
         let state = self.pages.get(&page);
         state.map_or_else(Default::default, |state| {
@@ -188,7 +189,7 @@
         })
     }
 
-    /// A page has been written with these machines.
+    /// Records a successful write of a page with the given machines.
     pub fn mark_written(
         &mut self,
         now: Instant,
@@ -203,7 +204,8 @@
         self.finish_moves(now, |moving| machine_ids.contains(moving));
     }
 
-    /// The key of a page has been read again.
+    /// Updates the revision of a page whose key has been read again, and marks the page as due: its stored contents
+    /// are unknown.
     pub fn refresh(&mut self, now: Instant, page: PageNumber, revision: KeyRevision) {
         let state = self.pages.entry(page).or_default();
         state.page.revision = revision;
