--- a/src/coordination/persistence/writer.rs
+++ b/src/coordination/persistence/writer.rs
@@ -1,6 +1,6 @@
-//! The writer: what it has in flight, how much it may write, and what it knows of the stored records.
+//! The writer: the request in flight, the write budget, and what is known about the stored records.
 //!
-//! One request at a time: each transaction sees the outcome of the one before.
+//! At most one request is in flight, so the outcome of a transaction is known before the next one is sent.
 
 use super::draft::RecordUpdate;
 use super::hints::HintsRecord;
@@ -18,22 +18,22 @@
 use crate::transport::token_bucket::TokenBucket;
 use std::collections::BTreeSet;
 
-/// The part of the state store's rate of changes that the writer uses: the rest is left to submissions,
+/// Fraction of the state store's rate limit for changes that the writer uses. The rest is left for submissions,
 /// cancellations and the lease.
 const WRITE_RATE_FRACTION: f64 = 0.7;
-/// Transactions are begun at most this often: what is ready meanwhile goes together.
+/// Minimum time between two transactions. Updates that become ready in the meantime are batched.
 const WRITE_INTERVAL: TimeSpan = TimeSpan(100);
-/// The pause after a transaction that was not executed.
+/// Delay of the next transaction after one that was not executed.
 const RETRY_DELAY: TimeSpan = TimeSpan(300);
-/// A response this late is taken for none, should the runtime have lost it.
+/// Timeout after which a response is considered lost, in case the runtime fails to deliver it.
 const RESPONSE_TIMEOUT: TimeSpan = TimeSpan(8_000);
-/// Updates that may wait are drafted only while more than this part of the budget is left.
+/// Deferrable updates are drafted only while the write budget is filled to more than this ratio.
 const MIN_FILL_RATIO_FOR_DEFERRABLE: f64 = 0.4;
 
-/// The request under way.
+/// The request in flight.
 #[derive(Debug)]
 enum InFlight {
-    /// None: the next transaction may be begun.
+    /// No request: the next transaction may be sent.
     Idle,
     /// A transaction whose outcome isn't known yet.
     Writing {
@@ -42,7 +42,7 @@
         updates: Vec<RecordUpdate>,
         sent_at: Instant,
     },
-    /// Keys are read again after an outcome that was unclear.
+    /// A re-read of keys after an unconfirmed outcome.
     Reading {
         request_id: RequestId,
         keys: Vec<String>,
@@ -50,25 +50,25 @@
     },
 }
 
-/// What the writer is to do next.
+/// The writer's next step.
 pub(super) enum NextStep {
-    /// Nothing: a response is awaited, or it is too early.
+    /// Do nothing: a response is outstanding, or the next transaction is delayed.
     Wait,
-    /// Begin a transaction.
+    /// Send a transaction.
     Write,
-    /// Read these keys again: no response has come.
+    /// Read these keys again, because the response to the request in flight has timed out.
     Reread(Vec<String>),
 }
 
-/// A transaction whose outcome is known now.
+/// A transaction that is no longer in flight because its outcome is known.
 pub(super) struct FinishedTransaction {
-    /// As it was sent.
+    /// The transaction as it was sent.
     pub transaction: Transaction,
-    /// What it was to make durable.
+    /// The record updates in the transaction.
     pub updates: Vec<RecordUpdate>,
 }
 
-/// The writer's memory.
+/// The state of the writer.
 #[derive(Debug)]
 pub struct Writer {
     in_flight: InFlight,
@@ -85,7 +85,7 @@
 }
 
 impl Writer {
-    /// A writer that keeps within its part of the rate of changes.
+    /// Creates a writer that uses its fraction of the state store's rate limit for changes.
     pub fn new(state: &StateStoreLimits, now: Instant) -> Writer {
         let changes_per_s = state.write_rps * WRITE_RATE_FRACTION;
         let limits = WriteLimits::new(state);
@@ -104,27 +104,27 @@
         }
     }
 
-    /// An attempt has been planned: its intent is to be written before it is launched.
+    /// Queues the launch intent of a planned attempt; it has to be written before the attempt is launched.
     pub(crate) fn enqueue_intent(&mut self, intent: LaunchIntent) {
         self.intent_pages.enqueue(intent);
     }
 
-    /// An attempt whose intent is on that page has left the ledger.
+    /// Removes from its page the launch intent of an attempt that is no longer tracked.
     pub(crate) fn remove_intent(&mut self, now: Instant, page: PageNumber, intent: &LaunchIntent) {
         self.intent_pages.remove_intent(now, page, intent);
     }
 
-    /// A machine is new: says on which page it is recorded.
+    /// Assigns a new machine to a machine page and returns the page's number.
     pub(crate) fn assign_machine_page(&mut self, machine_id: &MachineId) -> PageNumber {
         self.machine_pages.assign(machine_id)
     }
 
-    /// What the page says of a machine is outdated.
+    /// Marks a machine page as outdated because the data of a machine on it has changed.
     pub(crate) fn mark_machine_page_outdated(&mut self, now: Instant, page: PageNumber) {
         self.machine_pages.mark_outdated(now, page);
     }
 
-    /// A machine is terminated, as the cloud has confirmed.
+    /// Removes a machine whose termination the cloud has confirmed.
     pub(crate) fn remove_machine(
         &mut self,
         now: Instant,
@@ -134,39 +134,39 @@
         self.machine_pages.remove_machine(now, page, machine_id);
     }
 
-    /// Something was observed that belongs into the hints.
+    /// Marks the stored hints as outdated.
     pub(crate) fn mark_hints_changed(&mut self) {
         self.hints.mark_changed();
     }
 
-    /// A job with so many dependency pages is closed: they are deleted when there is time.
+    /// Schedules the deletion of the dependency list and the given number of dependency pages of a closed job.
     pub(crate) fn orphan_dependencies(&mut self, job: &JobId, pages: u32) {
         self.orphans.add_dependencies(job, pages);
     }
 
-    /// The progress records of a job that is closed are deleted when there is time.
+    /// Schedules the deletion of the progress records of a closed job.
     pub(super) fn orphan_progress(&mut self, job: &JobId) {
         for (key, revision) in self.progress.remove_job(job) {
             self.orphans.add_progress(&key, revision);
         }
     }
 
-    /// A new leader has found a progress record of an open job.
+    /// Adds a progress record of an open job that a new leader has read.
     pub(crate) fn recover_progress(&mut self, key: ProgressKey, revision: KeyRevision) {
         self.progress.set_revision(key, revision);
     }
 
-    /// A new leader has found a progress record of a job that isn't open.
+    /// Schedules the deletion of a progress record that a new leader has read and whose job isn't open.
     pub(crate) fn recover_orphaned_progress(&mut self, key: &ProgressKey, revision: KeyRevision) {
         self.orphans.add_progress(key, revision);
     }
 
-    /// A new leader has found the hints.
+    /// Sets the key revision of the hints that a new leader has read.
     pub(crate) fn recover_hints(&mut self, revision: KeyRevision) {
         self.hints.set_revision(revision);
     }
 
-    /// A new leader has found a page of machines, and takes these over from it.
+    /// Adds a machine page that a new leader has read, with those of its machines that stay on it.
     pub(crate) fn recover_machine_page(
         &mut self,
         page: PageNumber,
@@ -176,32 +176,32 @@
         self.machine_pages.recover_page(page, revision, machine_ids);
     }
 
-    /// A new leader has found a page of launch intents.
+    /// Adds a launch intent page that a new leader has read.
     pub(crate) fn recover_intent_page(&mut self, page: PageNumber, revision: KeyRevision) {
         self.intent_pages.recover_page(page, revision);
     }
 
-    /// A new leader has found an intent that may be true.
+    /// Adds a launch intent that a new leader has read and whose attempt may be on its machine.
     pub(crate) fn recover_intent(&mut self, page: PageNumber, intent: LaunchIntent) {
         self.intent_pages.recover_intent(page, intent);
     }
 
-    /// A new leader has found an intent that is void.
+    /// Marks a launch intent page on which a new leader has read an obsolete intent.
     pub(crate) fn recover_obsolete_intent(&mut self, now: Instant, page: PageNumber) {
         self.intent_pages.mark_outdated(now, page);
     }
 
-    /// How many pages of launch intents there are.
+    /// Returns the number of launch intent pages.
     pub(crate) fn intent_page_count(&self) -> usize {
         self.intent_pages.page_count()
     }
 
-    /// How many launch intents wait to be written.
+    /// Returns the number of launch intents that wait to be written.
     pub(crate) fn queued_intent_count(&self) -> usize {
         self.intent_pages.queue_len()
     }
 
-    /// Whether a transaction about the job is under way.
+    /// Whether a transaction that updates records of the job is in flight.
     pub(crate) fn has_job_write_in_flight(&self, job: &JobId) -> bool {
         match &self.in_flight {
             InFlight::Writing { updates, .. } => {
@@ -211,27 +211,26 @@
         }
     }
 
-    /// What transactions are held to.
+    /// Returns the size limits for transactions and values.
     pub(super) fn limits(&self) -> WriteLimits {
         self.limits
     }
 
-    /// When the leader last raised its fencing token.
+    /// Returns when the leader last raised its fencing token.
     pub(super) fn token_raised_at(&self) -> Instant {
         self.token_raised_at
     }
 
-    /// The leader's fencing token is known to be raised.
+    /// Records that the leader has raised its fencing token.
     pub(super) fn set_token_raised_at(&mut self, now: Instant) {
         self.token_raised_at = now;
     }
 
-    /// Whether enough of the budget is left for what may wait.
+    /// Whether enough of the write budget is left for deferrable updates.
     pub(super) fn has_spare_budget(&self, now: Instant) -> bool {
         self.budget.fill_ratio(now) > MIN_FILL_RATIO_FOR_DEFERRABLE
     }
 
-    /// What is to be done now.
     pub(super) fn next_step(&self, now: Instant) -> NextStep {
         match &self.in_flight {
             InFlight::Idle => {
@@ -257,13 +256,13 @@
         }
     }
 
-    /// Takes so many changes out of the budget; false if it doesn't allow them now.
+    /// Takes a number of changes from the write budget. Returns false if the budget doesn't allow them now.
     #[must_use]
     pub(super) fn take_budget(&mut self, now: Instant, changes: usize) -> bool {
         self.budget.try_take(now, changes as f64)
     }
 
-    /// A transaction is sent.
+    /// Tracks a transaction as the request in flight.
     pub(super) fn begin_writing(
         &mut self,
         now: Instant,
@@ -280,7 +279,7 @@
         };
     }
 
-    /// Keys are read again.
+    /// Tracks a re-read of keys as the request in flight.
     pub(super) fn begin_reading(&mut self, now: Instant, request_id: RequestId, keys: Vec<String>) {
         self.in_flight = InFlight::Reading {
             request_id,
@@ -289,7 +288,7 @@
         };
     }
 
-    /// The outcome of a transaction is known; `None` if another request is under way.
+    /// Ends a transaction whose outcome is known and returns it. Returns `None` if it isn't the request in flight.
     pub(super) fn finish_transaction(
         &mut self,
         request_id: RequestId,
@@ -311,8 +310,9 @@
         }
     }
 
-    /// The keys to be read again, now that the outcome of a transaction is unclear; `None` if another request is
-    /// under way. `failed`: the preconditions that failed, if the state store said which.
+    /// Returns the keys to read again after a transaction whose outcome is unconfirmed or whose preconditions failed;
+    /// `None` if it isn't the request in flight. `failed` lists the keys of the preconditions that failed, if the
+    /// state store reported them.
     pub(super) fn unconfirmed_keys(
         &self,
         request_id: RequestId,
@@ -328,7 +328,7 @@
         }
     }
 
-    /// Keys have been read again; false if another request is under way.
+    /// Ends a re-read of keys. Returns false if it isn't the request in flight.
     #[must_use]
     pub(super) fn end_reading(&mut self, request_id: RequestId) -> bool {
         let is_ours = matches!(&self.in_flight, InFlight::Reading { request_id: reading, .. } if *reading == request_id);
@@ -338,18 +338,19 @@
         is_ours
     }
 
-    /// The next transaction waits a little: the last one was not executed.
+    /// Delays the next transaction after one that was not executed.
     pub(super) fn back_off(&mut self, now: Instant) {
         self.not_before = now + RETRY_DELAY;
     }
 
-    /// The state store takes no changes for so long. What may wait does so until the budget has come up again.
+    /// Stops writing for `pause` after the state store's rate limit was exceeded, and drains the budget so that
+    /// deferrable updates wait until it has refilled.
     pub(super) fn pause_writes(&mut self, now: Instant, pause: TimeSpan) {
         self.not_before = now + pause;
         self.budget.drain(now);
     }
 
-    /// From now on less is written at once than the transaction that was rejected had.
+    /// Reduces the size limits after a transaction was rejected for its size, and returns the new limits.
     pub(super) fn reduce_limits(&mut self, rejected: &Transaction) -> WriteLimits {
         self.limits = self.limits.reduced_after(rejected);
         self.machine_pages
@@ -358,8 +359,8 @@
     }
 }
 
-/// All that a transaction would have changed, and the preconditions that failed, or all of them if it isn't known
-/// which did.
+/// Returns the keys that a transaction would have changed, the leader key, and the keys of the preconditions that
+/// failed, or of all preconditions if it isn't known which ones failed.
 fn keys_to_reread(transaction: &Transaction, failed: &[String]) -> Vec<String> {
     let changed = transaction.changes.iter().map(|change| change.key());
     let required = transaction.preconditions.iter().map(|p| &p.key);
