--- a/src/coordination/persistence/limits.rs
+++ b/src/coordination/persistence/limits.rs
@@ -1,31 +1,32 @@
-//! How large a transaction and a value may be. The settings say; should the state store refuse something for its
-//! size all the same, less is tried.
+//! Size limits for transactions and values. They come from the settings, and are reduced if the state store still
+//! rejects a transaction for its size.
 
 use crate::config::StateStoreLimits;
 use crate::protocol::state::{Change, Transaction};
 
-/// Changes that finish or cancel one job.
+/// Number of changes that finish or cancel one job.
 pub(super) const JOB_END_OPS: usize = 2;
-/// The state store takes so many preconditions for each change that it takes.
+/// The state store accepts this many preconditions in a transaction for each change that it accepts.
 const PRECONDITIONS_PER_OP: usize = 4;
-/// Bytes of one transaction: the state store takes 64 KiB.
+/// Maximum size of a transaction, in bytes. The state store accepts 64 KiB.
 pub(super) const MAX_TRANSACTION_BYTES: usize = 56 * 1024;
-/// The part of the state store's limit on values that is used: a little room.
+/// Fraction of the state store's size limit for values that is used, to leave a safety margin.
 const VALUE_LIMIT_FRACTION: f64 = 0.95;
-/// Values are never held smaller than this: the lists of one machine and one attempt need about as much.
+/// The size limit for values is never reduced below this: a page with a single machine or attempt needs about as
+/// much.
 const MIN_VALUE_BYTES: usize = 512;
 
-/// What the writer keeps to.
+/// Size limits that the writer observes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct WriteLimits {
-    /// Puts and deletes in one transaction.
+    /// Maximum number of puts and deletes in a transaction.
     pub max_ops: usize,
-    /// Bytes of one value.
+    /// Maximum size of a value, in bytes.
     pub max_value_bytes: usize,
 }
 
 impl WriteLimits {
-    /// The limits that the settings give.
+    /// Returns the limits given by the settings.
     pub fn new(state: &StateStoreLimits) -> WriteLimits {
         WriteLimits {
             max_ops: state.txn_ops,
@@ -33,13 +34,13 @@
         }
     }
 
-    /// Preconditions in one transaction.
+    /// Returns the maximum number of preconditions in a transaction.
     pub fn max_preconditions(self) -> usize {
         self.max_ops * PRECONDITIONS_PER_OP
     }
 
-    /// The limits to try after a transaction was rejected for what it is: fewer operations, or, if it had the
-    /// fewest already, smaller values.
+    /// Returns reduced limits to retry with after a transaction was rejected for its size: half as many changes as
+    /// it had or, if it had no more than [`JOB_END_OPS`], values of half the size.
     pub fn reduced_after(self, rejected: &Transaction) -> WriteLimits {
         let ops = rejected.changes.len();
         if ops > JOB_END_OPS {
