--- a/src/coordination/persistence/hints.rs
+++ b/src/coordination/persistence/hints.rs
@@ -1,12 +1,12 @@
-//! The record of what was observed of job classes: its revision, and when to write it.
+//! The hints record (arrival rates and run times observed for each job class): its revision, and when to write it.
 
 use crate::ids::KeyRevision;
 use crate::time::{Instant, TimeSpan};
 
-/// Hints are written at most this often.
+/// Minimum time between two writes of the hints record.
 const HINTS_WRITE_INTERVAL: TimeSpan = TimeSpan(10_000);
 
-/// The hints record.
+/// The writer's knowledge of the hints record.
 #[derive(Debug, Default)]
 pub(super) struct HintsRecord {
     revision: KeyRevision,
@@ -15,27 +15,27 @@
 }
 
 impl HintsRecord {
-    /// The revision of its key; 0 if it is absent.
+    /// Returns the key revision of the record; 0 if the record is absent.
     pub fn revision(&self) -> KeyRevision {
         self.revision
     }
 
-    /// Something was observed that isn't written yet.
+    /// Marks the stored record as outdated.
     pub fn mark_changed(&mut self) {
         self.has_changed = true;
     }
 
-    /// Whether the record is to be written.
+    /// Whether the record should be written now.
     pub fn is_due(&self, now: Instant) -> bool {
         self.has_changed && now - self.last_written_at > HINTS_WRITE_INTERVAL
     }
 
-    /// The record has been read.
+    /// Sets the key revision as read from the state store.
     pub fn set_revision(&mut self, revision: KeyRevision) {
         self.revision = revision;
     }
 
-    /// The record has been written.
+    /// Records a successful write.
     pub fn mark_written(&mut self, now: Instant, revision: KeyRevision) {
         self.revision = revision;
         self.last_written_at = now;
--- a/src/coordination/persistence/orphans.rs
+++ b/src/coordination/persistence/orphans.rs
@@ -1,10 +1,10 @@
-//! Records left over by jobs that are closed: harmless, and deleted when there is time.
+//! Orphaned records: records of closed jobs. They are harmless, and deleted while the write budget allows it.
 
 use crate::ids::{JobId, KeyRevision};
 use crate::storage::records::{dependency_list_key, dependency_page_key, ProgressKey};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Keys of records of closed jobs.
+/// Keys of orphaned records.
 #[derive(Debug, Default)]
 pub(super) struct OrphanedRecords {
     progress: BTreeMap<String, KeyRevision>,
@@ -12,22 +12,22 @@
 }
 
 impl OrphanedRecords {
-    /// The progress records of closed jobs, with their revisions.
+    /// Iterates over the progress records of closed jobs, with their key revisions.
     pub fn progress(&self) -> impl Iterator<Item = (&String, KeyRevision)> {
         self.progress.iter().map(|(key, revision)| (key, *revision))
     }
 
-    /// The dependency lists and pages of closed jobs.
+    /// Iterates over the keys of the dependency lists and dependency pages of closed jobs.
     pub fn dependencies(&self) -> impl Iterator<Item = &String> {
         self.dependencies.iter()
     }
 
-    /// A progress record is of a closed job.
+    /// Adds a progress record of a closed job.
     pub fn add_progress(&mut self, key: &ProgressKey, revision: KeyRevision) {
         self.progress.insert(key.to_string(), revision);
     }
 
-    /// A job with so many dependency pages is closed.
+    /// Adds the dependency list and the given number of dependency pages of a closed job.
     pub fn add_dependencies(&mut self, job: &JobId, pages: u32) {
         if pages > 0 {
             self.dependencies.insert(dependency_list_key(job));
@@ -36,20 +36,22 @@
         }
     }
 
-    /// A record has been deleted.
+    /// Removes a record that has been deleted from the state store.
     pub fn remove(&mut self, key: &str) {
         self.progress.remove(key);
         self.dependencies.remove(key);
     }
 
-    /// A dependency list or page has been read again; revision 0: it is absent.
+    /// Updates a dependency list or dependency page whose key has been read again. Revision 0 means that the key is
+    /// absent.
     pub fn update_dependencies(&mut self, key: &str, revision: KeyRevision) {
         if revision == KeyRevision(0) {
             self.dependencies.remove(key);
         }
     }
 
-    /// A progress record has been read again; revision 0: it is absent. False if it isn't an orphan.
+    /// Updates a progress record whose key has been read again. Revision 0 means that the key is absent. Returns
+    /// false if the record isn't orphaned.
     pub fn update_progress(&mut self, key: &str, revision: KeyRevision) -> bool {
         let Some(known) = self.progress.get_mut(key) else {
             return false;
