--- a/src/coordination/persistence/mod.rs
+++ b/src/coordination/persistence/mod.rs
@@ -1,11 +1,12 @@
-//! Durable writes: one transaction at a time, so that each sees the outcome of the one before.
+//! Durable writes, one transaction at a time: the outcome of a transaction is known before the next one is drafted.
 //!
-//! Owns what the leader knows of its stored records: revisions, which page holds what, what waits to be written.
-//! Every transaction requires the leader key's revision and those of the records that it changes: applied late, it
-//! can do nothing. After an unclear outcome the keys are read again before anything else is written.
+//! Owns what the leader knows about its stored records: key revisions, the contents of pages, and what waits to be
+//! written. The preconditions of a transaction include the revisions of the leader key and of the records that it
+//! changes, so a transaction that is applied late has no effect. After an unconfirmed outcome the keys are read again
+//! before anything else is written.
 //!
-//! Drafting reads the cluster and returns a `draft::Draft`; it changes nothing. What was drafted takes effect in
-//! memory only in `outcomes.rs`, once the transaction is known to be applied.
+//! Drafting reads the cluster state and returns a `draft::Draft` without changing any state. Drafted updates take
+//! effect in memory in `outcomes.rs`, once their transaction is known to be applied.
 
 mod draft;
 mod hints;
@@ -29,7 +30,7 @@
 use writer::NextStep;
 
 impl Scheduler {
-    /// Begins the next transaction if none is under way and there is something to write.
+    /// Sends the next transaction if no request is in flight and there is something to write.
     pub(crate) fn write_records(&mut self, now: Instant) {
         match self.writer.next_step(now) {
             NextStep::Wait => {}
@@ -57,7 +58,7 @@
         });
     }
 
-    /// All that is ready to be written and fits into one transaction, the most urgent first.
+    /// Drafts a transaction from the pending updates, the most urgent first, up to the size limits.
     fn draft_transaction(&self, now: Instant) -> Draft {
         let context = DraftContext {
             cluster: self.view(now),
@@ -68,9 +69,9 @@
         let mut draft = Draft::new(leader_key_revision, self.writer.limits());
         context.draft_token(&mut draft);
         context.draft_machine_pages(WriteUrgency::Urgent, &mut draft);
-        // Every step of a chain of jobs waits for a terminal record: those go first.
+        // Jobs in a dependency chain wait for the terminal records of their upstream jobs, so these go first.
         context.draft_done_upstream_jobs(&mut draft);
-        // Launches leave room for finishes: neither starves the other.
+        // Launch intents leave room for ending one job, so that neither kind of update starves the other.
         context.draft_launch_intents(JOB_END_OPS, &mut draft);
         context.draft_other_done_jobs(&mut draft);
         context.draft_cancellations(&mut draft);
@@ -86,7 +87,7 @@
         draft
     }
 
-    /// Machines of pages that are too large to be written go to further pages.
+    /// Moves machines from pages that are too large to be written to other pages.
     pub(crate) fn split_machine_pages(&mut self) {
         for (machine_id, page) in self.writer.machine_pages.split() {
             if let Some(machine) = self.machines.get_mut(&machine_id) {
--- a/src/coordination/persistence/outcomes.rs
+++ b/src/coordination/persistence/outcomes.rs
@@ -1,6 +1,6 @@
-//! What became of the writer's transactions: applied, not executed, or unclear.
+//! Outcomes of the writer's transactions: applied, not executed, or unconfirmed.
 //!
-//! What was drafted takes effect in memory here, and only once the transaction is known to be applied.
+//! Drafted updates take effect in memory here, and only once their transaction is known to be applied.
 
 use super::draft::RecordUpdate;
 use crate::coordination::jobs::lifecycle::Closure;
@@ -11,7 +11,7 @@
 use std::collections::BTreeSet;
 
 impl Scheduler {
-    /// A transaction has been applied at that revision of the store.
+    /// Handles a transaction that the state store has applied at `store_revision`.
     pub(crate) fn write_applied(
         &mut self,
         now: Instant,
@@ -54,7 +54,7 @@
         }
     }
 
-    /// A page of launch intents is written: the attempts that are new on it may be launched.
+    /// Handles a written launch intent page: the attempts that are new on it may now be launched.
     fn intent_page_written(
         &mut self,
         now: Instant,
@@ -83,7 +83,7 @@
         self.outbox.pushes_due.extend(launchable_on);
     }
 
-    /// A page of machines is written: intents to launch on them may be.
+    /// Handles a written machine page: launch intents for its machines may now be written.
     fn machine_page_written(
         &mut self,
         now: Instant,
@@ -125,15 +125,15 @@
         }
     }
 
-    /// A transaction was certainly not executed, nor will it be.
+    /// Handles a transaction that was not executed and never will be.
     pub(crate) fn write_not_applied(&mut self, now: Instant, request_id: RequestId) {
         if self.writer.finish_transaction(request_id).is_some() {
             self.writer.back_off(now);
         }
     }
 
-    /// A transaction was not executed since the state store takes no more changes for now. What may wait does so
-    /// until the rate allowed to this leader has come up again: leases, launches and ends of jobs go first.
+    /// Handles a transaction that was not executed because the state store's rate limit was exceeded. Deferrable
+    /// updates wait until the writer's own budget has refilled, so that leases, launches and ends of jobs go first.
     pub(crate) fn write_rate_limited(
         &mut self,
         now: Instant,
@@ -145,8 +145,9 @@
         }
     }
 
-    /// The state store rejects a transaction for what it is, and would each time. Guards against a leader that
-    /// sends it again and again while nothing else is written: the limits may be lower than the settings say.
+    /// Handles a transaction that the state store rejected for its size and would reject on every retry. The limits
+    /// in force may be lower than the settings say: without reduced limits the leader would resend the transaction
+    /// forever and write nothing else.
     pub(crate) fn write_rejected(&mut self, now: Instant, request_id: RequestId) {
         let Some(finished) = self.writer.finish_transaction(request_id) else {
             return;
@@ -161,7 +162,8 @@
         self.split_machine_pages();
     }
 
-    /// Preconditions of a transaction failed (these, if it is known which), or nothing is known of it.
+    /// Handles a transaction whose outcome is unconfirmed or whose preconditions failed. `failed` lists the keys of
+    /// the preconditions that failed, as far as they are known.
     pub(crate) fn write_unconfirmed(
         &mut self,
         now: Instant,
@@ -173,14 +175,14 @@
         }
     }
 
-    /// Asks for keys to be read again.
+    /// Requests that keys be read again.
     pub(super) fn begin_reread(&mut self, now: Instant, keys: Vec<String>) {
         let request_id = self.next_request_id();
         self.writer.begin_reading(now, request_id, keys.clone());
         self.effects.push(Effect::Reread { request_id, keys });
     }
 
-    /// A job is found to be open no longer, without its end being known.
+    /// Handles a missing open record: the job is closed, but whether it is done or cancelled is unknown.
     pub(super) fn open_record_gone(&mut self, now: Instant, job: &JobId) {
         self.job_closed(now, job, Closure::Unknown);
         self.writer.orphan_progress(job);
--- a/src/coordination/persistence/reread.rs
+++ b/src/coordination/persistence/reread.rs
@@ -1,8 +1,8 @@
-//! Keys read again after a transaction whose outcome was unclear.
+//! Re-reading of keys after a transaction with an unconfirmed outcome.
 //!
-//! Revisions are taken over, and what still differs is written again. A transaction that may yet be applied late
-//! requires the old revisions: if it is applied, our next one fails and the keys are read once more; if ours is
-//! first, the late one does nothing.
+//! The leader adopts the revisions that it reads, and writes again what still differs. The unconfirmed transaction
+//! may still be applied late, but its preconditions name the old revisions. If it is applied before the leader's next
+//! transaction, that one fails and the keys are read again; if it comes after, it has no effect.
 
 use crate::coordination::leadership::LeaderKeyOwner;
 use crate::coordination::{Effect, KeyReread, RequestId, Scheduler, StepDownReason};
@@ -12,7 +12,7 @@
 use crate::time::Instant;
 
 impl Scheduler {
-    /// The keys as they stand; `None`: absent.
+    /// Handles the response to a re-read: each key with its current value, or `None` if the key is absent.
     pub(crate) fn reread(&mut self, now: Instant, request_id: RequestId, items: Vec<KeyReread>) {
         if !self.writer.end_reading(request_id) {
             return;
@@ -38,7 +38,7 @@
             RecordKey::MachinePage(page) => writer.machine_pages.refresh(now, page, revision),
             RecordKey::Dependencies => writer.orphans.update_dependencies(key, revision),
             RecordKey::Progress(progress) => self.progress_reread(key, progress, revision),
-            // The leader keeps no revision of these.
+            // The leader doesn't track the revisions of these keys.
             RecordKey::Terminal(_) | RecordKey::Catalog => {}
         }
     }
@@ -57,7 +57,8 @@
         }
     }
 
-    /// Without the leader key this leader may not write, nor act for long.
+    /// Updates the leadership from the leader key. Steps down if this leader no longer owns the key, since it can
+    /// then neither write nor act for long.
     fn leader_key_reread(&mut self, now: Instant, item: Option<KeyValue>) {
         match self.leadership.leader_key_reread(item) {
             LeaderKeyOwner::Us => {}
