--- a/src/coordination/persistence/draft/job_ends.rs
+++ b/src/coordination/persistence/draft/job_ends.rs
@@ -1,4 +1,4 @@
-//! Ends of jobs: terminal records of those that are done, and of those cancelled with a job upstream of them.
+//! Terminal records of jobs that are done, and of jobs that are cancelled with an upstream job.
 
 use super::{Draft, DraftContext, RecordUpdate};
 use crate::coordination::jobs::job::Job;
@@ -9,8 +9,8 @@
 use crate::storage::records::{open_job_key, terminal_key, TerminalRecord};
 
 impl DraftContext<'_> {
-    /// Finishes of jobs that others depend on, in at most half of a transaction: a burst of them must not hold up
-    /// launches.
+    /// Drafts the terminal records of done jobs that other jobs depend on. They take up at most half of a
+    /// transaction, so that a burst of them doesn't delay launches.
     pub fn draft_done_upstream_jobs(&self, draft: &mut Draft) {
         let max_ops = (draft.limits().max_ops / 2).max(JOB_END_OPS);
         for (id, job) in self.cluster.jobs.complete() {
@@ -23,7 +23,7 @@
         }
     }
 
-    /// Finishes of jobs that no other depends on.
+    /// Drafts the terminal records of done jobs that no other job depends on.
     pub fn draft_other_done_jobs(&self, draft: &mut Draft) {
         for (id, job) in self.cluster.jobs.complete() {
             if !self.has_downstream_jobs(id) && !self.draft_done_job(id, job, draft) {
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Cancellations of jobs that depend on a cancelled one, directly or through others.
+    /// Drafts the terminal records of jobs that depend, directly or indirectly, on a cancelled job.
     pub fn draft_cancellations(&self, draft: &mut Draft) {
         for (id, job) in self.cluster.jobs.ancestor_cancelled() {
             let record = TerminalRecord::cancelled(job.spec().tasks);
@@ -60,7 +60,7 @@
     }
 }
 
-/// Adds the end of an open job, whose open record then gives way to the terminal one; false if it doesn't fit.
+/// Adds an update that replaces a job's open record by its terminal record. Returns false if the update doesn't fit.
 fn close_job(
     draft: &mut Draft,
     id: &JobId,
--- a/src/coordination/persistence/draft/launches.rs
+++ b/src/coordination/persistence/draft/launches.rs
@@ -13,7 +13,7 @@
 use std::collections::BTreeSet;
 use std::iter::Peekable;
 
-/// Whether an attempt is planned and its intent isn't on a page yet.
+/// Whether the attempt of an intent is planned and the intent isn't on a page yet.
 pub(in crate::coordination::persistence) fn awaits_page(
     machines: &MachineTable,
     intent: &LaunchIntent,
@@ -30,8 +30,8 @@
 }
 
 impl DraftContext<'_> {
-    /// Intents that wait to be written, in the order in which the attempts were planned, packed into pages;
-    /// `reserved_ops` changes are left to others.
+    /// Drafts the queued intents, in the order in which their attempts were planned, packed into pages. Leaves room
+    /// for `reserved_ops` other changes.
     pub fn draft_launch_intents(&self, reserved_ops: usize, draft: &mut Draft) {
         let drafted: BTreeSet<LaunchIntent> = draft.launch_intents().cloned().collect();
         let queue = self.writer.intent_pages.queued();
@@ -50,8 +50,8 @@
         }
     }
 
-    /// The emptiest page with what on it is still true, or, if that takes more than half of it, a new page: it costs
-    /// no more.
+    /// Returns the emptiest page with its valid intents or, if they fill more than half of it, a new page: either
+    /// takes one change.
     fn page_to_fill(&self, drafted: &BTreeSet<PageNumber>, max_bytes: usize) -> PageDraft {
         let pages = &self.writer.intent_pages;
         if let Some(number) = pages.emptiest(drafted) {
@@ -66,7 +66,7 @@
         PageDraft::new(number, KeyRevision(0), Vec::new(), size)
     }
 
-    /// Moves intents from the queue to the page as long as there is room.
+    /// Moves intents from the queue to the page while they fit.
     fn fill_page<'a>(
         &self,
         page: &mut PageDraft,
@@ -74,7 +74,8 @@
         draft: &Draft,
     ) {
         while let Some(intent) = queue.peek() {
-            // Its machine's page comes first; or its job is closed, and it is dropped elsewhere.
+            // Either the intent has to wait until its machine is stored, or its job is closed and the intent is
+            // dropped elsewhere.
             let Some(job) = self.launchable_job(intent) else {
                 queue.next();
                 continue;
@@ -91,14 +92,14 @@
         }
     }
 
-    /// The job of an intent, if that is open and the machine is recorded.
+    /// Returns the job of an intent if the job is open and the machine is stored.
     fn launchable_job(&self, intent: &LaunchIntent) -> Option<&Job> {
         let machine = self.cluster.machines.get(&intent.machine_id)?;
         let job = self.cluster.jobs.get(intent.job())?;
         (machine.is_recorded && !job.is_closed()).then_some(job)
     }
 
-    /// Adds a page to the draft; false if it doesn't fit.
+    /// Adds a page to the draft. Returns false if the page doesn't fit.
     fn add_page(&self, page: PageDraft, draft: &mut Draft) -> bool {
         let data = self.intent_page(&page.intents);
         let changes = vec![Change::put(intent_page_key(page.number), data)];
@@ -119,7 +120,7 @@
         size
     }
 
-    /// A page of these intents as it is written.
+    /// Encodes a page with the given intents.
     fn intent_page(&self, intents: &[LaunchIntent]) -> serde_json::Value {
         let mut page = IntentPage::default();
         for intent in intents {
@@ -137,7 +138,8 @@
         serde_json::to_value(&page).unwrap_or_default()
     }
 
-    /// What the tasks of an intent's job take: from the job, or, if that is closed and forgotten, from the attempt.
+    /// Returns the team and the resource request of an intent's job: from the job or, if the job is closed and no
+    /// longer known, from the attempt.
     fn resources_of(&self, intent: &LaunchIntent) -> JobResources {
         if let Some(job) = self.cluster.jobs.get(intent.job()) {
             return JobResources::of(job.spec());
@@ -152,15 +154,15 @@
     }
 }
 
-/// A page of launch intents that is being filled.
+/// A launch intent page that is being filled.
 struct PageDraft {
     number: PageNumber,
     preconditions: Vec<(String, KeyRevision)>,
     intents: Vec<LaunchIntent>,
     size: IntentPageSize,
-    /// Jobs whose open records are preconditions.
+    /// Jobs whose open records are preconditions of the page.
     jobs: BTreeSet<JobId>,
-    /// How many intents were on the page at first.
+    /// Number of intents on the page before any were added.
     initial_len: usize,
 }
 
@@ -185,8 +187,8 @@
         self.intents.len() > self.initial_len
     }
 
-    /// Requires that the job is still open: one that its user has cancelled meanwhile can't be launched. False if
-    /// the draft has no room for another precondition.
+    /// Adds the precondition that the job is still open, so that a job cancelled by its user in the meantime is not
+    /// launched. Returns false if the draft has no room for another precondition.
     fn require_open(&mut self, job: &JobId, revision: KeyRevision, draft: &Draft) -> bool {
         if self.jobs.contains(job) {
             return true;
