--- a/src/coordination/persistence/draft/garbage_collection.rs
+++ b/src/coordination/persistence/draft/garbage_collection.rs
@@ -1,4 +1,4 @@
-//! Records that say more than is true: harmless, so they are deleted when there is time.
+//! Deletion of obsolete records. They are harmless, so they are deleted only while the write budget allows it.
 
 use super::{Draft, DraftContext, RecordUpdate};
 use crate::ids::KeyRevision;
@@ -6,11 +6,11 @@
 use crate::storage::records::intent_page_key;
 use crate::time::TimeSpan;
 
-/// A page of launch intents of which nothing is true waits this long for a write that is needed anyway.
+/// Time for which a launch intent page without valid intents is kept, in case new intents are written to it.
 const OBSOLETE_INTENT_PAGE_DELAY: TimeSpan = TimeSpan(4_000);
 
 impl DraftContext<'_> {
-    /// Deletes records of closed jobs, and pages of launch intents of which nothing is true any more.
+    /// Drafts the deletion of orphaned records, and of launch intent pages without valid intents.
     pub fn draft_garbage_collection(&self, draft: &mut Draft) {
         let _fits = self.delete_orphans(draft) && self.delete_intent_pages(draft);
     }
@@ -21,7 +21,7 @@
             let preconditions = vec![(key.clone(), revision)];
             delete_orphan(draft, preconditions, key)
         });
-        // Without a precondition of their own: where there is a terminal record nobody writes them again.
+        // Dependencies need no precondition of their own: once a job has a terminal record, nobody writes them again.
         progress && (orphans.dependencies()).all(|key| delete_orphan(draft, Vec::new(), key))
     }
 
--- a/src/coordination/persistence/draft/hints.rs
+++ b/src/coordination/persistence/draft/hints.rs
@@ -1,4 +1,4 @@
-//! What was observed of job classes.
+//! The hints record.
 
 use super::{Draft, DraftContext, RecordUpdate};
 use crate::protocol::state::Change;
@@ -6,7 +6,7 @@
 use serde::Serialize;
 
 impl DraftContext<'_> {
-    /// The hints record, unless it exceeds the limit on values.
+    /// Drafts the hints record, unless it exceeds the size limit for values.
     pub fn draft_hints(&self, hints: &impl Serialize, draft: &mut Draft) {
         let Ok(data) = serde_json::to_value(hints) else {
             return;
@@ -16,7 +16,7 @@
         }
         let preconditions = vec![(HINTS_KEY.into(), self.writer.hints.revision())];
         let changes = vec![Change::put(HINTS_KEY.into(), data)];
-        // What doesn't fit stays due.
+        // If the record doesn't fit, it stays due.
         let _fits = draft.add(preconditions, changes, RecordUpdate::Hints);
     }
 }
--- a/src/coordination/persistence/draft/machines.rs
+++ b/src/coordination/persistence/draft/machines.rs
@@ -1,4 +1,4 @@
-//! Pages of machines, as they are written.
+//! Machine pages in their stored form.
 
 use super::{Draft, DraftContext, RecordUpdate};
 use crate::coordination::machines::machine::{Machine, MachineState};
@@ -10,13 +10,14 @@
 use crate::time::TimeSpan;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Pages that aren't urgent are written once they have been outdated for so long.
+/// Deferrable pages are written once they have been outdated for longer than this.
 const OUTDATED_MACHINE_PAGE_DELAY: TimeSpan = TimeSpan(15_000);
-/// Images named for each machine: the first of these numbers with which the page fits.
+/// Maximum number of cached images to list for each machine, in the order in which the numbers are tried until the
+/// page fits.
 const IMAGES_PER_MACHINE: [usize; 4] = [16, 10, 6, 3];
 
 impl DraftContext<'_> {
-    /// The pages of that urgency that are due.
+    /// Drafts the pages of the given urgency that are due.
     pub fn draft_machine_pages(&self, urgency: WriteUrgency, draft: &mut Draft) {
         let pages = &self.writer.machine_pages;
         let now = self.cluster.now;
@@ -32,7 +33,7 @@
         }
     }
 
-    /// A page with hints about images, if they fit.
+    /// Encodes a page with as many cached images as fit, or without any.
     fn machine_page(
         &self,
         machine_ids: &BTreeSet<MachineId>,
@@ -62,7 +63,7 @@
     }
 }
 
-/// A page under construction, with the numbers of what it has named so far.
+/// A page under construction, with the indices of the kinds and images that it lists so far.
 #[derive(Default)]
 struct MachinePageBuilder {
     page: MachinePage,
@@ -71,7 +72,7 @@
 }
 
 impl MachinePageBuilder {
-    /// Adds a machine with the images that were used last, at most so many.
+    /// Adds a machine with at most `max_images` of its cached images, the most recently used ones.
     fn add(&mut self, machine: &Machine, rented_s: u64, max_images: usize) {
         let images = machine.images.iter().rev().take(max_images).rev();
         let entry = MachineEntry {
--- a/src/coordination/persistence/draft/mod.rs
+++ b/src/coordination/persistence/draft/mod.rs
@@ -1,6 +1,6 @@
-//! What to write: a transaction put together from the cluster as it is, within the state store's limits.
+//! Drafting of transactions from the current cluster state, within the state store's limits.
 //!
-//! Nothing here changes any state. Each file drafts one kind of record.
+//! Drafting changes no state. Each file drafts one kind of record.
 
 mod garbage_collection;
 mod hints;
@@ -21,40 +21,40 @@
 use crate::storage::records::{LaunchIntent, ProgressKey, LEADER_KEY};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What one part of a transaction makes durable.
+/// One record update in a transaction.
 #[derive(Debug, Clone)]
 pub(super) enum RecordUpdate {
-    /// A page of launch intents holds these, and nothing else.
+    /// A launch intent page is written with exactly these intents.
     IntentPage {
         page: PageNumber,
         intents: Vec<LaunchIntent>,
     },
-    /// A page of launch intents is deleted: nothing on it is true any more.
+    /// A launch intent page without valid intents is deleted.
     IntentPageDeleted { page: PageNumber },
-    /// A page of machines lists these.
+    /// A machine page is written with these machines.
     MachinePage {
         page: PageNumber,
         machine_ids: BTreeSet<MachineId>,
     },
-    /// Completed tasks of one chunk, these among them for the first time.
+    /// A progress record is written; `tasks` are the completed tasks that are new in it.
     Progress {
         key: ProgressKey,
         tasks: BTreeSet<u32>,
     },
     /// A job is done.
     JobFinished { job: JobId },
-    /// A job is cancelled because a job upstream of it is.
+    /// A job is cancelled because one of its upstream jobs is.
     JobCancelled { job: JobId },
-    /// A record left by a job that is closed is deleted.
+    /// An orphaned record is deleted.
     OrphanDeleted { key: String },
-    /// What was observed of job classes.
+    /// The hints record is written.
     Hints,
     /// The leader's own fencing token is raised.
     Token { token: FencingToken },
 }
 
 impl RecordUpdate {
-    /// The open job that it is about.
+    /// Returns the open job whose records are updated, if any.
     pub fn job(&self) -> Option<&JobId> {
         match self {
             RecordUpdate::Progress { key, .. } => Some(&key.job),
@@ -64,7 +64,7 @@
     }
 }
 
-/// A transaction being put together within the limits.
+/// A transaction under construction, within the size limits.
 pub(super) struct Draft {
     preconditions: BTreeMap<String, KeyRevision>,
     changes: Vec<Change>,
@@ -73,13 +73,13 @@
     bytes: usize,
 }
 
-/// Bytes of a precondition, at most.
+/// Maximum size of an encoded precondition, in bytes.
 const PRECONDITION_BYTES: usize = 100;
-/// The size of what can't be encoded: more than fits, and sums of it don't overflow.
+/// Size assumed for a change that can't be encoded: exceeds every limit, and sums of a few don't overflow.
 const UNENCODABLE_BYTES: usize = usize::MAX / 4;
 
 impl Draft {
-    /// An empty draft of a leader whose key has that revision.
+    /// Returns a draft without changes whose only precondition is the revision of the leader key.
     pub fn new(leader_key_revision: KeyRevision, limits: WriteLimits) -> Draft {
         Draft {
             preconditions: BTreeMap::from([(LEADER_KEY.to_string(), leader_key_revision)]),
@@ -90,32 +90,29 @@
         }
     }
 
-    /// Whether it changes nothing.
     pub fn is_empty(&self) -> bool {
         self.changes.is_empty()
     }
 
-    /// How many changes it has.
     pub fn op_count(&self) -> usize {
         self.changes.len()
     }
 
-    /// The limits that it keeps to.
     pub fn limits(&self) -> WriteLimits {
         self.limits
     }
 
-    /// Whether so many more changes fit by their number.
+    /// Whether `more` changes can be added without exceeding the maximum number of changes.
     pub fn has_room_for_ops(&self, more: usize) -> bool {
         self.changes.len() + more <= self.limits.max_ops
     }
 
-    /// Whether so many more preconditions fit.
+    /// Whether `more` preconditions can be added without exceeding the maximum number of preconditions.
     pub fn has_room_for_preconditions(&self, more: usize) -> bool {
         self.preconditions.len() + more <= self.limits.max_preconditions()
     }
 
-    /// The launch intents that are drafted already.
+    /// Iterates over the launch intents in the draft.
     pub fn launch_intents(&self) -> impl Iterator<Item = &LaunchIntent> {
         self.updates.iter().flat_map(|update| match update {
             RecordUpdate::IntentPage { intents, .. } => intents.as_slice(),
@@ -123,7 +120,7 @@
         })
     }
 
-    /// The pages of launch intents that are drafted already.
+    /// Returns the numbers of the launch intent pages that the draft writes or deletes.
     pub fn intent_pages(&self) -> BTreeSet<PageNumber> {
         let pages = self.updates.iter().filter_map(|update| match update {
             RecordUpdate::IntentPage { page, .. } | RecordUpdate::IntentPageDeleted { page } => {
@@ -134,7 +131,7 @@
         pages.collect()
     }
 
-    /// Adds an update if it still fits; false if it doesn't.
+    /// Adds an update if it fits. Returns whether it was added.
     #[must_use]
     pub fn add(
         &mut self,
@@ -159,7 +156,7 @@
         true
     }
 
-    /// The transaction, and what it makes durable.
+    /// Returns the transaction, and the record updates in it.
     pub fn into_transaction(self) -> (Transaction, Vec<RecordUpdate>) {
         let preconditions = self.preconditions.into_iter();
         let transaction = Transaction {
@@ -176,12 +173,12 @@
     serde_json::to_string(change).map_or(UNENCODABLE_BYTES, |text| text.len())
 }
 
-/// What drafting reads.
+/// The state that drafting reads.
 pub(super) struct DraftContext<'a> {
     /// Jobs, machines and their task attempts.
     pub cluster: ClusterView<'a>,
-    /// The leadership that writes.
+    /// The leadership on whose behalf the transaction is written.
     pub leadership: &'a Leadership,
-    /// What is known of the stored records.
+    /// The writer, with what is known about the stored records.
     pub writer: &'a Writer,
 }
--- a/src/coordination/persistence/draft/progress.rs
+++ b/src/coordination/persistence/draft/progress.rs
@@ -1,4 +1,4 @@
-//! Progress of jobs: completed tasks that aren't persisted yet.
+//! Progress records: completed tasks that aren't persisted yet.
 
 use super::{Draft, DraftContext, RecordUpdate};
 use crate::coordination::jobs::job::Job;
@@ -9,8 +9,8 @@
 use std::collections::BTreeSet;
 
 impl DraftContext<'_> {
-    /// Progress of jobs that aren't complete, those with the most unpersisted tasks first: it is they whose
-    /// tombstones fill heartbeats.
+    /// Drafts the progress records of jobs that aren't complete. Jobs with the most unpersisted tasks go first, since
+    /// the tombstones of these tasks take up space in heartbeats.
     pub fn draft_progress(&self, draft: &mut Draft) {
         if !self.writer.progress.is_due(self.cluster.now) {
             return;
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Progress of one job; false if not all of it fits.
+    /// Drafts the progress records of one job. Returns false if not all of them fit.
     fn draft_job_progress(&self, id: &JobId, job: &Job, draft: &mut Draft) -> bool {
         let chunk_of = |task: &u32| task / TASKS_PER_PROGRESS_RECORD;
         let chunks: BTreeSet<u32> = job.unpersisted().iter().map(chunk_of).collect();
--- a/src/coordination/persistence/draft/token.rs
+++ b/src/coordination/persistence/draft/token.rs
@@ -8,16 +8,16 @@
 use crate::storage::records::{LeaderRecord, FENCING_TOKEN_KEY, LEADER_KEY};
 use crate::time::TimeSpan;
 
-/// The token is raised this often while tombstones, or launches without a response, wait for it.
+/// Interval between raises of the token while tombstones, or launches without a response, require a higher token.
 const TOKEN_RAISE_INTERVAL: TimeSpan = TimeSpan(60_000);
-/// It is raised this often while a machine has too many tombstones.
+/// Interval between raises of the token while a machine has [`URGENT_TOMBSTONE_COUNT`] tombstones or more.
 const URGENT_TOKEN_RAISE_INTERVAL: TimeSpan = TimeSpan(5_000);
-/// So many tombstones on one machine are too many.
+/// Number of tombstones on one machine from which the token is raised at the shorter interval.
 const URGENT_TOMBSTONE_COUNT: usize = 150;
 
 impl DraftContext<'_> {
-    /// A leader raises its own token from time to time, so that tombstones of pushed launches can be cleared: a
-    /// copy of the command that launched carries a lower one by then.
+    /// Drafts a raise of the leader's own token if one is due. Tombstones of pushed launches can be cleared only after a raise:
+    /// the worker then refuses a late copy of the launch command because its token is lower.
     pub fn draft_token(&self, draft: &mut Draft) {
         if !self.is_token_raise_due() {
             return;
@@ -40,7 +40,7 @@
             },
             Change::put(FENCING_TOKEN_KEY.into(), token.0.into()),
         ];
-        // It is the first in the draft, so it fits.
+        // The token is the first update in the draft, so it fits.
         let _fits = draft.add(preconditions, changes, RecordUpdate::Token { token });
     }
 
@@ -58,7 +58,7 @@
             && machines.any(|machine| self.needs_higher_token(machine))
     }
 
-    /// Whether a machine has a launch without a response, or a tombstone launched with the token in force.
+    /// Whether a machine has a launch without a response, or a tombstone that was launched with the current token.
     fn needs_higher_token(&self, machine: &Machine) -> bool {
         let is_blocked = |attempt: &TaskAttempt| {
             attempt.has_ended() && attempt.launched_with == Some(self.leadership.token())
