--- a/src/coordination/persistence/intent_pages.rs
+++ b/src/coordination/persistence/intent_pages.rs
@@ -49,7 +49,7 @@
         self.pages.entry(page).or_default().entries.insert(intent);
     }
 
-    /// Marks a page whose stored form contains an obsolete intent.
+    /// Marks a page as outdated because the stored page contains an obsolete intent.
     pub fn mark_outdated(&mut self, now: Instant, page: PageNumber) {
         if let Some(page) = self.pages.get_mut(&page) {
             page.mark_outdated(now);
--- a/src/coordination/persistence/writer.rs
+++ b/src/coordination/persistence/writer.rs
@@ -68,7 +68,7 @@
     pub updates: Vec<RecordUpdate>,
 }
 
-/// The state of the writer.
+/// Schedules the writes of the leader's records, and tracks what is stored.
 #[derive(Debug)]
 pub struct Writer {
     in_flight: InFlight,
@@ -166,7 +166,7 @@
         self.hints.set_revision(revision);
     }
 
-    /// Adds a machine page that a new leader has read, with those of its machines that stay on it.
+    /// Adds a machine page that a new leader has read, with those of its machines that no other page lists.
     pub(crate) fn recover_machine_page(
         &mut self,
         page: PageNumber,
@@ -186,7 +186,7 @@
         self.intent_pages.recover_intent(page, intent);
     }
 
-    /// Marks a launch intent page on which a new leader has read an obsolete intent.
+    /// Marks a launch intent page as outdated because a new leader has read an obsolete intent from it.
     pub(crate) fn recover_obsolete_intent(&mut self, now: Instant, page: PageNumber) {
         self.intent_pages.mark_outdated(now, page);
     }
