--- a/src/coordination/persistence/machine_pages.rs
+++ b/src/coordination/persistence/machine_pages.rs
@@ -72,7 +72,7 @@
         self.max_machines_per_page = (for_machines / per_machine).max(1);
     }
 
-    /// Adds a page that a new leader has read, with those of its machines that no other page lists.
+    /// Adds a page that a new leader has read, with those of its machines that no page read before lists.
     pub fn recover_page(
         &mut self,
         page: PageNumber,
--- a/src/coordination/persistence/writer.rs
+++ b/src/coordination/persistence/writer.rs
@@ -166,7 +166,7 @@
         self.hints.set_revision(revision);
     }
 
-    /// Adds a machine page that a new leader has read, with those of its machines that no other page lists.
+    /// Adds a machine page that a new leader has read, with those of its machines that no page read before lists.
     pub(crate) fn recover_machine_page(
         &mut self,
         page: PageNumber,
