--- a/src/coordination/persistence/outcomes.rs
+++ b/src/coordination/persistence/outcomes.rs
@@ -3,7 +3,7 @@
 //! Drafted updates take effect in memory here, and only once their transaction is known to be applied.
 
 use super::draft::RecordUpdate;
-use crate::coordination::jobs::lifecycle::Closure;
+use crate::coordination::jobs::lifecycle::CloseReason;
 use crate::coordination::{Effect, RequestId, Scheduler};
 use crate::ids::{FencingToken, JobId, KeyRevision, MachineId, PageNumber, StoreRevision};
 use crate::storage::records::{LaunchIntent, ProgressKey};
@@ -42,12 +42,12 @@
             }
             RecordUpdate::JobFinished { job } => {
                 tracing::debug!(%job, "job done");
-                self.job_closed(now, &job, Closure::Finished);
+                self.job_closed(now, &job, CloseReason::Finished);
                 self.writer.orphan_progress(&job);
             }
             RecordUpdate::JobCancelled { job } => {
                 tracing::debug!(%job, "job cancelled with an upstream job");
-                self.job_closed(now, &job, Closure::Cancelled);
+                self.job_closed(now, &job, CloseReason::Cancelled);
             }
             RecordUpdate::OrphanDeleted { key } => self.writer.orphans.remove(&key),
             RecordUpdate::Hints => self.writer.hints.mark_written(now, revision),
@@ -184,7 +184,7 @@
 
     /// Handles a missing open record: the job is closed, but whether it is done or cancelled is unknown.
     pub(super) fn open_record_gone(&mut self, now: Instant, job: &JobId) {
-        self.job_closed(now, job, Closure::Unknown);
+        self.job_closed(now, job, CloseReason::Unknown);
         self.writer.orphan_progress(job);
     }
 }
--- a/src/runtime/leader/state.rs
+++ b/src/runtime/leader/state.rs
@@ -125,7 +125,7 @@
     /// Hands the scheduler an event; does nothing if this controller doesn't lead.
     pub fn handle_event(&self, now: Instant, event: Event) {
         if let Some(leader) = lock(&self.active).as_mut() {
-            leader.scheduler.on(now, event);
+            leader.scheduler.handle(now, event);
             self.step_requested.notify_one();
         }
     }
@@ -240,7 +240,7 @@
             if let Some(leader) = lock(&self.active).as_ref() {
                 *commands = leader
                     .scheduler
-                    .still_wanted(machine_id, std::mem::take(commands));
+                    .revalidate_commands(machine_id, std::mem::take(commands));
                 leader.log_commands(now, Carrier::Command, machine_id, commands);
             }
         }
