--- a/src/coordination/persistence/draft/job_ends.rs
+++ b/src/coordination/persistence/draft/job_ends.rs
@@ -45,11 +45,11 @@
 
     fn draft_done_job(&self, id: &JobId, job: &Job, draft: &mut Draft) -> bool {
         let now = self.cluster.now;
-        let time_of_day_ms = || self.leadership.unix_time_ms(now);
+        let unix_time_ms = || self.leadership.unix_time_ms(now);
         let record = TerminalRecord {
             phase: JobPhase::Done,
             tasks: job.spec().tasks,
-            done_at_ms: self.has_downstream_jobs(id).then(time_of_day_ms),
+            done_at_ms: self.has_downstream_jobs(id).then(unix_time_ms),
         };
         let update = RecordUpdate::JobFinished { job: id.clone() };
         close_job(draft, id, job.open_record_revision(), &record, update)
--- a/src/coordination/persistence/draft/token.rs
+++ b/src/coordination/persistence/draft/token.rs
@@ -8,7 +8,7 @@
 use crate::storage::records::{LeaderRecord, FENCING_TOKEN_KEY, LEADER_KEY};
 use crate::time::TimeSpan;
 
-/// Interval between raises of the token while tombstones, or launches without a response, require a higher token.
+/// Interval between raises of the token while tombstones or unconfirmed launches require a higher token.
 const TOKEN_RAISE_INTERVAL: TimeSpan = TimeSpan(60_000);
 /// Interval between raises of the token while a machine has [`URGENT_TOMBSTONE_COUNT`] tombstones or more.
 const URGENT_TOKEN_RAISE_INTERVAL: TimeSpan = TimeSpan(5_000);
@@ -58,14 +58,14 @@
             && machines.any(|machine| self.needs_higher_token(machine))
     }
 
-    /// Whether a machine has a launch without a response, or a tombstone that was launched with the current token.
+    /// Whether a machine has an unconfirmed launch, or a tombstone that was launched with the current token.
     fn needs_higher_token(&self, machine: &Machine) -> bool {
         let is_blocked = |attempt: &TaskAttempt| {
             attempt.has_ended() && attempt.launch_token == Some(self.leadership.token())
         };
-        let is_lost =
+        let is_unconfirmed =
             |attempt: &TaskAttempt| matches!(attempt.last_push, PushDelivery::Unconfirmed(..));
-        machine.attempts.iter().any(is_lost)
+        machine.attempts.iter().any(is_unconfirmed)
             || (machine.attempts.tombstone_count() > 0 && machine.attempts.iter().any(is_blocked))
     }
 }
