--- a/src/coordination/persistence/machine_pages.rs
+++ b/src/coordination/persistence/machine_pages.rs
@@ -47,7 +47,7 @@
     }
 }
 
-/// All machine pages.
+/// All machine pages, and the maximum number of machines on each.
 #[derive(Debug)]
 pub(super) struct MachinePages {
     pages: BTreeMap<PageNumber, MachinePageState>,
--- a/src/coordination/persistence/mod.rs
+++ b/src/coordination/persistence/mod.rs
@@ -87,7 +87,7 @@
         draft
     }
 
-    /// Moves machines from pages that are too large to be written to other pages.
+    /// Splits machine pages that are too large to be written, by moving some of their machines to other pages.
     pub(crate) fn split_machine_pages(&mut self) {
         for (machine_id, page) in self.writer.machine_pages.split() {
             if let Some(machine) = self.machines.get_mut(&machine_id) {
