--- a/src/runtime/api/submissions.rs
+++ b/src/runtime/api/submissions.rs
@@ -16,7 +16,7 @@
 use crate::runtime::clients::job_lookup::TerminalState;
 use crate::runtime::clients::state_store::{StateStoreError, TransactionOutcome};
 use crate::runtime::clients::upstream_jobs::{find_upstream, UpstreamState};
-use crate::runtime::{time_of_day_ms, Node};
+use crate::runtime::{unix_time_ms, Node};
 use crate::storage::records::{open_job_key, terminal_key, OpenJobRecord, TerminalRecord};
 
 /// The share of a value's size limit that an open record may take.
@@ -123,7 +123,7 @@
     let dependency_count = dependencies.len();
     let mut record = OpenJobRecord {
         spec: spec.clone(),
-        accepted_at_ms: time_of_day_ms(),
+        accepted_at_ms: unix_time_ms(),
         upstream_jobs: dependencies,
         dependency_pages: 0,
     };
--- a/src/runtime/clients/cloud.rs
+++ b/src/runtime/clients/cloud.rs
@@ -101,7 +101,7 @@
     }
 
     /// Returns machines. True if the cloud has confirmed that they are terminated.
-    pub async fn return_machines(
+    pub async fn terminate_machines(
         &self,
         request: &ReturnRequest,
     ) -> Result<bool, serde_json::Error> {
--- a/src/runtime/clients/peers.rs
+++ b/src/runtime/clients/peers.rs
@@ -4,7 +4,7 @@
 use crate::ids::JobId;
 use crate::protocol::peers::{PeerReply, PeerRequest};
 use crate::runtime::clients::job_lookup::TerminalState;
-use crate::runtime::{lock, Node, STATE_STORE_FRESH};
+use crate::runtime::{lock, Node, STATE_STORE_REACHABILITY_TIMEOUT};
 use crate::time::{Instant, TimeSpan};
 use crate::transport::peer::PeerClient;
 use futures_util::future::join_all;
@@ -117,7 +117,7 @@
             _ = node.stop.cancelled() => return,
             _ = tokio::time::sleep(PROBE_INTERVAL) => {}
         }
-        if node.state_store.time_since_success() < STATE_STORE_FRESH / 2 {
+        if node.state_store.time_since_success() < STATE_STORE_REACHABILITY_TIMEOUT / 2 {
             continue;
         }
         let clients = node.peers.clients.iter();
--- a/src/runtime/leader/effects.rs
+++ b/src/runtime/leader/effects.rs
@@ -160,7 +160,7 @@
 ) -> Event {
     let body = serde_json::to_vec(batch).unwrap_or_default();
     let response = node
-        .workers
+        .worker_client
         .send(
             Method::POST,
             endpoint,
@@ -208,7 +208,7 @@
 
 async fn scale_in(node: &Node, machine_ids: Vec<MachineId>) -> Option<Event> {
     let request = ReturnRequest { machine_ids };
-    let terminated = node.cloud.return_machines(&request).await.ok()?;
+    let terminated = node.cloud.terminate_machines(&request).await.ok()?;
     let machine_ids = request.machine_ids;
     Some(if terminated {
         Event::MachinesTerminated { machine_ids }
--- a/src/runtime/leader/job_watch.rs
+++ b/src/runtime/leader/job_watch.rs
@@ -7,7 +7,7 @@
 use crate::protocol::state::{KeyValue, WatchEvent, WatchResponse};
 use crate::runtime::clients::dependency_pages;
 use crate::runtime::clients::state_store::StateStoreError;
-use crate::runtime::{time_of_day_ms, Node};
+use crate::runtime::{unix_time_ms, Node};
 use crate::storage::records::{
     OpenJobRecord, HINTS_KEY, INTENT_PAGE_PREFIX, MACHINE_PAGE_PREFIX, OPEN_JOB_PREFIX,
     PROGRESS_PREFIX,
@@ -47,7 +47,7 @@
         machine_pages,
         machine_types: node.catalog.machine_types(),
         hints,
-        unix_time_at_zero_ms: time_of_day_ms().saturating_sub(node.now().0.max(0) as u64),
+        unix_time_at_zero_ms: unix_time_ms().saturating_sub(node.now().0.max(0) as u64),
     };
     Some((recovered, store_revision))
 }
@@ -74,7 +74,7 @@
 }
 
 fn submitted_at(node: &Node, record: &OpenJobRecord) -> Instant {
-    let age_ms = time_of_day_ms().saturating_sub(record.accepted_at_ms);
+    let age_ms = unix_time_ms().saturating_sub(record.accepted_at_ms);
     node.now() - TimeSpan(age_ms.min(MAX_JOB_AGE_MS) as i64)
 }
 
--- a/src/runtime/mod.rs
+++ b/src/runtime/mod.rs
@@ -13,7 +13,7 @@
 mod node;
 
 use crate::config::Config;
-use node::{lock, time_of_day_ms, Node, STATE_STORE_FRESH};
+use node::{lock, unix_time_ms, Node, STATE_STORE_REACHABILITY_TIMEOUT};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use tokio::net::TcpListener;
--- a/src/runtime/node.rs
+++ b/src/runtime/node.rs
@@ -38,7 +38,7 @@
 use tokio_util::sync::CancellationToken;
 
 /// The state store counts as reachable for this long after it last served this controller.
-pub const STATE_STORE_FRESH: Duration = Duration::from_millis(2000);
+pub const STATE_STORE_REACHABILITY_TIMEOUT: Duration = Duration::from_millis(2000);
 
 /// Time allowed to connect to a worker.
 const WORKER_CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
@@ -56,7 +56,7 @@
     /// The client of the cloud.
     pub cloud: CloudClient,
     /// The HTTP client for commands that are pushed to workers.
-    pub workers: HttpClient,
+    pub worker_client: HttpClient,
     /// The other controllers.
     pub peers: Peers,
     /// Whether this controller is the leader, and its scheduler if it is.
@@ -103,7 +103,7 @@
             cloud: CloudClient::new(endpoints.cloud.to_string(), sockets.cloud),
             // None is kept open: with thousands of machines, one to each would leave none for others,
             // and the next command to the same machine seldom comes soon.
-            workers: HttpClient::new(WORKER_CONNECT_TIMEOUT, 0),
+            worker_client: HttpClient::new(WORKER_CONNECT_TIMEOUT, 0),
             peers: Peers::new(peer_clients),
             leadership: LeadershipState::default(),
             catalog: Catalog::default(),
@@ -138,7 +138,7 @@
 
     /// Whether the state store served this controller a moment ago.
     pub fn state_store_reachable(&self) -> bool {
-        self.state_store.time_since_success() < STATE_STORE_FRESH
+        self.state_store.time_since_success() < STATE_STORE_REACHABILITY_TIMEOUT
     }
 }
 
@@ -161,7 +161,7 @@
 }
 
 /// Time of day in milliseconds since the Unix epoch; for times that outlive this process only.
-pub fn time_of_day_ms() -> u64 {
+pub fn unix_time_ms() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .map_or(0, |since_epoch| since_epoch.as_millis() as u64)
