--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -54,6 +54,7 @@
 
 /// What is known of the deployment.
 #[derive(Debug, Clone, Deserialize)]
+#[serde(expecting = "struct Facts")]
 pub struct DeploymentFacts {
     /// By how much clocks of different machines may differ, in milliseconds.
     #[serde(default)]
