--- a/src/coordination/attempts/gang_stops.rs
+++ b/src/coordination/attempts/gang_stops.rs
@@ -68,7 +68,7 @@
             }
         }
         let grace_s = if job.pending().is_empty() {
-            job.spec().save_s + SAVE_MARGIN_SECS
+            job.spec().checkpoint_duration_s + SAVE_MARGIN_SECS
         } else {
             0.0
         };
--- a/src/coordination/attempts/ledger/task_attempt.rs
+++ b/src/coordination/attempts/ledger/task_attempt.rs
@@ -50,7 +50,7 @@
         LastStatus {
             phase: task.phase,
             cause: task.cause,
-            stored: task.stored,
+            stored: task.checkpoint_saved,
             since: same_phase.map_or(now, |before| before.since),
             at,
         }
--- a/src/coordination/attempts/reconciliation/mod.rs
+++ b/src/coordination/attempts/reconciliation/mod.rs
@@ -47,7 +47,7 @@
         let Some(machine) = self.machines.get_mut(machine_id) else {
             return HeartbeatOutcome::Refused;
         };
-        machine.last_heartbeat = (status.session, status.tick);
+        machine.last_heartbeat = (status.session, status.sequence_number);
         machine.last_heartbeat_at = Some(now);
         if machine.lease_withheld {
             // Its lease is to run out: that is the proof that removes its attempts.
@@ -103,8 +103,9 @@
     /// for it.
     fn is_duplicate_heartbeat(&self, status: &WorkerStatus) -> bool {
         let machine = self.machines.get(&status.machine_id);
-        let is_duplicate =
-            machine.is_some_and(|machine| (status.session, status.tick) <= machine.last_heartbeat);
+        let is_duplicate = machine.is_some_and(|machine| {
+            (status.session, status.sequence_number) <= machine.last_heartbeat
+        });
         if is_duplicate {
             tracing::debug!(machine = %status.machine_id, "duplicate heartbeat");
         }
--- a/src/coordination/attempts/reconciliation/session.rs
+++ b/src/coordination/attempts/reconciliation/session.rs
@@ -35,7 +35,7 @@
         source: StatusSource,
     ) -> Option<StatusEvidence> {
         let machine = self.machines.get(&status.machine_id)?;
-        if (status.session, status.tick) <= (machine.session, machine.tick) {
+        if (status.session, status.sequence_number) <= (machine.session, machine.tick) {
             return None;
         }
         if machine.state == MachineState::Booting {
@@ -46,7 +46,7 @@
         let machine = self.machines.get_mut(&status.machine_id)?;
         note_reported_kind(machine, now, status);
         let evidence = StatusEvidence {
-            at: (status.session, status.tick),
+            at: (status.session, status.sequence_number),
             token: status.token,
             is_heartbeat: source == StatusSource::Heartbeat,
             starts_session: status.session > machine.session,
@@ -62,7 +62,7 @@
             start_session(machine, now, lease_expiry_bound);
         }
         machine.session = status.session;
-        machine.tick = status.tick;
+        machine.tick = status.sequence_number;
         machine.last_message_at = Some(now);
         self.update_reclaim_notice(now, status);
         if evidence.is_confirmed {
@@ -90,7 +90,9 @@
         let Some(machine) = self.machines.get_mut(&status.machine_id) else {
             return;
         };
-        let reclaim_at = status.recall_s.map(|s| now + TimeSpan::from_secs(s));
+        let reclaim_at = status
+            .preemption_notice_s
+            .map(|s| now + TimeSpan::from_secs(s));
         let is_new = machine.reclaim_at.is_none() && reclaim_at.is_some();
         machine.reclaim_at = reclaim_at;
         if is_new {
--- a/src/coordination/attempts/stops.rs
+++ b/src/coordination/attempts/stops.rs
@@ -71,14 +71,17 @@
 
     /// Seconds to save progress, if the job still wants the task, does save, and there is time for it.
     fn grace_s(&self, job: Option<&Job>) -> f64 {
-        let Some(spec) = job.map(Job::spec).filter(|spec| spec.checkpoint_s > 0.0) else {
+        let Some(spec) = job
+            .map(Job::spec)
+            .filter(|spec| spec.checkpoint_interval_s > 0.0)
+        else {
             return 0.0;
         };
         let until_reclaimed_s = self
             .reclaim_at
             .map_or(f64::INFINITY, |at| (at - self.now).secs());
-        if until_reclaimed_s > spec.save_s {
-            spec.save_s + SAVE_MARGIN_SECS
+        if until_reclaimed_s > spec.checkpoint_duration_s {
+            spec.checkpoint_duration_s + SAVE_MARGIN_SECS
         } else {
             0.0
         }
--- a/src/coordination/autoscaler/forecast/expected_arrivals.rs
+++ b/src/coordination/autoscaler/forecast/expected_arrivals.rs
@@ -77,6 +77,6 @@
     if spec.shape == Shape::Gang {
         spec.shape = Shape::Array;
     }
-    spec.together = false;
+    spec.zone_affinity = false;
     spec
 }
--- a/src/coordination/autoscaler/forecast/waiting_tasks.rs
+++ b/src/coordination/autoscaler/forecast/waiting_tasks.rs
@@ -39,7 +39,7 @@
             continue;
         }
         let mut spec = job.spec().clone();
-        if spec.together && job.needs_gang_scheduling() && spec.zone.is_none() {
+        if spec.zone_affinity && job.needs_gang_scheduling() && spec.zone.is_none() {
             spec.zone = zone_for_gang(view, cluster, &spec);
         }
         let batch = TaskBatch {
--- a/src/coordination/jobs/estimates.rs
+++ b/src/coordination/jobs/estimates.rs
@@ -80,7 +80,7 @@
     /// learnt from it.
     pub(crate) fn task_completed(&mut self, job: &Job, run_time_s: f64) -> bool {
         let spec = job.spec();
-        if spec.guess_s <= 0.0 {
+        if spec.estimated_run_time_s <= 0.0 {
             return false;
         }
         let observed = self.by_class.entry(spec.class.clone()).or_default();
@@ -90,7 +90,7 @@
                 observed.job_completed(longest_over_mean);
             }
         }
-        observed.task_completed(run_time_s, spec.guess_s);
+        observed.task_completed(run_time_s, spec.estimated_run_time_s);
         true
     }
 
@@ -99,7 +99,7 @@
     pub fn run_time_s(&self, spec: &JobSpec) -> f64 {
         let observed = self.by_class.get(&spec.class);
         let correction = observed.and_then(ObservedRunTimes::correction);
-        spec.guess_s * correction.unwrap_or(1.0)
+        spec.estimated_run_time_s * correction.unwrap_or(1.0)
     }
 
     /// Seconds that a task of the job should run: tasks of a job are alike, so what was measured of those that
--- a/src/coordination/jobs/job.rs
+++ b/src/coordination/jobs/job.rs
@@ -152,7 +152,7 @@
 
     /// Whether all its tasks have to be in one zone.
     pub fn has_affinity(&self) -> bool {
-        self.spec.together && self.spec.tasks > 1
+        self.spec.zone_affinity && self.spec.tasks > 1
     }
 
     /// Whether its tasks have to share a zone and may be in several: nothing of it can start until all but one
--- a/src/coordination/jobs/lifecycle.rs
+++ b/src/coordination/jobs/lifecycle.rs
@@ -93,7 +93,7 @@
         let spec = job.spec();
         let objective = || self.policy.max_completion_s(&spec.class);
         let fallback = || objective().filter(|_| upstream.is_empty());
-        let deadline_s = spec.due_s.or_else(fallback);
+        let deadline_s = spec.deadline_s.or_else(fallback);
         // Without machine types nothing is known of the image pull.
         let pull_s =
             Some(self.machines.shortest_image_fetch_s(spec)).filter(|seconds| seconds.is_finite());
--- a/src/coordination/placement/eviction.rs
+++ b/src/coordination/placement/eviction.rs
@@ -178,7 +178,7 @@
             .running_since
             .map_or(0.0, |since| (self.now() - since).secs());
         let work_lost_s = if writes_checkpoints(job.spec()) {
-            job.spec().save_s
+            job.spec().checkpoint_duration_s
         } else {
             run_time_s
         };
@@ -223,12 +223,12 @@
 /// Seconds that a task gets to write a checkpoint when it is stopped; 0 if it writes none.
 fn stop_grace_s(spec: &JobSpec) -> f64 {
     if writes_checkpoints(spec) {
-        spec.save_s + CHECKPOINT_GRACE_MARGIN_S
+        spec.checkpoint_duration_s + CHECKPOINT_GRACE_MARGIN_S
     } else {
         0.0
     }
 }
 
 fn writes_checkpoints(spec: &JobSpec) -> bool {
-    spec.checkpoint_s > 0.0
+    spec.checkpoint_interval_s > 0.0
 }
--- a/src/coordination/placement/pass.rs
+++ b/src/coordination/placement/pass.rs
@@ -291,7 +291,7 @@
             .unwrap_or_default();
         let is_bound_to_its_zone = job.has_affinity() && !job.placements().is_empty();
         let depends_on_request_alone = job.retry().failed_on().is_empty()
-            && !job.spec().scatter
+            && !job.spec().zone_anti_affinity
             && !is_bound_to_its_zone
             && (!is_gang || job.spec().tasks == 1);
         if placements.is_empty() && depends_on_request_alone && locality == ImageLocality::Preferred
--- a/src/coordination/placement/queue.rs
+++ b/src/coordination/placement/queue.rs
@@ -157,7 +157,7 @@
                 .map(|seconds| after_ready(seconds) - run_time),
         );
         let graph = &self.jobs().graph();
-        let has_deadline = job.spec().due_s.is_some() || graph.has_downstream(id);
+        let has_deadline = job.spec().deadline_s.is_some() || graph.has_downstream(id);
         if let Some(deadline) = graph.deadline(id).filter(|_| has_deadline) {
             let deadlines = self.deadline_objectives(job, deadline);
             latest_starts.extend(deadlines.map(|deadline| deadline - run_time));
@@ -171,7 +171,7 @@
     fn deadline_objectives(&self, job: &Job, deadline: Instant) -> impl Iterator<Item = Instant> {
         let submitted = job.submitted_at();
         let mut multiples = Vec::new();
-        if job.spec().due_s.is_some() {
+        if job.spec().deadline_s.is_some() {
             let objectives = self
                 .policy()
                 .objectives(SloKind::Deadline, &job.spec().class);
--- a/src/coordination/placement/reservations.rs
+++ b/src/coordination/placement/reservations.rs
@@ -96,7 +96,7 @@
                 && self.view.is_usable(machine)
                 && !self.state.is_reserved(&machine.id)
             {
-                let zone = spec.together.then_some(&machine.zone);
+                let zone = spec.zone_affinity.then_some(&machine.zone);
                 by_zone.entry(zone).or_default().push(&machine.id);
             }
         }
--- a/src/coordination/placement/start_check.rs
+++ b/src/coordination/placement/start_check.rs
@@ -82,11 +82,11 @@
     own_tasks: u32,
 ) -> Result<(), StartDenial> {
     // Guards against one of several zones being taken for the job's: whichever it is, others may run elsewhere.
-    if spec.together && counted.any_outside(zone) {
+    if spec.zone_affinity && counted.any_outside(zone) {
         return Err(StartDenial::OtherZone);
     }
     let others_here = counted.count_in(zone).saturating_sub(own_tasks);
-    if spec.scatter && others_here >= max_tasks_per_zone(spec) {
+    if spec.zone_anti_affinity && others_here >= max_tasks_per_zone(spec) {
         return Err(StartDenial::ZoneFull);
     }
     Ok(())
--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -77,7 +77,7 @@
 
 /// A request to return machines (scale in).
 #[derive(Clone, Debug, Serialize)]
-pub struct ReturnRequest {
+pub struct TerminateRequest {
     /// The machines.
     #[serde(rename = "hosts")]
     pub machine_ids: Vec<MachineId>,
@@ -129,5 +129,5 @@
     pub machines: Vec<ListedMachine>,
     /// Whether there are pages after this one.
     #[serde(rename = "hasNext", default)]
-    pub more: bool,
+    pub has_more: bool,
 }
--- a/src/protocol/state.rs
+++ b/src/protocol/state.rs
@@ -29,7 +29,7 @@
     pub pairs: Vec<KeyValue>,
     /// Whether there are pages after this one.
     #[serde(rename = "hasNext", default)]
-    pub more: bool,
+    pub has_more: bool,
     /// The revision of the store at which the page was read.
     #[serde(rename = "epoch")]
     pub store_revision: StoreRevision,
@@ -62,7 +62,8 @@
     /// Sets a key.
     Put {
         /// The key.
-        put: String,
+        #[serde(rename = "put")]
+        key: String,
         /// Its value.
         data: Value,
         /// The lease that the key is to be bound to, if any.
@@ -72,7 +73,8 @@
     /// Deletes a key.
     Delete {
         /// The key.
-        delete: String,
+        #[serde(rename = "delete")]
+        key: String,
     },
 }
 
@@ -80,20 +82,20 @@
     /// Sets a key that no lease deletes.
     pub fn put(key: String, data: Value) -> Change {
         Change::Put {
-            put: key,
+            key,
             data,
             lease: None,
         }
     }
     /// A deletion.
     pub fn delete(key: String) -> Change {
-        Change::Delete { delete: key }
+        Change::Delete { key }
     }
     /// The key that is changed.
     pub fn key(&self) -> &str {
         match self {
-            Change::Put { put, .. } => put,
-            Change::Delete { delete } => delete,
+            Change::Put { key, .. } => key,
+            Change::Delete { key } => key,
         }
     }
 }
@@ -137,11 +139,11 @@
 #[derive(Clone, Debug, Deserialize)]
 pub struct WatchEvent {
     /// The key that was set, if one was.
-    #[serde(default)]
-    pub put: Option<String>,
+    #[serde(rename = "put", default)]
+    pub put_key: Option<String>,
     /// The key that was deleted, if one was.
-    #[serde(default)]
-    pub delete: Option<String>,
+    #[serde(rename = "delete", default)]
+    pub deleted_key: Option<String>,
     /// The value that was set.
     #[serde(default)]
     pub data: Value,
--- a/src/protocol/users.rs
+++ b/src/protocol/users.rs
@@ -74,24 +74,26 @@
     #[serde(rename = "site", default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<Zone>,
     /// Whether all tasks must run in one zone (affinity).
-    pub together: bool,
+    #[serde(rename = "together")]
+    pub zone_affinity: bool,
     /// Whether at most half of the tasks, rounded up, may run in one zone (anti-affinity).
-    pub scatter: bool,
+    #[serde(rename = "scatter")]
+    pub zone_anti_affinity: bool,
     /// Whether tasks may run on spot instances.
     #[serde(rename = "loaners")]
     pub spot: bool,
     /// The user's estimate of a task's run time without the image pull, in seconds.
     #[serde(rename = "guessS")]
-    pub guess_s: f64,
+    pub estimated_run_time_s: f64,
     /// Progress between two checkpoints of a task, in seconds; 0: it saves none, also when it is stopped.
     #[serde(rename = "markEveryS")]
-    pub checkpoint_s: f64,
+    pub checkpoint_interval_s: f64,
     /// The time a task needs to save a checkpoint when it is stopped, in seconds.
     #[serde(rename = "markCostS")]
-    pub save_s: f64,
+    pub checkpoint_duration_s: f64,
     /// By when the job should be done, in seconds from its submission.
     #[serde(rename = "dueS", default, skip_serializing_if = "Option::is_none")]
-    pub due_s: Option<f64>,
+    pub deadline_s: Option<f64>,
 }
 
 /// A job as it is submitted.
@@ -100,7 +102,7 @@
     /// The job.
     pub spec: JobSpec,
     /// Jobs that have to be done before any task of this one starts, each once.
-    pub waits_on: Vec<JobId>,
+    pub upstream_jobs: Vec<JobId>,
 }
 
 /// The field of a submission that names the jobs it waits for.
@@ -135,7 +137,7 @@
     if !value.is_object() {
         return Err(fail("not an object".into()));
     }
-    let waits_on = parse_waits_on(value.get(WAITS_ON))
+    let upstream_jobs = parse_waits_on(value.get(WAITS_ON))
         .ok_or_else(|| fail(format!("{WAITS_ON}: not an array of job ids")))?;
     let spec: JobSpec = serde_json::from_value(value).map_err(|error| fail(error.to_string()))?;
     if id.is_none() {
@@ -145,7 +147,10 @@
         return Err(fail(format!("pieces: must be 1 to {MAX_TASKS}")));
     }
     check_numbers(&spec).map_err(fail)?;
-    Ok(Submission { spec, waits_on })
+    Ok(Submission {
+        spec,
+        upstream_jobs,
+    })
 }
 
 /// Checks that every amount and time is a finite number, 0 or more; the error names the field.
@@ -155,10 +160,10 @@
         ("gpus", Some(spec.gpus)),
         ("ramGb", Some(spec.ram_gb)),
         ("pullGb", Some(spec.image_gb)),
-        ("guessS", Some(spec.guess_s)),
-        ("markEveryS", Some(spec.checkpoint_s)),
-        ("markCostS", Some(spec.save_s)),
-        ("dueS", spec.due_s),
+        ("guessS", Some(spec.estimated_run_time_s)),
+        ("markEveryS", Some(spec.checkpoint_interval_s)),
+        ("markCostS", Some(spec.checkpoint_duration_s)),
+        ("dueS", spec.deadline_s),
     ] {
         if value.is_some_and(|value| !value.is_finite() || value < 0.0) {
             return Err(format!("{name}: must be a finite number, 0 or more"));
--- a/src/protocol/workers.rs
+++ b/src/protocol/workers.rs
@@ -28,13 +28,14 @@
     #[serde(rename = "tenure")]
     pub session: Session,
     /// Numbers the messages of a session: of two messages, the one with the larger session and tick is the newer.
-    pub tick: SequenceNumber,
+    #[serde(rename = "tick")]
+    pub sequence_number: SequenceNumber,
     /// The highest fencing token that the worker has seen.
     #[serde(rename = "baton", default)]
     pub token: FencingToken,
     /// A preemption notice: in how many seconds the cloud reclaims the machine.
     #[serde(rename = "recallS", default)]
-    pub recall_s: Option<f64>,
+    pub preemption_notice_s: Option<f64>,
     /// The task attempts on the machine.
     #[serde(rename = "pieces", default)]
     pub tasks: Vec<TaskStatus>,
@@ -55,8 +56,8 @@
     #[serde(default)]
     pub cause: Option<Cause>,
     /// Whether its progress was saved when it was stopped.
-    #[serde(default)]
-    pub stored: bool,
+    #[serde(rename = "stored", default)]
+    pub checkpoint_saved: bool,
 }
 
 /// How far a task is. Unknown phases count as present and running: the careful reading.
--- a/src/runtime/api/cancellation.rs
+++ b/src/runtime/api/cancellation.rs
@@ -75,7 +75,7 @@
         preconditions: vec![still_open, Precondition::absent(terminal_key(id))],
         changes: vec![
             Change::Delete {
-                delete: open_job_key(id),
+                key: open_job_key(id),
             },
             Change::put(terminal_key(id), record),
         ],
--- a/src/runtime/api/request.rs
+++ b/src/runtime/api/request.rs
@@ -86,7 +86,7 @@
         match &self.action {
             UserAction::Submit(submission) => {
                 let named = submission.as_ref().as_ref();
-                named.is_ok_and(|submission| !submission.waits_on.is_empty())
+                named.is_ok_and(|submission| !submission.upstream_jobs.is_empty())
             }
             UserAction::Poll(_) | UserAction::Cancel(_) => false,
         }
--- a/src/runtime/api/submissions.rs
+++ b/src/runtime/api/submissions.rs
@@ -54,17 +54,20 @@
 }
 
 async fn accept(node: &Node, submission: &Submission) -> Result<ApiResponse, Refusal> {
-    let Submission { spec, waits_on } = submission;
+    let Submission {
+        spec,
+        upstream_jobs,
+    } = submission;
     let machine_types = node.catalog.machine_types();
     if machine_types.is_empty() {
         return Err(Refusal::UnlessKnown(ApiError::MachineTypesUnknown));
     }
     check_can_run(spec, &machine_types, &node.policy.facts.teams)
         .map_err(|reason| Refusal::UnlessKnown(reason.into()))?;
-    if waits_on.contains(&spec.id) {
+    if upstream_jobs.contains(&spec.id) {
         return Err(Refusal::UnlessKnown(ApiError::DependsOnItself));
     }
-    match find_upstream(node, waits_on.clone()).await {
+    match find_upstream(node, upstream_jobs.clone()).await {
         Ok(UpstreamState::Unfinished(dependencies)) => open_job(node, spec, dependencies).await,
         Ok(UpstreamState::Cancelled) => accept_cancelled(node, spec).await,
         Ok(UpstreamState::NeverAccepted(unknown)) => {
--- a/src/runtime/api/users.rs
+++ b/src/runtime/api/users.rs
@@ -72,7 +72,7 @@
     let served = reachable.filter(|peer| peer.state_store_ok);
     for peer in served.take(MAX_PEERS_ASKED as usize) {
         let client = &node.peers.clients()[peer.index];
-        let reply = client.ask(&message, timeout / MAX_PEERS_ASKED).await;
+        let reply = client.send(&message, timeout / MAX_PEERS_ASKED).await;
         if let Some(PeerReply::Answer { status, body }) = reply {
             let response = ApiResponse { status, body };
             let path_unknown_to_peer =
--- a/src/runtime/clients/cloud.rs
+++ b/src/runtime/clients/cloud.rs
@@ -3,7 +3,7 @@
 use crate::ids::MachineId;
 use crate::protocol::cloud::{
     ListedMachine, MachineListPage, MachineTypeInfo, MachineTypeList, RentReply, RentRequest,
-    ReturnRequest,
+    TerminateRequest,
 };
 use crate::transport::client::{HttpClient, HttpResponse};
 use hyper::Method;
@@ -70,7 +70,7 @@
                 return None;
             }
             let page: MachineListPage = serde_json::from_slice(&response.body).ok()?;
-            let more = page.more && !page.machines.is_empty();
+            let more = page.has_more && !page.machines.is_empty();
             machines.extend(page.machines);
             if !more {
                 return Some(machines);
@@ -103,7 +103,7 @@
     /// Returns machines. True if the cloud has confirmed that they are terminated.
     pub async fn return_machines(
         &self,
-        request: &ReturnRequest,
+        request: &TerminateRequest,
     ) -> Result<bool, serde_json::Error> {
         let body = serde_json::to_vec(request)?;
         let response = self
--- a/src/runtime/clients/open_job_cache.rs
+++ b/src/runtime/clients/open_job_cache.rs
@@ -164,11 +164,11 @@
             }
         };
         for event in page.events {
-            if let Some(key) = &event.put {
+            if let Some(key) = &event.put_key {
                 self.put(state_store, key, &event.data, event.revision)
                     .await?;
             } else if let Some(id) = event
-                .delete
+                .deleted_key
                 .as_deref()
                 .and_then(|key| key.strip_prefix(OPEN_JOB_PREFIX))
             {
--- a/src/runtime/clients/peers.rs
+++ b/src/runtime/clients/peers.rs
@@ -128,7 +128,7 @@
 
 async fn ask_status(node: &Node, client: &PeerClient) -> Option<PeerStatus> {
     let asked_at = node.now();
-    match client.ask(&PeerRequest::Hello, PEER_TIMEOUT).await {
+    match client.send(&PeerRequest::Hello, PEER_TIMEOUT).await {
         Some(PeerReply::Hello { state_ok, .. }) => Some(PeerStatus {
             asked_at,
             state_store_ok: state_ok,
@@ -154,7 +154,7 @@
         }
         let request = PeerRequest::Cancelled { jobs };
         let clients = node.peers.clients.iter();
-        join_all(clients.map(|client| client.ask(&request, PEER_TIMEOUT))).await;
+        join_all(clients.map(|client| client.send(&request, PEER_TIMEOUT))).await;
     }
 }
 
--- a/src/runtime/clients/state_store.rs
+++ b/src/runtime/clients/state_store.rs
@@ -120,7 +120,7 @@
             }
             let page: KeyValuePage = parse_body(&response)?;
             let store_revision = *first_revision.get_or_insert(page.store_revision);
-            let more = page.more && !page.pairs.is_empty();
+            let more = page.has_more && !page.pairs.is_empty();
             items.extend(page.pairs);
             if !more {
                 return Ok((items, store_revision));
--- a/src/runtime/leader/count_broadcast.rs
+++ b/src/runtime/leader/count_broadcast.rs
@@ -28,7 +28,7 @@
         }
         let request = PeerRequest::Counts { jobs: jobs.clone() };
         for peer in node.peers.clients() {
-            let _ = peer.ask(&request, PEER_TIMEOUT).await;
+            let _ = peer.send(&request, PEER_TIMEOUT).await;
         }
         last_sent = jobs;
     }
--- a/src/runtime/leader/effects.rs
+++ b/src/runtime/leader/effects.rs
@@ -8,7 +8,7 @@
     Effect, Event, KeyReread, RequestId, ScaleOutAnswer, TerminalRecordRead,
 };
 use crate::ids::{JobId, MachineId};
-use crate::protocol::cloud::{RentRequest, ReturnRequest};
+use crate::protocol::cloud::{RentRequest, TerminateRequest};
 use crate::protocol::state::{KeyValue, Transaction};
 use crate::protocol::workers::{CommandBatch, WorkerStatus};
 use crate::runtime::clients::cloud::RentOutcome;
@@ -207,7 +207,7 @@
 }
 
 async fn scale_in(node: &Node, machine_ids: Vec<MachineId>) -> Option<Event> {
-    let request = ReturnRequest { machine_ids };
+    let request = TerminateRequest { machine_ids };
     let terminated = node.cloud.return_machines(&request).await.ok()?;
     let machine_ids = request.machine_ids;
     Some(if terminated {
--- a/src/runtime/leader/election.rs
+++ b/src/runtime/leader/election.rs
@@ -87,7 +87,7 @@
         ],
         changes: vec![
             Change::Put {
-                put: LEADER_KEY.into(),
+                key: LEADER_KEY.into(),
                 data: serde_json::to_value(&record).ok()?,
                 lease: Some(lease),
             },
--- a/src/runtime/leader/job_watch.rs
+++ b/src/runtime/leader/job_watch.rs
@@ -126,10 +126,10 @@
 ) -> Result<WatchResponse, StateStoreError> {
     let page = response?;
     for change in &page.events {
-        if let Some(key) = &change.put {
+        if let Some(key) = &change.put_key {
             take_in_open_job(node, key, change).await?;
         } else if let Some(id) = change
-            .delete
+            .deleted_key
             .as_deref()
             .and_then(|key| key.strip_prefix(OPEN_JOB_PREFIX))
         {
--- a/src/runtime/leader/transfer.rs
+++ b/src/runtime/leader/transfer.rs
@@ -62,7 +62,7 @@
 }
 
 async fn ask_peer(peer: &PeerClient) -> Option<TimeSpan> {
-    match peer.ask(&PeerRequest::Hello, PEER_TIMEOUT).await {
+    match peer.send(&PeerRequest::Hello, PEER_TIMEOUT).await {
         Some(PeerReply::Hello {
             state_ok: true,
             workers_heard_ms: Some(ms),
--- a/src/transport/connection_table.rs
+++ b/src/transport/connection_table.rs
@@ -55,7 +55,7 @@
     }
 
     /// How many connections there are.
-    pub fn connections(&self) -> usize {
+    pub fn connection_count(&self) -> usize {
         self.lock().by_id.len()
     }
 
--- a/src/transport/peer.rs
+++ b/src/transport/peer.rs
@@ -49,7 +49,7 @@
     }
 
     /// Sends a request and waits for the reply, at most until the deadline. None: no reply.
-    pub async fn ask(&self, request: &PeerRequest, deadline: Duration) -> Option<PeerReply> {
+    pub async fn send(&self, request: &PeerRequest, deadline: Duration) -> Option<PeerReply> {
         tokio::time::timeout(deadline, self.exchange(request))
             .await
             .ok()
--- a/tests/connection_table.rs
+++ b/tests/connection_table.rs
@@ -22,7 +22,7 @@
     let last = table.insert(tokens[4].clone());
     assert!(tokens[3].is_cancelled(), "and before a request under way");
     assert!(!tokens[0].is_cancelled() && !tokens[2].is_cancelled());
-    assert_eq!(table.connections(), 3);
+    assert_eq!(table.connection_count(), 3);
     table.set_rank(last, Rank(1));
     table.insert(tokens[5].clone());
     assert!(tokens[0].is_cancelled(), "of workers the longest idle");
--- a/tests/placement_constraints.rs
+++ b/tests/placement_constraints.rs
@@ -170,7 +170,7 @@
             attempt_id: *attempt_id,
             phase: TaskPhase::Running,
             cause: None,
-            stored: false,
+            checkpoint_saved: false,
         };
         let running = self.running.get(zone).into_iter().flatten();
         WorkerStatus {
@@ -180,9 +180,9 @@
             zone: Zone::from(zone),
             spot: false,
             session: Session(1),
-            tick: SequenceNumber(self.tick),
+            sequence_number: SequenceNumber(self.tick),
             token: FencingToken(self.token),
-            recall_s: None,
+            preemption_notice_s: None,
             tasks: running.map(listed).collect(),
         }
     }
--- a/tests/production.rs
+++ b/tests/production.rs
@@ -141,7 +141,7 @@
 #[test]
 fn open_job_records_stay_compatible() {
     let submission = parse_submission(body().to_string().as_bytes()).expect("a submission");
-    for after in [submission.waits_on, Vec::new()] {
+    for after in [submission.upstream_jobs, Vec::new()] {
         let record = records::OpenJobRecord {
             spec: submission.spec.clone(),
             accepted_at_ms: 5,
--- a/tests/protocol.rs
+++ b/tests/protocol.rs
@@ -32,7 +32,7 @@
         .unwrap()
         .spec;
     assert_eq!(
-        (spec.machine_types, spec.zone, spec.due_s),
+        (spec.machine_types, spec.zone, spec.deadline_s),
         (None, None, None)
     );
     assert!(Priority::Low < Priority::Normal && Priority::Urgent < Priority::Production);
@@ -63,7 +63,7 @@
     assert_eq!(phases[..2], [TaskPhase::Fetching, TaskPhase::Running]);
     assert_eq!(status.tasks[2].cause, Some(Cause::MatesGone));
     assert_eq!(status.tasks[3].cause, Some(Cause::Error));
-    assert!(status.tasks[2].stored && status.token == FencingToken(41));
+    assert!(status.tasks[2].checkpoint_saved && status.token == FencingToken(41));
 }
 
 #[test]
@@ -99,14 +99,12 @@
         }],
         changes: vec![
             Change::Put {
-                put: "a/b".into(),
+                key: "a/b".into(),
                 data: json!(1),
                 lease: Some(LeaseId(7)),
             },
             Change::put("e".into(), json!({})),
-            Change::Delete {
-                delete: "c/d".into(),
-            },
+            Change::Delete { key: "c/d".into() },
         ],
     };
     assert_eq!(
@@ -122,14 +120,14 @@
         "loaners":true,"phase":"starting","heldS":61.5}],"hasNext":true}),
     )
     .unwrap();
-    assert!(page.more && page.machines[0].phase == CloudPhase::Starting);
+    assert!(page.has_more && page.machines[0].phase == CloudPhase::Starting);
     let events: WatchResponse = serde_json::from_value(
         json!({"epoch":433,"news":[{"put":"c/9","data":{"x":1},"stamp":433},
         {"delete":"c/d","stamp":432}]}),
     )
     .unwrap();
-    assert_eq!(events.events[1].delete.as_deref(), Some("c/d"));
-    assert_eq!(events.events[0].put.as_deref(), Some("c/9"));
+    assert_eq!(events.events[1].deleted_key.as_deref(), Some("c/d"));
+    assert_eq!(events.events[0].put_key.as_deref(), Some("c/9"));
 }
 
 #[test]
@@ -166,11 +164,11 @@
     let with = |list: serde_json::Value| {
         let mut body = submission();
         body["waitsOn"] = list;
-        parse_submission(body.to_string().as_bytes()).map(|s| s.waits_on)
+        parse_submission(body.to_string().as_bytes()).map(|s| s.upstream_jobs)
     };
     let none: Vec<JobId> = Vec::new();
     let absent = parse_submission(submission().to_string().as_bytes()).unwrap();
-    assert_eq!(absent.waits_on, none);
+    assert_eq!(absent.upstream_jobs, none);
     assert_eq!(with(json!(null)).unwrap(), none);
     assert_eq!(with(json!([])).unwrap(), none);
     let two = [JobId::from("wk-1"), JobId::from("wk-2")];
--- a/tests/scenario_language/job.rs
+++ b/tests/scenario_language/job.rs
@@ -28,13 +28,13 @@
             .get("machine-types")
             .map(|names| names.split(',').map(MachineType::from).collect()),
         zone: words.get("zone").map(Zone::from),
-        together: words.has("affinity"),
-        scatter: words.has("anti-affinity"),
+        zone_affinity: words.has("affinity"),
+        zone_anti_affinity: words.has("anti-affinity"),
         spot: words.has("spot"),
-        guess_s: words.number("estimate", run_secs),
-        checkpoint_s: words.number("checkpoint", 0.0),
-        save_s: words.number("save", 1.0),
-        due_s: words
+        estimated_run_time_s: words.number("estimate", run_secs),
+        checkpoint_interval_s: words.number("checkpoint", 0.0),
+        checkpoint_duration_s: words.number("save", 1.0),
+        deadline_s: words
             .get("deadline")
             .map(|secs| super::parse(secs, "deadline")),
     }
--- a/tests/simulation/attempt.rs
+++ b/tests/simulation/attempt.rs
@@ -89,9 +89,11 @@
     pub fn stop(&mut self, now: Instant, spec: &JobSpec, grace_secs: f64) {
         match self.phase {
             TaskPhase::Ended => {}
-            TaskPhase::Running if spec.checkpoint_s > 0.0 && grace_secs >= spec.save_s => {
+            TaskPhase::Running
+                if spec.checkpoint_interval_s > 0.0 && grace_secs >= spec.checkpoint_duration_s =>
+            {
                 self.phase = TaskPhase::Saving;
-                self.phase_ends_at = now + TimeSpan::from_secs(spec.save_s);
+                self.phase_ends_at = now + TimeSpan::from_secs(spec.checkpoint_duration_s);
             }
             TaskPhase::Saving if grace_secs > 0.0 => {}
             _ => self.end(Cause::Stopped),
--- a/tests/simulation/checker/placement.rs
+++ b/tests/simulation/checker/placement.rs
@@ -88,9 +88,9 @@
         };
         let others = placements.iter().filter(is_other);
         let zones: Vec<&Zone> = others.map(|p| &workers[&p.machine_id].zone).collect();
-        let apart = spec.together && zones.iter().any(|zone| **zone != worker.zone);
+        let apart = spec.zone_affinity && zones.iter().any(|zone| **zone != worker.zone);
         let here = zones.iter().filter(|zone| ***zone == worker.zone).count() as u32 + 1;
-        let crowded = spec.scatter && here > spec.tasks.div_ceil(2);
+        let crowded = spec.zone_anti_affinity && here > spec.tasks.div_ceil(2);
         if !worker.allows(spec) || apart || crowded {
             self.record_violation(now, "wrong_place", new.to_string());
         }
--- a/tests/simulation/checker/starvation.rs
+++ b/tests/simulation/checker/starvation.rs
@@ -105,7 +105,7 @@
         let is_done = |id: &JobId| store.phase(id) == Some(JobPhase::Done);
         let is_open = store.phase(&spec.id) == Some(JobPhase::Queued);
         let is_released = self.upstream[&spec.id].iter().all(is_done);
-        if !is_open || !is_released || spec.scatter {
+        if !is_open || !is_released || spec.zone_anti_affinity {
             return false;
         }
         let missing = self.missing_tasks(spec, usage);
@@ -142,12 +142,12 @@
     let mut room: BTreeMap<&Zone, u32> = BTreeMap::new();
     for machine in &usage.free {
         let zone = &machine.worker.zone;
-        let affine = !spec.together || zones_in_use.iter().all(|in_use| *in_use == zone);
+        let affine = !spec.zone_affinity || zones_in_use.iter().all(|in_use| *in_use == zone);
         if machine.worker.allows(spec) && affine {
             *room.entry(zone).or_default() += machine.tasks_that_fit(spec);
         }
     }
-    match spec.together {
+    match spec.zone_affinity {
         true => room.values().copied().max().unwrap_or(0),
         false => room.values().sum(),
     }
--- a/tests/simulation/leadership.rs
+++ b/tests/simulation/leadership.rs
@@ -161,7 +161,7 @@
             preconditions: Vec::new(),
             changes: vec![
                 Change::Put {
-                    put: LEADER_KEY.into(),
+                    key: LEADER_KEY.into(),
                     data: serde_json::to_value(&record).expect("a record"),
                     lease: Some(lease),
                 },
--- a/tests/simulation/users.rs
+++ b/tests/simulation/users.rs
@@ -94,7 +94,7 @@
             }],
             changes: vec![
                 Change::Delete {
-                    delete: open_job_key(id),
+                    key: open_job_key(id),
                 },
                 Change::put(terminal_key(id), to_json(&terminal_record)),
             ],
--- a/tests/simulation/worker.rs
+++ b/tests/simulation/worker.rs
@@ -180,7 +180,7 @@
                 attempt_id: *attempt_id,
                 phase: attempt.phase,
                 cause: attempt.cause,
-                stored: attempt.stored,
+                checkpoint_saved: attempt.stored,
             })
             .collect();
         WorkerStatus {
@@ -190,9 +190,9 @@
             zone: self.zone.clone(),
             spot: self.spot,
             session: self.session,
-            tick: SequenceNumber(self.tick),
+            sequence_number: SequenceNumber(self.tick),
             token: self.token,
-            recall_s: self.preemption_noticed.then_some(PREEMPTION_NOTICE_SECS),
+            preemption_notice_s: self.preemption_noticed.then_some(PREEMPTION_NOTICE_SECS),
             tasks,
         }
     }
--- a/tests/soak/checker.rs
+++ b/tests/soak/checker.rs
@@ -228,8 +228,8 @@
             .map(|facts| facts.zone.as_str())
             .collect();
         let here = zones.iter().filter(|zone| **zone == machine.zone).count() as u32;
-        let is_apart = spec.together && zones.iter().any(|zone| *zone != machine.zone);
-        let is_crowded = spec.scatter && here + 1 > spec.tasks.div_ceil(2);
+        let is_apart = spec.zone_affinity && zones.iter().any(|zone| *zone != machine.zone);
+        let is_crowded = spec.zone_anti_affinity && here + 1 > spec.tasks.div_ceil(2);
         if !allows(spec, machine) || is_apart || is_crowded {
             let details = format!("{attempt:?} in zone {}, others in {zones:?}", machine.zone);
             self.record(now, Rule::WrongPlace, details);
--- a/tests/soak/starvation.rs
+++ b/tests/soak/starvation.rs
@@ -71,7 +71,7 @@
             *room.entry(zone).or_default() += machine.room_for(spec, &world.jobs);
         }
     }
-    match spec.together {
+    match spec.zone_affinity {
         true => room.values().copied().max().unwrap_or(0),
         false => room.values().sum(),
     }
@@ -80,7 +80,7 @@
 fn zone_allows(spec: &JobSpec, zone: &str, live: &[(&Machine, u32)]) -> bool {
     let here = live.iter().filter(|(machine, _)| machine.kind.zone == zone);
     let here = here.count();
-    let is_apart = spec.together && here < live.len();
-    let is_full = spec.scatter && here as u32 >= spec.tasks.div_ceil(2);
+    let is_apart = spec.zone_affinity && here < live.len();
+    let is_full = spec.zone_anti_affinity && here as u32 >= spec.tasks.div_ceil(2);
     !is_apart && !is_full
 }
--- a/tests/soak/world/commands.rs
+++ b/tests/soak/world/commands.rs
@@ -62,12 +62,13 @@
             return;
         };
         machine.has_news = true;
-        let saves = job.spec.checkpoint_s > 0.0 && wind_down_s >= Some(job.spec.save_s);
+        let saves = job.spec.checkpoint_interval_s > 0.0
+            && wind_down_s >= Some(job.spec.checkpoint_duration_s);
         match task.phase {
             Phase::Running { ends_at: Some(at) } if saves && job.spec.shape == Shape::Array => {
                 let left = at.saturating_duration_since(now);
                 self.remaining.insert(key.0.clone(), left);
-                let until = now + Duration::from_secs_f64(job.spec.save_s);
+                let until = now + Duration::from_secs_f64(job.spec.checkpoint_duration_s);
                 task.phase = Phase::Saving { until };
             }
             Phase::Saving { .. } if wind_down_s != Some(0.0) => {}
--- a/tests/stale_knowledge.rs
+++ b/tests/stale_knowledge.rs
@@ -111,7 +111,7 @@
         attempt_id: ATTEMPT,
         phase,
         cause: (phase == TaskPhase::Ended).then_some(Cause::Done),
-        stored: false,
+        checkpoint_saved: false,
     });
     WorkerStatus {
         machine_id: machine_id(),
@@ -120,9 +120,9 @@
         zone: Zone::from("a"),
         spot: false,
         session: Session(1),
-        tick: SequenceNumber(tick),
+        sequence_number: SequenceNumber(tick),
         token: FencingToken(token),
-        recall_s: None,
+        preemption_notice_s: None,
         tasks: listed.into_iter().collect(),
     }
 }
--- a/tests/support/large_cluster.rs
+++ b/tests/support/large_cluster.rs
@@ -122,7 +122,7 @@
                 TaskPhase::Running
             },
             cause: ends.then_some(chalklug::protocol::workers::Cause::Done),
-            stored: false,
+            checkpoint_saved: false,
         }
     });
     WorkerStatus {
@@ -132,9 +132,9 @@
         zone: Zone::from("a"),
         spot: false,
         session: Session(1),
-        tick: SequenceNumber(tick),
+        sequence_number: SequenceNumber(tick),
         token: FencingToken(token),
-        recall_s: None,
+        preemption_notice_s: None,
         tasks: tasks.collect(),
     }
 }
--- a/tests/support/wire_digest.rs
+++ b/tests/support/wire_digest.rs
@@ -4,7 +4,7 @@
 use chalklug::coordination::attempts::reconciliation::HeartbeatOutcome;
 use chalklug::coordination::Effect;
 use chalklug::ids::FencingToken;
-use chalklug::protocol::cloud::{RentRequest, ReturnRequest};
+use chalklug::protocol::cloud::{RentRequest, TerminateRequest};
 use chalklug::protocol::workers::{CommandBatch, HeartbeatResponse};
 use chalklug::storage::records::terminal_key;
 use chalklug::time::Instant;
@@ -110,7 +110,7 @@
             }
             Effect::ScaleIn { machine_ids } => {
                 let machine_ids = machine_ids.clone();
-                self.message(now, "return", &ReturnRequest { machine_ids });
+                self.message(now, "return", &TerminateRequest { machine_ids });
             }
             Effect::StepDown { .. } => self.message(now, "step down", &()),
         }
