--- a/tests/random/constraints.rs
+++ b/tests/random/constraints.rs
@@ -48,7 +48,7 @@
             "machine-type box gpus 4 boot 5 zones a,b",
             "machine-type far gpus 8 boot 7 price 25 zones a,b,c",
         ]);
-        (setup.machines, setup.seed) = (MACHINES, seed);
+        (setup.max_machines, setup.seed) = (MACHINES, seed);
         setup.facts.state.value_kb = VALUE_KB;
         Run {
             simulation: setup.simulation(),
--- a/tests/random/dependency_graphs.rs
+++ b/tests/random/dependency_graphs.rs
@@ -37,7 +37,7 @@
             "team red guaranteed-gpus 8 max-gpus 20",
             "machine-type box gpus 4 boot 6 zones a,b,c",
         ]);
-        (setup.machines, setup.seed, setup.elections) = (14, seed, true);
+        (setup.max_machines, setup.seed, setup.elections) = (14, seed, true);
         let mut simulation = setup.simulation();
         simulation.elect_leader();
         Run {
@@ -126,7 +126,7 @@
     for seed in 1..=seeds.unwrap_or(RUNS) {
         let mut run = Run::new(seed);
         run.play();
-        run.simulation.checker.at_end(run.simulation.now);
+        run.simulation.checker.check_at_end(run.simulation.now);
         let checker = &run.simulation.checker;
         assert!(
             checker.broken_rules.is_empty(),
--- a/tests/random/faults.rs
+++ b/tests/random/faults.rs
@@ -43,7 +43,7 @@
             "team red guaranteed-gpus 8 max-gpus 20",
             "machine-type box gpus 4 boot 6 zones a,b,c",
         ]);
-        (setup.machines, setup.seed, setup.elections) = (14, seed, elections);
+        (setup.max_machines, setup.seed, setup.elections) = (14, seed, elections);
         Run {
             simulation: setup.simulation(),
             rng: StdRng::seed_from_u64(seed),
@@ -86,7 +86,7 @@
     fn check(&mut self) {
         let seed = self.seed;
         let checker = &mut self.simulation.checker;
-        checker.at_end(self.simulation.now);
+        checker.check_at_end(self.simulation.now);
         let first = &checker.first_violation;
         assert!(checker.broken_rules.is_empty(), "seed {seed}: {first:?}");
         let ids = self.simulation.workload.specs.keys();
--- a/tests/scenario_language/events.rs
+++ b/tests/scenario_language/events.rs
@@ -31,7 +31,7 @@
         }
         // The job may have ended: then it stays as it is.
         "try-cancel" => drop(simulation.cancel(&JobId::from(rest[0]))),
-        "end-of-run" => simulation.checker.at_end(simulation.now),
+        "end-of-run" => simulation.checker.check_at_end(simulation.now),
         _ => return false,
     }
     true
--- a/tests/scenario_language/mod.rs
+++ b/tests/scenario_language/mod.rs
@@ -11,7 +11,7 @@
 pub use events::perform;
 pub use expectations::expect;
 pub use job::{job_spec, submit};
-pub use script::Script;
+pub use script::Scenario;
 pub use setup::Setup;
 
 use chalklug::ids::JobId;
--- a/tests/scenario_language/script.rs
+++ b/tests/scenario_language/script.rs
@@ -7,7 +7,7 @@
 
 /// A scenario as its file describes it.
 #[derive(Default)]
-pub struct Script<'a> {
+pub struct Scenario<'a> {
     pub setup: Setup,
     /// Words of each event or expectation, by its time.
     steps: BTreeMap<Instant, Vec<Vec<String>>>,
@@ -15,12 +15,12 @@
     name: &'a str,
 }
 
-impl<'a> Script<'a> {
+impl<'a> Scenario<'a> {
     /// Reads the text of the file of that name.
-    pub fn parse(name: &'a str, text: &str) -> Script<'a> {
-        let mut script = Script {
+    pub fn parse(name: &'a str, text: &str) -> Scenario<'a> {
+        let mut script = Scenario {
             name,
-            ..Script::default()
+            ..Scenario::default()
         };
         for line in text.lines() {
             let line = line.split('#').next().unwrap_or_default();
@@ -74,7 +74,7 @@
     }
 
     /// Plays the scenario; panics if an expectation doesn't hold or a rule is broken.
-    pub fn play(self) {
+    pub fn run(self) {
         let expects_violation = self.expects_violation();
         let mut simulation = self.setup.simulation();
         simulation.digest.set_name(self.name);
@@ -98,7 +98,7 @@
 
 fn check_rules(simulation: &mut Simulation, name: &str) {
     let checker = &mut simulation.checker;
-    checker.at_end(simulation.now);
+    checker.check_at_end(simulation.now);
     assert!(
         checker.broken_rules.is_empty(),
         "{name}: {}",
--- a/tests/scenario_language/setup.rs
+++ b/tests/scenario_language/setup.rs
@@ -15,7 +15,7 @@
     pub facts: DeploymentFacts,
     pub machine_types: Vec<MachineTypeInfo>,
     /// The cloud lets so many machines run.
-    pub machines: u32,
+    pub max_machines: u32,
     pub seed: u64,
     /// Leaders come and go by their leases.
     pub elections: bool,
@@ -54,7 +54,7 @@
                 },
             },
             machine_types: Vec::new(),
-            machines: 20,
+            max_machines: 20,
             seed: 1,
             elections: false,
         }
@@ -78,7 +78,7 @@
             "team" => self.facts.teams.push(team(rest)),
             "machine-type" => self.machine_types.push(machine_type(rest)),
             "slo" => self.facts.objectives.push(objective(rest)),
-            "machines" => self.machines = parse(rest[0], first),
+            "machines" => self.max_machines = parse(rest[0], first),
             "seed" => self.seed = parse(rest[0], first),
             "worker-lease" => self.facts.workers.lease_s = parse(rest[0], first),
             "cancel-within" => self.facts.workers.cancel_s = parse(rest[0], first),
@@ -94,7 +94,8 @@
             operator: OperatorConfig::default(),
             max_pushes: MAX_PUSHES,
         };
-        let mut simulation = Simulation::new(policy, self.machine_types, self.machines, self.seed);
+        let mut simulation =
+            Simulation::new(policy, self.machine_types, self.max_machines, self.seed);
         if self.elections {
             simulation.enable_elections();
         }
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -19,7 +19,7 @@
 #[path = "support/wire_digest.rs"]
 mod wire_digest;
 
-use scenario_language::Script;
+use scenario_language::Scenario;
 use std::path::{Path, PathBuf};
 
 /// Fewer files than this: the scenarios are missing.
@@ -44,7 +44,7 @@
 fn play(path: &Path) {
     logging::log_if_asked();
     let text = std::fs::read_to_string(path).expect("a scenario");
-    Script::parse(&file_name(path), &text).play();
+    Scenario::parse(&file_name(path), &text).run();
 }
 
 /// Plays every scenario, or with `SCENARIO` set those whose path contains it, and names all that fail.
--- a/tests/simulation/checker/mod.rs
+++ b/tests/simulation/checker/mod.rs
@@ -146,7 +146,7 @@
     }
 
     /// At the end of a run: something must have run.
-    pub fn at_end(&mut self, now: Instant) {
+    pub fn check_at_end(&mut self, now: Instant) {
         if self.attempts.is_empty() {
             self.record_violation(now, "nothing_ran", String::new());
         }
