--- a/src/coordination/attempts/gang_stops.rs
+++ b/src/coordination/attempts/gang_stops.rs
@@ -1,5 +1,5 @@
-//! Gangs that are broken: a gang of which a member is stopped or lost stops as a whole, for its members would
-//! only wait for each other, and an orderly stop must reach all of them within `gang_peer_s`.
+//! Stops of incomplete gangs. When a member of a gang is stopped or lost, the others are stopped too, because
+//! they would only wait for it. A graceful stop must reach all members within the gang peer timeout.
 
 use crate::coordination::attempts::ledger::{StopRequest, TaskAttempt};
 use crate::coordination::attempts::stops::SAVE_MARGIN_SECS;
@@ -9,70 +9,71 @@
 use crate::time::{Instant, TimeSpan};
 use std::collections::BTreeSet;
 
-/// What becomes of a gang that may be broken.
-enum GangVerdict {
-    /// It is whole, closed, or nowhere.
+/// What to do with a gang that may have lost a member.
+enum GangAction {
+    /// The gang is complete, its job is closed, or none of its tasks is placed.
     Keep,
-    /// It is broken; its members are stopped when they have their images.
+    /// The gang is incomplete; its members are stopped once they have their images.
     AwaitImages,
-    /// All its members are stopped.
+    /// All members are stopped now.
     Stop(GangStop),
 }
 
-/// How the members of a gang are stopped.
+/// How to stop the members of a gang.
 struct GangStop {
     machine_ids: BTreeSet<MachineId>,
-    /// Seconds that they are given to save their progress.
+    /// Seconds that the members have to save their progress.
     grace_s: f64,
-    /// Whether the machines are reserved for the gang's next attempt.
+    /// Whether to reserve the machines for the gang's next attempt.
     reserves_machines: bool,
 }
 
 impl Scheduler {
-    /// Stops what is left of broken gangs.
+    /// Stops the remaining members of incomplete gangs.
     pub(super) fn stop_broken_gangs(&mut self, now: Instant) {
-        let mut awaiting_images = BTreeSet::new();
+        let mut gangs_awaiting_images = BTreeSet::new();
         for job_id in std::mem::take(&mut self.outbox.gangs_to_check) {
-            match self.judge_gang(&job_id) {
-                GangVerdict::Keep => {}
-                GangVerdict::AwaitImages => drop(awaiting_images.insert(job_id)),
-                GangVerdict::Stop(stop) => self.stop_gang(now, &job_id, stop),
+            match self.gang_action(&job_id) {
+                GangAction::Keep => {}
+                GangAction::AwaitImages => drop(gangs_awaiting_images.insert(job_id)),
+                GangAction::Stop(stop) => self.stop_gang(now, &job_id, stop),
             }
         }
-        self.outbox.gangs_to_check = awaiting_images;
+        self.outbox.gangs_to_check = gangs_awaiting_images;
     }
 
-    fn judge_gang(&self, job_id: &JobId) -> GangVerdict {
+    fn gang_action(&self, job_id: &JobId) -> GangAction {
         let Some(job) = self.jobs.get(job_id) else {
-            return GangVerdict::Keep;
+            return GangAction::Keep;
         };
         if job.is_closed() || !job.needs_gang_scheduling() || job.placements().is_empty() {
-            return GangVerdict::Keep;
+            return GangAction::Keep;
         }
         let machine_ids: BTreeSet<MachineId> =
             job.placements().values().flatten().cloned().collect();
-        let has_stopping = self.any_member(job_id, &machine_ids, |member| member.stop.is_some());
-        if !has_stopping && job.pending().is_empty() {
-            return GangVerdict::Keep;
+        let has_stopping_member =
+            self.any_member(job_id, &machine_ids, |member| member.stop.is_some());
+        if !has_stopping_member && job.pending().is_empty() {
+            return GangAction::Keep;
         }
-        // Guards against a fetch given up when it was nearly done: a member that had its image sooner gave
-        // up waiting, and with it went the fetch of the other, again and again. The others are stopped,
-        // which they are at once, when they have theirs too.
-        if job.gang_attempt_failed() && !has_stopping {
-            let fetches = |member: &TaskAttempt| {
+        // Guards against image fetches that are aborted when nearly done: a member that had its image early
+        // timed out waiting for the others, and stopping them aborted their fetches, again and again. The other
+        // members are stopped only when they have their images too.
+        if job.gang_attempt_failed() && !has_stopping_member {
+            let is_fetching = |member: &TaskAttempt| {
                 let status = member.last_status;
                 status.is_some_and(|status| status.phase == TaskPhase::Fetching)
             };
-            if self.any_member(job_id, &machine_ids, fetches) {
-                return GangVerdict::AwaitImages;
+            if self.any_member(job_id, &machine_ids, is_fetching) {
+                return GangAction::AwaitImages;
             }
         }
         let grace_s = if job.pending().is_empty() {
-            job.spec().save_s + SAVE_MARGIN_SECS
+            job.spec().checkpoint_duration_s + SAVE_MARGIN_SECS
         } else {
             0.0
         };
-        GangVerdict::Stop(GangStop {
+        GangAction::Stop(GangStop {
             machine_ids,
             grace_s,
             reserves_machines: job.gang_attempt_failed(),
--- a/src/runtime/api/submissions.rs
+++ b/src/runtime/api/submissions.rs
@@ -16,7 +16,7 @@
 use crate::runtime::clients::job_lookup::TerminalState;
 use crate::runtime::clients::state_store::{StateStoreError, TransactionOutcome};
 use crate::runtime::clients::upstream_jobs::{find_upstream, UpstreamState};
-use crate::runtime::{time_of_day_ms, Node};
+use crate::runtime::{unix_time_ms, Node};
 use crate::storage::records::{open_job_key, terminal_key, OpenJobRecord, TerminalRecord};
 
 /// The share of a value's size limit that an open record may take.
@@ -54,17 +54,20 @@
 }
 
 async fn accept(node: &Node, submission: &Submission) -> Result<ApiResponse, Refusal> {
-    let Submission { spec, waits_on } = submission;
+    let Submission {
+        spec,
+        upstream_jobs,
+    } = submission;
     let machine_types = node.catalog.machine_types();
     if machine_types.is_empty() {
         return Err(Refusal::UnlessKnown(ApiError::MachineTypesUnknown));
     }
     check_can_run(spec, &machine_types, &node.policy.facts.teams)
         .map_err(|reason| Refusal::UnlessKnown(reason.into()))?;
-    if waits_on.contains(&spec.id) {
+    if upstream_jobs.contains(&spec.id) {
         return Err(Refusal::UnlessKnown(ApiError::DependsOnItself));
     }
-    match find_upstream(node, waits_on.clone()).await {
+    match find_upstream(node, upstream_jobs.clone()).await {
         Ok(UpstreamState::Unfinished(dependencies)) => open_job(node, spec, dependencies).await,
         Ok(UpstreamState::Cancelled) => accept_cancelled(node, spec).await,
         Ok(UpstreamState::NeverAccepted(unknown)) => {
@@ -123,7 +126,7 @@
     let dependency_count = dependencies.len();
     let mut record = OpenJobRecord {
         spec: spec.clone(),
-        accepted_at_ms: time_of_day_ms(),
+        accepted_at_ms: unix_time_ms(),
         upstream_jobs: dependencies,
         dependency_pages: 0,
     };
--- a/src/runtime/leader/effects.rs
+++ b/src/runtime/leader/effects.rs
@@ -8,7 +8,7 @@
     Effect, Event, KeyReread, RequestId, ScaleOutAnswer, TerminalRecordRead,
 };
 use crate::ids::{JobId, MachineId};
-use crate::protocol::cloud::{RentRequest, ReturnRequest};
+use crate::protocol::cloud::{RentRequest, TerminateRequest};
 use crate::protocol::state::{KeyValue, Transaction};
 use crate::protocol::workers::{CommandBatch, WorkerStatus};
 use crate::runtime::clients::cloud::RentOutcome;
@@ -163,7 +163,7 @@
 ) -> Event {
     let body = serde_json::to_vec(batch).unwrap_or_default();
     let response = node
-        .workers
+        .worker_client
         .send(
             Method::POST,
             endpoint,
@@ -210,8 +210,8 @@
 }
 
 async fn scale_in(node: &Node, machine_ids: Vec<MachineId>) -> Option<Event> {
-    let request = ReturnRequest { machine_ids };
-    let terminated = node.cloud.return_machines(&request).await.ok()?;
+    let request = TerminateRequest { machine_ids };
+    let terminated = node.cloud.terminate_machines(&request).await.ok()?;
     let machine_ids = request.machine_ids;
     Some(if terminated {
         Event::MachinesTerminated { machine_ids }
