--- a/src/runtime/leader/term.rs
+++ b/src/runtime/leader/term.rs
@@ -1,4 +1,4 @@
-//! One term of a leader: failover, the tasks of the leader, and the end.
+//! One leadership term: the failover, the leader's tasks, and the end of the term.
 
 use super::activity::Activity;
 use super::election::ElectionWon;
@@ -14,31 +14,31 @@
 use tokio::task::JoinSet;
 use tokio_util::sync::CancellationToken;
 
-/// What every task of a leader needs: the node, the right to act, and the token that ends the term.
+/// The context that a leader's tasks share: the node, the leader's authority, and the token that ends the term.
 #[derive(Clone)]
-pub struct Term {
+pub struct TermContext {
     /// The controller.
     pub node: Arc<Node>,
-    /// The leader's right to act.
+    /// The leader's authority to act.
     pub authority: Arc<Authority>,
     /// Cancelled when the term ends.
     pub end: CancellationToken,
 }
 
-impl Term {
-    /// Whether the leader may act at this moment.
+impl TermContext {
+    /// Whether the term is active and the leader has authority to act.
     pub fn may_act(&self, now: Instant) -> bool {
         !self.end.is_cancelled() && self.authority.is_held(now)
     }
 
-    /// Gives up the right to act and ends the term.
+    /// Resigns the leader's authority and ends the term.
     pub fn resign(&self) {
         self.authority.resign();
         self.end.cancel();
     }
 
-    /// Ends a term whose authority has lapsed, and logs why, once. A lease renewal that is answered later
-    /// changes nothing any more.
+    /// Ends a term whose authority has lapsed, and logs the reason once. A lease renewal that is answered later
+    /// has no effect.
     pub fn end_lapsed(&self, now: Instant) {
         if !self.end.is_cancelled() {
             let reason = self.authority.loss(now);
@@ -53,16 +53,16 @@
 pub async fn lead(node: &Arc<Node>, won: ElectionWon) {
     let started_at = node.now();
     let (fencing_token, lease) = (won.term.initial_token, won.term.lease);
-    let term = Term {
+    let term = TermContext {
         node: node.clone(),
         authority: won.authority,
         end: node.stop.child_token(),
     };
     tracing::info!(%fencing_token, version = env!("CARGO_PKG_VERSION"), "election won");
     let renewal = tokio::spawn(lease_renewal::renew(term.clone(), lease));
-    node.leadership.failover_begins();
+    node.leadership.start_failover();
     match take_over(&term, won.term).await {
-        Some(taken_over) => run_tasks(&term, taken_over).await,
+        Some(failover) => run_tasks(&term, failover).await,
         None => tracing::info!(%fencing_token, "failover abandoned"),
     }
     term.authority.resign();
@@ -71,39 +71,39 @@
     let _ = renewal.await;
     let duration_ms = (node.now() - started_at).0;
     tracing::info!(%fencing_token, duration_ms, "leadership ended");
-    // Others needn't wait for a lease that we don't use. Everything of ours has stopped by now.
+    // The tasks of the term have stopped, and another controller needn't wait for the lease to expire.
     node.state_store.revoke_lease(lease).await;
 }
 
-/// A failover that is complete: the scheduler is in place.
-struct TakenOver {
+/// The result of a completed failover, whose scheduler is active.
+struct CompletedFailover {
     activity: Arc<Activity>,
-    /// The store revision of the open jobs that were read: the watch goes on from there.
+    /// The store revision of the open jobs that were read, from which the watch starts.
     store_revision: StoreRevision,
 }
 
-/// Reads the state that former leaders left and puts the scheduler in place. None if anything can't be read, or
-/// the authority lapsed meanwhile.
-async fn take_over(term: &Term, leadership: LeadershipTerm) -> Option<TakenOver> {
+/// Recovers the state that former leaders stored and activates the scheduler. None if anything can't be read or
+/// the authority has lapsed meanwhile.
+async fn take_over(term: &TermContext, leadership: LeadershipTerm) -> Option<CompletedFailover> {
     let node = &term.node;
     let fencing_token = leadership.initial_token;
-    let asked_at = node.now();
+    let requested_at = node.now();
     let (recovered, store_revision) = job_watch::read_recovered_state(node).await?;
     let jobs = recovered.open_jobs.len();
     let scheduler = Scheduler::recover(node.policy.clone(), leadership, node.now(), recovered)
-        // Guards against taking an attempt for never launched because its record can't be read.
+        // Guards against treating an attempt as never launched because its record is unreadable.
         .map_err(|error| tracing::error!(%error, "failover stopped by an unreadable record"))
         .ok()?;
     if !term.authority.is_held(node.now()) {
         return None;
     }
-    term.authority.view_refreshed(asked_at);
-    log_take_over(
+    term.authority.view_refreshed(requested_at);
+    log_failover(
         node,
         &scheduler,
         fencing_token,
         store_revision,
-        asked_at,
+        requested_at,
         jobs,
     );
     let activity = Arc::new(Activity::new(node.now()));
@@ -112,25 +112,25 @@
         authority: term.authority.clone(),
         activity: activity.clone(),
     });
-    Some(TakenOver {
+    Some(CompletedFailover {
         activity,
         store_revision,
     })
 }
 
-fn log_take_over(
+fn log_failover(
     node: &Node,
     scheduler: &Scheduler,
     fencing_token: FencingToken,
     store_revision: StoreRevision,
-    asked_at: Instant,
+    requested_at: Instant,
     jobs: usize,
 ) {
     let attempts = scheduler.attempt_counts();
     tracing::info!(
         %fencing_token,
         %store_revision,
-        read_ms = (node.now() - asked_at).0,
+        read_ms = (node.now() - requested_at).0,
         jobs,
         machines = scheduler.machines_up(),
         attempts = attempts.total,
@@ -139,12 +139,12 @@
     );
 }
 
-/// Runs the tasks of the leader until the term ends.
-async fn run_tasks(term: &Term, taken_over: TakenOver) {
-    let TakenOver {
+/// Runs the leader's tasks until the term ends.
+async fn run_tasks(term: &TermContext, failover: CompletedFailover) {
+    let CompletedFailover {
         activity,
         store_revision,
-    } = taken_over;
+    } = failover;
     let mut tasks = JoinSet::new();
     tasks.spawn(step_loop::run(term.clone(), activity.clone()));
     tasks.spawn(job_watch::run(term.clone(), store_revision));
