--- a/src/runtime/api/status.rs
+++ b/src/runtime/api/status.rs
@@ -1,4 +1,4 @@
-//! A job's state as users are told it.
+//! The state of a job as reported to users.
 
 use super::error::ApiError;
 use super::response::ApiResponse;
@@ -11,7 +11,7 @@
 use crate::runtime::Node;
 use warp::http::StatusCode;
 
-/// `GET /submissions/{id}`: the state of a job.
+/// `GET /submissions/{id}`: responds with the state of a job.
 pub async fn poll(node: &Node, id: &JobId) -> Result<ApiResponse, ApiError> {
     let found = tokio::time::timeout(POLL_TIMEOUT, find_job(node, id)).await;
     let status = match found {
@@ -46,7 +46,7 @@
     }
 }
 
-/// The response that tells the phase of a job that was submitted before; None if it never was.
+/// Returns a response with the phase of a job that was accepted earlier; None if it never was.
 pub async fn known_job(node: &Node, id: &JobId) -> Result<Option<ApiResponse>, ApiError> {
     let phase = match find_job(node, id).await {
         Ok(JobState::Open(_)) => open_phase(task_counts(node, id)),
@@ -57,10 +57,11 @@
     Ok(Some(ApiResponse::job_phase(id, phase)))
 }
 
-/// The leader's task counts, our own or as last sent by it: for display only.
+/// Returns the job's task counts for display: from the scheduler if this controller leads, otherwise as last sent
+/// by the leader.
 fn task_counts(node: &Node, id: &JobId) -> TaskCounts {
-    let own = node.leadership.task_counts(node.now(), id);
-    own.unwrap_or_else(|| node.task_counts.of(id))
+    let from_scheduler = node.leadership.task_counts(node.now(), id);
+    from_scheduler.unwrap_or_else(|| node.task_counts.get(id))
 }
 
 fn open_phase(counts: TaskCounts) -> JobPhase {
--- a/src/runtime/api/workers.rs
+++ b/src/runtime/api/workers.rs
@@ -1,4 +1,4 @@
-//! Workers' heartbeats.
+//! Heartbeats of workers.
 
 use super::error::ApiError;
 use super::response::ApiResponse;
@@ -7,14 +7,14 @@
 use crate::runtime::Node;
 use warp::http::StatusCode;
 
-/// Answers a heartbeat: with commands if this controller leads, or with the name of the leader. While a failover
-/// to this controller is under way, the heartbeat waits for its end.
+/// Responds to a heartbeat: with commands if this controller leads, otherwise with a redirect that names the leader if
+/// it is known. While this controller is taking over, the heartbeat first waits for the failover to finish.
 pub async fn heartbeat(node: &Node, body: &[u8]) -> Result<ApiResponse, ApiError> {
     let status: WorkerStatus =
         serde_json::from_slice(body).map_err(|error| ApiError::MalformedHeartbeat {
             reason: error.to_string(),
         })?;
-    node.heartbeat_received();
+    node.record_heartbeat();
     let mut reply = node.leadership.heartbeat(node.now(), &status);
     if matches!(reply, HeartbeatReply::TakingOver) {
         node.leadership.failover_finished().await;
--- a/src/runtime/mod.rs
+++ b/src/runtime/mod.rs
@@ -1,11 +1,11 @@
-//! All I/O of one controller, around the deterministic scheduler in [`crate::coordination`].
+//! The I/O of one controller, around the deterministic scheduler in [`crate::coordination`].
 //!
-//! - `api`: HTTP for users, workers and health checks; the responses to other controllers;
-//! - `leader`: election, the lease, the step loop and carrying out effects;
-//! - `clients`: the state store, the cloud, the peers, and what a controller knows through them;
-//! - `node`: what the tasks of one controller share, and its locks.
+//! - `api`: the HTTP API for users, workers and health checks, and the replies to other controllers;
+//! - `leader`: the election, the leader's lease, the step loop and the execution of effects;
+//! - `clients`: clients of the state store, the cloud and the peers, and the caches fed by them;
+//! - `node`: the state that the tasks of one controller share, and its locks.
 //!
-//! `api` uses `leader` and `clients`; `leader` uses `clients`. Nothing here decides what runs where.
+//! `api` uses `leader` and `clients`; `leader` uses `clients`. No placement decision is made here.
 
 mod api;
 mod clients;
@@ -23,17 +23,17 @@
 /// Why a controller can't start.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// The asynchronous runtime can't be built.
+    /// Building the asynchronous runtime failed.
     #[error("cannot build the asynchronous runtime: {0}")]
     Runtime(std::io::Error),
-    /// An address of the settings can't be listened on.
+    /// Listening on a configured address failed.
     #[error("cannot listen on {setting} {address}: {source}")]
     Listen {
-        /// The field of the platform's settings.
+        /// The name of the platform setting that holds the address.
         setting: &'static str,
-        /// Its value.
+        /// The configured address.
         address: SocketAddr,
-        /// What the operating system says.
+        /// The error from the operating system.
         source: std::io::Error,
     },
 }
@@ -60,11 +60,11 @@
     Ok(())
 }
 
-/// The sockets on which a controller accepts connections.
+/// The listening sockets of a controller.
 struct Listeners {
-    /// Users, workers and health checks.
+    /// For users, workers and health checks.
     http: TcpListener,
-    /// Other controllers.
+    /// For other controllers.
     peers: TcpListener,
 }
 
@@ -97,7 +97,7 @@
     );
 }
 
-/// Starts the tasks that every controller runs, whether it is the leader or not.
+/// Spawns the tasks that every controller runs, leader or not.
 fn spawn_tasks(node: &Arc<Node>, listeners: Listeners) -> [JoinHandle<()>; 7] {
     [
         tokio::spawn(api::routes::serve(node.clone(), listeners.http)),
--- a/src/runtime/node.rs
+++ b/src/runtime/node.rs
@@ -1,19 +1,19 @@
-//! What the tasks of one controller share.
+//! The state that the tasks of one controller share.
 //!
-//! **Locks.** Each shared part keeps its own lock, private to it, around plain data:
+//! **Locks.** Each component has a private lock around plain data:
 //!
-//! | part | its lock guards |
+//! | component | data under its lock |
 //! | --- | --- |
 //! | [`LeadershipState`] | the scheduler of an active leader; the other leader as last read; the end of a cool-down |
-//! | [`Peers`] | what peers last said; cancellations still to be broadcast |
+//! | [`Peers`] | the last status of each peer; cancellations still to be broadcast |
 //! | [`Catalog`] | the machine types |
-//! | [`OpenJobCache`] | lookups that wait for the next read |
+//! | [`OpenJobCache`] | lookups that wait for the next read of the open jobs |
 //! | [`TerminalStateCache`] | the cached terminal states |
 //! | [`TaskCountsFromLeader`] | the task counts that the leader last sent |
 //!
-//! A holder of one of these locks takes none of the others, so there is no order to keep among them. Only the
-//! counters of the activity log are locked below another lock, that of the active leader. No lock is held over
-//! an `await`: each is taken and released inside of one method that isn't `async`, or one expression.
+//! No task acquires one of these locks while it holds another, so no lock order is needed. The one nested lock is
+//! that of the activity log's counters, which is acquired under the lock of the active leader. No lock is held
+//! across an `await`: each is acquired and released within one non-`async` method or one expression.
 
 use crate::config::Config;
 use crate::coordination::Policy;
@@ -37,51 +37,51 @@
 use tokio::sync::Semaphore;
 use tokio_util::sync::CancellationToken;
 
-/// The state store counts as reachable for this long after it last served this controller.
+/// The state store counts as reachable for this long after it last served a request of this controller.
 pub const STATE_STORE_REACHABILITY_TIMEOUT: Duration = Duration::from_millis(2000);
 
 /// Time allowed to connect to a worker.
 const WORKER_CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
-/// What `last_heartbeat_ms` holds before the first heartbeat.
+/// The value of `last_heartbeat_ms` before the first heartbeat.
 const NO_HEARTBEAT: i64 = -1;
 
-/// What the tasks of one controller share.
+/// The state that the tasks of one controller share.
 pub struct Node {
-    /// The checked settings.
+    /// The validated settings.
     pub config: Config,
-    /// What the scheduler derives from them.
+    /// The scheduler's settings, derived from `config`.
     pub policy: Arc<Policy>,
     /// The client of the state store.
     pub state_store: StateStoreClient,
     /// The client of the cloud.
     pub cloud: CloudClient,
-    /// The HTTP client for commands that are pushed to workers.
+    /// The HTTP client that pushes commands to workers.
     pub worker_client: HttpClient,
     /// The other controllers.
     pub peers: Peers,
     /// Whether this controller is the leader, and its scheduler if it is.
     pub leadership: LeadershipState,
-    /// The machine types.
+    /// The known machine types.
     pub catalog: Catalog,
     /// The task counts that the leader last sent.
     pub task_counts: TaskCountsFromLeader,
-    /// The cache of open jobs.
+    /// The cache of the open jobs.
     pub open_jobs: OpenJobCache,
     /// The cache of terminal states.
     pub terminal_states: TerminalStateCache,
-    /// One permit for each user request that may be handled at the same time.
+    /// Limits concurrent user requests: each holds one permit while it is handled.
     pub user_request_slots: Semaphore,
-    /// How the process's sockets are divided.
+    /// The allocation of the process's sockets.
     pub sockets: SocketAllocation,
-    /// Cancelled when the controller is to stop.
+    /// Cancelled to stop the controller.
     pub stop: CancellationToken,
-    /// When a worker last sent a heartbeat here, whatever the response was.
+    /// When this controller last received a heartbeat, in milliseconds since `started`, whatever the response was.
     last_heartbeat_ms: AtomicI64,
     started: std::time::Instant,
 }
 
 impl Node {
-    /// A controller with these settings that has not contacted anybody yet.
+    /// Creates a controller that has not sent any request yet.
     pub fn new(config: Config, stop: CancellationToken) -> Node {
         let platform = &config.platform;
         let max_user_requests = config.operator.max_user_requests;
@@ -101,8 +101,8 @@
                 sockets.state_store,
             ),
             cloud: CloudClient::new(endpoints.cloud.to_string(), sockets.cloud),
-            // None is kept open: with thousands of machines, one to each would leave none for others,
-            // and the next command to the same machine seldom comes soon.
+            // No idle connections: with thousands of machines, one to each would use up the sockets, and two
+            // pushes to the same machine seldom follow each other closely.
             worker_client: HttpClient::new(WORKER_CONNECT_TIMEOUT, 0),
             peers: Peers::new(peer_clients),
             leadership: LeadershipState::default(),
@@ -119,55 +119,55 @@
         }
     }
 
-    /// The steady clock, in milliseconds since the process began.
+    /// Reads the monotonic clock, in milliseconds since this controller started.
     pub fn now(&self) -> Instant {
         Instant(self.started.elapsed().as_millis() as i64)
     }
 
-    /// A worker has sent a heartbeat here.
-    pub fn heartbeat_received(&self) {
+    /// Records that a heartbeat was received now.
+    pub fn record_heartbeat(&self) {
         let now = self.now();
         self.last_heartbeat_ms.store(now.0, Ordering::Relaxed);
     }
 
-    /// How long ago a worker last sent a heartbeat here; None if none ever did.
+    /// Returns the time since this controller last received a heartbeat; None if it never received one.
     pub fn time_since_heartbeat(&self) -> Option<TimeSpan> {
         let last_ms = self.last_heartbeat_ms.load(Ordering::Relaxed);
         (last_ms != NO_HEARTBEAT).then(|| self.now() - Instant(last_ms))
     }
 
-    /// Whether the state store served this controller a moment ago.
+    /// Whether the state store has served a request within [`STATE_STORE_REACHABILITY_TIMEOUT`].
     pub fn state_store_reachable(&self) -> bool {
         self.state_store.time_since_success() < STATE_STORE_REACHABILITY_TIMEOUT
     }
 }
 
-/// The task counts that the leader last sent, for display in responses to polls.
+/// The task counts that the leader last sent; used only for display in poll responses.
 #[derive(Default)]
 pub struct TaskCountsFromLeader {
     by_job: Mutex<BTreeMap<JobId, TaskCounts>>,
 }
 
 impl TaskCountsFromLeader {
-    /// The counts of one job; zeros if none are known.
-    pub fn of(&self, id: &JobId) -> TaskCounts {
+    /// Returns the counts of one job; zeros if none are known.
+    pub fn get(&self, id: &JobId) -> TaskCounts {
         lock(&self.by_job).get(id).copied().unwrap_or_default()
     }
 
-    /// Replaces all counts.
+    /// Replaces the counts of all jobs.
     pub fn replace(&self, counts: BTreeMap<JobId, TaskCounts>) {
         *lock(&self.by_job) = counts;
     }
 }
 
-/// Time of day in milliseconds since the Unix epoch; for times that outlive this process only.
+/// Returns the Unix time in milliseconds; only for times that outlive the process.
 pub fn unix_time_ms() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .map_or(0, |since_epoch| since_epoch.as_millis() as u64)
 }
 
-/// Locks a mutex, also one whose earlier holder panicked: the data is plain values that stay usable.
+/// Locks a mutex and ignores poisoning: the guarded data is plain values that stay valid after a panic.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex
         .lock()
