--- a/src/runtime/api/cancellation.rs
+++ b/src/runtime/api/cancellation.rs
@@ -1,7 +1,7 @@
-//! `POST /submissions/{id}/withdraw`: cancelling a job.
+//! `POST /submissions/{id}/withdraw`: cancels a job.
 //!
-//! Cancelling and finishing both have the revision of the open record as a precondition, so that exactly one of
-//! them wins.
+//! The transactions that cancel and that finish a job both have the revision of its open record as a precondition,
+//! so exactly one of them is applied.
 
 use super::error::ApiError;
 use super::response::ApiResponse;
@@ -15,24 +15,25 @@
 use crate::storage::records::{open_job_key, terminal_key, TerminalRecord};
 use std::time::{Duration, Instant};
 
-/// No new attempt begins after this, half of [`SUBMIT_TIMEOUT`]: the rest of the time is for the last one.
+/// No attempt starts after this time. It is half of [`SUBMIT_TIMEOUT`], which leaves the other half to the last
+/// attempt.
 ///
 /// [`SUBMIT_TIMEOUT`]: super::users::SUBMIT_TIMEOUT
 const MAX_ATTEMPTS_TIME: Duration = Duration::from_millis(2000);
 
-/// What one attempt came to.
-enum Attempt {
+/// The outcome of one attempt to cancel a job.
+enum CancelOutcome {
     /// This attempt cancelled the job.
     Confirmed,
-    /// The job changed meanwhile: it is read again.
+    /// The job changed since it was read; it has to be read again.
     Conflict,
-    /// The job may be cancelled by this attempt: it is read again.
+    /// This attempt may or may not have cancelled the job; it has to be read again.
     OutcomeUnknown,
-    /// The state store does not serve us.
+    /// The state store does not serve this controller.
     Failed,
 }
 
-/// Cancels a job, or answers with the terminal state that it has already.
+/// Cancels a job, or responds with its terminal state if it has one already.
 pub async fn cancel(node: &Node, id: &JobId) -> Result<ApiResponse, ApiError> {
     let started_at = Instant::now();
     let mut outcome_unknown = false;
@@ -40,7 +41,8 @@
         let job = match find_job(node, id).await {
             Ok(JobState::Open(job)) => job,
             Ok(JobState::Terminal(state)) => {
-                // Perhaps a transaction of ours that got no response: nobody has been told yet.
+                // An unconfirmed transaction of this request may have cancelled the job; that cancellation has not
+                // been announced to the leader or the peers.
                 if outcome_unknown && state.is_cancelled() {
                     node.cancellation_confirmed(id, state.tasks);
                 }
@@ -50,22 +52,22 @@
             Err(_) => break,
         };
         match try_to_cancel(node, id, &job).await {
-            Attempt::Confirmed => {
+            CancelOutcome::Confirmed => {
                 node.cancellation_confirmed(id, job.tasks);
                 return Ok(ApiResponse::job_phase(id, JobPhase::Cancelled));
             }
-            Attempt::Conflict => {}
-            Attempt::OutcomeUnknown => outcome_unknown = true,
-            Attempt::Failed => break,
+            CancelOutcome::Conflict => {}
+            CancelOutcome::OutcomeUnknown => outcome_unknown = true,
+            CancelOutcome::Failed => break,
         }
     }
     Err(ApiError::StateStoreUnavailable)
 }
 
-/// Replaces the open record by a terminal one, if it still has the revision that was read.
-async fn try_to_cancel(node: &Node, id: &JobId, job: &OpenJob) -> Attempt {
+/// Replaces the open record with a terminal record if the open record still has the revision that was read.
+async fn try_to_cancel(node: &Node, id: &JobId, job: &OpenJob) -> CancelOutcome {
     let Ok(record) = serde_json::to_value(TerminalRecord::cancelled(job.tasks)) else {
-        return Attempt::Failed;
+        return CancelOutcome::Failed;
     };
     let still_open = Precondition {
         key: open_job_key(id),
@@ -83,10 +85,10 @@
     match node.state_store.transaction(&transaction).await {
         Ok(TransactionOutcome::Applied(store_revision)) => {
             tracing::debug!(job = %id, %store_revision, opened = %job.revision, "cancellation confirmed");
-            Attempt::Confirmed
+            CancelOutcome::Confirmed
         }
-        Ok(TransactionOutcome::Conflict(_)) => Attempt::Conflict,
-        Err(StateStoreError::OutcomeUnknown) => Attempt::OutcomeUnknown,
-        Err(_) => Attempt::Failed,
+        Ok(TransactionOutcome::Conflict(_)) => CancelOutcome::Conflict,
+        Err(StateStoreError::OutcomeUnknown) => CancelOutcome::OutcomeUnknown,
+        Err(_) => CancelOutcome::Failed,
     }
 }
--- a/src/runtime/api/error.rs
+++ b/src/runtime/api/error.rs
@@ -1,15 +1,15 @@
-//! The failures that users, workers and peers are told of: each with its status and its text.
+//! The failures reported to users, workers and peers, with the HTTP status and text of each.
 
 use crate::ids::JobId;
 use warp::http::StatusCode;
 
-/// Why a request was not served. The display text is what the client reads.
+/// Why a request was not served. The display text is sent to the client.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum ApiError {
-    /// There is no such path.
+    /// The path does not exist.
     #[error("no such path")]
     NoSuchPath,
-    /// The path has no such method.
+    /// The path does not support the method.
     #[error("method not allowed")]
     MethodNotAllowed,
     /// The body could not be read.
@@ -18,37 +18,37 @@
     /// A heartbeat could not be parsed.
     #[error("{reason}")]
     MalformedHeartbeat {
-        /// What is wrong, for the worker.
+        /// The parse error, for the worker.
         reason: String,
     },
     /// A submission could not be parsed or has a value out of range.
     #[error("{reason}")]
     MalformedSubmission {
-        /// What is wrong, for the user.
+        /// The parse or range error, for the user.
         reason: String,
     },
-    /// The job's description does not fit into a record of the state store.
+    /// The job's description exceeds the maximum size of a state store record.
     #[error("too long a description")]
     DescriptionTooLong,
-    /// The job's description can't be written as a record.
+    /// The job's description could not be serialized as a record.
     #[error("can't be stored")]
     NotStorable,
-    /// The job can never run here.
+    /// The job can never run on this cluster.
     #[error("{0}")]
     NeverRuns(#[from] NeverRuns),
     /// The job depends on itself.
     #[error("waits for itself")]
     DependsOnItself,
-    /// The job depends on one that no controller ever accepted.
+    /// The job depends on a job that no controller has accepted.
     #[error("waits for {0}, which was never accepted")]
     UnknownDependency(JobId),
-    /// No controller ever accepted such a job.
+    /// No controller has accepted a job with this id.
     #[error("no such job")]
     NoSuchJob,
-    /// Too many user requests are being handled.
+    /// The limit on concurrent user requests is reached.
     #[error("too many requests at once")]
     TooManyRequests,
-    /// This controller has not read the machine types yet, and can't judge submissions.
+    /// This controller has not read the machine types yet, so it can't validate submissions.
     #[error("machine types are not known yet")]
     MachineTypesUnknown,
     /// The upstream jobs of a submission could not be read.
@@ -57,13 +57,13 @@
     /// The submission may or may not have been stored.
     #[error("the outcome is not known yet")]
     OutcomeUnknown,
-    /// The state store did not answer in time.
+    /// The state store did not respond in time.
     #[error("the state service answers too slowly")]
     StateStoreTimeout,
-    /// The state store serves neither this controller nor a peer that could be asked.
+    /// The state store serves neither this controller nor any peer that the request could be forwarded to.
     #[error("the state service can't be reached")]
     StateStoreUnavailable,
-    /// Neither the state store nor any peer can be reached: this controller is of no use.
+    /// Neither the state store nor any peer is reachable, so this controller can't serve users.
     #[error("neither the state service nor a sibling can be reached")]
     Isolated,
 }
@@ -71,7 +71,7 @@
 /// Why a request's body could not be read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum BodyError {
-    /// The connection broke, or the body is not as announced.
+    /// The connection failed, or the body does not match its headers.
     #[error("the body is broken")]
     Broken,
     /// The client did not send the whole body in time.
@@ -82,22 +82,22 @@
     TooLarge,
 }
 
-/// Why a job can never run here.
+/// Why a job can never run on this cluster.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum NeverRuns {
-    /// The settings name no such team.
+    /// The team is not in the settings.
     #[error("unknown team")]
     UnknownTeam,
-    /// No machine type, among those that the job allows, has room for one task.
+    /// One task needs more than any machine type that the job allows.
     #[error("a task fits no allowed machine type")]
     NoMachineTypeFits,
-    /// What has to run at the same time exceeds the team's limit.
+    /// The tasks that have to run at the same time need more than the team's limit.
     #[error("needs more than the team's limit")]
     ExceedsTeamLimit,
 }
 
 impl ApiError {
-    /// The HTTP status.
+    /// Returns the HTTP status of the response.
     pub fn status(&self) -> StatusCode {
         match self {
             ApiError::NoSuchPath | ApiError::NoSuchJob => StatusCode::NOT_FOUND,
--- a/src/runtime/api/mod.rs
+++ b/src/runtime/api/mod.rs
@@ -1,10 +1,10 @@
-//! The HTTP API for users, workers and health checks, and the responses to other controllers.
+//! The HTTP API for users, workers and health checks, and the replies to other controllers.
 //!
-//! A request is parsed once, where it comes in, into a type ([`request::UserRequest`] for users' requests), and a
-//! failure is an [`error::ApiError`], whose status and text are defined in one place.
+//! Each request is parsed once, on arrival, into a type ([`request::UserRequest`] for users' requests). Each failure
+//! is an [`error::ApiError`], which defines its status and text.
 //!
-//! - `routes`: the HTTP server: limits, routing, bodies;
-//! - `users`: users' requests, here or forwarded to a peer, by way of `submissions`, `status`, `cancellation`;
+//! - `routes`: the HTTP server: routing, and limits on connections and bodies;
+//! - `users`: users' requests, served locally by `submissions`, `status` and `cancellation`, or forwarded to a peer;
 //! - `workers`, `health`, `peers`: the requests of workers, health checks and other controllers.
 
 mod cancellation;
--- a/src/runtime/api/peers.rs
+++ b/src/runtime/api/peers.rs
@@ -1,4 +1,4 @@
-//! Answering other controllers.
+//! Replies to requests of other controllers.
 
 use super::request::{Origin, UserRequest};
 use super::response::ApiResponse;
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 use tokio::net::TcpListener;
 
-/// Answers peers until the controller stops.
+/// Serves peers until the controller stops.
 pub async fn serve(node: Arc<Node>, listener: TcpListener) {
     let max_connections = node.sockets.peer_connections;
     let stop = node.stop.clone();
@@ -29,14 +29,14 @@
             workers_heard_ms: node.time_since_heartbeat().map(|span| span.0),
         },
         PeerRequest::Forward { method, path, body } => {
-            let response = answer_forwarded(node, &method, &path, body).await;
+            let response = respond_to_forwarded(node, &method, &path, body).await;
             PeerReply::Answer {
                 status: response.status,
                 body: response.body,
             }
         }
         PeerRequest::Counts { jobs } => {
-            take_in_counts(node, jobs);
+            replace_task_counts(node, jobs);
             PeerReply::Noted
         }
         PeerRequest::Cancelled { jobs } => {
@@ -48,15 +48,15 @@
     }
 }
 
-/// Answers a request that a user sent to a peer.
-async fn answer_forwarded(node: &Node, method: &str, path: &str, body: Vec<u8>) -> ApiResponse {
+/// Serves a user's request that a peer forwarded.
+async fn respond_to_forwarded(node: &Node, method: &str, path: &str, body: Vec<u8>) -> ApiResponse {
     match UserRequest::parse(method, path, body, Origin::Peer) {
         Ok(request) => ApiResponse::from(users::respond(node, request).await),
         Err(error) => ApiResponse::from(error),
     }
 }
 
-fn take_in_counts(node: &Node, jobs: Vec<(JobId, u32, u32)>) {
+fn replace_task_counts(node: &Node, jobs: Vec<(JobId, u32, u32)>) {
     let counts = jobs
         .into_iter()
         .map(|(id, completed, running)| (id, TaskCounts { completed, running }));
--- a/src/runtime/api/request.rs
+++ b/src/runtime/api/request.rs
@@ -1,50 +1,50 @@
-//! Users' requests, parsed once where they come in: from a user, or from a peer that passes one on.
+//! Users' requests, parsed once on arrival from the user or from a peer that forwards them.
 
 use super::error::ApiError;
 use crate::ids::JobId;
 use crate::protocol::peers::PeerRequest;
 use crate::protocol::users::{parse_submission, MalformedSubmission, Submission};
 
-/// Where users submit jobs.
+/// The path to which users submit jobs.
 const SUBMISSIONS_PATH: &str = "/submissions";
-/// What follows a job's path to cancel it.
+/// The path segment after a job's path that cancels the job.
 const CANCEL_PATH_SEGMENT: &str = "withdraw";
-/// Added to the path of a forwarded submission that names dependencies. Guards against a peer of the version
-/// before dependencies, which would accept the job without them: to that one it is no path.
-const FORWARDED_WITH_DEPENDENCIES: &str = "/chain/new";
+/// Appended to the path of a forwarded submission that has dependencies. A peer of a version that does not know
+/// dependencies would accept the job without them; with this suffix it rejects the path instead.
+const DEPENDENCIES_PATH_SUFFIX: &str = "/chain/new";
 
 /// Who sent a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Origin {
     /// A user.
     User,
-    /// Another controller, for a user of its own. Never forwarded again.
+    /// Another controller, on behalf of a user. Such a request is not forwarded again.
     Peer,
 }
 
-/// A user's request, with the bytes it came in.
+/// A user's request, parsed and as received.
 #[derive(Debug)]
 pub struct UserRequest {
-    /// What the user wants.
+    /// The requested action.
     pub action: UserAction,
     /// Who sent it.
     pub origin: Origin,
-    /// What a peer is sent if it has to answer.
+    /// The request as received, for forwarding to a peer.
     wire: WireRequest,
 }
 
-/// What a user wants.
+/// An action that a user requests.
 #[derive(Debug)]
 pub enum UserAction {
-    /// Submit a job. A malformed one may still name a job that is known already.
+    /// Submit a job. A malformed submission may still carry the id of a job that was accepted earlier.
     Submit(Box<Result<Submission, MalformedSubmission>>),
-    /// Read a job's state. None: the text is no job id, so there is no such job.
+    /// Read a job's state. None if the path holds no valid job id, so that no such job can exist.
     Poll(Option<JobId>),
-    /// Cancel a job; None as for a poll.
+    /// Cancel a job. None if the path holds no valid job id.
     Cancel(Option<JobId>),
 }
 
-/// A request as it came over HTTP.
+/// An HTTP request as received.
 #[derive(Debug)]
 struct WireRequest {
     method: String,
@@ -53,8 +53,8 @@
 }
 
 impl UserRequest {
-    /// Parses a request. Only an unknown path and a wrong method are errors here: whatever is wrong with the
-    /// body or the job id is answered in its turn.
+    /// Parses a request. Returns an error only for an unknown path or a wrong method; a malformed body or job id is
+    /// reported when the action is carried out.
     pub fn parse(
         method: &str,
         path: &str,
@@ -81,7 +81,7 @@
         })
     }
 
-    /// Whether this is a submission that names dependencies.
+    /// Whether this is a submission with dependencies.
     pub fn has_dependencies(&self) -> bool {
         match &self.action {
             UserAction::Submit(submission) => {
@@ -92,10 +92,10 @@
         }
     }
 
-    /// The message that asks a peer to answer this request.
-    pub fn to_forward(&self) -> PeerRequest {
+    /// Builds the message that asks a peer to serve this request.
+    pub fn to_peer_request(&self) -> PeerRequest {
         let suffix = if self.has_dependencies() {
-            FORWARDED_WITH_DEPENDENCIES
+            DEPENDENCIES_PATH_SUFFIX
         } else {
             ""
         };
@@ -107,7 +107,7 @@
     }
 }
 
-/// What a path names.
+/// The resource that a request path refers to.
 enum Target<'a> {
     Submissions,
     Job(&'a str),
@@ -119,7 +119,7 @@
         let rest = path
             .strip_prefix(SUBMISSIONS_PATH)
             .ok_or(ApiError::NoSuchPath)?;
-        if rest.is_empty() || (origin == Origin::Peer && rest == FORWARDED_WITH_DEPENDENCIES) {
+        if rest.is_empty() || (origin == Origin::Peer && rest == DEPENDENCIES_PATH_SUFFIX) {
             return Ok(Target::Submissions);
         }
         let job = rest.strip_prefix('/').ok_or(ApiError::NoSuchPath)?;
--- a/src/runtime/api/response.rs
+++ b/src/runtime/api/response.rs
@@ -1,4 +1,4 @@
-//! Responses to HTTP requests, before they are put on the wire.
+//! Responses of the HTTP API.
 
 use super::error::ApiError;
 use crate::ids::JobId;
@@ -6,20 +6,20 @@
 use serde::Serialize;
 use warp::http::{Response, StatusCode};
 
-/// Seconds after which a client that was told to come back should do so.
+/// The value of the `retry-after` header, in seconds.
 const RETRY_AFTER_SECS: &str = "1";
 
-/// A response: a status and a JSON body. It is also what one controller forwards to another.
+/// An HTTP status with a JSON body. Also the form in which a controller returns the response to a forwarded request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ApiResponse {
     /// The HTTP status.
     pub status: u16,
-    /// The body, in JSON.
+    /// The JSON body.
     pub body: Vec<u8>,
 }
 
 impl ApiResponse {
-    /// A response with this body.
+    /// Creates a response with `body` serialized as JSON.
     pub fn json<T: Serialize>(status: StatusCode, body: &T) -> ApiResponse {
         ApiResponse {
             status: status.as_u16(),
@@ -27,22 +27,22 @@
         }
     }
 
-    /// The response to a submission that created the job.
+    /// Creates the response to a submission that created the job.
     pub fn job_created(id: &JobId, phase: JobPhase) -> ApiResponse {
         ApiResponse::json(StatusCode::CREATED, &JobResponse { id, phase })
     }
 
-    /// The response that tells the phase of a job that was known already, or is cancelled.
+    /// Creates the response with the phase of a job that was accepted earlier or is cancelled.
     pub fn job_phase(id: &JobId, phase: JobPhase) -> ApiResponse {
         ApiResponse::json(StatusCode::OK, &JobResponse { id, phase })
     }
 
-    /// Whether the client is told to come back later.
+    /// Whether the status is 503, which tells the client to retry later.
     pub fn is_unavailable(&self) -> bool {
         self.status == StatusCode::SERVICE_UNAVAILABLE.as_u16()
     }
 
-    /// The response as it goes out.
+    /// Converts the response to HTTP, with a `retry-after` header if its status is 503.
     pub fn into_http(self) -> Response<Vec<u8>> {
         let status = StatusCode::from_u16(self.status);
         let mut response = Response::builder()
--- a/src/runtime/api/routes.rs
+++ b/src/runtime/api/routes.rs
@@ -1,4 +1,4 @@
-//! The HTTP server: connections, limits on bodies, and which part answers which request.
+//! The HTTP server: connections, body limits and routing.
 
 use super::error::{ApiError, BodyError};
 use super::request::{Origin, UserRequest};
@@ -15,22 +15,22 @@
 use warp::path::FullPath;
 use warp::Filter;
 
-/// The limit for a request body, in bytes.
+/// The maximum size of a request body, in bytes.
 const MAX_BODY_BYTES: usize = 64 * 1024;
-/// How long a client may take to send its body.
+/// The time in which a client has to send its body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(4);
-/// Where load balancers and operators ask for the health of this controller.
+/// The path of the health check, for load balancers and operators.
 const HEALTH_PATH: &str = "/healthz";
-/// Where workers send heartbeats.
+/// The path to which workers send heartbeats.
 const HEARTBEAT_PATH: &str = "/checkin";
-/// What a worker's connection is worth; a user's has the lowest rank.
+/// The rank of a worker's connection; users' connections have the lowest rank and are closed first.
 const WORKER_RANK: Rank = Rank(1);
-/// A connection is idle after this many heartbeat intervals without a request, within these bounds.
+/// The idle timeout of a connection, in heartbeat intervals; the bounds below apply.
 const IDLE_HEARTBEATS: f64 = 6.0;
 const MIN_IDLE_SECS: f64 = 30.0;
 const MAX_IDLE_SECS: f64 = 300.0;
 
-/// Serves until the controller stops.
+/// Serves HTTP requests until the controller stops.
 pub async fn serve(node: Arc<Node>, listener: tokio::net::TcpListener) {
     let stop = node.stop.clone();
     let connections = Arc::new(ConnectionTable::new(node.sockets.http_connections));
@@ -45,8 +45,8 @@
     server::serve(listener, connections, idle, stop, warp::service(routes)).await;
 }
 
-/// After this without a request a connection is taken for dead: a machine without power never says so. Workers
-/// send heartbeats more often, and so do users who wait for something.
+/// Returns the time without a request after which a connection is closed as dead: a machine that lost power never
+/// closes its connections. Workers, and users who poll, send requests more often than that.
 fn idle_timeout(heartbeat_interval_secs: f64) -> Duration {
     let idle_secs = heartbeat_interval_secs * IDLE_HEARTBEATS;
     Duration::from_secs_f64(idle_secs.clamp(MIN_IDLE_SECS, MAX_IDLE_SECS))
@@ -63,7 +63,7 @@
     S: Stream<Item = Result<B, warp::Error>>,
     B: Buf,
 {
-    // Heartbeats come first: when connections run out, those of users make room.
+    // Heartbeats take precedence: when the connection table is full, users' connections are closed first.
     if let Some(connection) = connection.filter(|_| path.as_str() == HEARTBEAT_PATH) {
         connection.set_rank(WORKER_RANK);
     }
@@ -91,7 +91,7 @@
     if path == HEARTBEAT_PATH {
         return workers::heartbeat(node, &body).await;
     }
-    // Heartbeats come first: users' requests beyond what fits are told to come back.
+    // Heartbeats take precedence: only users' requests are limited, and those over the limit are rejected.
     let Ok(_slot) = node.user_request_slots.try_acquire() else {
         return Err(ApiError::TooManyRequests);
     };
@@ -99,7 +99,7 @@
     users::respond(node, request).await
 }
 
-/// Reads the body within its limits.
+/// Reads the body, within [`MAX_BODY_BYTES`] and [`BODY_TIMEOUT`].
 async fn read_body<S, B>(body: S) -> Result<Vec<u8>, BodyError>
 where
     S: Stream<Item = Result<B, warp::Error>>,
--- a/src/runtime/api/users.rs
+++ b/src/runtime/api/users.rs
@@ -1,5 +1,5 @@
-//! Users' requests: any controller accepts, reads or cancels a job, straight on the state store. One that the
-//! state store doesn't serve forwards the request to a peer that it does.
+//! Users' requests. Any controller accepts, reads or cancels a job directly in the state store. A controller that the
+//! state store does not serve forwards the request to a peer that it does serve.
 
 use super::error::ApiError;
 use super::request::{Origin, UserAction, UserRequest};
@@ -10,19 +10,19 @@
 use std::time::Duration;
 use warp::http::StatusCode;
 
-/// Users wait 5 s for submissions and cancellations: we answer before that.
+/// The time limit for submissions and cancellations; users time out after 5 s.
 pub const SUBMIT_TIMEOUT: Duration = Duration::from_millis(4000);
-/// Users wait 2 s for polls: we answer before that.
+/// The time limit for polls; users time out after 2 s.
 pub const POLL_TIMEOUT: Duration = Duration::from_millis(1700);
-/// At most this many peers are asked for one request.
+/// The maximum number of peers to which one request is forwarded, one after the other.
 const MAX_PEERS_ASKED: u32 = 2;
 
-/// Answers a user's request, here or through a peer.
+/// Responds to a user's request, locally or through a peer.
 pub async fn respond(node: &Node, request: UserRequest) -> Result<ApiResponse, ApiError> {
-    // Guards against users who wait while we find out, each time again, what we know already: that the state
-    // store does not serve us.
+    // While the state store is known to be unreachable, requests are forwarded at once: otherwise each user would
+    // first wait for the same failure.
     if node.state_store_reachable() || is_known_terminal(node, &request) {
-        let response = respond_here(node, &request).await;
+        let response = respond_locally(node, &request).await;
         let unavailable = match &response {
             Ok(response) => response.is_unavailable(),
             Err(error) => error.status() == StatusCode::SERVICE_UNAVAILABLE,
@@ -37,7 +37,7 @@
     }
 }
 
-/// Whether the job's terminal state is cached. It can't change, so it is told with the state store or without.
+/// Whether the job's terminal state is cached. Terminal states never change, so the state store isn't needed.
 fn is_known_terminal(node: &Node, request: &UserRequest) -> bool {
     match &request.action {
         UserAction::Submit(_) => false,
@@ -47,7 +47,7 @@
     }
 }
 
-async fn respond_here(node: &Node, request: &UserRequest) -> Result<ApiResponse, ApiError> {
+async fn respond_locally(node: &Node, request: &UserRequest) -> Result<ApiResponse, ApiError> {
     match &request.action {
         UserAction::Submit(submission) => {
             let response = submissions::submit(node, submission);
@@ -61,16 +61,16 @@
     }
 }
 
-/// Forwards a request to a peer that the state store serves; if we know of none, the user is told at once.
+/// Forwards a request to a peer that the state store serves; fails at once if no such peer is known.
 async fn forward(node: &Node, request: &UserRequest) -> Result<ApiResponse, ApiError> {
-    let message = request.to_forward();
+    let message = request.to_peer_request();
     let timeout = match request.action {
         UserAction::Poll(_) => POLL_TIMEOUT,
         UserAction::Submit(_) | UserAction::Cancel(_) => SUBMIT_TIMEOUT,
     };
     let reachable = node.peers.reachable(node.now()).into_iter();
-    let served = reachable.filter(|peer| peer.state_store_ok);
-    for peer in served.take(MAX_PEERS_ASKED as usize) {
+    let candidates = reachable.filter(|peer| peer.state_store_ok);
+    for peer in candidates.take(MAX_PEERS_ASKED as usize) {
         let client = &node.peers.clients()[peer.index];
         let reply = client.ask(&message, timeout / MAX_PEERS_ASKED).await;
         if let Some(PeerReply::Answer { status, body }) = reply {
