--- a/src/runtime/api/submissions.rs
+++ b/src/runtime/api/submissions.rs
@@ -1,7 +1,7 @@
-//! `POST /submissions`: judging a job and accepting it by writing its open record.
+//! `POST /submissions`: validates a job and accepts it by writing its open record.
 //!
-//! A submission is idempotent: if the job is known already, its current state is the response, whatever else is
-//! wrong with the repeat.
+//! A submission is idempotent: if the job was accepted earlier, the response is its current state, even if the
+//! repeated submission is invalid.
 
 use super::error::{ApiError, NeverRuns};
 use super::response::ApiResponse;
@@ -19,18 +19,18 @@
 use crate::runtime::{unix_time_ms, Node};
 use crate::storage::records::{open_job_key, terminal_key, OpenJobRecord, TerminalRecord};
 
-/// The share of a value's size limit that an open record may take.
+/// The fraction of the state store's value size limit that an open record may use.
 const MAX_RECORD_SHARE: f64 = 0.9;
 
 /// Why a job was not accepted.
-enum Refusal {
-    /// The response, unless the job is known already.
+enum Rejection {
+    /// The error response if the job was not accepted earlier; otherwise the response is the job's state.
     UnlessKnown(ApiError),
-    /// The response.
+    /// The error response in any case.
     Always(ApiError),
 }
 
-/// Accepts a job, or answers with the state of a job that is known already.
+/// Accepts a job, or responds with its state if it was accepted earlier.
 pub async fn submit(
     node: &Node,
     submission: &Result<Submission, MalformedSubmission>,
@@ -39,43 +39,44 @@
         Ok(submission) => (Some(&submission.spec.id), accept(node, submission).await),
         Err(malformed) => {
             let reason = malformed.reason.clone();
-            let refusal = Refusal::UnlessKnown(ApiError::MalformedSubmission { reason });
-            (malformed.id.as_ref(), Err(refusal))
+            let rejection = Rejection::UnlessKnown(ApiError::MalformedSubmission { reason });
+            (malformed.id.as_ref(), Err(rejection))
         }
     };
     match (outcome, id) {
         (Ok(response), _) => Ok(response),
-        (Err(Refusal::UnlessKnown(error)), Some(id)) => {
+        (Err(Rejection::UnlessKnown(error)), Some(id)) => {
             let known = status::known_job(node, id).await?;
             known.ok_or(error)
         }
-        (Err(Refusal::UnlessKnown(error) | Refusal::Always(error)), _) => Err(error),
+        (Err(Rejection::UnlessKnown(error) | Rejection::Always(error)), _) => Err(error),
     }
 }
 
-async fn accept(node: &Node, submission: &Submission) -> Result<ApiResponse, Refusal> {
+async fn accept(node: &Node, submission: &Submission) -> Result<ApiResponse, Rejection> {
     let Submission { spec, waits_on } = submission;
     let machine_types = node.catalog.machine_types();
     if machine_types.is_empty() {
-        return Err(Refusal::UnlessKnown(ApiError::MachineTypesUnknown));
+        return Err(Rejection::UnlessKnown(ApiError::MachineTypesUnknown));
     }
     check_can_run(spec, &machine_types, &node.policy.facts.teams)
-        .map_err(|reason| Refusal::UnlessKnown(reason.into()))?;
+        .map_err(|reason| Rejection::UnlessKnown(reason.into()))?;
     if waits_on.contains(&spec.id) {
-        return Err(Refusal::UnlessKnown(ApiError::DependsOnItself));
+        return Err(Rejection::UnlessKnown(ApiError::DependsOnItself));
     }
     match find_upstream(node, waits_on.clone()).await {
         Ok(UpstreamState::Unfinished(dependencies)) => open_job(node, spec, dependencies).await,
         Ok(UpstreamState::Cancelled) => accept_cancelled(node, spec).await,
         Ok(UpstreamState::NeverAccepted(unknown)) => {
             let error = ApiError::UnknownDependency(unknown);
-            Err(Refusal::UnlessKnown(error))
+            Err(Rejection::UnlessKnown(error))
         }
-        Err(_) => Err(Refusal::UnlessKnown(ApiError::DependenciesUnavailable)),
+        Err(_) => Err(Rejection::UnlessKnown(ApiError::DependenciesUnavailable)),
     }
 }
 
-/// Checks that a job could ever run here.
+/// Checks that the job's team is configured, that a task fits an allowed machine type, and that the tasks that have to
+/// run at the same time fit within the team's limit.
 fn check_can_run(
     spec: &JobSpec,
     machine_types: &[MachineTypeInfo],
@@ -99,7 +100,7 @@
     }
 }
 
-/// Whether a machine of this type could run a task of the job.
+/// Whether an empty machine of this type can run a task of the job.
 fn task_fits(spec: &JobSpec, machine_type: &MachineTypeInfo) -> bool {
     let capacity = Resources {
         cpus: machine_type.cpus,
@@ -113,12 +114,12 @@
         && spec.zone.as_ref().is_none_or(zone_offered)
 }
 
-/// Accepts a job that depends on these unfinished jobs, or on none.
+/// Accepts a job by writing its open record. `dependencies` are the unfinished jobs that it depends on, if any.
 async fn open_job(
     node: &Node,
     spec: &JobSpec,
     dependencies: Vec<JobId>,
-) -> Result<ApiResponse, Refusal> {
+) -> Result<ApiResponse, Rejection> {
     let id = &spec.id;
     let dependency_count = dependencies.len();
     let mut record = OpenJobRecord {
@@ -129,7 +130,7 @@
     };
     let max_bytes = (node.policy.facts.state.value_kb * 1024.0 * MAX_RECORD_SHARE) as usize;
     let Ok(pages) = record.move_dependencies_to_pages(max_bytes) else {
-        return Err(Refusal::UnlessKnown(ApiError::DescriptionTooLong));
+        return Err(Rejection::UnlessKnown(ApiError::DescriptionTooLong));
     };
     match write_open_job(node, &record, &pages).await? {
         Ok(TransactionOutcome::Applied(store_revision)) => {
@@ -144,18 +145,19 @@
             );
             Ok(ApiResponse::job_created(id, JobPhase::Queued))
         }
-        failed => Err(refusal(failed)),
+        failed => Err(rejection(failed)),
     }
 }
 
-/// Writes the pages of dependencies, if there are any, and then the open record.
+/// Writes the dependency pages, if any, and then the open record.
 async fn write_open_job(
     node: &Node,
     record: &OpenJobRecord,
     pages: &[Vec<JobId>],
-) -> Result<Result<TransactionOutcome, StateStoreError>, Refusal> {
+) -> Result<Result<TransactionOutcome, StateStoreError>, Rejection> {
     let id = &record.spec.id;
-    let data = serde_json::to_value(record).map_err(|_| Refusal::Always(ApiError::NotStorable))?;
+    let data =
+        serde_json::to_value(record).map_err(|_| Rejection::Always(ApiError::NotStorable))?;
     let max_operations = node.policy.facts.state.txn_ops;
     let written = dependency_pages::write_pages(&node.state_store, max_operations, id, pages).await;
     Ok(match written {
@@ -167,16 +169,16 @@
             node.state_store.transaction(&transaction).await
         }
         Ok(PagesOutcome::Conflict(failed)) => Ok(TransactionOutcome::Conflict(failed)),
-        // Whatever became of the pages, the open record was certainly not written.
+        // The pages may have been written, but the open record was not.
         Err(_) => Err(StateStoreError::NotExecuted),
     })
 }
 
-/// Accepts a job that depends on a cancelled one: it is cancelled from the start.
-async fn accept_cancelled(node: &Node, spec: &JobSpec) -> Result<ApiResponse, Refusal> {
+/// Accepts a job that depends on a cancelled job, by writing a terminal record that cancels it at once.
+async fn accept_cancelled(node: &Node, spec: &JobSpec) -> Result<ApiResponse, Rejection> {
     let id = &spec.id;
     let data = serde_json::to_value(TerminalRecord::cancelled(spec.tasks))
-        .map_err(|_| Refusal::Always(ApiError::NotStorable))?;
+        .map_err(|_| Rejection::Always(ApiError::NotStorable))?;
     let transaction = Transaction {
         preconditions: vec![
             Precondition::absent(open_job_key(id)),
@@ -191,17 +193,17 @@
             node.terminal_states.insert(id, cancelled);
             Ok(ApiResponse::job_created(id, JobPhase::Cancelled))
         }
-        failed => Err(refusal(failed)),
+        failed => Err(rejection(failed)),
     }
 }
 
-/// Why a job was not accepted whose transaction was not applied, as far as is known. A conflict (the job is known
-/// already) and an unknown outcome are settled by reading before anything is answered.
-fn refusal(outcome: Result<TransactionOutcome, StateStoreError>) -> Refusal {
+/// Returns why a job was not accepted, from the outcome of its transaction. After a conflict (the job was accepted
+/// earlier) or an unknown outcome, the job is read before the response is sent.
+fn rejection(outcome: Result<TransactionOutcome, StateStoreError>) -> Rejection {
     match outcome {
         Ok(_) | Err(StateStoreError::OutcomeUnknown) => {
-            Refusal::UnlessKnown(ApiError::OutcomeUnknown)
+            Rejection::UnlessKnown(ApiError::OutcomeUnknown)
         }
-        Err(_) => Refusal::Always(ApiError::StateStoreUnavailable),
+        Err(_) => Rejection::Always(ApiError::StateStoreUnavailable),
     }
 }
