--- a/src/runtime/api/cancellation.rs
+++ b/src/runtime/api/cancellation.rs
@@ -44,7 +44,7 @@
                 // An unconfirmed transaction of this request may have cancelled the job; that cancellation has not
                 // been announced to the leader or the peers.
                 if outcome_unknown && state.is_cancelled() {
-                    node.cancellation_confirmed(id, state.tasks);
+                    node.record_and_broadcast_cancellation(id, state.tasks);
                 }
                 return Ok(ApiResponse::job_phase(id, state.phase));
             }
@@ -53,7 +53,7 @@
         };
         match try_to_cancel(node, id, &job).await {
             CancelOutcome::Confirmed => {
-                node.cancellation_confirmed(id, job.tasks);
+                node.record_and_broadcast_cancellation(id, job.tasks);
                 return Ok(ApiResponse::job_phase(id, JobPhase::Cancelled));
             }
             CancelOutcome::Conflict => {}
--- a/src/runtime/api/peers.rs
+++ b/src/runtime/api/peers.rs
@@ -41,7 +41,7 @@
         }
         PeerRequest::Cancelled { jobs } => {
             for (id, tasks) in &jobs {
-                node.job_cancelled(id, *tasks);
+                node.record_cancellation(id, *tasks);
             }
             PeerReply::Noted
         }
--- a/src/runtime/clients/catalog.rs
+++ b/src/runtime/clients/catalog.rs
@@ -1,7 +1,7 @@
-//! Machine types: every controller must know them to judge submissions, also while the cloud is down.
+//! The catalog of machine types. Every controller needs it to validate submissions, also while the cloud is down.
 //!
-//! The leader asks the cloud and keeps a copy in the state store; the others read that copy, and ask the cloud
-//! themselves only while they know no machine types and there is no copy.
+//! The leader reads the machine types from the cloud and keeps a copy in the state store. The other controllers read
+//! the copy; they ask the cloud only while they know no machine types and there is no copy.
 
 use crate::coordination::Event;
 use crate::protocol::cloud::{MachineTypeInfo, MachineTypeList};
@@ -13,21 +13,21 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// How often a controller refreshes what it knows.
+/// The interval between refreshes of the catalog.
 const REFRESH_INTERVAL: Duration = Duration::from_secs(20);
-/// How soon it tries again after a failure, if it knows machine types from before.
+/// The delay of a retry while machine types from an earlier read are known.
 const RETRY_INTERVAL: Duration = Duration::from_secs(5);
-/// How soon it tries again while it knows none, plus a random part up to the same again.
+/// The delay of a retry while no machine types are known, plus random jitter of up to the same length.
 const FIRST_RETRY_MS: u64 = 500;
 
-/// The machine types that this controller knows; empty until the first read.
+/// The machine types that this controller knows; none until the first read.
 #[derive(Default)]
 pub struct Catalog {
     machine_types: Mutex<Vec<MachineTypeInfo>>,
 }
 
 impl Catalog {
-    /// The machine types as last read.
+    /// Returns the machine types as last read.
     pub fn machine_types(&self) -> Vec<MachineTypeInfo> {
         lock(&self.machine_types).clone()
     }
@@ -45,14 +45,14 @@
     }
 }
 
-/// Keeps the catalog up to date until the controller stops.
+/// Refreshes the catalog periodically until the controller stops.
 pub async fn refresh(node: Arc<Node>) {
     loop {
         let known = !node.catalog.is_empty();
         let leads = node.leadership.is_leader(node.now());
         let pause = match read_machine_types(&node, known, leads).await {
             Some(machine_types) => {
-                take_in(&node, machine_types, known, leads).await;
+                update_machine_types(&node, machine_types, known, leads).await;
                 REFRESH_INTERVAL
             }
             None if known => RETRY_INTERVAL,
@@ -68,7 +68,8 @@
     }
 }
 
-/// Reads the machine types from where this controller has to look for them.
+/// Reads the machine types: the leader from the cloud, any other controller from the copy in the state store, or from
+/// the cloud if it knows no machine types and there is no copy.
 async fn read_machine_types(node: &Node, known: bool, leads: bool) -> Option<Vec<MachineTypeInfo>> {
     if leads {
         return node.cloud.machine_types().await;
@@ -80,14 +81,19 @@
     node.cloud.machine_types().await
 }
 
-/// Takes in what was read: the scheduler is told, and the leader stores what is new.
-async fn take_in(node: &Node, machine_types: Vec<MachineTypeInfo>, known: bool, leads: bool) {
+/// Replaces the known machine types and passes them to the scheduler. The leader also writes the copy if they changed.
+async fn update_machine_types(
+    node: &Node,
+    machine_types: Vec<MachineTypeInfo>,
+    known: bool,
+    leads: bool,
+) {
     if leads || !known {
         let event = Event::MachineTypes(machine_types.clone());
         node.leadership.handle_event(node.now(), event);
     }
     if leads && (!known || node.catalog.differs_from(&machine_types)) {
-        store(&node.state_store, &machine_types).await;
+        write_stored(&node.state_store, &machine_types).await;
     }
     node.catalog.replace(machine_types);
 }
@@ -98,8 +104,8 @@
     (!list.machine_types.is_empty()).then_some(list.machine_types)
 }
 
-/// Stores the copy. A failure is harmless: the next change or the next leader stores it again.
-async fn store(state_store: &StateStoreClient, machine_types: &[MachineTypeInfo]) {
+/// Writes the copy to the state store. A failure is harmless: the next change or the next leader writes it again.
+async fn write_stored(state_store: &StateStoreClient, machine_types: &[MachineTypeInfo]) {
     let list = MachineTypeList {
         machine_types: machine_types.to_vec(),
     };
--- a/src/runtime/clients/cloud.rs
+++ b/src/runtime/clients/cloud.rs
@@ -1,4 +1,4 @@
-//! Calls to the cloud: machine types, the machine list, scale out and scale in.
+//! The client of the cloud: machine types, the machine list, scale-out and scale-in.
 
 use crate::ids::MachineId;
 use crate::protocol::cloud::{
@@ -9,34 +9,34 @@
 use hyper::Method;
 use std::time::Duration;
 
-/// Machines on a page of the list: the maximum that the cloud allows.
+/// The number of machines on a page of the machine list, the maximum that the cloud allows.
 pub const LIST_PAGE_SIZE: usize = 500;
-/// Deadline of a call, machine types apart.
+/// The timeout of a call, except for machine types.
 const CALL_TIMEOUT: Duration = Duration::from_secs(4);
-/// Deadline of a request for the machine types.
+/// The timeout of a request for the machine types.
 const MACHINE_TYPES_TIMEOUT: Duration = Duration::from_secs(3);
-/// Time allowed to establish a connection.
+/// The timeout for establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// The outcome of a request to rent machines.
 #[derive(Debug)]
 pub enum RentOutcome {
-    /// These machines are rented.
+    /// The machines with these ids were rented.
     Rented(Vec<MachineId>),
-    /// The cloud has no such machines to rent at the moment.
+    /// The cloud has no capacity for the requested machines at the moment.
     NoCapacity,
-    /// The machines may have been rented: to be asked again with the same idempotency key.
+    /// The machines may have been rented; the request has to be repeated with the same idempotency key.
     Unknown,
 }
 
-/// The client.
+/// The client of the cloud's HTTP API.
 pub struct CloudClient {
     http: HttpClient,
     address: String,
 }
 
 impl CloudClient {
-    /// A client for the cloud at the address, with at most so many idle connections.
+    /// Creates a client for the cloud at `address` that keeps at most `max_idle_connections` idle connections.
     pub fn new(address: String, max_idle_connections: usize) -> Self {
         CloudClient {
             http: HttpClient::new(CONNECT_TIMEOUT, max_idle_connections),
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Reads the machine types; None if the cloud does not answer or knows none.
+    /// Reads the machine types; None if the request fails or the list is empty.
     pub async fn machine_types(&self) -> Option<Vec<MachineTypeInfo>> {
         let path = "/machine_types";
         let response = self
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Rents machines. Idempotent by the key in the request.
+    /// Rents machines. The idempotency key in the request makes a repeated request rent no further machines.
     pub async fn rent(&self, request: &RentRequest) -> RentOutcome {
         let body = serde_json::to_vec(request).unwrap_or_default();
         let response = self
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Returns machines. True if the cloud has confirmed that they are terminated.
+    /// Terminates machines. Returns whether the cloud has confirmed the termination.
     pub async fn terminate_machines(
         &self,
         request: &ReturnRequest,
--- a/src/runtime/clients/dependency_pages.rs
+++ b/src/runtime/clients/dependency_pages.rs
@@ -1,8 +1,9 @@
-//! Dependency lists that are too long for an open job record, on pages of their own.
+//! Pages for dependency lists that are too long for an open job record.
 //!
-//! The pages are written before the open record, so nobody ever sees the job with only some of its
-//! dependencies. One key stands for the attempt to write them: each page and the open record itself have its
-//! revision as a precondition, so that pages of two attempts with different lists never end up under one job.
+//! The pages are written before the open record, so no reader sees the job with only some of its dependencies.
+//! Each attempt to write them first writes the list key. The transactions that write the pages and the open record
+//! all have the revision of that key as a precondition, so pages of two attempts with different lists are never mixed
+//! under one job.
 
 use super::state_store::{StateStoreClient, StateStoreError, TransactionOutcome};
 use crate::ids::{JobId, KeyRevision};
@@ -12,16 +13,17 @@
 };
 use serde_json::Value;
 
-/// What came of writing the pages.
+/// The outcome of writing the dependency pages.
 #[must_use = "the open record may be written only with these preconditions"]
 pub enum PagesOutcome {
-    /// All pages are written; the open record needs these preconditions.
+    /// All pages are written; the transaction that writes the open record must have these preconditions.
     Written(Vec<Precondition>),
-    /// Preconditions failed, these at least: the job is known already, or somebody else submits it.
+    /// Preconditions on at least these keys failed: the job was accepted earlier, or is being submitted by another
+    /// request.
     Conflict(Vec<String>),
 }
 
-/// Writes the pages, at most `max_operations` changes in a transaction.
+/// Writes the dependency pages, with at most `max_operations` changes in a transaction.
 pub async fn write_pages(
     state_store: &StateStoreClient,
     max_operations: usize,
@@ -35,11 +37,11 @@
     if pages.is_empty() {
         return Ok(PagesOutcome::Written(preconditions));
     }
-    let begin = Transaction {
+    let create_list = Transaction {
         preconditions: preconditions.clone(),
         changes: vec![Change::put(dependency_list_key(id), pages.len().into())],
     };
-    let revision = match state_store.transaction(&begin).await? {
+    let revision = match state_store.transaction(&create_list).await? {
         TransactionOutcome::Applied(store_revision) => KeyRevision(store_revision.0),
         TransactionOutcome::Conflict(failed) => return Ok(PagesOutcome::Conflict(failed)),
     };
@@ -69,8 +71,8 @@
     Change::put(dependency_page_key(id, number), ids.collect())
 }
 
-/// Adds the dependencies that stand on pages to the record. False: the job is no longer open, and its pages
-/// are deleted.
+/// Adds the dependencies from the job's pages to the record. Returns false if pages are missing because the job is no
+/// longer open.
 pub async fn read_pages(
     state_store: &StateStoreClient,
     record: &mut OpenJobRecord,
@@ -84,7 +86,8 @@
         let open = state_store.get(&open_job_key(&id)).await?;
         return match open {
             None => Ok(false),
-            // Deleted and opened again between two reads: that can't be, so it is read once more.
+            // A job is never opened again after its pages are deleted, so the two reads contradict each other and
+            // the caller has to read again.
             Some(_) => Err(StateStoreError::OutcomeUnknown),
         };
     }
--- a/src/runtime/clients/job_lookup.rs
+++ b/src/runtime/clients/job_lookup.rs
@@ -1,5 +1,5 @@
-//! Looking up how a job stands, in the state store. Nothing is answered from a memory that may be out of date;
-//! only terminal states, which can't change, are cached.
+//! Lookups of a job's state in the state store. Open jobs are never served from a stale cache; terminal states, which
+//! never change, are cached.
 
 use super::open_job_cache::OpenJob;
 use super::state_store::StateStoreError;
@@ -10,28 +10,28 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Mutex;
 
-/// What the state store says of a job.
+/// The state of a job according to the state store.
 #[derive(Debug)]
 pub enum JobState {
     /// The job has an open record.
     Open(OpenJob),
     /// The job is done or cancelled.
     Terminal(TerminalState),
-    /// No controller ever accepted the job.
+    /// No controller has accepted the job.
     NeverAccepted,
 }
 
-/// A terminal state.
+/// The terminal state of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TerminalState {
     /// Done or cancelled.
     pub phase: JobPhase,
-    /// How many tasks the job has.
+    /// The number of tasks of the job.
     pub tasks: u32,
 }
 
 impl TerminalState {
-    /// A cancelled job of so many tasks.
+    /// Creates the state of a cancelled job with this number of tasks.
     pub fn cancelled(tasks: u32) -> TerminalState {
         TerminalState {
             phase: JobPhase::Cancelled,
@@ -45,7 +45,7 @@
     }
 }
 
-/// Terminal states that this controller has read or written. Bounded: the oldest goes.
+/// A bounded cache of terminal states that this controller has read or written; the oldest entry is evicted first.
 #[derive(Default)]
 pub struct TerminalStateCache {
     entries: Mutex<TerminalStates>,
@@ -54,20 +54,20 @@
 #[derive(Default)]
 struct TerminalStates {
     by_job: BTreeMap<JobId, TerminalState>,
-    /// The jobs in the order in which they came.
+    /// The jobs in order of insertion.
     order: VecDeque<JobId>,
 }
 
-/// How many terminal states are cached.
+/// The maximum number of cached terminal states.
 const MAX_TERMINAL_STATES: usize = 20_000;
 
 impl TerminalStateCache {
-    /// The job's terminal state, if it is cached.
+    /// Returns the job's terminal state if it is cached.
     pub fn get(&self, id: &JobId) -> Option<TerminalState> {
         lock(&self.entries).by_job.get(id).copied()
     }
 
-    /// Adds a terminal state.
+    /// Adds a terminal state, and evicts the oldest one if the cache is full.
     pub fn insert(&self, id: &JobId, state: TerminalState) {
         let mut entries = lock(&self.entries);
         if entries.by_job.insert(id.clone(), state).is_some() {
@@ -82,13 +82,12 @@
     }
 }
 
-/// Looks up a job: first its open record, then its terminal record. A job is accepted by writing the open
-/// record, and ends by replacing that with the terminal record in one transaction, so a job that was ever
-/// accepted is found.
+/// Looks up a job: first its open record, then its terminal record. Accepting a job writes the open record, and one
+/// transaction later replaces it with the terminal record. An accepted job is therefore found in this order.
 ///
-/// A job that depends on a cancelled one is cancelled, from the moment at which that one's terminal record was
-/// written and whether or not its own is: no task of it can have started, for a job starts only when all that it
-/// depends on are done, and a terminal record never changes.
+/// A job that depends on a cancelled job counts as cancelled as soon as the upstream job's terminal record is written,
+/// even if its own record is still open. None of its tasks can have started: a job starts only when all of its upstream
+/// jobs are done, and a terminal record never changes.
 pub async fn find_job(node: &Node, id: &JobId) -> Result<JobState, StateStoreError> {
     if let Some(known) = node.terminal_states.get(id) {
         return Ok(JobState::Terminal(known));
@@ -108,7 +107,7 @@
     Ok(JobState::Open(job))
 }
 
-/// The terminal state of a job that is not open; None if it was never accepted.
+/// Returns the terminal state of a job that is not open; None if the job was never accepted.
 pub async fn find_terminal_state(
     node: &Node,
     id: &JobId,
--- a/src/runtime/clients/mod.rs
+++ b/src/runtime/clients/mod.rs
@@ -1,7 +1,7 @@
-//! Clients of the state store, the cloud and the other controllers, and what a controller knows through them.
+//! Clients of the state store, the cloud and the other controllers, and the caches fed by them.
 //!
-//! Nothing here decides anything: a failed call is returned as a typed error, and the caller chooses between a
-//! retry, an error response and an event for the scheduler.
+//! A failed call is returned as a typed error; the caller chooses between a retry, an error response and an event for
+//! the scheduler.
 
 pub mod catalog;
 pub mod cloud;
--- a/src/runtime/clients/open_job_cache.rs
+++ b/src/runtime/clients/open_job_cache.rs
@@ -1,9 +1,8 @@
-//! This controller's cache of the open jobs: one read of the state store serves every lookup that was asked
-//! for before the read was sent (coalesced reads). Hundreds of users ask every few seconds; a read or two for
-//! each would use up what the state store allows.
+//! A cache of the open jobs with coalesced reads: one read of the state store serves all lookups that were requested
+//! before the read was sent. Hundreds of users poll every few seconds; one or two reads for each poll would exceed the
+//! state store's rate limit.
 //!
-//! Lookups are linearizable: each waits for the next read that begins after it, and is never answered from an
-//! older state.
+//! Lookups are linearizable: each waits for a read that starts after the lookup, and never returns an older state.
 
 use super::dependency_pages;
 use super::state_store::{StateStoreClient, StateStoreError};
@@ -16,38 +15,38 @@
 use std::time::Duration;
 use tokio::sync::{oneshot, Notify};
 
-/// What is kept of an open job record: as much as users' requests need.
+/// The parts of an open job record that users' requests need.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OpenJobSummary {
     /// The revision of the open job record.
     pub revision: KeyRevision,
-    /// How many tasks the job has.
+    /// The number of tasks of the job.
     pub tasks: u32,
-    /// The upstream jobs that it depends on directly.
+    /// The upstream jobs that the job depends on directly.
     pub dependencies: Vec<JobId>,
 }
 
-/// An open job, and those of its direct and indirect upstream jobs that are closed.
+/// An open job, with those of its direct and indirect upstream jobs that are no longer open.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OpenJob {
     /// The revision of the open job record.
     pub revision: KeyRevision,
-    /// How many tasks the job has.
+    /// The number of tasks of the job.
     pub tasks: u32,
-    /// Upstream jobs that are no longer open: their terminal records say whether the job is cancelled with
-    /// them.
+    /// Upstream jobs that are no longer open; if a terminal record of theirs is a cancellation, the job counts as
+    /// cancelled.
     pub closed_upstream: Vec<JobId>,
 }
 
 type LookupResult = Result<Option<OpenJob>, StateStoreError>;
 
-/// A lookup that waits for the next read.
+/// A lookup that waits for the next read of the state store.
 struct PendingLookup {
     id: JobId,
     response: oneshot::Sender<LookupResult>,
 }
 
-/// The lookups that wait; the cached jobs belong to the task that reads them.
+/// The interface for lookups, with those pending. The cached jobs themselves are owned by the [`refresh`] task.
 #[derive(Default)]
 pub struct OpenJobCache {
     pending: Mutex<Vec<PendingLookup>>,
@@ -55,7 +54,7 @@
 }
 
 impl OpenJobCache {
-    /// Looks up the open job as it stands at some moment after this call; None if there is none.
+    /// Looks up an open job in a read that starts after this call; None if the job is not open.
     pub async fn lookup(&self, id: &JobId) -> LookupResult {
         let (response, received) = oneshot::channel();
         lock(&self.pending).push(PendingLookup {
@@ -71,15 +70,15 @@
     }
 }
 
-/// The share of the state store's request rate that all controllers together use for these reads.
+/// The fraction of the state store's request rate limit that all controllers together use for these reads.
 const REQUEST_RATE_SHARE: f64 = 0.35;
 /// Bounds of the pause between two reads, in seconds.
 const MIN_READ_SPACING_SECS: f64 = 0.03;
 const MAX_READ_SPACING_SECS: f64 = 0.5;
-/// The cache is read this often even if nobody asks, so that it never falls far behind.
+/// The interval between reads while there are no lookups, so that the cache never falls far behind.
 const IDLE_READ_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Keeps the cache up to date and answers lookups until the controller stops.
+/// Keeps the cache up to date and completes pending lookups until the controller stops.
 pub async fn refresh(node: Arc<Node>) {
     let spacing = read_spacing(&node);
     let mut jobs = CachedJobs::default();
@@ -90,7 +89,7 @@
             _ = tokio::time::timeout(IDLE_READ_INTERVAL, requested) => {}
         }
         let lookups = node.open_jobs.take_pending();
-        // The read is sent after these lookups were asked for: that makes it good for them.
+        // The read is sent after these lookups were requested, so its result is linearizable for them.
         let outcome = jobs.update(&node.state_store).await;
         for lookup in lookups {
             let result = outcome.map(|()| jobs.open_job(&lookup.id));
@@ -103,7 +102,7 @@
     }
 }
 
-/// The pause between two reads that keeps all controllers together within their share of the request rate.
+/// Returns the pause between two reads that keeps all controllers together within [`REQUEST_RATE_SHARE`].
 fn read_spacing(node: &Node) -> Duration {
     let controllers = node.peers.len() as f64 + 1.0;
     let request_rate = node.policy.facts.state.rps * REQUEST_RATE_SHARE;
@@ -112,8 +111,8 @@
 }
 
 impl OpenJobSummary {
-    /// Reads what matters of an open job record, also of one that can't be parsed: the job is open all the
-    /// same. None if it is no longer open.
+    /// Creates the summary of an open job record, and reads its dependency pages. A record that can't be parsed yields
+    /// a summary without dependencies, since the job is open nevertheless. None if the job is no longer open.
     pub async fn read(
         state_store: &StateStoreClient,
         revision: KeyRevision,
@@ -144,7 +143,7 @@
 #[derive(Default)]
 struct CachedJobs {
     open: BTreeMap<JobId, OpenJobSummary>,
-    /// None: to be listed anew.
+    /// None if all open jobs have to be listed again.
     store_revision: Option<StoreRevision>,
 }
 
@@ -157,7 +156,8 @@
         let page = match state_store.changes(OPEN_JOB_PREFIX, since).await {
             Ok(page) => page,
             Err(error) => {
-                // A list without the changes since isn't of one moment: it is made again.
+                // All open jobs are listed again after a compaction, and also if the failed read was to complete a
+                // new list: its pages may be of different revisions, and the store revision is still unset.
                 let compacted = error == StateStoreError::RevisionCompacted;
                 self.store_revision = self.store_revision.filter(|_| !compacted);
                 return Err(error);
@@ -179,7 +179,8 @@
         Ok(())
     }
 
-    /// Lists all open jobs; changes after the returned revision are still to be read.
+    /// Replaces the cache with a list of all open jobs. Changes after the returned revision still have to be read,
+    /// since the pages of the list may be of different revisions.
     async fn list(
         &mut self,
         state_store: &StateStoreClient,
@@ -193,7 +194,7 @@
         Ok(store_revision)
     }
 
-    /// Takes in an open job record. After a failure the same changes are read again.
+    /// Inserts an open job record. After a failure the store revision stays, so the same changes are read again.
     async fn put(
         &mut self,
         state_store: &StateStoreClient,
@@ -210,7 +211,8 @@
         Ok(())
     }
 
-    /// The job with its closed upstream jobs. Each is visited once, however many paths lead there.
+    /// Returns the job with its closed upstream jobs. Each upstream job is visited once, even if several paths lead to
+    /// it.
     fn open_job(&self, id: &JobId) -> Option<OpenJob> {
         let summary = self.open.get(id)?;
         let mut visited: BTreeSet<&JobId> = BTreeSet::new();
--- a/src/runtime/clients/peers.rs
+++ b/src/runtime/clients/peers.rs
@@ -1,4 +1,4 @@
-//! What this controller knows of its peers (the other controllers), and what it tells them unasked.
+//! Status probes of the peers (the other controllers), and broadcasts of cancellations to them.
 
 use crate::coordination::Event;
 use crate::ids::JobId;
@@ -12,26 +12,26 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 
-/// What a peer said of itself counts for this long after it was asked.
-const PEER_STATUS_FRESH: TimeSpan = TimeSpan(2500);
-/// Between two rounds of asking all peers.
+/// The maximum age of a peer's status, from when it was requested.
+const PEER_STATUS_MAX_AGE: TimeSpan = TimeSpan(2500);
+/// The pause between two rounds of status probes.
 const PROBE_INTERVAL: Duration = Duration::from_millis(500);
-/// A peer that doesn't answer a short message within this is taken for unreachable.
+/// The timeout for a peer's reply to a short message.
 pub const PEER_TIMEOUT: Duration = Duration::from_millis(400);
-/// Peers are told of at most this many cancellations at once; they learn of the rest from the state store.
+/// The maximum number of cancellations in one broadcast; peers learn of the rest from the state store.
 const MAX_BROADCAST_CANCELLATIONS: usize = 500;
 
-/// What a peer last said of itself.
+/// The last status that a peer reported.
 #[derive(Clone, Copy, Debug)]
 struct PeerStatus {
     asked_at: Instant,
     state_store_ok: bool,
 }
 
-/// A peer that answered lately.
+/// A peer whose status is recent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReachablePeer {
-    /// The peer's place among the clients.
+    /// The peer's index in [`Peers::clients`].
     pub index: usize,
     /// Whether the state store serves the peer.
     pub state_store_ok: bool,
@@ -40,12 +40,12 @@
 /// The other controllers.
 pub struct Peers {
     clients: Vec<PeerClient>,
-    /// What each peer last said, in the order of the clients.
+    /// The last status of each peer, in the order of `clients`.
     statuses: Mutex<Vec<Option<PeerStatus>>>,
     cancellations: PendingCancellations,
 }
 
-/// Cancellations that the state store confirmed here and peers are still to be told of.
+/// Cancellations that the state store confirmed to this controller and that are still to be broadcast to the peers.
 #[derive(Default)]
 struct PendingCancellations {
     jobs: Mutex<Vec<(JobId, u32)>>,
@@ -53,7 +53,7 @@
 }
 
 impl Peers {
-    /// Peers that nothing is known of yet.
+    /// Creates the peers, with no status known yet.
     pub fn new(clients: Vec<PeerClient>) -> Peers {
         Peers {
             statuses: Mutex::new(vec![None; clients.len()]),
@@ -62,17 +62,17 @@
         }
     }
 
-    /// How many other controllers there are.
+    /// Returns the number of other controllers.
     pub fn len(&self) -> usize {
         self.clients.len()
     }
 
-    /// The links to all peers.
+    /// Returns the clients of all peers.
     pub fn clients(&self) -> &[PeerClient] {
         &self.clients
     }
 
-    /// The peers that answered lately.
+    /// Returns the peers whose status is recent.
     pub fn reachable(&self, now: Instant) -> Vec<ReachablePeer> {
         let statuses = lock(&self.statuses);
         let known = statuses
@@ -80,7 +80,7 @@
             .enumerate()
             .filter_map(|(index, status)| Some((index, (*status)?)));
         known
-            .filter(|(_, status)| now - status.asked_at < PEER_STATUS_FRESH)
+            .filter(|(_, status)| now - status.asked_at < PEER_STATUS_MAX_AGE)
             .map(|(index, status)| ReachablePeer {
                 index,
                 state_store_ok: status.state_store_ok,
@@ -88,14 +88,14 @@
             .collect()
     }
 
-    /// Notes what the peers said; one that did not answer keeps its former status.
+    /// Records the peers' statuses; a peer that did not reply keeps its previous status.
     fn update_statuses(&self, statuses: Vec<Option<PeerStatus>>) {
         for (known, new) in lock(&self.statuses).iter_mut().zip(statuses) {
             *known = new.or(*known);
         }
     }
 
-    /// Peers are to be told that the job is cancelled.
+    /// Queues a cancellation for the next broadcast to the peers.
     fn queue_cancellation(&self, id: &JobId, tasks: u32) {
         let mut jobs = lock(&self.cancellations.jobs);
         if jobs.len() < MAX_BROADCAST_CANCELLATIONS {
@@ -109,8 +109,8 @@
     }
 }
 
-/// While the state store doesn't serve this controller, asks which peers can be reached and whether it serves
-/// them, so that users' requests needn't find out one by one. Runs until the controller stops.
+/// Probes all peers while the state store doesn't serve this controller, so that users' requests are forwarded only to
+/// peers that are reachable and served by the state store. Runs until the controller stops.
 pub async fn probe(node: Arc<Node>) {
     loop {
         tokio::select! {
@@ -121,12 +121,12 @@
             continue;
         }
         let clients = node.peers.clients.iter();
-        let statuses = join_all(clients.map(|client| ask_status(&node, client))).await;
+        let statuses = join_all(clients.map(|client| request_status(&node, client))).await;
         node.peers.update_statuses(statuses);
     }
 }
 
-async fn ask_status(node: &Node, client: &PeerClient) -> Option<PeerStatus> {
+async fn request_status(node: &Node, client: &PeerClient) -> Option<PeerStatus> {
     let asked_at = node.now();
     match client.ask(&PeerRequest::Hello, PEER_TIMEOUT).await {
         Some(PeerReply::Hello { state_ok, .. }) => Some(PeerStatus {
@@ -137,11 +137,11 @@
     }
 }
 
-/// Tells peers of confirmed cancellations until the controller stops.
+/// Broadcasts confirmed cancellations to the peers until the controller stops.
 ///
-/// Guards against a leader that the state store alone refuses: it would go on renewing the leases of machines
-/// whose jobs were cancelled through others. This is for speed: that such tasks are gone in time rests on the
-/// leader's own clock (`Authority`), not on any message.
+/// A leader that the state store does not serve would otherwise go on renewing the worker leases of machines that run
+/// tasks of jobs cancelled through other controllers. The broadcast only makes the stop faster: that such tasks stop
+/// in time is ensured by the leader's own clock (`Authority`), not by messages.
 pub async fn broadcast_cancellations(node: Arc<Node>) {
     loop {
         tokio::select! {
@@ -159,15 +159,15 @@
 }
 
 impl Node {
-    /// A cancellation of a job of so many tasks is confirmed here: the leader stops its tasks, here or on a
-    /// peer.
-    pub fn cancellation_confirmed(&self, id: &JobId, tasks: u32) {
-        self.job_cancelled(id, tasks);
+    /// Records a cancellation that the state store confirmed to this controller, and queues it for broadcast so that
+    /// the leader stops the job's tasks. `tasks` is the job's number of tasks.
+    pub fn record_and_broadcast_cancellation(&self, id: &JobId, tasks: u32) {
+        self.record_cancellation(id, tasks);
         self.peers.queue_cancellation(id, tasks);
     }
 
-    /// Takes in, on this controller, that a job is cancelled. That is final.
-    pub fn job_cancelled(&self, id: &JobId, tasks: u32) {
+    /// Records on this controller that a job is cancelled, which is a terminal state, and tells the scheduler.
+    pub fn record_cancellation(&self, id: &JobId, tasks: u32) {
         self.terminal_states
             .insert(id, TerminalState::cancelled(tasks));
         let cancelled = Event::JobCancelled { id: id.clone() };
--- a/src/runtime/clients/state_store.rs
+++ b/src/runtime/clients/state_store.rs
@@ -1,6 +1,6 @@
-//! Typed calls to the state store (a consensus-backed key-value store).
+//! The client of the state store (a consensus-backed key-value store).
 //!
-//! Every failure says whether the request can have been executed. Nothing is retried here.
+//! Every error tells whether the request may have been executed. Requests are not retried here.
 
 use crate::ids::{LeaseId, StoreRevision};
 use crate::protocol::state::{
@@ -14,22 +14,22 @@
 use std::sync::atomic::{AtomicI64, Ordering};
 use std::time::Duration;
 
-/// Why a call brought no result.
+/// Why a call failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum StateStoreError {
-    /// Certainly not executed, nor will be.
+    /// The request was not executed and will not be.
     #[error("the request was not executed")]
     NotExecuted,
-    /// Certainly not executed: too many requests or changes.
-    #[error("the state store limits our rate")]
+    /// The request was not executed because the rate limit on requests or changes is exceeded.
+    #[error("the state store's rate limit is exceeded")]
     RateLimited,
-    /// Not executed, and would be refused each time it is sent.
-    #[error("the state store calls the request invalid")]
+    /// The request was not executed, and would be rejected again if repeated.
+    #[error("the state store rejected the request as invalid")]
     Invalid,
-    /// May have been executed, or may yet be.
+    /// The request may have been executed, or may still be.
     #[error("the outcome of the request is unknown")]
     OutcomeUnknown,
-    /// A watch began at a revision that the store no longer keeps.
+    /// The start revision of a watch is compacted: the store no longer keeps the changes after it.
     #[error("the revision is compacted")]
     RevisionCompacted,
     /// The lease has expired or was revoked.
@@ -37,42 +37,42 @@
     LeaseExpired,
 }
 
-/// The outcome of a transaction that was answered.
+/// The outcome of a transaction, as the state store reported it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[must_use = "a conflict means that nothing was written"]
 pub enum TransactionOutcome {
-    /// All changes were made, at this store revision.
+    /// All changes were applied, at this store revision.
     Applied(StoreRevision),
-    /// Preconditions failed, and nothing was written: the keys of these preconditions at least.
+    /// Nothing was written, because preconditions on at least these keys failed.
     Conflict(Vec<String>),
 }
 
-/// Deadline of an ordinary call. Responses usually take milliseconds.
+/// The timeout of most calls. Responses usually take milliseconds.
 pub const CALL_TIMEOUT: Duration = Duration::from_millis(900);
-/// Deadline of one page of a listing.
+/// The timeout for one page of a listing.
 const LIST_PAGE_TIMEOUT: Duration = Duration::from_millis(2500);
-/// A watch that returns at once may take this much longer than its hold time of zero.
+/// The timeout of a watch request that does not wait for changes.
 const CHANGES_TIMEOUT: TimeSpan = TimeSpan(2000);
-/// Time allowed to establish a connection.
+/// The timeout for establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(600);
-/// Keys on one page of a listing.
+/// The number of keys on one page of a listing.
 const LIST_PAGE_SIZE: usize = 1000;
-/// Idle connections kept open between calls.
+/// The maximum number of idle connections.
 const MAX_IDLE_CONNECTIONS: usize = 8;
-/// What `last_success_ms` holds before the first success.
+/// The value of `last_success_ms` before the first success.
 const NEVER_MS: i64 = -1_000_000;
 
-/// The client. It notes when the store last served a request, whatever the response said.
+/// The client of the state store's HTTP API. Records when the store last served a request, whatever the outcome.
 pub struct StateStoreClient {
     http: HttpClient,
     address: String,
     started: std::time::Instant,
-    /// Milliseconds from `started` to the last response that was no refusal.
+    /// The time of the last response with a status other than 429 or 503, in milliseconds since `started`.
     last_success_ms: AtomicI64,
 }
 
 impl StateStoreClient {
-    /// A client for the store at the address, with at most `max_sockets` idle connections.
+    /// Creates a client for the store at `address`, with at most `max_sockets` idle connections.
     pub fn new(address: String, max_sockets: usize) -> Self {
         StateStoreClient {
             http: HttpClient::new(CONNECT_TIMEOUT, max_sockets.min(MAX_IDLE_CONNECTIONS)),
@@ -82,7 +82,7 @@
         }
     }
 
-    /// How long ago the store last served this controller.
+    /// Returns the time since the store last served a request of this controller.
     pub fn time_since_success(&self) -> Duration {
         let last_success_ms = self.last_success_ms.load(Ordering::Relaxed);
         Duration::from_millis((self.elapsed_ms() - last_success_ms).max(0) as u64)
@@ -99,8 +99,8 @@
         }
     }
 
-    /// Lists all keys with the prefix, and the store revision up to which every change is included. Later
-    /// changes may be included too: a watch from that revision reports them again.
+    /// Lists all keys with the prefix, and returns with them the store revision of the first page. The list includes
+    /// every change up to that revision and may include later ones, which a watch from that revision reports again.
     pub async fn list(
         &self,
         prefix: &str,
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Executes a transaction: all of its changes, if all preconditions hold, or none.
+    /// Executes a transaction: applies all of its changes if all preconditions hold, and none otherwise.
     pub async fn transaction(
         &self,
         transaction: &Transaction,
@@ -182,7 +182,7 @@
         }
     }
 
-    /// Revokes a lease; if that fails, the lease expires by itself.
+    /// Revokes a lease. A failure is ignored, since the lease then expires by itself.
     pub async fn revoke_lease(&self, lease: LeaseId) {
         let path = format!("/grants/{lease}");
         let _ = self.call(Method::DELETE, &path, None, CALL_TIMEOUT).await;
@@ -198,17 +198,17 @@
             .await
     }
 
-    /// Waits up to `hold` for changes under the prefix after the revision; the response may take `grace`
-    /// longer.
+    /// Returns the changes under the prefix after the revision, waiting up to `max_wait` for one. The request times out
+    /// after `max_wait` plus `response_margin`.
     pub async fn watch(
         &self,
         prefix: &str,
         since: StoreRevision,
-        hold: TimeSpan,
-        grace: TimeSpan,
+        max_wait: TimeSpan,
+        response_margin: TimeSpan,
     ) -> Result<WatchResponse, StateStoreError> {
-        let path = format!("/watch?prefix={prefix}&since={since}&holdMs={}", hold.0);
-        let deadline = Duration::from_millis((hold + grace).0 as u64);
+        let path = format!("/watch?prefix={prefix}&since={since}&holdMs={}", max_wait.0);
+        let deadline = Duration::from_millis((max_wait + response_margin).0 as u64);
         let response = self.call(Method::GET, &path, None, deadline).await?;
         match response.status {
             200 => parse_body(&response),
@@ -251,7 +251,7 @@
     }
 }
 
-/// Parses a response's body. One that can't be parsed leaves open what was executed.
+/// Parses a response body. If it can't be parsed, the outcome of the request is unknown.
 fn parse_body<T: DeserializeOwned>(response: &HttpResponse) -> Result<T, StateStoreError> {
     serde_json::from_slice(&response.body).map_err(|error| {
         tracing::error!(status = response.status, %error, "unreadable state store response");
@@ -259,7 +259,7 @@
     })
 }
 
-/// Why the store refused a transaction as malformed.
+/// Returns the error for a transaction that the store rejected with status 400.
 fn invalid_transaction(response: &HttpResponse) -> StateStoreError {
     let text = String::from_utf8_lossy(&response.body);
     if text.contains("no such lease") {
--- a/src/runtime/clients/upstream_jobs.rs
+++ b/src/runtime/clients/upstream_jobs.rs
@@ -1,7 +1,7 @@
-//! Looking up the upstream jobs that a submission depends on.
+//! Lookups of the upstream jobs that a submission depends on.
 //!
-//! Each is read from the state store after the submission came, never from a cache that may lag. A few are read
-//! one by one, at once; more share the reads that keep the open-job cache up to date.
+//! The state of each job is read from the state store after the submission arrived, never from a stale cache. For a
+//! few jobs, each is read by its own request; for more, the lookup uses the coalesced reads of the open job cache.
 
 use super::job_lookup::{find_terminal_state, TerminalState};
 use super::open_job_cache::OpenJobSummary;
@@ -14,31 +14,31 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// How the jobs stand that a submission depends on.
+/// The combined state of the jobs that a submission depends on.
 #[derive(Debug)]
 pub enum UpstreamState {
-    /// All were accepted and none is cancelled; these are not done yet.
+    /// All jobs were accepted and none is cancelled; the listed jobs are not done yet.
     Unfinished(Vec<JobId>),
-    /// One is cancelled, or depends on a job that is.
+    /// At least one job is cancelled, or has a cancelled upstream job.
     Cancelled,
-    /// This one was never accepted.
+    /// This job was never accepted.
     NeverAccepted(JobId),
 }
 
-/// Up to this many jobs, indirect upstream jobs included, are read one by one.
+/// The maximum number of jobs, including indirect upstream jobs, that are read by requests of their own.
 const MAX_SINGLE_READS: usize = 16;
-/// Terminal records read at the same time for a long list.
+/// The maximum number of terminal records that one lookup through the cache reads at the same time.
 const MAX_CONCURRENT_TERMINAL_READS: usize = 4;
-/// Time allowed for the lookup: what it has read is cached for the user's next attempt.
+/// The timeout of the lookup. Terminal states read until then are cached, so a retry by the user needs fewer reads.
 const LOOKUP_TIMEOUT: Duration = Duration::from_millis(2500);
 
-/// Looks up the jobs that a submission depends on.
+/// Looks up the jobs that a submission depends on directly, and their upstream jobs.
 pub async fn find_upstream(node: &Node, ids: Vec<JobId>) -> Result<UpstreamState, StateStoreError> {
     if ids.is_empty() {
         return Ok(UpstreamState::Unfinished(ids));
     }
     let lookup = async {
-        match find_one_by_one(node, &ids).await? {
+        match find_by_single_reads(node, &ids).await? {
             Some(state) => Ok(state),
             None => find_through_cache(node, ids).await,
         }
@@ -47,7 +47,7 @@
     in_time.unwrap_or(Err(StateStoreError::NotExecuted))
 }
 
-/// What has been found so far.
+/// The intermediate result of a lookup.
 #[derive(Default)]
 struct Findings {
     unfinished: Vec<JobId>,
@@ -65,8 +65,9 @@
     }
 }
 
-/// One read for each job and each open job upstream of it; None if there are too many for that.
-async fn find_one_by_one(
+/// Reads each job, and each job upstream of an open one, by its own request. Returns None if there are more than
+/// [`MAX_SINGLE_READS`].
+async fn find_by_single_reads(
     node: &Node,
     ids: &[JobId],
 ) -> Result<Option<UpstreamState>, StateStoreError> {
@@ -81,14 +82,14 @@
         let read = try_join_all(level.iter().map(|id| read_one(node, id))).await?;
         let mut next_level = BTreeSet::new();
         for (id, state) in level.into_iter().zip(read) {
-            let named = ids.contains(&id);
+            let direct = ids.contains(&id);
             match state {
                 SingleJob::Open { dependencies } => {
                     next_level.extend(dependencies);
-                    findings.unfinished.extend(named.then_some(id));
+                    findings.unfinished.extend(direct.then_some(id));
                 }
                 SingleJob::Terminal(state) => findings.cancelled |= state.is_cancelled(),
-                SingleJob::NeverAccepted if named => findings.never_accepted = Some(id),
+                SingleJob::NeverAccepted if direct => findings.never_accepted = Some(id),
                 SingleJob::NeverAccepted => {}
             }
         }
@@ -97,7 +98,7 @@
     Ok(Some(findings.into_state()))
 }
 
-/// A job as read by itself.
+/// The state of a job that was read by its own request.
 enum SingleJob {
     Open { dependencies: Vec<JobId> },
     Terminal(TerminalState),
@@ -116,8 +117,8 @@
     Ok(state.map_or(SingleJob::NeverAccepted, SingleJob::Terminal))
 }
 
-/// All lookups share the cache's next read; each job that is not open needs a read of its terminal record,
-/// unless that is cached.
+/// Looks the jobs up in the next read of the open job cache, which all lookups share. For each job that is not open,
+/// the terminal record is read unless the state is cached.
 async fn find_through_cache(
     node: &Node,
     ids: Vec<JobId>,
@@ -125,7 +126,7 @@
     let mut findings = Findings::default();
     let open = try_join_all(ids.iter().map(|id| node.open_jobs.lookup(id))).await?;
     let mut closed: BTreeSet<JobId> = BTreeSet::new();
-    let mut named_closed: BTreeSet<JobId> = BTreeSet::new();
+    let mut closed_direct: BTreeSet<JobId> = BTreeSet::new();
     for (id, job) in ids.into_iter().zip(open) {
         match job {
             Some(job) => {
@@ -133,22 +134,22 @@
                 findings.unfinished.push(id);
             }
             None => {
-                named_closed.insert(id);
+                closed_direct.insert(id);
             }
         }
     }
-    closed.extend(named_closed.iter().cloned());
+    closed.extend(closed_direct.iter().cloned());
     for (id, state) in read_terminal_states(node, closed).await? {
         match state {
             Some(state) => findings.cancelled |= state.is_cancelled(),
-            None if named_closed.contains(&id) => findings.never_accepted = Some(id),
+            None if closed_direct.contains(&id) => findings.never_accepted = Some(id),
             None => {}
         }
     }
     Ok(findings.into_state())
 }
 
-/// The terminal states of these jobs, in the order in which they were read.
+/// Reads the terminal states of the jobs; None for a job that was never accepted. The result is unordered.
 async fn read_terminal_states(
     node: &Node,
     ids: BTreeSet<JobId>,
