--- a/src/runtime/api/cancellation.rs
+++ b/src/runtime/api/cancellation.rs
@@ -19,7 +19,7 @@
 /// attempt.
 ///
 /// [`SUBMIT_TIMEOUT`]: super::users::SUBMIT_TIMEOUT
-const MAX_ATTEMPTS_TIME: Duration = Duration::from_millis(2000);
+const RETRY_WINDOW: Duration = Duration::from_millis(2000);
 
 /// The outcome of one attempt to cancel a job.
 enum CancelOutcome {
@@ -37,7 +37,7 @@
 pub async fn cancel(node: &Node, id: &JobId) -> Result<ApiResponse, ApiError> {
     let started_at = Instant::now();
     let mut outcome_unknown = false;
-    while started_at.elapsed() < MAX_ATTEMPTS_TIME {
+    while started_at.elapsed() < RETRY_WINDOW {
         let job = match find_job(node, id).await {
             Ok(JobState::Open(job)) => job,
             Ok(JobState::Terminal(state)) => {
--- a/src/runtime/api/workers.rs
+++ b/src/runtime/api/workers.rs
@@ -8,7 +8,8 @@
 use warp::http::StatusCode;
 
 /// Responds to a heartbeat: with commands if this controller leads, otherwise with a redirect that names the leader if
-/// it is known. While this controller is taking over, the heartbeat first waits for the failover to finish.
+/// it is known. While a failover to this controller is in progress, the heartbeat first waits for it to finish, for a
+/// limited time.
 pub async fn heartbeat(node: &Node, body: &[u8]) -> Result<ApiResponse, ApiError> {
     let status: WorkerStatus =
         serde_json::from_slice(body).map_err(|error| ApiError::MalformedHeartbeat {
--- a/src/runtime/clients/job_lookup.rs
+++ b/src/runtime/clients/job_lookup.rs
@@ -82,8 +82,9 @@
     }
 }
 
-/// Looks up a job: first its open record, then its terminal record. Accepting a job writes the open record, and one
-/// transaction later replaces it with the terminal record. An accepted job is therefore found in this order.
+/// Looks up a job: first its open record, then its terminal record. The open record is written when the job is
+/// accepted; when the job ends, a single transaction replaces it with the terminal record. An accepted job is
+/// therefore always found.
 ///
 /// A job that depends on a cancelled job counts as cancelled as soon as the upstream job's terminal record is written,
 /// even if its own record is still open. None of its tasks can have started: a job starts only when all of its upstream
--- a/src/runtime/clients/peers.rs
+++ b/src/runtime/clients/peers.rs
@@ -28,7 +28,7 @@
     state_store_ok: bool,
 }
 
-/// A peer whose status is recent.
+/// A peer whose status is recent (see [`PEER_STATUS_MAX_AGE`]).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReachablePeer {
     /// The peer's index in [`Peers::clients`].
--- a/src/runtime/node.rs
+++ b/src/runtime/node.rs
@@ -40,7 +40,7 @@
 /// The state store counts as reachable for this long after it last served a request of this controller.
 pub const STATE_STORE_REACHABILITY_TIMEOUT: Duration = Duration::from_millis(2000);
 
-/// Time allowed to connect to a worker.
+/// The timeout for connecting to a worker.
 const WORKER_CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
 /// The value of `last_heartbeat_ms` before the first heartbeat.
 const NO_HEARTBEAT: i64 = -1;
@@ -142,7 +142,7 @@
     }
 }
 
-/// The task counts that the leader last sent; used only for display in poll responses.
+/// The task counts that the leader last sent; used only for display in responses to users.
 #[derive(Default)]
 pub struct TaskCountsFromLeader {
     by_job: Mutex<BTreeMap<JobId, TaskCounts>>,
