--- a/src/coordination/persistence/outcomes.rs
+++ b/src/coordination/persistence/outcomes.rs
@@ -1,6 +1,6 @@
-//! What became of the writer's transactions: applied, not executed, or unclear.
+//! Outcomes of the writer's transactions: applied, not executed, or unconfirmed.
 //!
-//! What was drafted takes effect in memory here, and only once the transaction is known to be applied.
+//! Drafted updates take effect in memory here, and only once their transaction is known to be applied.
 
 use super::draft::RecordUpdate;
 use crate::coordination::jobs::lifecycle::CloseReason;
@@ -11,18 +11,18 @@
 use std::collections::BTreeSet;
 
 impl Scheduler {
-    /// A transaction has been applied at that revision of the store.
+    /// Handles a transaction that the state store has applied at `store_revision`.
     pub(crate) fn write_applied(
         &mut self,
         now: Instant,
         request_id: RequestId,
         store_revision: StoreRevision,
     ) {
-        let Some(settled) = self.writer.settle(request_id) else {
+        let Some(finished) = self.writer.finish_transaction(request_id) else {
             return;
         };
         let revision = KeyRevision(store_revision.0);
-        for update in settled.updates {
+        for update in finished.updates {
             self.update_written(now, revision, update);
         }
     }
@@ -32,7 +32,7 @@
             RecordUpdate::IntentPage { page, intents } => {
                 self.intent_page_written(now, page, revision, intents);
             }
-            RecordUpdate::IntentPageDeleted { page } => self.writer.intent_pages.deleted(page),
+            RecordUpdate::IntentPageDeleted { page } => self.writer.intent_pages.remove_page(page),
             RecordUpdate::MachinePage { page, machine_ids } => {
                 self.machine_page_written(now, page, revision, &machine_ids);
             }
@@ -49,12 +49,12 @@
                 tracing::debug!(%job, "job cancelled with an upstream job");
                 self.job_closed(now, &job, CloseReason::Cancelled);
             }
-            RecordUpdate::OrphanDeleted { key } => self.writer.orphans.deleted(&key),
-            RecordUpdate::Hints => self.writer.hints.written(now, revision),
+            RecordUpdate::OrphanDeleted { key } => self.writer.orphans.remove(&key),
+            RecordUpdate::Hints => self.writer.hints.mark_written(now, revision),
         }
     }
 
-    /// A page of launch intents is written: the attempts that are new on it may be launched.
+    /// Handles a written launch intent page: the attempts that are new on it may now be launched.
     fn intent_page_written(
         &mut self,
         now: Instant,
@@ -79,11 +79,11 @@
         let outdated = live.len() < written_count;
         self.writer
             .intent_pages
-            .written(now, page, revision, live, outdated);
+            .mark_written(now, page, revision, live, outdated);
         self.outbox.pushes_due.extend(launchable_on);
     }
 
-    /// A page of machines is written: intents to launch on them may be.
+    /// Handles a written machine page: launch intents for its machines may now be written.
     fn machine_page_written(
         &mut self,
         now: Instant,
@@ -93,7 +93,7 @@
     ) {
         self.writer
             .machine_pages
-            .written(now, page, revision, machine_ids);
+            .mark_written(now, page, revision, machine_ids);
         for machine_id in machine_ids {
             if let Some(machine) = self.machines.get_mut(machine_id) {
                 machine.is_recorded = true;
@@ -104,7 +104,7 @@
     fn token_written(&mut self, now: Instant, token: FencingToken, revision: KeyRevision) {
         tracing::debug!(fencing_token = %token, "fencing token raised");
         self.leadership.token_raised(token, revision);
-        self.writer.token_raised(now);
+        self.writer.set_token_raised_at(now);
     }
 
     fn progress_written(
@@ -115,7 +115,7 @@
         tasks: &BTreeSet<u32>,
     ) {
         let id = key.job.clone();
-        self.writer.progress.written(now, key, revision);
+        self.writer.progress.mark_written(now, key, revision);
         let is_closed = self.jobs.update(&id, |job| {
             job.progress_persisted(tasks);
             job.is_closed()
@@ -125,34 +125,35 @@
         }
     }
 
-    /// A transaction was certainly not executed, nor will it be.
+    /// Handles a transaction that was not executed and never will be.
     pub(crate) fn write_not_applied(&mut self, now: Instant, request_id: RequestId) {
-        if self.writer.settle(request_id).is_some() {
+        if self.writer.finish_transaction(request_id).is_some() {
             self.writer.back_off(now);
         }
     }
 
-    /// A transaction was not executed since the state store takes no more changes for now. What may wait does so
-    /// until the rate allowed to this leader has come up again: leases, launches and ends of jobs go first.
+    /// Handles a transaction that was not executed because the state store's rate limit was exceeded. Deferrable
+    /// updates wait until the writer's own budget has refilled, so that leases, launches and ends of jobs go first.
     pub(crate) fn write_rate_limited(
         &mut self,
         now: Instant,
         request_id: RequestId,
         pause: TimeSpan,
     ) {
-        if self.writer.settle(request_id).is_some() {
-            self.writer.rate_limited(now, pause);
+        if self.writer.finish_transaction(request_id).is_some() {
+            self.writer.pause_writes(now, pause);
         }
     }
 
-    /// The state store rejects a transaction for what it is, and would each time. Guards against a leader that
-    /// sends it again and again while nothing else is written: the limits may be lower than the settings say.
+    /// Handles a transaction that the state store rejected for its size and would reject on every retry. The limits
+    /// in force may be lower than the settings say: without reduced limits the leader would resend the transaction
+    /// forever and write nothing else.
     pub(crate) fn write_rejected(&mut self, now: Instant, request_id: RequestId) {
-        let Some(settled) = self.writer.settle(request_id) else {
+        let Some(finished) = self.writer.finish_transaction(request_id) else {
             return;
         };
         self.writer.back_off(now);
-        let limits = self.writer.reduce_limits(&settled.transaction);
+        let limits = self.writer.reduce_limits(&finished.transaction);
         tracing::info!(
             max_ops = limits.max_ops,
             max_value_bytes = limits.max_value_bytes,
@@ -161,26 +162,27 @@
         self.split_machine_pages();
     }
 
-    /// Preconditions of a transaction failed (these, if it is known which), or nothing is known of it.
+    /// Handles a transaction whose outcome is unconfirmed or whose preconditions failed. `failed` lists the keys of
+    /// the preconditions that failed, as far as they are known.
     pub(crate) fn write_unconfirmed(
         &mut self,
         now: Instant,
         request_id: RequestId,
         failed: &[String],
     ) {
-        if let Some(keys) = self.writer.unclear_keys(request_id, failed) {
+        if let Some(keys) = self.writer.unconfirmed_keys(request_id, failed) {
             self.begin_reread(now, keys);
         }
     }
 
-    /// Asks for keys to be read again.
+    /// Requests that keys be read again.
     pub(super) fn begin_reread(&mut self, now: Instant, keys: Vec<String>) {
         let request_id = self.next_request_id();
         self.writer.begin_reading(now, request_id, keys.clone());
         self.effects.push(Effect::Reread { request_id, keys });
     }
 
-    /// A job is found to be open no longer, without its end being known.
+    /// Handles a missing open record: the job is closed, but whether it is done or cancelled is unknown.
     pub(super) fn open_record_gone(&mut self, now: Instant, job: &JobId) {
         self.job_closed(now, job, CloseReason::Unknown);
         self.writer.orphan_progress(job);
--- a/src/coordination/placement/candidates.rs
+++ b/src/coordination/placement/candidates.rs
@@ -1,7 +1,8 @@
-//! Which machines take the tasks of a job, among those that may: the cheapest first, with every preference
-//! expressed in seconds of waiting (the paper's `FindEngine`, whose details it leaves open).
+//! Selection of machines for the tasks of a job: of the machines allowed, the one with the lowest cost comes
+//! first. Costs express every preference in seconds of waiting (the paper's `FindEngine`, whose details it
+//! leaves open).
 //!
-//! Chooses only: nothing is changed here, and no quota is looked at.
+//! Nothing is changed here, and quotas are not checked.
 
 use super::pass::{ImageLocality, PlacementPass};
 use super::start_check::StartCheck;
@@ -16,35 +17,36 @@
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 
-/// Cost of a machine that runs tasks of another label.
-const LABEL_MISMATCH_COST_S: f64 = 1.0;
-/// Cost of an on-demand machine for a job that may use spot instances: it keeps on-demand machines free
-/// for jobs that may not.
+/// The cost of a machine that runs tasks of another scheduling preference.
+const PREFERENCE_MISMATCH_COST_S: f64 = 1.0;
+/// The cost of an on-demand machine for a job that may use spot instances: keeps on-demand machines free for
+/// jobs that may not.
 const ON_DEMAND_COST_S: f64 = 2.0;
-/// Cost of a wholly empty machine as against a full one: packs tasks, so that whole machines stay free.
+/// The cost of an empty machine compared to a full one: packs tasks, so that whole machines stay free.
 const EMPTY_MACHINE_COST_S: f64 = 3.0;
-/// Machines on which a job has failed are avoided up to this many; past it, it is the job that is bad.
+/// A job avoids the machines on which it failed if there are at most this many. Beyond that, the job itself is
+/// considered faulty.
 const MAX_AVOIDED_MACHINES: usize = 3;
 
-/// What speaks against a machine for a task, in seconds of waiting. None of it changes as tasks are added.
+/// The costs of a machine that don't change as tasks are added to it, in seconds of waiting.
 #[derive(Clone, Copy, Debug)]
 struct FixedCosts {
-    /// Until the image is there.
+    /// Time until the image is on the machine.
     image_wait_s: f64,
-    /// For taking an on-demand machine where a spot instance would do.
+    /// Cost of using an on-demand machine where a spot instance is allowed.
     on_demand_s: f64,
-    /// For running beside tasks of another label.
-    label_mismatch_s: f64,
+    /// Cost of running beside tasks of another scheduling preference.
+    preference_mismatch_s: f64,
 }
 
 impl FixedCosts {
     fn total_s(&self) -> f64 {
-        self.image_wait_s + (self.on_demand_s + self.label_mismatch_s)
+        self.image_wait_s + (self.on_demand_s + self.preference_mismatch_s)
     }
 }
 
-/// A machine that may take a task, as far as the tasks chosen so far leave it room. The cheapest is the
-/// greatest, so that a heap yields it first; of equals, the one with the lowest id.
+/// A machine that a task may be placed on, with its free capacity after the tasks chosen so far. The cheapest
+/// candidate is the greatest, so that a max-heap yields it first; among equals, the one with the lowest id.
 struct Candidate<'a> {
     machine_id: &'a MachineId,
     zone: &'a Zone,
@@ -61,8 +63,8 @@
         self.cost_s = self.fixed_costs.total_s() + packing_cost_s;
     }
 
-    /// Takes one more task.
-    fn take_task(&mut self, request: &Resources) {
+    /// Assigns one more task to the machine.
+    fn assign_task(&mut self, request: &Resources) {
         self.free.sub(request);
         self.attempt_count += 1;
         self.update_cost();
@@ -93,14 +95,14 @@
     }
 }
 
-/// The fraction of a machine that is free: of its GPUs or of its CPUs, whichever is larger.
+/// The larger of the fractions of a machine's GPUs and CPUs that are free.
 pub(crate) fn free_fraction(free: &Resources, capacity: &Resources) -> f64 {
     let fraction = |free: f64, capacity: f64| if capacity > 0.0 { free / capacity } else { 0.0 };
     fraction(free.gpus, capacity.gpus).max(fraction(free.cpus, capacity.cpus))
 }
 
 impl PlacementPass<'_> {
-    /// Chooses machines for as many of the tasks as fit, in the order given.
+    /// Chooses a machine for each task, in the order given, until one doesn't fit.
     pub(super) fn choose_machines(
         &self,
         job_id: &JobId,
@@ -110,7 +112,7 @@
         locality: ImageLocality,
     ) -> Vec<Placement> {
         let request = Resources::of(job.spec());
-        let mut start_check = StartCheck::of_pending_tasks(job);
+        let mut start_check = StartCheck::for_pending_tasks(job);
         let mut candidates = self.candidates(job_id, job, zones, locality, &start_check);
         let mut placements = Vec::new();
         for index in task_indexes {
@@ -126,7 +128,7 @@
                 image_wait_s: candidate.fixed_costs.image_wait_s,
             });
             start_check.add_task(candidate.zone);
-            candidate.take_task(&request);
+            candidate.assign_task(&request);
             if candidate.has_room_for(&request) {
                 candidates.push(candidate);
             }
@@ -134,7 +136,7 @@
         placements
     }
 
-    /// The machines that may take a task of the job now.
+    /// Returns the machines that a task of the job may be placed on now.
     fn candidates(
         &self,
         job_id: &JobId,
@@ -155,7 +157,9 @@
                 request.fits(machine.free()) && machine.attempts.len() < MAX_ATTEMPTS_PER_MACHINE
             })
             .filter(|machine| zones.includes(&machine.zone) && start_check.check(machine).is_ok())
-            .filter(|machine| self.view.is_usable(machine) && !self.state.is_reserved(&machine.id))
+            .filter(|machine| {
+                self.view.is_schedulable(machine) && !self.state.is_reserved(&machine.id)
+            })
             .filter(|machine| locality.is_met_by(machine, &spec.image))
             .filter(|machine| !(avoids_failures && job.retry().failed_on().contains(&machine.id)))
             .filter(|machine| !self.view.is_reserved_for_another(machine, job_id))
@@ -193,19 +197,20 @@
     ) -> FixedCosts {
         let cost_if = |applies: bool, cost_s: f64| if applies { cost_s } else { 0.0 };
         let is_latency = scheduling_preference == SchedulingPreference::Latency;
-        let runs_other_label = machine
+        let runs_other_preference = machine
             .live_attempts()
             .any(|attempt| attempt.is_latency_task != is_latency);
         FixedCosts {
             image_wait_s: self.view.image_wait_s(machine, job.spec()),
             on_demand_s: cost_if(job.spec().spot && !machine.spot, ON_DEMAND_COST_S),
-            label_mismatch_s: cost_if(runs_other_label, LABEL_MISMATCH_COST_S),
+            preference_mismatch_s: cost_if(runs_other_preference, PREFERENCE_MISMATCH_COST_S),
         }
     }
 }
 
-/// Takes the cheapest candidate in whose zone one more task of the job may start; the others are dropped, for
-/// each task chosen leaves fewer zones open.
+/// Removes and returns the cheapest candidate in whose zone one more task of the job may start. Cheaper ones
+/// are dropped: a zone that is not allowed now stays so, since each task chosen only restricts the zones
+/// further.
 fn pop_allowed<'a>(
     candidates: &mut BinaryHeap<Candidate<'a>>,
     start_check: &StartCheck<'_>,
