--- a/src/runtime/api/request.rs
+++ b/src/runtime/api/request.rs
@@ -85,8 +85,8 @@
     pub fn has_dependencies(&self) -> bool {
         match &self.action {
             UserAction::Submit(submission) => {
-                let named = submission.as_ref().as_ref();
-                named.is_ok_and(|submission| !submission.upstream_jobs.is_empty())
+                let parsed = submission.as_ref().as_ref();
+                parsed.is_ok_and(|submission| !submission.upstream_jobs.is_empty())
             }
             UserAction::Poll(_) | UserAction::Cancel(_) => false,
         }
