--- a/tests/days/scale_site.py
+++ b/tests/days/scale_site.py
@@ -1,17 +1,18 @@
 #!/usr/bin/env python3
-"""Writes a copy of a site file with a larger fleet, and the workload that fills it.
+"""Writes a copy of a site file with a larger fleet and a proportionally larger workload.
 
     scale_site.py SITE.toml OUT.toml --fleet 3.4 [--state 2.0] [--cores 2.0] [--memory 2.5] [--sockets 2.5]
 
-`--fleet` multiplies machines, teams and arrivals; the others multiply the limits of the state service and of
-a controller. The file `wire.json` that the site names is copied beside it. No job, fault or aim is changed.
+`--fleet` multiplies machine counts, team quotas and arrival rates; the other factors multiply the limits of the
+state service, the cloud and the controllers. The site's `wire.json` is copied to the folder of OUT unless one is
+there. The jobs themselves, the service-level objectives and the faults (but for their `write_rps`) stay the same.
 """
 import argparse
 import pathlib
 import re
 import shutil
 
-# Which of the factors applies to a key, by the table that the key stands in.
+# The factor that applies to each key, by table.
 SCALED = {
     "capacity": {"count": "fleet", "spot": "fleet"},
     "teams": {"gpus": "fleet", "gpus_max": "fleet", "cpus": "fleet", "cpus_max": "fleet"},
@@ -21,23 +22,23 @@
     "cloud": {"rps": "state"},
     "nodes": {"cpu_share": "cores", "memory_mb": "memory", "max_connections": "sockets"},
 }
-# Limits that a fault gives the state service grow with it.
+# Faults that lower the state service's limits scale with `--state`.
 SCALED_FAULTS = {"write_rps": "state"}
 
 
-def scaled(key, number, factor):
+def scale_number(key, number, factor):
     value = float(number) * factor
     whole = "." not in number or key in ("count", "spot", "initial", "max_connections")
     return str(round(value)) if whole else f"{value:.4f}"
 
 
-def rewrite(line, table, factors):
+def scale_line(line, table, factors):
     keys = SCALED_FAULTS if table == "day" else SCALED.get(table, {})
     for key, factor in keys.items():
         pattern = rf"(?<![\w]){key} = (\d+(?:\.\d+)?)"
         line = re.sub(
             pattern,
-            lambda m: f"{key} = {scaled(key, m[1], factors[factor])}",
+            lambda m: f"{key} = {scale_number(key, m[1], factors[factor])}",
             line,
         )
     return line
@@ -56,7 +57,7 @@
     for line in arguments.site.read_text().splitlines():
         header = re.match(r"\[+([\w.]+)\]+", line)
         table = header[1].split(".")[0] if header else table
-        line = rewrite(line, table, factors)
+        line = scale_line(line, table, factors)
         if line.startswith("name = ") and table == "":
             line = line[:-1] + f"-{arguments.out.stem}\""
         lines.append(line)
