--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings: what is ignored, what is rejected, and that an error names file, field and reason.
+//! Settings files: what is ignored, what is rejected, and that errors name the file, the field and the reason.
 
 use chalklug::config::{Slo, SloKind, StateStoreLimits};
 use std::process::Command;
@@ -36,24 +36,24 @@
 max_sockets = 1000
 "#;
 
-/// Runs `chalklug check`; the exit code and what it said.
+/// Runs `chalklug check` on these settings. Returns its exit code and standard error.
 fn check(name: &str, platform: &str, operator: Option<&str>) -> (i32, String) {
     let dir = std::env::temp_dir().join(format!("chalklug-settings-{}-{name}", std::process::id()));
     std::fs::create_dir_all(&dir).unwrap();
     let file = dir.join("platform.toml");
     std::fs::write(&file, platform).unwrap();
-    let mut c = Command::new(env!("CARGO_BIN_EXE_chalklug"));
-    c.arg("check").arg("--config").arg(&file);
+    let mut command = Command::new(env!("CARGO_BIN_EXE_chalklug"));
+    command.arg("check").arg("--config").arg(&file);
     if let Some(text) = operator {
-        let own = dir.join("operator.json");
-        std::fs::write(&own, text).unwrap();
-        c.arg("--operator").arg(own);
+        let operator_file = dir.join("operator.json");
+        std::fs::write(&operator_file, text).unwrap();
+        command.arg("--operator").arg(operator_file);
     }
-    let out = c.output().unwrap();
+    let output = command.output().unwrap();
     let _ = std::fs::remove_dir_all(dir);
     (
-        out.status.code().unwrap(),
-        String::from_utf8_lossy(&out.stderr).into_owned(),
+        output.status.code().unwrap(),
+        String::from_utf8_lossy(&output.stderr).into_owned(),
     )
 }
 
@@ -73,12 +73,12 @@
     assert_eq!(check("own", GOOD, Some(r#"{"idle_boots": 2.0}"#)).0, 0);
 }
 
-/// The settings are refused, and the error names the file and the field.
+/// Asserts that the settings are rejected with an error that names the file and the field.
 fn assert_rejected(name: &str, platform: &str, operator: Option<&str>, file: &str, field: &str) {
     let (code, text) = check(name, platform, operator);
     assert_eq!(code, 2, "{name}: {text}");
-    let names_both = text.contains(field) && text.contains(file);
-    assert!(names_both, "{name}: {text}");
+    let names_file_and_field = text.contains(field) && text.contains(file);
+    assert!(names_file_and_field, "{name}: {text}");
 }
 
 fn check_invalid_platform_settings() {
@@ -126,7 +126,7 @@
     }
 }
 
-/// Announced limits hold from the start, each for itself; without any, nothing changes.
+/// Announced limits of the state store apply from the start where they are lower than the current ones.
 #[test]
 fn lower_of_current_and_announced_store_limits_holds() {
     let limits = |text: &str| -> StateStoreLimits {
@@ -153,43 +153,43 @@
     );
 }
 
-/// An operator who reads the error needs nothing else to mend the file.
+/// Guards against an error from which an operator cannot tell how to correct the file.
 #[test]
 fn an_error_names_file_field_value_and_what_would_be_right() {
     let negative = GOOD.replace("lease_s = 20.0", "lease_s = -1.5");
     let (_, text) = check("names-platform", &negative, None);
-    let right = "field `facts.workers.lease_s` is -1.5: must be a number above 0";
+    let expected = "field `facts.workers.lease_s` is -1.5: must be a number above 0";
     assert!(
-        text.contains("platform.toml") && text.contains(right),
+        text.contains("platform.toml") && text.contains(expected),
         "{text}"
     );
     let (_, text) = check("names-own", GOOD, Some(r#"{"give_up_share": 1.25}"#));
-    let right = "field `give_up_share` is 1.25: must be 0 to 1";
+    let expected = "field `give_up_share` is 1.25: must be 0 to 1";
     assert!(
-        text.contains("operator.json") && text.contains(right),
+        text.contains("operator.json") && text.contains(expected),
         "{text}"
     );
 }
 
-/// Workers' leases shorter than a failover takes: every one of them would end all tasks.
+/// Guards against worker leases shorter than a failover, with which each failover would end all tasks.
 #[test]
 fn worker_lease_shorter_than_a_failover_is_rejected_with_what_would_do() {
     let short = GOOD.replace("lease_s = 20.0", "lease_s = 8.7");
     let (code, text) = check("short-lease", &short, None);
-    let right = "field `facts.workers.lease_s` is 8.7: must be at least 8.8, or each failover ends every task";
+    let expected = "field `facts.workers.lease_s` is 8.7: must be at least 8.8, or each failover ends every task";
     assert_eq!(code, 2);
     assert!(
-        text.contains("platform.toml") && text.contains(right),
+        text.contains("platform.toml") && text.contains(expected),
         "{text}"
     );
     let enough = GOOD.replace("lease_s = 20.0", "lease_s = 8.8");
     assert_eq!(check("long-lease", &enough, None).0, 0);
-    // A shorter life of the leader's lease leaves room for a shorter one of the workers.
+    // With a shorter leader lease the worker leases may be shorter too.
     let quick = Some(r#"{"leader_life_ms": 3000}"#);
     assert_eq!(check("quick-leader", &short, quick).0, 0);
 }
 
-/// The platform may name objectives that the scheduler has no use for; they are no reason to refuse its settings.
+/// Service-level objectives of kinds that the scheduler does not support are accepted and read as `Other`.
 #[test]
 fn objectives_of_every_kind_are_read() {
     let kind_of = |word: &str| {
