--- a/tests/dependency_graph.rs
+++ b/tests/dependency_graph.rs
@@ -1,4 +1,4 @@
-//! The dependency graph of jobs: release, cancellation, deadlines, labels, stages.
+//! The dependency graph of jobs: release, cancellation, deadlines, scheduling preferences, task groups.
 
 use chalklug::coordination::jobs::graph::{
     DependencyGraph, JobAttributes, ReleasedJob, SchedulingPreference,
@@ -11,8 +11,8 @@
     JobId::from(format!("wk-{n}").as_str())
 }
 
-/// A job of low priority that runs for a second, with a deadline if one is given.
-fn traits(deadline: Option<Instant>) -> JobAttributes {
+/// Attributes of a low-priority job that runs for 1 s.
+fn attributes(deadline: Option<Instant>) -> JobAttributes {
     JobAttributes {
         deadline,
         run_time: TimeSpan(1000),
@@ -20,7 +20,7 @@
     }
 }
 
-const ROUTINE: JobAttributes = JobAttributes {
+const NO_DEADLINE: JobAttributes = JobAttributes {
     deadline: None,
     run_time: TimeSpan(1000),
     priority: Priority::Low,
@@ -29,9 +29,9 @@
 #[test]
 fn last_upstream_job_releases_and_cancelled_one_cancels_downstream() {
     let mut graph = DependencyGraph::default();
-    graph.add_job(&id(3), &[id(1), id(2)], ROUTINE);
-    graph.add_job(&id(1), &[], ROUTINE);
-    graph.add_job(&id(2), &[], ROUTINE);
+    graph.add_job(&id(3), &[id(1), id(2)], NO_DEADLINE);
+    graph.add_job(&id(1), &[], NO_DEADLINE);
+    graph.add_job(&id(2), &[], NO_DEADLINE);
     assert!(graph.is_released(&id(1)) && !graph.is_released(&id(3)));
     graph.mark_finished(&id(1), Instant(10));
     assert!(!graph.is_released(&id(3)));
@@ -46,25 +46,25 @@
             last_upstream_finish: at
         }]
     );
-    graph.add_job(&id(4), &[id(3)], ROUTINE);
-    graph.add_job(&id(5), &[id(4)], ROUTINE);
+    graph.add_job(&id(4), &[id(3)], NO_DEADLINE);
+    graph.add_job(&id(5), &[id(4)], NO_DEADLINE);
     graph.mark_cancelled(&id(3));
     graph.release_ready_jobs();
     let changes = graph.take_changes();
     assert_eq!(changes.cancelled, [id(4), id(5)]);
     assert!(changes.released.is_empty());
     assert!(!graph.is_released(&id(4)) && !graph.is_released(&id(3)));
-    graph.add_job(&id(6), &[id(5)], ROUTINE);
+    graph.add_job(&id(6), &[id(5)], NO_DEADLINE);
     assert_eq!(graph.take_changes().cancelled, [id(6)]);
 }
 
-/// Guards against a release by absence: what is no longer open is neither done nor cancelled until its
-/// terminal record says so.
+/// Guards against releasing a job because its upstream job is no longer open: that job counts as neither done nor
+/// cancelled until its terminal record is known.
 #[test]
 fn closed_upstream_job_releases_nobody_before_its_terminal_record_is_known() {
     let mut graph = DependencyGraph::default();
-    graph.add_job(&id(1), &[], ROUTINE);
-    graph.add_job(&id(2), &[id(1), id(9)], ROUTINE);
+    graph.add_job(&id(1), &[], NO_DEADLINE);
+    graph.add_job(&id(2), &[id(1), id(9)], NO_DEADLINE);
     graph.take_changes();
     assert_eq!(graph.unresolved_after(None, 9), [id(9)]);
     graph.mark_closed(&id(1));
@@ -76,7 +76,7 @@
     assert_eq!(graph.unresolved_after(None, 9), [id(1)]);
     graph.mark_finished(&id(1), Instant(3));
     assert!(graph.is_released(&id(2)));
-    // It was released when the later of the two was done.
+    // The job counts as released when the later of its two upstream jobs was done.
     assert_eq!(
         graph.take_changes().released[0].last_upstream_finish,
         Some(Instant(5))
@@ -84,13 +84,13 @@
     assert!(graph.unresolved_after(None, 9).is_empty());
 }
 
-/// Deadlines, less the run times of the jobs in between, and priorities propagate to all upstream jobs, and
-/// back when the downstream job is cancelled.
+/// Deadlines, reduced by the run times of the jobs in between, and priorities propagate to all upstream jobs. They
+/// are reset when the downstream job is cancelled.
 #[test]
 fn deadlines_and_priorities_propagate_upstream() {
     let mut graph = DependencyGraph::default();
-    graph.add_job(&id(1), &[], ROUTINE);
-    graph.add_job(&id(2), &[id(1)], ROUTINE);
+    graph.add_job(&id(1), &[], NO_DEADLINE);
+    graph.add_job(&id(2), &[id(1)], NO_DEADLINE);
     let last = JobAttributes {
         deadline: Some(Instant(9000)),
         run_time: TimeSpan(500),
@@ -98,31 +98,31 @@
     };
     graph.add_job(&id(3), &[id(2)], last);
     graph.refresh();
-    let seen = |graph: &DependencyGraph, n| (graph.deadline(&id(n)), graph.priority(&id(n)));
+    let derived = |graph: &DependencyGraph, n| (graph.deadline(&id(n)), graph.priority(&id(n)));
     assert_eq!(
-        seen(&graph, 2),
+        derived(&graph, 2),
         (Some(Instant(8500)), Some(Priority::Urgent))
     );
     assert_eq!(
-        seen(&graph, 1),
+        derived(&graph, 1),
         (Some(Instant(7500)), Some(Priority::Urgent))
     );
     graph.mark_cancelled(&id(3));
     graph.refresh();
-    assert_eq!(seen(&graph, 2), (None, Some(Priority::Low)));
-    assert_eq!(seen(&graph, 1), (None, Some(Priority::Low)));
+    assert_eq!(derived(&graph, 2), (None, Some(Priority::Low)));
+    assert_eq!(derived(&graph, 1), (None, Some(Priority::Low)));
 }
 
-/// Guards against recursion: thousands of jobs in one chain, or upstream of one job, need no stack.
+/// Guards against recursion that overflows the stack with thousands of jobs in one chain or upstream of one job.
 #[test]
 fn long_chains_and_wide_joins_do_not_overflow_the_stack() {
     let mut graph = DependencyGraph::default();
     for n in 0..5000 {
-        let after: Vec<JobId> = (n > 0).then(|| id(n - 1)).into_iter().collect();
-        graph.add_job(&id(n), &after, ROUTINE);
+        let upstream: Vec<JobId> = (n > 0).then(|| id(n - 1)).into_iter().collect();
+        graph.add_job(&id(n), &upstream, NO_DEADLINE);
     }
-    let all: Vec<JobId> = (0..5000).map(id).collect();
-    graph.add_job(&id(9999), &all, traits(Some(Instant(9_000_000))));
+    let all_jobs: Vec<JobId> = (0..5000).map(id).collect();
+    graph.add_job(&id(9999), &all_jobs, attributes(Some(Instant(9_000_000))));
     graph.refresh();
     assert_eq!(graph.depth(&id(9999)), 5000);
     assert_eq!(graph.deadline(&id(0)), Some(Instant(9_000_000 - 5_000_000)));
@@ -134,22 +134,22 @@
 #[test]
 fn latency_labels_propagate_upstream_and_stages_are_grouped() {
     let mut graph = DependencyGraph::default();
-    let due = Some(Instant(9000));
-    graph.add_job(&id(1), &[], ROUTINE);
-    graph.add_job(&id(2), &[id(1)], ROUTINE);
+    let deadline = Some(Instant(9000));
+    graph.add_job(&id(1), &[], NO_DEADLINE);
+    graph.add_job(&id(2), &[id(1)], NO_DEADLINE);
     for n in [3, 4] {
-        graph.add_job(&id(n), &[id(2)], ROUTINE);
+        graph.add_job(&id(n), &[id(2)], NO_DEADLINE);
     }
-    graph.add_job(&id(5), &[id(3), id(4)], traits(due));
-    graph.add_job(&id(9), &[], ROUTINE);
+    graph.add_job(&id(5), &[id(3), id(4)], attributes(deadline));
+    graph.add_job(&id(9), &[], NO_DEADLINE);
     graph.refresh();
-    let labels: Vec<SchedulingPreference> = (1..=5)
+    let preferences: Vec<SchedulingPreference> = (1..=5)
         .map(|n| graph.scheduling_preference(&id(n)))
         .collect();
     use SchedulingPreference::{Latency as L, Throughput as T};
-    assert_eq!(labels, [T, L, L, L, L]);
+    assert_eq!(preferences, [T, L, L, L, L]);
     assert_eq!(graph.scheduling_preference(&id(9)), T);
-    // Three jobs of a second each lie downstream of it.
+    // Its deadline is reduced by the run times of three downstream stages of 1 s each.
     assert_eq!(graph.deadline(&id(1)), Some(Instant(6000)));
     assert_eq!(graph.task_group(&id(3)), [id(3), id(4)]);
     assert_eq!(graph.task_group(&id(9)), [id(9)]);
@@ -159,9 +159,9 @@
 #[test]
 fn cycle_is_never_released_and_blocks_no_other_job() {
     let mut graph = DependencyGraph::default();
-    graph.add_job(&id(1), &[id(2)], ROUTINE);
-    graph.add_job(&id(2), &[id(1)], ROUTINE);
-    graph.add_job(&id(3), &[], ROUTINE);
+    graph.add_job(&id(1), &[id(2)], NO_DEADLINE);
+    graph.add_job(&id(2), &[id(1)], NO_DEADLINE);
+    graph.add_job(&id(3), &[], NO_DEADLINE);
     graph.release_ready_jobs();
     graph.refresh();
     assert!(!graph.is_released(&id(1)) && !graph.is_released(&id(2)) && graph.is_released(&id(3)));
