--- a/tests/documents.rs
+++ b/tests/documents.rs
@@ -1,10 +1,10 @@
-//! The documents name what is there: modules, tests, scenarios and types that they mention exist, so that a
-//! rename can't leave a reader, or a claim about safety, with a name that leads nowhere.
+//! Guards against documents, safety claims above all, that still name a source file, test, scenario or type after it
+//! was renamed or removed.
 
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 
-/// Documents that describe the present sources. Incident accounts and results stay as they were written.
+/// Documents that describe the current sources. Incident reports and results are not checked: they keep old names.
 const DOCUMENTS: [&str; 7] = [
     "README.md",
     "CONTRIBUTING.md",
@@ -19,11 +19,11 @@
     Path::new(env!("CARGO_MANIFEST_DIR"))
 }
 
-/// Every file below a folder.
+/// Returns all files below a folder.
 fn files_below(folder: &Path) -> Vec<PathBuf> {
     let mut files = Vec::new();
-    for entry in std::fs::read_dir(folder).expect("a folder of the repository") {
-        let path = entry.expect("an entry").path();
+    for entry in std::fs::read_dir(folder).expect("the folder can be read") {
+        let path = entry.expect("the entry can be read").path();
         if path.is_dir() {
             files.extend(files_below(&path));
         } else {
@@ -33,26 +33,30 @@
     files
 }
 
-/// The paths of all sources and tests, relative to the repository, with `/` between folders.
+/// Returns the paths of all sources and tests, relative to the repository root and separated by `/`.
 fn source_paths() -> Vec<String> {
     let folders = ["src", "tests"].map(|folder| root().join(folder));
     let files = folders.iter().flat_map(|folder| files_below(folder));
     files
         .map(|file| {
-            let relative = file.strip_prefix(root()).expect("below the root");
+            let relative = file
+                .strip_prefix(root())
+                .expect("the path is below the root");
             relative.to_string_lossy().replace('\\', "/")
         })
         .collect()
 }
 
-/// Every word of all sources and tests, and the names of all files without their ending.
+/// Returns all words in Rust sources and tests, and the names of all source and test files without extension.
 fn known_words() -> BTreeSet<String> {
     let mut words = BTreeSet::new();
     for path in source_paths() {
-        let stem = Path::new(&path).file_stem().expect("a file name");
+        let stem = Path::new(&path)
+            .file_stem()
+            .expect("the path has a file name");
         words.insert(stem.to_string_lossy().into_owned());
         if path.ends_with(".rs") {
-            let text = std::fs::read_to_string(root().join(&path)).expect("a source");
+            let text = std::fs::read_to_string(root().join(&path)).expect("the source can be read");
             let separators = |c: char| !c.is_alphanumeric() && c != '_';
             words.extend(text.split(separators).map(str::to_owned));
         }
@@ -60,8 +64,8 @@
     words
 }
 
-/// What stands between single backticks, outside blocks of code.
-fn quoted(document: &str) -> Vec<String> {
+/// Returns the inline code spans of a document: the text between single backticks, outside code blocks.
+fn inline_code(document: &str) -> Vec<String> {
     let text = std::fs::read_to_string(root().join(document)).expect(document);
     let prose: Vec<&str> = text.split("```").step_by(2).collect();
     let prose = prose.concat();
@@ -79,7 +83,7 @@
     let paths = source_paths();
     let mut missing = Vec::new();
     for document in DOCUMENTS {
-        for name in quoted(document) {
+        for name in inline_code(document) {
             let is_source = name.ends_with(".rs") && !name.contains(['*', ' ', '{']);
             let exists = |path: &String| path == &name || path.ends_with(&format!("/{name}"));
             if is_source && !paths.iter().any(exists) {
@@ -87,20 +91,23 @@
             }
         }
     }
-    assert!(missing.is_empty(), "named, but not there: {missing:#?}");
+    assert!(
+        missing.is_empty(),
+        "named in documents, but missing: {missing:#?}"
+    );
 }
 
 #[test]
 fn tests_and_scenarios_named_by_safety_claims_exist() {
     let words = known_words();
     let mut missing = Vec::new();
-    let mut looked_at = 0;
-    for name in quoted("docs/SAFETY.md") {
+    let mut checked = 0;
+    for name in inline_code("docs/SAFETY.md") {
         let prefix = name.strip_suffix('*').unwrap_or(&name);
         if !is_identifier(prefix) || !prefix.contains('_') {
             continue;
         }
-        looked_at += 1;
+        checked += 1;
         let exists = match name.ends_with('*') {
             true => words.iter().any(|word| word.starts_with(prefix)),
             false => words.contains(prefix),
@@ -109,26 +116,32 @@
             missing.push(name);
         }
     }
-    assert!(looked_at > 50, "the claims name their tests");
-    assert!(missing.is_empty(), "named, but not there: {missing:#?}");
+    assert!(checked > 50, "too few names found in the safety claims");
+    assert!(
+        missing.is_empty(),
+        "named in documents, but missing: {missing:#?}"
+    );
 }
 
 #[test]
 fn types_named_in_the_glossary_exist() {
     let words = known_words();
     let mut missing = Vec::new();
-    let mut looked_at = 0;
-    for name in quoted("docs/GLOSSARY.md") {
+    let mut checked = 0;
+    for name in inline_code("docs/GLOSSARY.md") {
         let is_type = is_identifier(&name)
             && name.starts_with(|c: char| c.is_ascii_uppercase())
             && name.contains(|c: char| c.is_ascii_lowercase());
         if is_type {
-            looked_at += 1;
+            checked += 1;
             if !words.contains(&name) {
                 missing.push(name);
             }
         }
     }
-    assert!(looked_at > 20, "the glossary names types");
-    assert!(missing.is_empty(), "named, but not there: {missing:#?}");
+    assert!(checked > 20, "too few types found in the glossary");
+    assert!(
+        missing.is_empty(),
+        "named in documents, but missing: {missing:#?}"
+    );
 }
