--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! The scheduler alone at 4,500 machines and some tens of thousands of tasks: what an event costs is
-//! counted, not timed. Effects must be proportional to what changed, not to the size of the cluster.
+//! The scheduler alone with 4,500 machines and tens of thousands of tasks. The tests count effects instead of
+//! measuring time: their number must be proportional to what changed, not to the size of the cluster.
 
 #[path = "support/large_cluster.rs"]
 mod large_cluster;
@@ -33,7 +33,7 @@
     leader::policy(18000.0, 100)
 }
 
-/// So many keys are changed by these effects.
+/// Returns the number of changes in all transactions of the effects.
 fn count_changes(effects: &[Effect]) -> usize {
     let count = |effect: &Effect| match effect {
         Effect::Write { transaction, .. } => transaction.changes.len(),
@@ -48,15 +48,15 @@
     let mut scheduler = RecordedScheduler::recover(policy(), term(9), now, recovered()).unwrap();
     scheduler.audit().unwrap();
     assert_eq!(scheduler.machines_up(), MACHINES as usize);
-    // Everything may be running: nothing is started, stopped, returned or rented.
+    // Every attempt may still be running, so nothing is started, stopped, terminated or rented.
     let effects = scheduler.step(now);
     assert!(
         effects.iter().all(|e| matches!(e, Effect::Write { .. })),
         "{effects:?}"
     );
-    // All machines send two heartbeats, the second with this leader's token: every attempt is confirmed,
-    // none is touched, and no heartbeat causes a write or a command.
-    let mut asked = 0;
+    // Every machine sends two heartbeats, the second with the new leader's fencing token. They confirm all attempts
+    // and cause no command.
+    let mut effect_count = 0;
     for round in 1..=2u64 {
         for n in 0..MACHINES {
             now += TimeSpan(2);
@@ -65,7 +65,7 @@
             assert_eq!(outcome, HeartbeatOutcome::Commands(Vec::new()), "{n}");
             if n % 50 == 0 {
                 let effects = scheduler.step(now);
-                asked += effects.len();
+                effect_count += effects.len();
                 for effect in effects {
                     if let Effect::Write { request_id, .. } = effect {
                         scheduler.write_applied(now, request_id, StoreRevision(100 + request_id.0));
@@ -75,7 +75,10 @@
         }
     }
     scheduler.audit().unwrap();
-    assert!(asked <= 60, "{asked} effects for unchanged heartbeats");
+    assert!(
+        effect_count <= 60,
+        "{effect_count} effects for unchanged heartbeats"
+    );
 }
 
 #[test]
@@ -94,7 +97,7 @@
         now += TimeSpan(1);
         scheduler.heartbeat(now, &status(n, 2, 9, GPUS_PER_MACHINE as usize));
     }
-    // What is durable may be cleared: that takes a write for each done job, none for each task.
+    // An ended attempt may be cleared once its end is durable: this takes writes for each done job, not for each task.
     for _ in 0..200 {
         now += TimeSpan(100);
         let effects = scheduler.step(now);
@@ -116,14 +119,14 @@
         finished, ending_jobs,
         "each done job gets one terminal record"
     );
-    // Each page of machines may be written once; the rest, as it was for 2,000 machines, is room for 47.
+    // Each machine page may be written once; 47 more changes are allowed, as with 2,000 machines.
     let pages = MACHINES.div_ceil(MACHINES_PER_PAGE) as usize;
-    let most = ending_jobs * 2 + pages + 47;
-    assert!(changes <= most, "{changes} changes");
+    let max_changes = ending_jobs * 2 + pages + 47;
+    assert!(changes <= max_changes, "{changes} changes");
     let cleared = match scheduler.heartbeat(now, &status(3, 3, 9, GPUS_PER_MACHINE as usize)) {
-        HeartbeatOutcome::Commands(o) => o
+        HeartbeatOutcome::Commands(commands) => commands
             .iter()
-            .filter(|o| matches!(o, Command::Clear { .. }))
+            .filter(|command| matches!(command, Command::Clear { .. }))
             .count(),
         HeartbeatOutcome::Refused => 0,
     };
@@ -133,7 +136,7 @@
     );
 }
 
-/// A job of tiny tasks is opened.
+/// Returns the event that opens a job of tiny CPU-only tasks.
 fn job_opened(id: &str, priority: &str, tasks: u32) -> Event {
     let body = serde_json::json!({"ref": id, "jobclass": id, "crew": "blue", "shape": "array",
         "urgency": priority, "pieces": tasks, "cpus": 0.25, "gpus": 0, "ramGb": 0.9, "bundle": "i",
@@ -147,7 +150,7 @@
     }))
 }
 
-/// Steps the scheduler until the given time; says for how many tasks of each job intents were written.
+/// Steps the scheduler until the given time. Returns for how many tasks of each job launch intents were written.
 fn intents_written(
     scheduler: &mut RecordedScheduler,
     now: &mut Instant,
@@ -183,7 +186,7 @@
     tasks.map(|(job, indexes)| (job, indexes.len())).collect()
 }
 
-/// A new leader to which every machine has sent a heartbeat with no task.
+/// Creates a new leader that has received a heartbeat without tasks from every machine.
 fn idle_cluster(policy: Arc<Policy>, now: Instant) -> RecordedScheduler {
     let mut state = recovered();
     state.open_jobs.clear();
@@ -197,27 +200,28 @@
     scheduler
 }
 
-/// Guards against overload: what follows from placed tasks takes far more CPU time than placing them, so a
-/// huge job of tiny tasks starts at a rate that the process can sustain, and urgent work doesn't wait for it.
+/// Guards against overload by a huge job of tiny tasks: the work that follows a placement takes far more CPU time than
+/// the placement itself. The tasks start at a rate that the process can sustain, and an urgent job doesn't wait for
+/// them.
 #[test]
 fn attempts_of_a_huge_job_are_rate_limited() {
     let mut now = Instant(1000);
     let mut scheduler = idle_cluster(policy(), now);
     scheduler.handle(now, job_opened("wk-900001", "low", 24_000));
     let huge = JobId::from("wk-900001");
-    let recorded = intents_written(&mut scheduler, &mut now, Instant(5000))[&huge];
-    // A tenth of a CPU core: 3,750 at once, and 750 a second.
+    let tasks_started = intents_written(&mut scheduler, &mut now, Instant(5000))[&huge];
+    // The quota of a tenth of a core allows a burst of 3,750 tasks, then 750 a second.
     assert!(
-        (3000..=3750 + 4 * 750).contains(&recorded),
-        "{recorded} starts in 4 s"
+        (3000..=3750 + 4 * 750).contains(&tasks_started),
+        "{tasks_started} tasks started in 4 s"
     );
     scheduler.handle(now, job_opened("wk-900002", "urgent", 16));
-    let recorded = intents_written(&mut scheduler, &mut now, Instant(6000));
-    assert_eq!(recorded.get(&JobId::from("wk-900002")), Some(&16));
+    let tasks_started = intents_written(&mut scheduler, &mut now, Instant(6000));
+    assert_eq!(tasks_started.get(&JobId::from("wk-900002")), Some(&16));
     scheduler.audit().unwrap();
 }
 
-/// Guards against a standstill through a mistake in the settings: a limit of no CPU at all.
+/// Guards against settings with a CPU quota of 0 that stop placement altogether.
 #[test]
 fn placement_continues_with_a_zero_cpu_limit() {
     let mut now = Instant(1000);
@@ -225,49 +229,49 @@
     policy.facts.process_limits.cores = 0.0;
     let mut scheduler = idle_cluster(Arc::new(policy), now);
     scheduler.handle(now, job_opened("wk-900001", "low", 24_000));
-    let recorded = intents_written(&mut scheduler, &mut now, Instant(11_000));
-    assert!(recorded[&JobId::from("wk-900001")] > 1_000);
+    let tasks_started = intents_written(&mut scheduler, &mut now, Instant(11_000));
+    assert!(tasks_started[&JobId::from("wk-900001")] > 1_000);
 }
 
-/// Guards against pending work without an explanation: operators read the reasons in the log.
+/// Guards against a pending job without a reason: operators read the reasons in the log.
 #[test]
 fn every_pending_job_has_a_pending_reason() {
     let now = Instant(1000);
     let mut scheduler = RecordedScheduler::recover(policy(), term(9), now, recovered()).unwrap();
     // Every GPU of the team's limit may be in use, and no machine has sent a heartbeat yet.
     scheduler.handle(now, gpu_job_opened("wk-900001", 4, Vec::new()));
-    let small = JobId::from("wk-900001");
-    scheduler.handle(now, gpu_job_opened("wk-900002", 4, vec![small.clone()]));
+    let limited = JobId::from("wk-900001");
+    scheduler.handle(now, gpu_job_opened("wk-900002", 4, vec![limited.clone()]));
     scheduler.handle(now, job_opened("wk-900003", "low", 100));
     scheduler.step(now + TimeSpan(100));
-    let waiting = scheduler.pending_jobs(now);
-    let oldest = |reason| waiting.get(&reason).map(|w| (w.jobs, w.oldest.clone()));
-    assert_eq!(oldest(PendingReason::TeamLimit), Some((1, small)));
+    let pending = scheduler.pending_jobs(now);
+    let oldest = |reason| pending.get(&reason).map(|p| (p.jobs, p.oldest.clone()));
+    assert_eq!(oldest(PendingReason::TeamLimit), Some((1, limited)));
     let blocked = JobId::from("wk-900002");
     assert_eq!(oldest(PendingReason::UpstreamJobs), Some((1, blocked)));
     let cpu_only = JobId::from("wk-900003");
     assert_eq!(oldest(PendingReason::FreeCapacity), Some((1, cpu_only)));
-    assert_eq!(waiting.len(), 3);
+    assert_eq!(pending.len(), 3);
 }
 
-/// A job whose tasks need a GPU each is opened.
-fn gpu_job_opened(id: &str, tasks: u32, after: Vec<JobId>) -> Event {
+/// Returns the event that opens a job whose tasks need one GPU each.
+fn gpu_job_opened(id: &str, tasks: u32, upstream_jobs: Vec<JobId>) -> Event {
     let Event::JobOpened(mut open_job) = job_opened(id, "normal", tasks) else {
-        unreachable!("a job that is opened");
+        unreachable!("job_opened returns JobOpened");
     };
     open_job.record.spec.gpus = 1.0;
-    open_job.record.upstream_jobs = after;
+    open_job.record.upstream_jobs = upstream_jobs;
     Event::JobOpened(open_job)
 }
 
-/// A thousand jobs depend on one that is cancelled. Guards against repeated writes: each terminal record is
-/// written once, in transactions within the limits, and blocked jobs cost nothing until then.
+/// A thousand jobs depend on one that is cancelled. Guards against repeated writes and against machines rented for
+/// blocked jobs: each terminal record is written once, in transactions within the size limit.
 #[test]
 fn cancelling_many_downstream_jobs_takes_two_changes_each() {
     const DOWNSTREAM_JOBS: usize = 1000;
     let mut now = Instant(1000);
     let mut scheduler = idle_cluster(policy(), now);
-    // The writes of the first seconds are done.
+    // Completes the writes that follow the recovery.
     intents_written(&mut scheduler, &mut now, Instant(3000));
     let upstream = JobId::from("wk-900000");
     for n in 1..=DOWNSTREAM_JOBS {
@@ -314,8 +318,8 @@
     );
 }
 
-/// A new leader tells from the terminal records of upstream jobs since when a job has been released; without
-/// a time in any, it counts from now.
+/// A new leader takes a job's release time from the terminal records of its upstream jobs, or the current time if they
+/// contain none.
 #[test]
 fn new_leader_recovers_release_times_from_terminal_records() {
     let now = Instant(100_000);
@@ -337,8 +341,8 @@
     let mut records: Vec<_> = records.map(read).collect();
     records.push(read((JobId::from("wk-800003"), Some(done(None)))));
     scheduler.handle(now, Event::TerminalRecordsRead(records));
-    let waiting = scheduler.pending_jobs(now);
-    let limited = &waiting[&PendingReason::TeamLimit];
+    let pending = scheduler.pending_jobs(now);
+    let limited = &pending[&PendingReason::TeamLimit];
     assert_eq!((limited.jobs, limited.since), (2, Instant(80_000)));
     assert_eq!(limited.oldest, JobId::from("wk-900001"));
 }
