--- a/tests/placement_constraints.rs
+++ b/tests/placement_constraints.rs
@@ -1,24 +1,13 @@
-//! The scheduler alone: a task starts only where its job allows it, given all that may be on machines.
+//! Placement constraints across a failover, tested on the scheduler alone: a task starts only where its job allows it,
+//! considering every attempt that may still be on a machine.
 //!
-//! At production size a task of a job whose tasks all have to share a zone started in another zone than the
-//! others. A launch intent stays on its page after its task is proven gone, until that page is written again.
-//! With one page that is at the next launch; with many pages the emptiest is written, and an old intent stays. A
-//! job lost its machine in zone a and went on in zone b, the leader ended, and the next one recovered the old
-//! intents beside the new ones. It counted the job as being in both zones, took the first by name for the zone of
-//! the job, and started the rest there while the others ran in b:
-//!
-//! ```text
-//! lease expired machine=host-000003 task=wk-1/0 attempt=4294967314           (zone a)
-//! task placed task=wk-1/0 machine=host-000001                                (zone b)
-//! task running task=wk-1/0 attempt=4294967360 machine=host-000001            (heard by the next leader)
-//! task placed task=wk-1/4 machine=host-000002                                (zone a)
-//! 69.9 s: wrong_place: wk-1/4 on host-000002
-//! attempt removed task=wk-1/0 attempt=4294967314 machine=host-000003 proof=MachineTerminated
-//! ```
-//!
-//! The last line came too late: only then was zone a proven empty. Nothing looked at a launch again when it left,
-//! either, and nothing compared what a worker reports of its machine's type, zone and spot flag with what is on
-//! record.
+//! Guards against a task that starts in another zone than the other tasks of a job with zone affinity. A launch intent
+//! stays on its page until the page is rewritten, even after its attempt is proven to have ended. With one page that is
+//! the next launch; with many pages only the emptiest is rewritten, and stale intents remain. A job lost its machine in
+//! zone a and continued in zone b, the leader failed, and the next one recovered the stale intents beside the current
+//! ones. It took the job to be in both zones, chose zone a, the first by name, and started the remaining tasks there
+//! before a worker had proven that zone a was empty. Launches were not checked again when they were sent, and the
+//! machine type, zone and spot flag that a worker reports were not compared with the machine's record.
 
 #[path = "support/leader.rs"]
 mod leader;
@@ -51,7 +40,7 @@
 const STEP: TimeSpan = TimeSpan(100);
 const TASKS: u32 = 4;
 
-/// The machine of each zone.
+/// Returns the machine of a zone.
 fn machine_in(zone: &str) -> MachineId {
     let number = if zone == "a" { 1 } else { 2 };
     MachineId::from(format!("host-00000{number}").as_str())
@@ -68,13 +57,13 @@
     }
 }
 
-/// A job of four tasks with these further fields.
-fn record(further: serde_json::Value) -> OpenJobRecord {
+/// Creates the record of a job of four tasks with these additional fields.
+fn record(fields: serde_json::Value) -> OpenJobRecord {
     let mut body = serde_json::json!({"ref": job_id().as_str(), "jobclass": "c", "crew": "blue",
         "shape": "array", "urgency": "normal", "pieces": TASKS, "cpus": 1, "gpus": 1, "ramGb": 1,
         "bundle": "i", "pullGb": 1, "together": false, "scatter": false, "loaners": false,
         "guessS": 50, "markEveryS": 0, "markCostS": 0});
-    for (field, value) in further.as_object().unwrap() {
+    for (field, value) in fields.as_object().unwrap() {
         body[field] = value.clone();
     }
     OpenJobRecord {
@@ -85,7 +74,7 @@
     }
 }
 
-fn item<T: serde::Serialize>(key: String, data: &T) -> KeyValue {
+fn key_value<T: serde::Serialize>(key: String, data: &T) -> KeyValue {
     KeyValue {
         key,
         data: serde_json::to_value(data).unwrap(),
@@ -94,7 +83,7 @@
     }
 }
 
-/// A page with one machine in each of the zones a and b.
+/// Creates a page with one machine in each of the zones a and b.
 fn machine_page() -> MachinePage {
     let mut page = MachinePage::default();
     for (kind, zone) in ["a", "b"].into_iter().enumerate() {
@@ -112,7 +101,7 @@
     page
 }
 
-/// A page with intents to launch tasks with that attempt id in a zone.
+/// Creates a page of launch intents, all with the same attempt id, for the machine of a zone.
 fn intents(record: &OpenJobRecord, zone: &str, attempt: AttemptId, indexes: &[u32]) -> IntentPage {
     let mut page = IntentPage::default();
     for index in indexes {
@@ -122,7 +111,7 @@
     page
 }
 
-/// A new leader that recovers the job, both machines, and these pages of intents.
+/// Creates a new leader that recovers the job, both machines and the intent pages.
 fn recover(record: &OpenJobRecord, pages: &[IntentPage]) -> RecordedScheduler {
     let pages = pages.iter().enumerate();
     let recovered = RecoveredState {
@@ -131,9 +120,9 @@
             revision: KeyRevision(1),
             submitted_at: Instant(0),
         }],
-        machine_pages: vec![item(machine_page_key(PageNumber(0)), &machine_page())],
+        machine_pages: vec![key_value(machine_page_key(PageNumber(0)), &machine_page())],
         intent_pages: pages
-            .map(|(n, page)| item(intent_page_key(PageNumber(n as u32)), page))
+            .map(|(n, page)| key_value(intent_page_key(PageNumber(n as u32)), page))
             .collect(),
         machine_types: vec![machine_type(8.0)],
         ..RecoveredState::default()
@@ -141,7 +130,7 @@
     RecordedScheduler::recover(policy(64.0, 10), term(CURRENT_TOKEN), START, recovered).unwrap()
 }
 
-/// The workers of both machines, with the tasks that they run.
+/// The workers of both machines, with the tasks that they run by zone.
 struct Workers {
     running: BTreeMap<String, Vec<(u32, AttemptId)>>,
     token: u64,
@@ -188,7 +177,7 @@
     }
 }
 
-/// Where tasks were launched: the zone of the machine, and the task's index.
+/// Launched tasks: the zone of the machine and the task's index.
 type Launches = Vec<(String, u32)>;
 
 fn launches_of(zone: &str, commands: &[Command]) -> Launches {
@@ -207,7 +196,7 @@
     }
 }
 
-/// A heartbeat from the machine of that zone: what its response launches.
+/// Handles a heartbeat of the machine in the zone. Returns the launches in the response.
 fn heartbeat(
     scheduler: &mut RecordedScheduler,
     now: Instant,
@@ -220,7 +209,7 @@
     }
 }
 
-/// Steps for that long with every transaction applied: what pushes launch.
+/// Runs this many steps and applies every transaction. Returns the launches in pushed commands.
 fn settle(scheduler: &mut RecordedScheduler, from: Instant, steps: i64) -> Launches {
     let mut launches = Vec::new();
     for step in 0..steps {
@@ -242,8 +231,8 @@
     launches
 }
 
-/// Tasks 0 and 1 run in zone b; intents of an attempt in zone a, long proven gone, are still on record. Until
-/// the worker there has shown it, nothing more of the job starts; then the rest starts in zone b.
+/// Tasks 0 and 1 run in zone b, and stale intents of an ended attempt in zone a are still on record. No further task of
+/// the job starts until the worker in zone a has proven the zone empty; then the others start in zone b.
 #[test]
 fn job_that_may_be_in_two_zones_starts_nothing_until_one_is_proven_empty() {
     let job = record(serde_json::json!({"together": true}));
@@ -252,7 +241,7 @@
     let mut scheduler = recover(&job, &[stale, current]);
     let mut workers = Workers::new().run("b", NEW_ATTEMPT, &[0, 1]);
     let mut launches = Vec::new();
-    // What workers report carries the former leader's token yet: it proves nothing.
+    // The worker statuses still carry the former leader's fencing token, so they prove nothing.
     for zone in ["a", "b"] {
         let status = workers.status(zone);
         launches.extend(heartbeat(&mut scheduler, START, zone, &status));
@@ -271,8 +260,8 @@
     scheduler.audit().unwrap();
 }
 
-/// A job was planned in one zone when a worker in the other reports a task of it: the planned tasks are not
-/// launched there.
+/// Tasks of a job are placed in one zone when a worker in the other zone reports a running task of the job. Guards
+/// against launching the placed tasks nevertheless.
 #[test]
 fn planned_launch_is_withheld_when_its_job_turns_out_to_be_in_another_zone() {
     let job = record(serde_json::json!({"together": true}));
@@ -281,7 +270,7 @@
     workers.token = CURRENT_TOKEN;
     let first = workers.status("a");
     heartbeat(&mut scheduler, START, "a", &first);
-    // Planned in zone a, where alone a machine reports; the intents are not durable yet.
+    // The tasks are placed in zone a, the only one whose machine has sent a heartbeat; the intents are not durable yet.
     let mut unwritten = Vec::new();
     for step in 0..5 {
         let now = START + TimeSpan(STEP.0 * step);
@@ -291,7 +280,7 @@
             _ => None,
         }));
     }
-    assert!(!unwritten.is_empty(), "the launches are planned");
+    assert!(!unwritten.is_empty(), "the tasks are placed");
     let mut workers = workers.run("b", NEW_ATTEMPT, &[0]);
     let now = START + TimeSpan(500);
     let contradiction = workers.status("b");
@@ -306,7 +295,7 @@
     assert_eq!(in_zone_a, 0, "task 0 runs in zone b: {launches:?}");
 }
 
-/// A worker that reports another zone, type or kind than is on record for its machine gets no launch.
+/// A worker that reports another zone, machine type or spot flag than its machine's record gets no launch.
 #[test]
 fn machine_whose_worker_contradicts_its_record_gets_no_launch() {
     type Contradiction = fn(&mut WorkerStatus);
@@ -328,11 +317,15 @@
             launches.extend(heartbeat(&mut scheduler, now, "a", &status));
             launches.extend(settle(&mut scheduler, now, 10));
         }
-        assert_eq!(launches, [], "the machine's kind is in doubt");
+        assert_eq!(
+            launches,
+            [],
+            "the machine's zone, type or spot flag is in doubt"
+        );
     }
 }
 
-/// What is on record agrees with what the worker reports: the same job starts at once.
+/// If the worker's report agrees with the machine's record, the same job starts at once.
 #[test]
 fn machine_whose_worker_agrees_with_its_record_gets_launches() {
     let job = record(serde_json::json!({"site": "a", "rigs": ["box"]}));
