--- a/tests/production.rs
+++ b/tests/production.rs
@@ -1,7 +1,7 @@
-//! What the version before chains reads and writes, frozen here as it was: while both versions run, each
-//! reads, lists and rewrites what the other has written.
+//! Compatibility with the version in production, the last one before job chains: while both versions run, each reads,
+//! lists and rewrites records that the other has written.
 //!
-//! These types are a record of that version and never change with the code.
+//! The types below are a frozen copy of that version's types. They never change with the code.
 
 use chalklug::ids::*;
 use chalklug::protocol::cloud::MachineTypeList;
@@ -117,13 +117,13 @@
     Noted,
 }
 
-/// Production reads what today's code writes.
+/// Serializes a record as the current version does and reads it as the production version does.
 fn old_reads<New: Serialize, Old: DeserializeOwned>(new: &New) -> Old {
     let written = serde_json::to_value(new).expect("it can be written");
     serde_json::from_value(written).expect("production reads it")
 }
 
-/// Today's code reads what production writes, and writes back the same.
+/// Reads a production record with the current version and asserts that it is written back unchanged.
 fn new_keeps<New: Serialize + DeserializeOwned>(old: &impl Serialize) -> New {
     let written: Value = serde_json::to_value(old).expect("it can be written");
     let read: New = serde_json::from_value(written.clone()).expect("today's code reads it");
@@ -237,14 +237,14 @@
     assert_eq!(back.machines, machines.machines);
 }
 
-/// The name of a message.
+/// Returns the name of a message's variant.
 fn variant(message: &impl std::fmt::Debug) -> String {
     let text = format!("{message:?}");
     let name = text.split(' ').next();
     name.unwrap_or_default().to_string()
 }
 
-/// Messages between controllers describe nothing of themselves: both versions must lay them out alike.
+/// Peer messages are encoded without names, so both versions must have the same layout.
 #[test]
 fn peer_messages_stay_compatible() {
     let job = JobId::from("wk-1");
@@ -286,7 +286,7 @@
     }
 }
 
-/// The copy of the machine types that leaders of either version keep for all controllers.
+/// The list of machine types that leaders of either version store for all controllers.
 #[test]
 fn machine_types_stay_compatible() {
     let stored = json!({"rigs": [{"sku": "g8", "cpus": 96.0, "gpus": 8.0, "ramGb": 768.0, "localGb": 200.0,
