--- a/tests/stale_knowledge.rs
+++ b/tests/stale_knowledge.rs
@@ -1,5 +1,5 @@
-//! The scheduler alone: its decisions rest on the newest that it knows at the moment at which a response
-//! leaves, and nothing that it has learnt is undone by an older record.
+//! The scheduler alone: responses and pushes are based on the newest information at the time they are sent, and an
+//! older record undoes nothing newer.
 
 #[path = "support/leader.rs"]
 mod leader;
@@ -28,7 +28,7 @@
 const ATTEMPT: AttemptId = AttemptId(7);
 const START: Instant = Instant(1000);
 
-fn job(n: u32) -> JobId {
+fn job_id(n: u32) -> JobId {
     JobId::from(format!("wk-{n}").as_str())
 }
 
@@ -40,21 +40,21 @@
     MachineId::from("host-000001")
 }
 
-/// The open record of a job of one task.
-fn record(n: u32, after: &[u32]) -> OpenJobRecord {
-    let body = serde_json::json!({"ref": job(n).as_str(), "jobclass": "c", "crew": "blue",
+/// Creates the open job record of a job of one task.
+fn record(n: u32, upstream_jobs: &[u32]) -> OpenJobRecord {
+    let body = serde_json::json!({"ref": job_id(n).as_str(), "jobclass": "c", "crew": "blue",
         "shape": "array", "urgency": "normal", "pieces": 1, "cpus": 1, "gpus": 1, "ramGb": 1,
         "bundle": "i", "pullGb": 1, "together": false, "scatter": false, "loaners": false,
         "guessS": 50, "markEveryS": 0, "markCostS": 0});
     OpenJobRecord {
         spec: parse_submission(body.to_string().as_bytes()).unwrap().spec,
         accepted_at_ms: 0,
-        upstream_jobs: after.iter().map(|n| job(*n)).collect(),
+        upstream_jobs: upstream_jobs.iter().map(|n| job_id(*n)).collect(),
         dependency_pages: 0,
     }
 }
 
-fn item<T: serde::Serialize>(key: String, data: &T) -> KeyValue {
+fn key_value<T: serde::Serialize>(key: String, data: &T) -> KeyValue {
     KeyValue {
         key,
         data: serde_json::to_value(data).unwrap(),
@@ -63,8 +63,8 @@
     }
 }
 
-/// A new leader that recovers these open jobs, and an intent of job 1 on the machine.
-fn leader(open: &[OpenJobRecord]) -> RecordedScheduler {
+/// Creates a new leader that recovers these open jobs and a launch intent of job 1 on the machine.
+fn new_leader(open: &[OpenJobRecord]) -> RecordedScheduler {
     let mut machines = MachinePage {
         kinds: vec![MachineKind::new(
             MachineType::from("box"),
@@ -82,11 +82,11 @@
             images: vec![],
         },
     );
-    let mut attempts = IntentPage::default();
-    attempts.add(&machine_id(), &task(1), ATTEMPT);
-    attempts
+    let mut intents = IntentPage::default();
+    intents.add(&machine_id(), &task(1), ATTEMPT);
+    intents
         .jobs
-        .insert(job(1), JobResources::of(&record(1, &[]).spec));
+        .insert(job_id(1), JobResources::of(&record(1, &[]).spec));
     let recovered = RecoveredState {
         open_jobs: open
             .iter()
@@ -96,15 +96,15 @@
                 submitted_at: Instant(0),
             })
             .collect(),
-        machine_pages: vec![item(machine_page_key(PageNumber(0)), &machines)],
-        intent_pages: vec![item(intent_page_key(PageNumber(0)), &attempts)],
+        machine_pages: vec![key_value(machine_page_key(PageNumber(0)), &machines)],
+        intent_pages: vec![key_value(intent_page_key(PageNumber(0)), &intents)],
         machine_types: vec![machine_type(8.0)],
         ..RecoveredState::default()
     };
     RecordedScheduler::recover(policy(64.0, 10), term(CURRENT_TOKEN), START, recovered).unwrap()
 }
 
-/// A status with job 1 in that phase; none: nothing is on the machine.
+/// Creates a worker status with the task of job 1 in the phase, or without tasks if there is none.
 fn status(tick: u64, token: u64, phase: Option<TaskPhase>) -> WorkerStatus {
     let listed = phase.map(|phase| TaskStatus {
         task: task(1),
@@ -127,16 +127,16 @@
     }
 }
 
-/// Whether the response, which renews the worker's lease, stops job 1.
+/// Whether the response, which renews the worker's lease, stops the task of job 1.
 fn stops(outcome: &HeartbeatOutcome) -> bool {
     let HeartbeatOutcome::Commands(commands) = outcome else {
-        panic!("the heartbeat is answered: {outcome:?}");
+        panic!("the heartbeat was refused: {outcome:?}");
     };
     let is_stop = |command: &Command| matches!(command, Command::Stop { task: stopped, grace_s, .. } if *stopped == task(1) && *grace_s == 0.0);
     commands.iter().any(is_stop)
 }
 
-/// Steps for that long, with every transaction applied; returns what was written.
+/// Steps the scheduler for `for_ms` milliseconds and applies every transaction. Returns the changes written.
 fn settle(scheduler: &mut RecordedScheduler, from: Instant, for_ms: i64) -> Vec<Change> {
     let mut written = Vec::new();
     for ms in (0..for_ms).step_by(100) {
@@ -155,28 +155,28 @@
     written
 }
 
-/// Guards against a cancelled task whose worker's lease the next leader renews before it has reconciled the
-/// machine: if nothing reaches the machine after that, the task outlives `cancel_s`.
+/// Guards against a new leader that renews a worker's lease without stopping a cancelled task, because it has not yet
+/// reconciled the machine: if no later message reaches the machine, the task outlives `cancel_s`.
 #[test]
 fn new_leaders_first_response_stops_tasks_of_terminated_jobs() {
-    let mut scheduler = leader(&[]);
+    let mut scheduler = new_leader(&[]);
     let first = status(1, FORMER_TOKEN, Some(TaskPhase::Running));
     assert!(stops(&scheduler.heartbeat(START, &first)));
 }
 
-/// Guards against the time between a cancellation that the leader has learnt of and its next step: when CPU
-/// time is short, thousands of responses leave in it.
+/// Guards against responses that renew a lease without stopping the task, sent after the leader has learnt of a
+/// cancellation and before its next step: when CPU time is short, there are thousands of them.
 #[test]
 fn response_between_cancellation_and_next_step_stops_the_task() {
-    let mut scheduler = leader(&[record(1, &[])]);
+    let mut scheduler = new_leader(&[record(1, &[])]);
     let first = status(1, FORMER_TOKEN, Some(TaskPhase::Running));
     assert!(!stops(&scheduler.heartbeat(START, &first)));
     settle(&mut scheduler, START, 300);
     let now = START + TimeSpan(300);
-    scheduler.handle(now, Event::JobClosed { id: job(1) });
+    scheduler.handle(now, Event::JobClosed { id: job_id(1) });
     let second = status(2, CURRENT_TOKEN, Some(TaskPhase::Running));
     assert!(stops(&scheduler.heartbeat(now, &second)));
-    // A heartbeat that the response to a push has overtaken renews the lease all the same.
+    // The response to a heartbeat that a push response has overtaken renews the lease too.
     let push_response = Event::PushAnswered {
         machine_id: machine_id(),
         request_id: RequestId(0),
@@ -187,10 +187,10 @@
     assert!(stops(&scheduler.heartbeat(now, &overtaken)));
 }
 
-/// Guards against a pushed command that was decided before a cancellation and leaves after it.
+/// Guards against a pushed launch that was decided before a cancellation and is sent after it.
 #[test]
 fn pushed_command_drops_launches_of_jobs_closed_meanwhile() {
-    let mut scheduler = leader(&[record(1, &[]), record(2, &[])]);
+    let mut scheduler = new_leader(&[record(1, &[]), record(2, &[])]);
     scheduler.heartbeat(START, &status(1, CURRENT_TOKEN, Some(TaskPhase::Running)));
     let mut commands = Vec::new();
     for ms in (0..3_000).step_by(100) {
@@ -216,7 +216,10 @@
         scheduler.revalidate_commands(&machine_id(), commands[0].clone()),
         [launch]
     );
-    scheduler.handle(START + TimeSpan(3_000), Event::JobCancelled { id: job(2) });
+    scheduler.handle(
+        START + TimeSpan(3_000),
+        Event::JobCancelled { id: job_id(2) },
+    );
     assert_eq!(
         scheduler.revalidate_commands(&machine_id(), commands[0].clone()),
         []
@@ -224,21 +227,21 @@
     scheduler.audit().unwrap();
 }
 
-/// Guards against duplicate changes (a page of them that was taken in only halfway is read again, and the first changes
-/// after a failover reach back before the list): a done job is opened again, and its end is then taken for a
-/// cancellation, which cancels all jobs downstream of it.
+/// Guards against duplicate changes that reopen a done job: its end would then be taken for a cancellation, which cancels
+/// all jobs downstream of it. Duplicates occur when a partly processed page of changes is read again, and after a
+/// failover, when the first changes read are older than the list of open jobs.
 #[test]
 fn duplicate_changes_cancel_no_job() {
-    let mut scheduler = leader(&[record(1, &[]), record(2, &[1])]);
+    let mut scheduler = new_leader(&[record(1, &[]), record(2, &[1])]);
     scheduler.heartbeat(START, &status(1, CURRENT_TOKEN, Some(TaskPhase::Running)));
     scheduler.heartbeat(START, &status(2, CURRENT_TOKEN, Some(TaskPhase::Ended)));
     let written = settle(&mut scheduler, START, 3_000);
-    let is_terminal_record = |c: &Change| c.key() == terminal_key(&job(1));
+    let is_terminal_record = |c: &Change| c.key() == terminal_key(&job_id(1));
     assert!(
         written.iter().any(is_terminal_record),
         "job 1 is done: {written:?}"
     );
-    // Cleared from its machine, job 1 is forgotten.
+    // Once cleared from its machine, job 1 is no longer tracked.
     let now = START + TimeSpan(3_000);
     scheduler.heartbeat(now, &status(3, CURRENT_TOKEN, None));
     settle(&mut scheduler, now, 3_000);
@@ -249,8 +252,8 @@
         submitted_at: Instant(0),
     }));
     scheduler.handle(now, again);
-    scheduler.handle(now, Event::JobClosed { id: job(1) });
+    scheduler.handle(now, Event::JobClosed { id: job_id(1) });
     let written = settle(&mut scheduler, now, 5_000);
-    let is_downstream_record = |c: &Change| c.key() == terminal_key(&job(2));
+    let is_downstream_record = |c: &Change| c.key() == terminal_key(&job_id(2));
     assert!(!written.iter().any(is_downstream_record), "{written:?}");
 }
