--- a/tests/arrival_rate.rs
+++ b/tests/arrival_rate.rs
@@ -1,4 +1,4 @@
-//! The arrival rate that the autoscaler expects, by the arrivals seen.
+//! The arrival rate that the autoscaler derives from observed arrivals.
 
 use chalklug::coordination::autoscaler::arrivals::ArrivalRate;
 use chalklug::protocol::users::{parse_submission, JobSpec};
@@ -20,13 +20,13 @@
     assert_eq!(
         rate.jobs_per_s(Instant(12_000)),
         0.0,
-        "one backlog says nothing"
+        "a single backlog is an outlier, not a rate"
     );
     for i in 0..110 {
         rate.record(&spec(10), Instant(10_000 + i * 1000));
     }
-    let usual = rate.jobs_per_s(Instant(120_000));
-    assert!((usual - 1.0).abs() < 0.15, "{usual}");
+    let steady = rate.jobs_per_s(Instant(120_000));
+    assert!((steady - 1.0).abs() < 0.15, "{steady}");
     for i in 0..80 {
         rate.record(&spec(10), Instant(120_000 + i * 250));
     }
@@ -38,12 +38,16 @@
     }
     assert!(
         subsided.jobs_per_s(Instant(110_000)) > 0.5,
-        "one quiet interval is chance"
+        "one interval without arrivals may be chance"
     );
     assert_eq!(
         subsided.jobs_per_s(Instant(130_000)),
         0.0,
-        "after three, arrivals have subsided"
+        "after three such intervals arrivals have ceased"
+    );
+    assert_eq!(
+        rate.jobs_per_s(Instant(300_000)),
+        0.0,
+        "no arrivals for a long time"
     );
-    assert_eq!(rate.jobs_per_s(Instant(300_000)), 0.0, "nothing for long");
 }
