--- a/tests/protocol.rs
+++ b/tests/protocol.rs
@@ -1,4 +1,4 @@
-//! Messages on each wire, in the protocol's own words, and how values not yet known are read.
+//! The messages of each protocol under the protocol's own field names, and how unknown values are read.
 
 use chalklug::ids::*;
 use chalklug::protocol::cloud::{CloudPhase, MachineListPage};
@@ -16,14 +16,14 @@
 
 #[test]
 fn submission_round_trips() {
-    let sent = submission();
-    let spec = parse_submission(sent.to_string().as_bytes()).unwrap().spec;
+    let body = submission();
+    let spec = parse_submission(body.to_string().as_bytes()).unwrap().spec;
     assert_eq!(
         (spec.shape, spec.priority),
         (Shape::Service, Priority::Urgent)
     );
-    assert_eq!(serde_json::to_value(&spec).unwrap(), sent);
-    let mut without_optional = sent.clone();
+    assert_eq!(serde_json::to_value(&spec).unwrap(), body);
+    let mut without_optional = body.clone();
     for optional in ["rigs", "site", "dueS"] {
         without_optional.as_object_mut().unwrap().remove(optional);
     }
@@ -159,8 +159,8 @@
     ));
 }
 
-/// Upstream jobs: none if the field is null, absent or empty; each once; anything but a list of job ids is
-/// malformed.
+/// A submission has no upstream jobs if the field is null, absent or empty. Duplicates are dropped, and anything but a
+/// list of job ids is malformed.
 #[test]
 fn upstream_jobs_of_a_submission_are_parsed() {
     let with = |list: serde_json::Value| {
