--- a/tests/leadership.rs
+++ b/tests/leadership.rs
@@ -1,4 +1,4 @@
-//! A leader's authority, and when it transfers leadership.
+//! A leader's authority, the times derived for it, and leadership transfer.
 
 use chalklug::config::{LeaderTimes, OperatorConfig, WorkerTimes};
 use chalklug::coordination::leadership::authority::{Authority, AuthorityLoss};
@@ -27,28 +27,31 @@
 
 #[test]
 fn leader_that_alone_hears_no_workers_transfers_leadership() {
-    let (long, short, bound) = (TimeSpan(9000), TimeSpan(100), TimeSpan(6000));
+    let (long, short, timeout) = (TimeSpan(9000), TimeSpan(100), TimeSpan(6000));
     let transfers = |machines, silence, peer_silences: &[Option<TimeSpan>]| {
-        should_transfer_leadership(machines, silence, peer_silences, bound)
+        should_transfer_leadership(machines, silence, peer_silences, timeout)
     };
     assert!(transfers(3, long, &[None, Some(short)]));
-    let hears_workers = transfers(3, short, &[Some(short)]);
-    assert!(!hears_workers, "it hears workers itself");
+    let receives_heartbeats = transfers(3, short, &[Some(short)]);
+    assert!(
+        !receives_heartbeats,
+        "the leader receives heartbeats itself"
+    );
     let no_machines = transfers(0, long, &[Some(short)]);
-    assert!(!no_machines, "there is nobody to hear");
+    assert!(!no_machines, "no machine is up to send heartbeats");
     let all_silent = transfers(3, long, &[None, Some(long)]);
-    assert!(!all_silent, "nobody hears more");
+    assert!(!all_silent, "no peer receives heartbeats either");
 }
 
 #[test]
 fn silence_bound_shrinks_with_more_machines() {
-    let bound = |machines| silence_timeout(machines, 5.0);
-    assert_eq!(bound(0), TimeSpan(13_000));
-    assert_eq!(bound(10), TimeSpan(13_000));
-    assert_eq!(bound(40), TimeSpan(6_250));
-    assert_eq!(bound(1_000), TimeSpan(3_000));
+    let timeout = |machines| silence_timeout(machines, 5.0);
+    assert_eq!(timeout(0), TimeSpan(13_000));
+    assert_eq!(timeout(10), TimeSpan(13_000));
+    assert_eq!(timeout(40), TimeSpan(6_250));
+    assert_eq!(timeout(1_000), TimeSpan(3_000));
     assert_eq!(silence_timeout(1_000, 1.0), TimeSpan(3_000));
-    // Heartbeats so frequent that the longest interval is the shorter bound.
+    // With such frequent heartbeats 2.5 intervals and 0.5 s are less than the usual minimum of 3 s.
     assert_eq!(silence_timeout(1_000, 0.5), TimeSpan(1_750));
 }
 
@@ -65,8 +68,9 @@
     assert!(!authority.is_held(Instant(3000)));
 }
 
-/// Lease renewals are served, but the view of the jobs grows old. Guards against acting on it: authority ends
-/// all the same, and a response to a request sent long ago extends it no further than it proves.
+/// Lease renewals succeed, but the view of the open jobs becomes stale. Guards against a leader that acts on it:
+/// authority ends nevertheless, and a response extends it from the time at which its request was sent, however late the
+/// response arrives.
 #[test]
 fn authority_ends_when_the_view_is_too_old() {
     let authority = Authority::new(times(), Instant(0));
@@ -78,41 +82,50 @@
     assert!(authority.is_held(Instant(24_999)) && !authority.is_held(Instant(25_000)));
 }
 
-/// The inequality of docs/SAFETY.md, over many settings: the staleness allowed and a worker's lease,
-/// both stretched by drift, leave two seconds of `cancel_s`; and a watch that fails and the next fit into it.
+/// Checks the inequality of docs/SAFETY.md over many settings: the allowed staleness and a worker's lease, both
+/// extended by clock drift, leave two seconds of `cancel_s`. A failed watch and the next one fit into the staleness.
 #[test]
 fn derived_times_end_cancelled_tasks_within_the_limit() {
-    let operators = [2000, 4000, 60_000].map(|life| OperatorConfig {
-        leader_lease_ms: life,
+    let operators = [2000, 4000, 60_000].map(|lease_ms| OperatorConfig {
+        leader_lease_ms: lease_ms,
         ..OperatorConfig::default()
     });
     let mut derived = 0;
     for lease in [5.0, 20.0, 26.0, 31.0, 120.0, 600.0] {
-        for more in [0.5, 3.0, 4.2, 5.5, 10.0, 25.0, 60.0, 600.0] {
-            for o in &operators {
-                let w = workers(lease, lease + more);
-                let Some(t) = LeaderTimes::derive(&w, o) else {
-                    assert!(more < 6.0, "lease {lease}, {more} more");
+        for extra in [0.5, 3.0, 4.2, 5.5, 10.0, 25.0, 60.0, 600.0] {
+            for operator in &operators {
+                let worker_times = workers(lease, lease + extra);
+                let Some(times) = LeaderTimes::derive(&worker_times, operator) else {
+                    assert!(extra < 6.0, "lease {lease}, cancel_s {extra} s longer");
                     continue;
                 };
                 derived += 1;
-                let gone = t.max_staleness.secs() * 1.0005 + lease * 1.0005 + 2.0;
-                assert!(gone <= w.cancel_s, "lease {lease}, {more} more: {gone}");
+                let last_end_s = times.max_staleness.secs() * 1.0005 + lease * 1.0005 + 2.0;
+                assert!(
+                    last_end_s <= worker_times.cancel_s,
+                    "lease {lease}, cancel_s {extra} s longer: {last_end_s}"
+                );
                 assert!(
-                    t.lease_duration <= t.max_staleness
-                        && t.authority_margin.0 * 2 < t.lease_duration.0
+                    times.lease_duration <= times.max_staleness
+                        && times.authority_margin.0 * 2 < times.lease_duration.0
+                );
+                let (first_watch, retry_delay) = (times.watch_hold + times.watch_timeout, 300);
+                let next_watch = times.watch_hold.0 * 2 + retry_delay;
+                assert!(first_watch.0 * 2 <= times.max_staleness.0, "{times:?}");
+                assert!(
+                    first_watch.0 + next_watch < times.max_staleness.0,
+                    "{times:?}"
                 );
-                let (once, pause) = (t.watch_hold + t.watch_timeout, 300);
-                let next = t.watch_hold.0 * 2 + pause;
-                assert!(once.0 * 2 <= t.max_staleness.0, "{t:?}");
-                assert!(once.0 + next < t.max_staleness.0, "{t:?}");
             }
         }
     }
-    assert!(derived > 60, "{derived} of the settings can be kept");
+    assert!(
+        derived > 60,
+        "times could be derived for only {derived} of the settings"
+    );
 }
 
-/// The log says why a leader ended: an operator must tell a lease that expired from a view that grew too old.
+/// The log gives the reason why authority ended: operators have to distinguish an expired lease from a stale view.
 #[test]
 fn authority_loss_has_a_reason() {
     let authority = Authority::new(times(), Instant(0));
