--- a/tests/encodings.rs
+++ b/tests/encodings.rs
@@ -1,5 +1,5 @@
-//! Stored records and messages between controllers, by example bytes. A landing may take over from the one
-//! before it while both run: a rename in the code, or a new field, must not change what the other reads.
+//! Encodings of stored records and peer messages, compared with example bytes. During an upgrade, controllers of two
+//! versions run at the same time: a rename in the code or a new field must not change what the other version reads.
 
 use chalklug::coordination::autoscaler::hints::Hints;
 use chalklug::ids::*;
@@ -10,15 +10,15 @@
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 
-/// Writes the record, compares it with the example, and reads the example back.
-fn stored<T: Serialize + DeserializeOwned>(record: &T, example: &str) {
+/// Asserts that the record serializes to the example JSON, and that the example is unchanged when read and written back.
+fn assert_json_encoding<T: Serialize + DeserializeOwned>(record: &T, example: &str) {
     assert_eq!(serde_json::to_string(record).unwrap(), example);
     let back: T = serde_json::from_str(example).expect("the example can be read");
     assert_eq!(serde_json::to_string(&back).unwrap(), example);
 }
 
-/// The same for a message between controllers.
-fn sent<T: Serialize + DeserializeOwned>(message: &T, example: &[u8]) {
+/// Asserts the same of a peer message and its bytes.
+fn assert_postcard_encoding<T: Serialize + DeserializeOwned>(message: &T, example: &[u8]) {
     assert_eq!(postcard::to_stdvec(message).unwrap(), example);
     let back: T = postcard::from_bytes(example).expect("the example can be read");
     assert_eq!(postcard::to_stdvec(&back).unwrap(), example);
@@ -75,11 +75,11 @@
 
 #[test]
 fn leader_and_job_records_are_unchanged() {
-    let lead = LeaderRecord {
+    let leader = LeaderRecord {
         host_name: "chalkbox-2".into(),
         token: FencingToken(41),
     };
-    stored(&lead, r#"{"host_name":"chalkbox-2","baton":41}"#);
+    assert_json_encoding(&leader, r#"{"host_name":"chalkbox-2","baton":41}"#);
     let text = concat!(
         r#"{"ref":"wk-000412","jobclass":"train","crew":"vision","shape":"standing","urgency":"production","#,
         r#""pieces":2,"cpus":8.0,"gpus":1.0,"ramGb":64.0,"bundle":"img-07","pullGb":6.2,"rigs":["g8"],"site":"a","#,
@@ -92,32 +92,32 @@
         dependency_pages: 0,
     };
     let example = format!(r#"{{"spec":{text},"at_ms":1700000000123,"after":["wk-000001"]}}"#);
-    stored(&open, &example);
-    let alone = format!(r#"{{"spec":{text},"at_ms":5}}"#);
-    stored(
+    assert_json_encoding(&open, &example);
+    let without_upstream_jobs = format!(r#"{{"spec":{text},"at_ms":5}}"#);
+    assert_json_encoding(
         &OpenJobRecord {
             accepted_at_ms: 5,
             upstream_jobs: Vec::new(),
             ..open
         },
-        &alone,
+        &without_upstream_jobs,
     );
     let done = TerminalRecord {
         phase: JobPhase::Done,
         tasks: 16,
         done_at_ms: None,
     };
-    stored(&done, r#"{"phase":"done","pieces":16}"#);
+    assert_json_encoding(&done, r#"{"phase":"done","pieces":16}"#);
     let with_time = TerminalRecord {
         done_at_ms: Some(7),
         ..done
     };
-    stored(&with_time, r#"{"phase":"done","pieces":16,"at_ms":7}"#);
+    assert_json_encoding(&with_time, r#"{"phase":"done","pieces":16,"at_ms":7}"#);
     let cancelled = TerminalRecord::cancelled(16);
-    stored(&cancelled, r#"{"phase":"aborted","pieces":16}"#);
+    assert_json_encoding(&cancelled, r#"{"phase":"aborted","pieces":16}"#);
 }
 
-/// The record of arrivals and run times has no constructor of its own: it is read and written back.
+/// `Hints` (arrival rates and run times) has no constructor that takes values, so the example is read and written back.
 #[test]
 fn hints() {
     let job = concat!(
@@ -129,8 +129,8 @@
         r#"{{"observed":{{"train":{{"ran_s":61.5,"guessed_s":60.0,"count":3,"longer":0.25}}}},"demand":{{"train":[0.75,12.5,{job}]}}}}"#
     );
     let record: Hints = serde_json::from_str(&example).expect("the example can be read");
-    stored(&record, &example);
-    stored(&Hints::default(), r#"{"observed":{},"demand":{}}"#);
+    assert_json_encoding(&record, &example);
+    assert_json_encoding(&Hints::default(), r#"{"observed":{},"demand":{}}"#);
     let empty: Hints = serde_json::from_str("{}").expect("every part may be missing");
     assert_eq!(
         serde_json::to_string(&empty).unwrap(),
@@ -161,7 +161,7 @@
         };
         page.add(&machine_id, &task, AttemptId(9));
     }
-    let takes = JobResources {
+    let job_resources = JobResources {
         team: "vision".into(),
         request: Resources {
             cpus: 8.0,
@@ -169,14 +169,14 @@
             ram_gb: 64.0,
         },
     };
-    page.jobs.insert(JobId::from("wk-000412"), takes);
+    page.jobs.insert(JobId::from("wk-000412"), job_resources);
     let without_times = concat!(
         r#"{"starts":{"9":{"wk-000412":{"host-000231":[0,4]}}},"#,
         r#""jobs":{"wk-000412":["vision",8.0,1.0,64.0]}}"#
     );
-    stored(&page, without_times);
+    assert_json_encoding(&page, without_times);
     page.placed_s.insert(AttemptId(9), 1_700_000_000);
-    stored(
+    assert_json_encoding(
         &page,
         concat!(
             r#"{"starts":{"9":{"wk-000412":{"host-000231":[0,4]}}},"#,
@@ -203,7 +203,7 @@
         images: vec![0],
     };
     page.machines.insert(MachineId::from("host-000231"), entry);
-    stored(
+    assert_json_encoding(
         &page,
         concat!(
             r#"{"kinds":[["g8","a",true]],"images":[["img-07",6.2]],"#,
@@ -214,49 +214,50 @@
 
 #[test]
 fn peer_messages_are_unchanged() {
-    sent(&PeerRequest::Hello, &[0]);
+    assert_postcard_encoding(&PeerRequest::Hello, &[0]);
     let forward = PeerRequest::Forward {
         method: "GET".into(),
         path: "/x".into(),
         body: vec![7, 8],
     };
-    sent(&forward, &[1, 3, b'G', b'E', b'T', 2, b'/', b'x', 2, 7, 8]);
+    assert_postcard_encoding(&forward, &[1, 3, b'G', b'E', b'T', 2, b'/', b'x', 2, 7, 8]);
     let job = JobId::from("wk-1");
     let counts = PeerRequest::Counts {
         jobs: vec![(job.clone(), 3, 300)],
     };
-    sent(&counts, &[2, 1, 4, b'w', b'k', b'-', b'1', 3, 0xac, 2]);
+    assert_postcard_encoding(&counts, &[2, 1, 4, b'w', b'k', b'-', b'1', 3, 0xac, 2]);
     let cancelled = PeerRequest::Cancelled {
         jobs: vec![(job, 16)],
     };
-    sent(&cancelled, &[3, 1, 4, b'w', b'k', b'-', b'1', 16]);
+    assert_postcard_encoding(&cancelled, &[3, 1, 4, b'w', b'k', b'-', b'1', 16]);
     let hello = PeerReply::Hello {
         state_ok: true,
         workers_heard_ms: Some(64),
     };
-    sent(&hello, &[0, 1, 1, 0x80, 1]);
+    assert_postcard_encoding(&hello, &[0, 1, 1, 0x80, 1]);
     let answer = PeerReply::Answer {
         status: 503,
         body: vec![9],
     };
-    sent(&answer, &[1, 0xf7, 3, 1, 9]);
-    sent(&PeerReply::Noted, &[2]);
+    assert_postcard_encoding(&answer, &[1, 0xf7, 3, 1, 9]);
+    assert_postcard_encoding(&PeerReply::Noted, &[2]);
 }
 
-/// Guards against lost dependencies: a list of upstream jobs too long for the open record goes to pages, each within the limit; none is lost.
+/// Guards against lost dependencies: a list of upstream jobs that is too long for the open job record is split into
+/// pages, each within the size limit, and no entry is lost.
 #[test]
 fn dependency_pages_are_unchanged() {
     let body = serde_json::json!({"ref":"wk-1","jobclass":"c","crew":"t","shape":"array","urgency":"low","pieces":1,
         "cpus":1,"gpus":0,"ramGb":1,"bundle":"i","pullGb":1,"together":false,"scatter":false,"loaners":false,
         "guessS":1,"markEveryS":0,"markCostS":0});
     let spec = parse_submission(body.to_string().as_bytes()).unwrap().spec;
-    let after: Vec<JobId> = (0..4600)
+    let upstream_jobs: Vec<JobId> = (0..4600)
         .map(|n| JobId::from(format!("wk-{n:06}").as_str()))
         .collect();
     let mut record = OpenJobRecord {
         spec,
         accepted_at_ms: 5,
-        upstream_jobs: after.clone(),
+        upstream_jobs: upstream_jobs.clone(),
         dependency_pages: 0,
     };
     assert_eq!(
@@ -273,6 +274,6 @@
     for page in &pages {
         assert!(serde_json::to_string(page).unwrap().len() <= 1800);
     }
-    let together: Vec<JobId> = pages.into_iter().flatten().collect();
-    assert_eq!(together, after);
+    let all_pages: Vec<JobId> = pages.into_iter().flatten().collect();
+    assert_eq!(all_pages, upstream_jobs);
 }
