--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -1,4 +1,4 @@
-//! Tests on the simulation: every file of `tests/scenarios/`, and runs with random faults.
+//! Tests that run in the simulation: every scenario of `tests/scenarios/`, and runs with random faults.
 
 #[path = "support/logging.rs"]
 mod logging;
@@ -22,14 +22,14 @@
 use scenario_language::Script;
 use std::path::{Path, PathBuf};
 
-/// Fewer files than this: the scenarios are missing.
+/// With fewer scenario files than this, some are missing.
 const MIN_SCENARIOS: usize = 20;
 
 fn scenario_files() -> Vec<PathBuf> {
     let directory = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/scenarios");
-    let entries = std::fs::read_dir(directory).expect("tests/scenarios");
+    let entries = std::fs::read_dir(directory).expect("tests/scenarios can be read");
     let mut files: Vec<PathBuf> = entries
-        .map(|entry| entry.expect("an entry of tests/scenarios").path())
+        .map(|entry| entry.expect("the entry can be read").path())
         .filter(|path| path.extension().is_some_and(|e| e == "txt"))
         .collect();
     files.sort();
@@ -37,25 +37,27 @@
 }
 
 fn file_name(path: &Path) -> String {
-    let name = path.file_name().expect("a file");
+    let name = path.file_name().expect("the path has a file name");
     name.to_string_lossy().into_owned()
 }
 
-fn play(path: &Path) {
+fn run_scenario(path: &Path) {
     logging::log_if_asked();
-    let text = std::fs::read_to_string(path).expect("a scenario");
+    let text = std::fs::read_to_string(path).expect("the scenario can be read");
     Script::parse(&file_name(path), &text).play();
 }
 
-/// Plays every scenario, or with `SCENARIO` set those whose path contains it, and names all that fail.
+/// Runs every scenario, or with `SCENARIO` set only those whose path contains it, and reports all that fail.
 #[test]
 fn scenarios() {
     let files = scenario_files();
     assert!(files.len() >= MIN_SCENARIOS, "the scenarios are missing");
-    let only = std::env::var("SCENARIO").unwrap_or_default();
-    let selected = files.iter().filter(|f| f.to_string_lossy().contains(&only));
+    let name_filter = std::env::var("SCENARIO").unwrap_or_default();
+    let selected = files
+        .iter()
+        .filter(|f| f.to_string_lossy().contains(&name_filter));
     let failed: Vec<String> = selected
-        .filter(|path| std::panic::catch_unwind(|| play(path)).is_err())
+        .filter(|path| std::panic::catch_unwind(|| run_scenario(path)).is_err())
         .map(|path| file_name(path))
         .collect();
     assert!(failed.is_empty(), "failed: {failed:?}");
