--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -150,7 +150,8 @@
     }))
 }
 
-/// Steps the scheduler until the given time. Returns for how many tasks of each job launch intents were written.
+/// Steps the scheduler until the given time. Returns the number of tasks of each job for which launch
+/// intents were written.
 fn intents_written(
     scheduler: &mut RecordedScheduler,
     now: &mut Instant,
@@ -265,7 +266,7 @@
 }
 
 /// A thousand jobs depend on one that is cancelled. Guards against repeated writes and against machines rented for
-/// blocked jobs: each terminal record is written once, in transactions within the size limit.
+/// blocked jobs: each terminal record is written once, in transactions within the state store's limits.
 #[test]
 fn cancelling_many_downstream_jobs_takes_two_changes_each() {
     const DOWNSTREAM_JOBS: usize = 1000;
--- a/tests/leadership.rs
+++ b/tests/leadership.rs
@@ -51,7 +51,7 @@
     assert_eq!(timeout(40), TimeSpan(6_250));
     assert_eq!(timeout(1_000), TimeSpan(3_000));
     assert_eq!(silence_timeout(1_000, 1.0), TimeSpan(3_000));
-    // With such frequent heartbeats 2.5 intervals and 0.5 s are less than the usual minimum of 3 s.
+    // With such frequent heartbeats the upper limit, 2.5 intervals plus 0.5 s, is below the lower limit of 3 s.
     assert_eq!(silence_timeout(1_000, 0.5), TimeSpan(1_750));
 }
 
--- a/tests/production.rs
+++ b/tests/production.rs
@@ -1,4 +1,4 @@
-//! Compatibility with the version in production, the last one before job chains: while both versions run, each reads,
+//! Compatibility with the version in production, the last one without job chains: while both versions run, each reads,
 //! lists and rewrites records that the other has written.
 //!
 //! The types below are a frozen copy of that version's types. They never change with the code.
