--- a/src/coordination/placement/reservations.rs
+++ b/src/coordination/placement/reservations.rs
@@ -97,7 +97,7 @@
                 && self.view.is_schedulable(machine)
                 && !self.state.is_reserved(&machine.id)
             {
-                let zone = spec.together.then_some(&machine.zone);
+                let zone = spec.zone_affinity.then_some(&machine.zone);
                 by_zone.entry(zone).or_default().push(&machine.id);
             }
         }
--- a/tests/connection_table.rs
+++ b/tests/connection_table.rs
@@ -25,7 +25,7 @@
         "an idle connection is evicted before one with a request in flight"
     );
     assert!(!close_tokens[0].is_cancelled() && !close_tokens[2].is_cancelled());
-    assert_eq!(table.connections(), 3);
+    assert_eq!(table.connection_count(), 3);
     table.set_rank(last, Rank(1));
     table.insert(close_tokens[5].clone());
     assert!(
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -19,7 +19,7 @@
 #[path = "support/wire_digest.rs"]
 mod wire_digest;
 
-use scenario_language::Script;
+use scenario_language::Scenario;
 use std::path::{Path, PathBuf};
 
 /// With fewer scenario files than this, some are missing.
@@ -44,7 +44,7 @@
 fn run_scenario(path: &Path) {
     logging::log_if_asked();
     let text = std::fs::read_to_string(path).expect("the scenario can be read");
-    Script::parse(&file_name(path), &text).play();
+    Scenario::parse(&file_name(path), &text).run();
 }
 
 /// Runs every scenario, or with `SCENARIO` set only those whose path contains it, and reports all that fail.
