--- a/tests/placement_constraints.rs
+++ b/tests/placement_constraints.rs
@@ -134,7 +134,7 @@
 struct Workers {
     running: BTreeMap<String, Vec<(u32, AttemptId)>>,
     token: u64,
-    tick: u64,
+    sequence_number: u64,
 }
 
 impl Workers {
@@ -142,18 +142,18 @@
         Workers {
             running: BTreeMap::new(),
             token: FORMER_TOKEN,
-            tick: 0,
+            sequence_number: 0,
         }
     }
 
-    fn run(mut self, zone: &str, attempt: AttemptId, indexes: &[u32]) -> Workers {
+    fn with_running(mut self, zone: &str, attempt: AttemptId, indexes: &[u32]) -> Workers {
         let tasks = indexes.iter().map(|index| (*index, attempt)).collect();
         self.running.insert(zone.to_owned(), tasks);
         self
     }
 
     fn status(&mut self, zone: &str) -> WorkerStatus {
-        self.tick += 1;
+        self.sequence_number += 1;
         let listed = |(index, attempt_id): &(u32, AttemptId)| TaskStatus {
             task: task(*index),
             attempt_id: *attempt_id,
@@ -169,7 +169,7 @@
             zone: Zone::from(zone),
             spot: false,
             session: Session(1),
-            sequence_number: SequenceNumber(self.tick),
+            sequence_number: SequenceNumber(self.sequence_number),
             token: FencingToken(self.token),
             preemption_notice_s: None,
             tasks: running.map(listed).collect(),
@@ -239,7 +239,7 @@
     let stale = intents(&job, "a", OLD_ATTEMPT, &[0, 1]);
     let current = intents(&job, "b", NEW_ATTEMPT, &[0, 1]);
     let mut scheduler = recover(&job, &[stale, current]);
-    let mut workers = Workers::new().run("b", NEW_ATTEMPT, &[0, 1]);
+    let mut workers = Workers::new().with_running("b", NEW_ATTEMPT, &[0, 1]);
     let mut launches = Vec::new();
     // The worker statuses still carry the former leader's fencing token, so they prove nothing.
     for zone in ["a", "b"] {
@@ -281,7 +281,7 @@
         }));
     }
     assert!(!unwritten.is_empty(), "the tasks are placed");
-    let mut workers = workers.run("b", NEW_ATTEMPT, &[0]);
+    let mut workers = workers.with_running("b", NEW_ATTEMPT, &[0]);
     let now = START + TimeSpan(500);
     let contradiction = workers.status("b");
     heartbeat(&mut scheduler, now, "b", &contradiction);
--- a/tests/stale_knowledge.rs
+++ b/tests/stale_knowledge.rs
@@ -105,7 +105,7 @@
 }
 
 /// Creates a worker status with the task of job 1 in the phase, or without tasks if there is none.
-fn status(tick: u64, token: u64, phase: Option<TaskPhase>) -> WorkerStatus {
+fn status(sequence_number: u64, token: u64, phase: Option<TaskPhase>) -> WorkerStatus {
     let listed = phase.map(|phase| TaskStatus {
         task: task(1),
         attempt_id: ATTEMPT,
@@ -120,7 +120,7 @@
         zone: Zone::from("a"),
         spot: false,
         session: Session(1),
-        sequence_number: SequenceNumber(tick),
+        sequence_number: SequenceNumber(sequence_number),
         token: FencingToken(token),
         preemption_notice_s: None,
         tasks: listed.into_iter().collect(),
