--- a/tests/scenario_language/events.rs
+++ b/tests/scenario_language/events.rs
@@ -11,16 +11,16 @@
 pub fn perform(simulation: &mut Simulation, event: &str, rest: &[&str]) {
     let words = Words(rest);
     let until = simulation.now + TimeSpan::from_secs(words.number("for", 0.0));
-    let known = perform_on_jobs(simulation, event, rest)
-        || perform_on_services(simulation, event, until)
-        || perform_on_messages(simulation, event, &words)
-        || perform_rogue(simulation, event, rest)
-        || perform_on_machine(simulation, event, &words, until);
+    let known = perform_job_event(simulation, event, rest)
+        || start_service_fault(simulation, event, until)
+        || set_message_faults(simulation, event, &words)
+        || perform_rogue_event(simulation, event, rest)
+        || perform_machine_event(simulation, event, &words, until);
     assert!(known, "not an event of scenarios: {event}");
 }
 
 /// Leaders, and what users do.
-fn perform_on_jobs(simulation: &mut Simulation, event: &str, rest: &[&str]) -> bool {
+fn perform_job_event(simulation: &mut Simulation, event: &str, rest: &[&str]) -> bool {
     match event {
         "elect-leader" => simulation.elect_leader(),
         "crash-leader" => simulation.crash_leader(),
@@ -38,7 +38,7 @@
 }
 
 /// Faults of the state store, the cloud and the controllers.
-fn perform_on_services(simulation: &mut Simulation, event: &str, until: Instant) -> bool {
+fn start_service_fault(simulation: &mut Simulation, event: &str, until: Instant) -> bool {
     let faults = &mut simulation.faults;
     match event {
         "cloud-unavailable" => faults.cloud_unavailable_until = until,
@@ -55,7 +55,7 @@
 }
 
 /// Messages that are lost, late or duplicated, by share; machines that never boot.
-fn perform_on_messages(simulation: &mut Simulation, event: &str, words: &Words) -> bool {
+fn set_message_faults(simulation: &mut Simulation, event: &str, words: &Words) -> bool {
     let faults = &mut simulation.faults;
     match event {
         "duplicate-heartbeats" => faults.duplicate_heartbeat_share = words.number("share", 1.0),
@@ -69,7 +69,7 @@
 }
 
 /// What the scheduler never does: it shows that the checker sees it.
-fn perform_rogue(simulation: &mut Simulation, event: &str, rest: &[&str]) -> bool {
+fn perform_rogue_event(simulation: &mut Simulation, event: &str, rest: &[&str]) -> bool {
     match event {
         "rogue-launch" => launch_rogue_task(simulation, rest),
         "rogue-watch-blocked" => simulation.faults.watch_blocked = true,
@@ -82,23 +82,23 @@
 }
 
 /// Faults of one machine.
-fn perform_on_machine(
+fn perform_machine_event(
     simulation: &mut Simulation,
     event: &str,
     words: &Words,
     until: Instant,
 ) -> bool {
-    let machine_id = machine(simulation, words);
+    let machine_id = selected_machine(simulation, words);
     if event == "reclaim" {
         simulation.workers.remove(&machine_id);
         return true;
     }
     let worker = simulation.workers.get_mut(&machine_id);
     let worker = worker.unwrap_or_else(|| panic!("{machine_id} is not there"));
-    perform_on_worker(worker, event, words, until)
+    start_worker_fault(worker, event, words, until)
 }
 
-fn perform_on_worker(worker: &mut Worker, event: &str, words: &Words, until: Instant) -> bool {
+fn start_worker_fault(worker: &mut Worker, event: &str, words: &Words, until: Instant) -> bool {
     match event {
         "suspend" => worker.faults.suspend_until(until),
         "partition" => {
@@ -119,7 +119,7 @@
 }
 
 /// The machine meant: by number, or the first one that a job is on.
-pub(super) fn machine(simulation: &Simulation, words: &Words) -> MachineId {
+pub(super) fn selected_machine(simulation: &Simulation, words: &Words) -> MachineId {
     if let Some(job) = words.get("of") {
         let machines = simulation.machines_of(&JobId::from(job));
         let first = machines.into_iter().next();
--- a/tests/scenario_language/expectations.rs
+++ b/tests/scenario_language/expectations.rs
@@ -13,20 +13,20 @@
         ["jobs-ended", first, count] => expect_ended(simulation, first, count, &context),
         ["attempts", task, count] => expect_starts(simulation, task, count, &context),
         ["total-attempts", id, ..] => {
-            let starts = starts_of(simulation, &JobId::from(*id));
-            expect_within(
+            let starts = total_starts(simulation, &JobId::from(*id));
+            expect_in_range(
                 f64::from(starts),
                 &Words(rest),
                 &format!("{context}: starts of {id}"),
             );
         }
         ["running-tasks", id, count] => {
-            let running = tasks_running(simulation, &JobId::from(*id));
+            let running = running_tasks(simulation, &JobId::from(*id));
             assert_eq!(running.to_string(), *count, "{context}: tasks of {id}");
         }
         ["machines", ..] => {
             let machines = simulation.workers.len() as f64;
-            expect_within(machines, &Words(rest), &format!("{context}: machines"));
+            expect_in_range(machines, &Words(rest), &format!("{context}: machines"));
         }
         ["machines-of", id, count] => {
             let machines = simulation.machines_of(&JobId::from(*id)).len();
@@ -62,28 +62,28 @@
 
 fn expect_starts(simulation: &Simulation, task: &str, count: &str, context: &str) {
     let task = TaskId::parse(task).expect("a task");
-    let starts = simulation.checker.attempts.get(&task).copied();
+    let starts = simulation.checker.start_counts.get(&task).copied();
     let starts = starts.unwrap_or(0);
     assert_eq!(starts.to_string(), count, "{context}: starts of {task}");
 }
 
-fn starts_of(simulation: &Simulation, id: &JobId) -> u32 {
-    let attempts = simulation.checker.attempts.iter();
+fn total_starts(simulation: &Simulation, id: &JobId) -> u32 {
+    let attempts = simulation.checker.start_counts.iter();
     let of_job = attempts.filter(|(task, _)| task.job == *id);
     of_job.map(|(_, starts)| starts).sum()
 }
 
-fn tasks_running(simulation: &Simulation, id: &JobId) -> usize {
+fn running_tasks(simulation: &Simulation, id: &JobId) -> usize {
     let workers = simulation.workers.values();
     let tasks = workers.flat_map(|worker| worker.tasks_on_machine());
     tasks.filter(|(task, _)| task.job == *id).count()
 }
 
 /// At least `at-least` and at most `at-most`, where these are given.
-fn expect_within(actual: f64, words: &Words, context: &str) {
-    let least = words.number("at-least", 0.0);
-    let most = words.number("at-most", f64::INFINITY);
-    assert!((least..=most).contains(&actual), "{context}: {actual}");
+fn expect_in_range(actual: f64, words: &Words, context: &str) {
+    let min = words.number("at-least", 0.0);
+    let max = words.number("at-most", f64::INFINITY);
+    assert!((min..=max).contains(&actual), "{context}: {actual}");
 }
 
 fn expect_violation(simulation: &Simulation, rule: &str, context: &str) {
--- a/tests/scenario_language/rogue.rs
+++ b/tests/scenario_language/rogue.rs
@@ -1,6 +1,6 @@
 //! What the scheduler never does, done on purpose: scenarios show with it that the checker sees it.
 
-use super::events::machine;
+use super::events::selected_machine;
 use super::{job_spec, Words};
 use crate::simulation::Simulation;
 use chalklug::ids::{AttemptId, JobId, MachineId, TaskId};
@@ -21,7 +21,7 @@
     };
     let machine_id = match words.get("not-of") {
         Some(job) => machine_without(simulation, &JobId::from(job)),
-        None => machine(simulation, &words),
+        None => selected_machine(simulation, &words),
     };
     simulation.send_rogue_command(&machine_id, command);
 }
--- a/tests/simulation/attempt.rs
+++ b/tests/simulation/attempt.rs
@@ -8,16 +8,16 @@
 use chalklug::time::{Instant, TimeSpan};
 
 /// On a faulty machine a task fails after so long.
-const FAILS_ON_FAULTY_MACHINE_AFTER_SECS: f64 = 0.5;
+const FAULTY_MACHINE_TIME_TO_FAILURE_SECS: f64 = 0.5;
 /// A task that fails everywhere does so after so long.
-const FAILS_EVERYWHERE_AFTER_SECS: f64 = 0.2;
+const FAILING_TASK_TIME_TO_FAILURE_SECS: f64 = 0.2;
 
 /// A task attempt as its machine knows it.
 pub struct Attempt {
     pub phase: TaskPhase,
     pub cause: Option<Cause>,
     /// Whether it saved a checkpoint as it was stopped.
-    pub stored: bool,
+    pub checkpoint_saved: bool,
     /// When the present phase ends by itself.
     phase_ends_at: Instant,
     running_since: Instant,
@@ -40,8 +40,8 @@
         let behavior = workload.behavior(&task.job);
         let saved = workload.saved_progress(task);
         let run_secs = match (behavior, saved) {
-            _ if machine_faulty => FAILS_ON_FAULTY_MACHINE_AFTER_SECS,
-            (TaskBehavior::FailsEverywhere, _) => FAILS_EVERYWHERE_AFTER_SECS,
+            _ if machine_faulty => FAULTY_MACHINE_TIME_TO_FAILURE_SECS,
+            (TaskBehavior::FailsEverywhere, _) => FAILING_TASK_TIME_TO_FAILURE_SECS,
             (_, Some(SavedProgress::RemainingSecs(remaining))) => remaining,
             (TaskBehavior::RunsForSecs(secs), _) => secs,
         };
@@ -49,7 +49,7 @@
         Attempt {
             phase: TaskPhase::Fetching,
             cause: None,
-            stored: false,
+            checkpoint_saved: false,
             phase_ends_at: now + fetch,
             running_since: now,
             run_secs,
@@ -99,12 +99,12 @@
     }
 
     /// Whether its phase is over by itself.
-    pub fn phase_is_over(&self, now: Instant) -> bool {
+    pub fn phase_elapsed(&self, now: Instant) -> bool {
         now >= self.phase_ends_at && !self.has_ended()
     }
 
     /// Its phase is over: the next one begins.
-    pub fn next_phase(
+    pub fn advance_phase(
         &mut self,
         now: Instant,
         task: &TaskId,
@@ -132,7 +132,7 @@
             TaskPhase::Saving => {
                 let ran_secs = self.running_for(now).secs();
                 workload.save_checkpoint(task, (self.run_secs - ran_secs).max(0.0));
-                self.stored = true;
+                self.checkpoint_saved = true;
                 self.end(Cause::Stopped);
             }
             TaskPhase::Ended => {}
--- a/tests/simulation/checker/job_states.rs
+++ b/tests/simulation/checker/job_states.rs
@@ -35,12 +35,12 @@
         if phase == JobPhase::Queued && self.is_orphaned(now, id, upstream_cancelled_at) {
             self.record_violation(now, "orphaned", id.to_string());
         }
-        let before = self.last_phases.insert(id.clone(), phase);
-        let was_terminal = matches!(before, Some(JobPhase::Done | JobPhase::Cancelled));
+        let previous = self.last_phases.insert(id.clone(), phase);
+        let was_terminal = matches!(previous, Some(JobPhase::Done | JobPhase::Cancelled));
         let cancelled_by_nobody = phase == JobPhase::Cancelled
             && !self.cancelled_at.contains_key(id)
             && upstream_cancelled_at.is_none();
-        if (was_terminal && before != Some(phase)) || cancelled_by_nobody {
+        if (was_terminal && previous != Some(phase)) || cancelled_by_nobody {
             self.record_violation(now, "went_back", id.to_string());
         }
     }
@@ -63,14 +63,14 @@
     fn upstream_cancelled_at(&self, id: &JobId) -> Option<Instant> {
         let mut seen = BTreeSet::new();
         let mut pending: Vec<&JobId> = self.upstream[id].iter().collect();
-        let mut first: Option<Instant> = None;
+        let mut earliest: Option<Instant> = None;
         while let Some(ancestor) = pending.pop() {
             if seen.insert(ancestor) {
                 let at = self.cancelled_at.get(ancestor).copied();
-                first = first.into_iter().chain(at).min();
+                earliest = earliest.into_iter().chain(at).min();
                 pending.extend(self.upstream.get(ancestor).into_iter().flatten());
             }
         }
-        first
+        earliest
     }
 }
--- a/tests/simulation/checker/mod.rs
+++ b/tests/simulation/checker/mod.rs
@@ -37,7 +37,7 @@
     /// What was on which machine when last looked at.
     placements: BTreeSet<Placement>,
     /// How often each task was started.
-    pub attempts: BTreeMap<TaskId, u32>,
+    pub start_counts: BTreeMap<TaskId, u32>,
     /// Names of the rules that were broken.
     pub broken_rules: BTreeSet<String>,
     /// The first violation, for the message of a failing test.
@@ -46,7 +46,7 @@
     pub unknown_job: JobId,
     last_fault_at: Instant,
     /// Since when there has been room for a job that waits.
-    room_since: BTreeMap<JobId, Instant>,
+    startable_since: BTreeMap<JobId, Instant>,
 }
 
 impl Checker {
@@ -61,12 +61,12 @@
             done_tasks: BTreeMap::new(),
             last_phases: BTreeMap::new(),
             placements: BTreeSet::new(),
-            attempts: BTreeMap::new(),
+            start_counts: BTreeMap::new(),
             broken_rules: BTreeSet::new(),
             first_violation: None,
             unknown_job: JobId::from("wk-999999"),
             last_fault_at: Instant(0),
-            room_since: BTreeMap::new(),
+            startable_since: BTreeMap::new(),
         }
     }
 
@@ -97,11 +97,11 @@
     }
 
     fn fits_team_limit(&self, spec: &JobSpec) -> bool {
-        let at_once = match spec.shape {
+        let concurrent_tasks = match spec.shape {
             Shape::Array => 1.0,
             _ => f64::from(spec.tasks),
         };
-        let fits = |each: f64, max: f64| max <= 0.0 || each * at_once <= max + EPSILON;
+        let fits = |each: f64, max: f64| max <= 0.0 || each * concurrent_tasks <= max + EPSILON;
         self.team(&spec.team)
             .is_some_and(|team| fits(spec.cpus, team.cpus_max) && fits(spec.gpus, team.gpus_max))
     }
@@ -126,7 +126,7 @@
     }
 
     /// A leader still acts although another may have taken over.
-    pub fn two_leaders(&mut self, now: Instant) {
+    pub fn leader_active_after_expiry(&mut self, now: Instant) {
         let details = "a lease has expired, its leader acts";
         self.record_violation(now, "two_leaders", details.into());
     }
@@ -147,7 +147,7 @@
 
     /// At the end of a run: something must have run.
     pub fn check_at_end(&mut self, now: Instant) {
-        if self.attempts.is_empty() {
+        if self.start_counts.is_empty() {
             self.record_violation(now, "nothing_ran", String::new());
         }
     }
--- a/tests/simulation/checker/placement.rs
+++ b/tests/simulation/checker/placement.rs
@@ -32,11 +32,11 @@
         workers: &BTreeMap<MachineId, Worker>,
         store: &StateStore,
     ) {
-        self.note_done_tasks(workers);
+        self.record_done_tasks(workers);
         let placements = current_placements(workers);
         let new: Vec<Placement> = placements.difference(&self.placements).cloned().collect();
         for placement in &new {
-            *self.attempts.entry(placement.task.clone()).or_default() += 1;
+            *self.start_counts.entry(placement.task.clone()).or_default() += 1;
             self.check_start(now, placement, &placements, store);
             self.check_place(now, placement, &placements, workers);
         }
@@ -45,7 +45,7 @@
         self.placements = placements;
     }
 
-    fn note_done_tasks(&mut self, workers: &BTreeMap<MachineId, Worker>) {
+    fn record_done_tasks(&mut self, workers: &BTreeMap<MachineId, Worker>) {
         for ((task, _), attempt) in workers.values().flat_map(|worker| &worker.attempts) {
             if attempt.cause == Some(Cause::Done) {
                 let done = self.done_tasks.entry(task.job.clone()).or_default();
@@ -88,10 +88,10 @@
         };
         let others = placements.iter().filter(is_other);
         let zones: Vec<&Zone> = others.map(|p| &workers[&p.machine_id].zone).collect();
-        let apart = spec.together && zones.iter().any(|zone| **zone != worker.zone);
-        let here = zones.iter().filter(|zone| ***zone == worker.zone).count() as u32 + 1;
-        let crowded = spec.scatter && here > spec.tasks.div_ceil(2);
-        if !worker.allows(spec) || apart || crowded {
+        let violates_affinity = spec.together && zones.iter().any(|zone| **zone != worker.zone);
+        let tasks_in_zone = zones.iter().filter(|zone| ***zone == worker.zone).count() as u32 + 1;
+        let violates_anti_affinity = spec.scatter && tasks_in_zone > spec.tasks.div_ceil(2);
+        if !worker.allows(spec) || violates_affinity || violates_anti_affinity {
             self.record_violation(now, "wrong_place", new.to_string());
         }
     }
--- a/tests/simulation/checker/starvation.rs
+++ b/tests/simulation/checker/starvation.rs
@@ -15,13 +15,13 @@
 const MAX_TASKS_PER_MACHINE: u32 = 1_000;
 
 /// A machine that responds and does its work, with what is free on it.
-struct FreeMachine<'a> {
+struct UsableMachine<'a> {
     worker: &'a Worker,
     cpus: f64,
     gpus: f64,
 }
 
-impl FreeMachine<'_> {
+impl UsableMachine<'_> {
     /// So many tasks of the job fit.
     fn tasks_that_fit(&self, spec: &JobSpec) -> u32 {
         let fitting = |free: f64, need: f64| match need > 0.0 {
@@ -39,7 +39,7 @@
     gpus_by_team: BTreeMap<&'a str, f64>,
     /// Tasks that are on some machine or fetch their image there.
     placed_tasks: BTreeSet<&'a TaskId>,
-    free: Vec<FreeMachine<'a>>,
+    usable_machines: Vec<UsableMachine<'a>>,
 }
 
 impl Checker {
@@ -50,19 +50,19 @@
         store: &StateStore,
     ) {
         let usage = self.usage(now, workers);
-        let mut room_since = BTreeMap::new();
+        let mut startable_since = BTreeMap::new();
         let mut starving = Vec::new();
         for (id, spec) in &self.jobs {
             if !self.could_start(spec, &usage, workers, store) {
                 continue;
             }
-            let since = self.room_since.get(id).copied().unwrap_or(now);
+            let since = self.startable_since.get(id).copied().unwrap_or(now);
             if now - since.max(self.last_fault_at) > MAX_WAIT {
                 starving.push(id.to_string());
             }
-            room_since.insert(id.clone(), since);
+            startable_since.insert(id.clone(), since);
         }
-        self.room_since = room_since;
+        self.startable_since = startable_since;
         for id in starving {
             self.record_violation(now, "left_waiting", id);
         }
@@ -72,7 +72,7 @@
         let mut usage = Usage {
             gpus_by_team: BTreeMap::new(),
             placed_tasks: BTreeSet::new(),
-            free: Vec::new(),
+            usable_machines: Vec::new(),
         };
         for worker in workers.values() {
             let (mut cpus, mut gpus) = (worker.machine_type.cpus, worker.machine_type.gpus);
@@ -88,7 +88,9 @@
             }
             let usable = !worker.faults.faulty && !worker.preemption_noticed;
             if worker.is_responsive(now) && usable {
-                usage.free.push(FreeMachine { worker, cpus, gpus });
+                usage
+                    .usable_machines
+                    .push(UsableMachine { worker, cpus, gpus });
             }
         }
         usage
@@ -108,48 +110,54 @@
         if !is_open || !is_released || spec.scatter {
             return false;
         }
-        let missing = self.missing_tasks(spec, usage);
+        let unplaced_tasks = self.count_unplaced_tasks(spec, usage);
         let is_gang = spec.shape == Shape::Gang;
-        if missing == 0 || (is_gang && self.done_tasks.contains_key(&spec.id)) {
+        if unplaced_tasks == 0 || (is_gang && self.done_tasks.contains_key(&spec.id)) {
             return false;
         }
-        let at_once = if is_gang { missing } else { 1 };
-        self.is_under_team_limit(spec, usage, at_once) && room_for(spec, usage, workers) >= at_once
+        let concurrent_tasks = if is_gang { unplaced_tasks } else { 1 };
+        self.is_under_team_limit(spec, usage, concurrent_tasks)
+            && count_fitting_tasks(spec, usage, workers) >= concurrent_tasks
     }
 
     /// So many tasks are neither done nor on any machine.
-    fn missing_tasks(&self, spec: &JobSpec, usage: &Usage) -> u32 {
+    fn count_unplaced_tasks(&self, spec: &JobSpec, usage: &Usage) -> u32 {
         let done = self.done_tasks.get(&spec.id);
-        let is_missing = |index: &u32| {
+        let is_unplaced = |index: &u32| {
             let job = spec.id.clone();
             let task = TaskId { job, index: *index };
             done.is_none_or(|done| !done.contains(index)) && !usage.placed_tasks.contains(&task)
         };
-        (0..spec.tasks).filter(is_missing).count() as u32
+        (0..spec.tasks).filter(is_unplaced).count() as u32
     }
 
-    fn is_under_team_limit(&self, spec: &JobSpec, usage: &Usage, at_once: u32) -> bool {
+    fn is_under_team_limit(&self, spec: &JobSpec, usage: &Usage, concurrent_tasks: u32) -> bool {
         let max = self.team(&spec.team).map_or(0.0, |team| team.gpus_max);
         let used = usage.gpus_by_team.get(spec.team.as_str());
         let used = used.copied().unwrap_or(0.0);
-        max <= 0.0 || used + spec.gpus * f64::from(at_once) <= max + EPSILON
+        max <= 0.0 || used + spec.gpus * f64::from(concurrent_tasks) <= max + EPSILON
     }
 }
 
 /// So many more tasks of the job fit on the machines that it may use; with affinity, in one zone.
-fn room_for(spec: &JobSpec, usage: &Usage, workers: &BTreeMap<MachineId, Worker>) -> u32 {
+fn count_fitting_tasks(
+    spec: &JobSpec,
+    usage: &Usage,
+    workers: &BTreeMap<MachineId, Worker>,
+) -> u32 {
     let zones_in_use = zones_of(spec, workers);
-    let mut room: BTreeMap<&Zone, u32> = BTreeMap::new();
-    for machine in &usage.free {
+    let mut fitting_tasks: BTreeMap<&Zone, u32> = BTreeMap::new();
+    for machine in &usage.usable_machines {
         let zone = &machine.worker.zone;
-        let affine = !spec.together || zones_in_use.iter().all(|in_use| *in_use == zone);
-        if machine.worker.allows(spec) && affine {
-            *room.entry(zone).or_default() += machine.tasks_that_fit(spec);
+        let satisfies_affinity =
+            !spec.together || zones_in_use.iter().all(|in_use| *in_use == zone);
+        if machine.worker.allows(spec) && satisfies_affinity {
+            *fitting_tasks.entry(zone).or_default() += machine.tasks_that_fit(spec);
         }
     }
     match spec.together {
-        true => room.values().copied().max().unwrap_or(0),
-        false => room.values().sum(),
+        true => fitting_tasks.values().copied().max().unwrap_or(0),
+        false => fitting_tasks.values().sum(),
     }
 }
 
--- a/tests/simulation/cloud.rs
+++ b/tests/simulation/cloud.rs
@@ -18,9 +18,9 @@
     /// So many machines may run at once.
     capacity: u32,
     /// Machines given for each request, by idempotency key.
-    scale_outs: BTreeMap<IdempotencyKey, Vec<MachineId>>,
+    granted_machines: BTreeMap<IdempotencyKey, Vec<MachineId>>,
     /// So many machines were ever rented.
-    rented: u32,
+    rented_count: u32,
     list_history: Vec<(Instant, Vec<ListedMachine>)>,
 }
 
@@ -29,8 +29,8 @@
         Cloud {
             machine_types,
             capacity,
-            scale_outs: BTreeMap::new(),
-            rented: 0,
+            granted_machines: BTreeMap::new(),
+            rented_count: 0,
             list_history: Vec::new(),
         }
     }
@@ -43,8 +43,8 @@
     }
 
     fn next_machine_id(&mut self) -> MachineId {
-        self.rented += 1;
-        MachineId::from(format!("host-{:06}", self.rented).as_str())
+        self.rented_count += 1;
+        MachineId::from(format!("host-{:06}", self.rented_count).as_str())
     }
 }
 
@@ -53,7 +53,7 @@
     pub(super) fn list_machines(&mut self) {
         let now = self.now;
         let workers = self.workers.values();
-        let machines = workers.map(|worker| listed(worker, now)).collect();
+        let machines = workers.map(|worker| listed_machine(worker, now)).collect();
         self.cloud.list_history.push((now, machines));
         if now < self.faults.cloud_unavailable_until {
             return;
@@ -79,7 +79,7 @@
         offer: &MachineOffer,
         count: u32,
     ) -> ScaleOutAnswer {
-        if let Some(machine_ids) = self.cloud.scale_outs.get(idempotency_key) {
+        if let Some(machine_ids) = self.cloud.granted_machines.get(idempotency_key) {
             return ScaleOutAnswer::Granted(machine_ids.clone());
         }
         let running = self.workers.len() as u32;
@@ -95,13 +95,13 @@
             .map(|_| self.rent_machine(&info, &offer.zone, offer.spot))
             .collect();
         let key = idempotency_key.clone();
-        self.cloud.scale_outs.insert(key, machine_ids.clone());
+        self.cloud.granted_machines.insert(key, machine_ids.clone());
         ScaleOutAnswer::Granted(machine_ids)
     }
 
     fn rent_machine(&mut self, info: &MachineTypeInfo, zone: &Zone, spot: bool) -> MachineId {
         let id = self.cloud.next_machine_id();
-        let boot_time = match self.cloud.rented <= self.faults.machines_never_booting {
+        let boot_time = match self.cloud.rented_count <= self.faults.machines_never_booting {
             true => NEVER_BOOTS,
             false => TimeSpan::from_secs(info.boot_s),
         };
@@ -113,7 +113,7 @@
     }
 }
 
-fn listed(worker: &Worker, now: Instant) -> ListedMachine {
+fn listed_machine(worker: &Worker, now: Instant) -> ListedMachine {
     ListedMachine {
         id: worker.id.clone(),
         endpoint: worker.endpoint(),
--- a/tests/simulation/effects.rs
+++ b/tests/simulation/effects.rs
@@ -1,6 +1,6 @@
 //! Carrying out what the leader's scheduler asks for.
 
-use super::network::{unclear_write, Message, Push, LATENCY};
+use super::network::{write_unconfirmed, Message, Push, LATENCY};
 use super::Simulation;
 use chalklug::coordination::autoscaler::MachineOffer;
 use chalklug::coordination::{Effect, Event, KeyReread, RequestId, TerminalRecordRead};
@@ -25,7 +25,7 @@
 
 impl Simulation {
     /// Carries out one effect for the present leader.
-    pub(super) fn carry_out(&mut self, effect: Effect) {
+    pub(super) fn execute_effect(&mut self, effect: Effect) {
         let Some(leader) = self.leadership.token() else {
             return;
         };
@@ -73,7 +73,7 @@
         }
         let respond = delay == LATENCY && now >= self.faults.store_responses_lost_until;
         if !respond {
-            self.send_to_leader(WRITE_TIMEOUT, leader, unclear_write(request_id));
+            self.send_to_leader(WRITE_TIMEOUT, leader, write_unconfirmed(request_id));
         }
         if now < self.faults.store_slow_until {
             delay = delay + SLOW_STORE_DELAY;
@@ -113,9 +113,9 @@
     /// A read is repeated until the state store serves the leader.
     fn respond_to_read(&mut self, leader: FencingToken, event: Event) {
         let refuses_leader = self.faults.store_refuses_leader_until;
-        let unserved = refuses_leader.max(self.faults.store_unavailable_until) - self.now;
+        let remaining_outage = refuses_leader.max(self.faults.store_unavailable_until) - self.now;
         let wait = match self.leadership.elections_enabled {
-            true => unserved.max(TimeSpan::ZERO),
+            true => remaining_outage.max(TimeSpan::ZERO),
             false => TimeSpan::ZERO,
         };
         self.send_to_leader(wait + READ_LATENCY, leader, event);
@@ -135,7 +135,7 @@
             let delay = self.duplicate_delay();
             self.send(delay, Message::Push(push.clone()));
         }
-        self.send_past_partition(&machine_id, Message::Push(push));
+        self.send_over_machine_link(&machine_id, Message::Push(push));
     }
 
     fn scale_out(
--- a/tests/simulation/gang.rs
+++ b/tests/simulation/gang.rs
@@ -23,7 +23,11 @@
 }
 
 impl GangMembers {
-    fn of(now: Instant, workers: &BTreeMap<MachineId, Worker>, workload: &Workload) -> GangMembers {
+    fn collect(
+        now: Instant,
+        workers: &BTreeMap<MachineId, Worker>,
+        workload: &Workload,
+    ) -> GangMembers {
         let mut members = GangMembers::default();
         for worker in workers.values() {
             for ((task, attempt_id), attempt) in &worker.attempts {
@@ -51,7 +55,7 @@
     workload: &Workload,
     times: &WorkerTimes,
 ) {
-    let members = GangMembers::of(now, workers, workload);
+    let members = GangMembers::collect(now, workers, workload);
     let peer_timeout = TimeSpan::from_secs(times.gang_peer_timeout_s);
     for worker in workers.values_mut().filter(|w| w.is_responsive(now)) {
         let mut changed = false;
@@ -65,7 +69,7 @@
             changed |= advance_member(now, attempt, phases, complete, done, peer_timeout);
         }
         if changed {
-            worker.report_soon();
+            worker.request_early_heartbeat();
         }
     }
 }
--- a/tests/simulation/leadership.rs
+++ b/tests/simulation/leadership.rs
@@ -31,7 +31,7 @@
     times: LeaderTimes,
     lease_expires_at: Instant,
     lease_renewed_at: Instant,
-    terms: u64,
+    term_count: u64,
     /// Up to here the leader has heard of changes.
     watched_revision: StoreRevision,
 }
@@ -46,7 +46,7 @@
             times: times.expect("cancel_s leaves room beyond lease_s"),
             lease_expires_at: Instant(0),
             lease_renewed_at: Instant(0),
-            terms: 0,
+            term_count: 0,
             watched_revision: StoreRevision(0),
         }
     }
@@ -108,7 +108,7 @@
         let expired = now - self.leadership.lease_expires_at >= ELECTION_DELAY;
         if expired && !outage {
             if self.leadership.scheduler.is_some() {
-                self.checker.two_leaders(now);
+                self.checker.leader_active_after_expiry(now);
             }
             self.elect_leader();
         }
@@ -132,7 +132,7 @@
     /// A new leader is elected and recovers its state from the state store.
     pub fn elect_leader(&mut self) {
         let now = self.now;
-        let term = self.begin_term();
+        let term = self.start_term();
         let recovered = self.read_recovered_state();
         self.leadership.watched_revision = self.store.store_revision;
         let times = self.leadership.times;
@@ -147,14 +147,14 @@
     }
 
     /// Writes the keys that a new leader writes.
-    fn begin_term(&mut self) -> LeadershipTerm {
+    fn start_term(&mut self) -> LeadershipTerm {
         let last = self.store.get(FENCING_TOKEN_KEY);
         let last = last.and_then(|item| item.data.as_u64()).unwrap_or(0);
         let token = FencingToken(last + 1);
-        self.leadership.terms += 1;
-        let lease = LeaseId(self.leadership.terms);
+        self.leadership.term_count += 1;
+        let lease = LeaseId(self.leadership.term_count);
         let record = LeaderRecord {
-            host_name: format!("controller-{}", self.leadership.terms),
+            host_name: format!("controller-{}", self.leadership.term_count),
             token,
         };
         let transaction = Transaction {
--- a/tests/simulation/mod.rs
+++ b/tests/simulation/mod.rs
@@ -114,7 +114,7 @@
             self.list_machines();
         }
         self.step_leader();
-        self.check();
+        self.check_rules();
     }
 
     fn step_leader(&mut self) {
@@ -123,11 +123,11 @@
         let effects = scheduler.map_or(Vec::new(), |scheduler| scheduler.step(now));
         self.digest.effects(now, &effects);
         for effect in effects {
-            self.carry_out(effect);
+            self.execute_effect(effect);
         }
     }
 
-    fn check(&mut self) {
+    fn check_rules(&mut self) {
         let now = self.now;
         if self.any_fault_active() {
             self.checker.fault_active(now);
--- a/tests/simulation/network.rs
+++ b/tests/simulation/network.rs
@@ -68,15 +68,15 @@
 #[derive(Default)]
 pub(super) struct Network {
     in_flight: BTreeMap<(Instant, u64), Message>,
-    sent: u64,
+    sent_count: u64,
     /// Pushes that were answered or given up: whichever comes second is ignored.
-    settled_pushes: BTreeSet<(FencingToken, RequestId)>,
+    resolved_pushes: BTreeSet<(FencingToken, RequestId)>,
 }
 
 impl Network {
     fn send(&mut self, arrives: Instant, message: Message) {
-        self.sent += 1;
-        self.in_flight.insert((arrives, self.sent), message);
+        self.sent_count += 1;
+        self.in_flight.insert((arrives, self.sent_count), message);
     }
 
     /// Messages that have arrived by now, in order.
@@ -90,7 +90,7 @@
     fn is_first_outcome(&mut self, leader: FencingToken, event: &Event) -> bool {
         match event {
             Event::PushAnswered { request_id, .. } | Event::PushFailed { request_id, .. } => {
-                self.settled_pushes.insert((leader, *request_id))
+                self.resolved_pushes.insert((leader, *request_id))
             }
             _ => true,
         }
@@ -108,7 +108,7 @@
     }
 
     /// Sends a message to or from a machine, as the partition around it allows.
-    pub(super) fn send_past_partition(&mut self, machine_id: &MachineId, message: Message) {
+    pub(super) fn send_over_machine_link(&mut self, machine_id: &MachineId, message: Message) {
         let now = self.now;
         let worker = self.workers.get(machine_id);
         match worker.map(|worker| worker.faults.partition(now)) {
@@ -133,7 +133,7 @@
             let delay = self.duplicate_delay();
             self.send(delay, heartbeat(status.clone()));
         }
-        self.send_past_partition(&machine_id, heartbeat(status));
+        self.send_over_machine_link(&machine_id, heartbeat(status));
     }
 
     /// A message arrives.
@@ -183,7 +183,7 @@
             heartbeat_sent: sent,
             session: status.session,
         };
-        self.send_past_partition(&machine_id, response);
+        self.send_over_machine_link(&machine_id, response);
     }
 
     /// A worker ignores late responses, those to earlier sessions, and those of lower tokens.
@@ -235,7 +235,7 @@
             status: Box::new(worker.status()),
         };
         let leader = push.leader;
-        self.send_past_partition(&push.machine_id, Message::ToLeader { leader, event });
+        self.send_over_machine_link(&push.machine_id, Message::ToLeader { leader, event });
     }
 
     fn deliver_to_leader(&mut self, leader: FencingToken, event: Event) {
@@ -266,7 +266,7 @@
                     request_id,
                     store_revision,
                 },
-                None => unclear_write(request_id),
+                None => write_unconfirmed(request_id),
             }
         };
         if respond {
@@ -283,7 +283,7 @@
 }
 
 /// The leader can't tell whether the transaction was carried out.
-pub(super) fn unclear_write(request_id: RequestId) -> Event {
+pub(super) fn write_unconfirmed(request_id: RequestId) -> Event {
     Event::WriteUnconfirmed {
         request_id,
         failed_preconditions: Vec::new(),
--- a/tests/simulation/state_store.rs
+++ b/tests/simulation/state_store.rs
@@ -35,7 +35,7 @@
         }
         self.store_revision = StoreRevision(self.store_revision.0 + 1);
         for change in &transaction.changes {
-            self.change(change);
+            self.apply_change(change);
         }
         Some(self.store_revision)
     }
@@ -45,7 +45,7 @@
         item.map_or(KeyRevision(0), |item| item.revision)
     }
 
-    fn change(&mut self, change: &Change) {
+    fn apply_change(&mut self, change: &Change) {
         let key = change.key().to_string();
         match change {
             Change::Put { data, lease, .. } => {
--- a/tests/simulation/users.rs
+++ b/tests/simulation/users.rs
@@ -52,11 +52,11 @@
     /// Writes what is too long for the record to pages; returns what stays in it.
     fn write_dependency_pages(&mut self, mut record: OpenJobRecord) -> OpenJobRecord {
         let pages = record.move_dependencies_to_pages(MAX_OPEN_RECORD_BYTES);
-        for (page, names) in (0..).zip(pages.expect("a short description")) {
+        for (page, job_ids) in (0..).zip(pages.expect("a short description")) {
             let key = dependency_page_key(&record.spec.id, page);
             let transaction = Transaction {
                 preconditions: Vec::new(),
-                changes: vec![Change::put(key, to_json(&names))],
+                changes: vec![Change::put(key, to_json(&job_ids))],
             };
             self.store.apply(&transaction);
         }
@@ -69,8 +69,8 @@
         for page in 0..record.dependency_pages {
             let item = self.store.get(&dependency_page_key(&record.spec.id, page));
             let data = item.expect("a page of an open job").data;
-            let names: Vec<JobId> = serde_json::from_value(data).expect("a page of names");
-            record.upstream_jobs.extend(names);
+            let job_ids: Vec<JobId> = serde_json::from_value(data).expect("a page of names");
+            record.upstream_jobs.extend(job_ids);
         }
         record
     }
--- a/tests/simulation/worker.rs
+++ b/tests/simulation/worker.rs
@@ -18,7 +18,7 @@
 /// Heartbeats come at the announced interval, times a factor drawn from here.
 const HEARTBEAT_JITTER: std::ops::Range<f64> = 0.75..1.25;
 /// A worker with news reports this much earlier than it may at the soonest.
-const NEWS_MARGIN_SECS: f64 = 0.5;
+const EARLY_HEARTBEAT_MARGIN_SECS: f64 = 0.5;
 /// Rounding errors of sums of resources.
 const EPSILON: f64 = 1e-9;
 
@@ -100,12 +100,12 @@
     /// It has been told that the cloud takes it back.
     pub preemption_noticed: bool,
     /// Its lease counts from when the last answered heartbeat was sent.
-    lease_from: Instant,
-    tick: u64,
+    lease_renewed_at: Instant,
+    sequence_number: u64,
     images: BTreeSet<Image>,
     next_heartbeat: Instant,
     /// It has news, and reports as soon as it may.
-    has_news: bool,
+    status_changed: bool,
 }
 
 impl Worker {
@@ -131,11 +131,11 @@
             faults: WorkerFaults::default(),
             fetch_slowdown: 1.0,
             preemption_noticed: false,
-            lease_from: up_at,
-            tick: 0,
+            lease_renewed_at: up_at,
+            sequence_number: 0,
             images: BTreeSet::new(),
             next_heartbeat: up_at,
-            has_news: false,
+            status_changed: false,
         }
     }
 
@@ -172,7 +172,7 @@
 
     /// The status that the worker tells now.
     pub fn status(&mut self) -> WorkerStatus {
-        self.tick += 1;
+        self.sequence_number += 1;
         let attempts = self.attempts.iter();
         let tasks = attempts
             .map(|((task, attempt_id), attempt)| TaskStatus {
@@ -180,7 +180,7 @@
                 attempt_id: *attempt_id,
                 phase: attempt.phase,
                 cause: attempt.cause,
-                stored: attempt.stored,
+                stored: attempt.checkpoint_saved,
             })
             .collect();
         WorkerStatus {
@@ -190,7 +190,7 @@
             zone: self.zone.clone(),
             spot: self.spot,
             session: self.session,
-            tick: SequenceNumber(self.tick),
+            tick: SequenceNumber(self.sequence_number),
             token: self.token,
             recall_s: self.preemption_noticed.then_some(PREEMPTION_NOTICE_SECS),
             tasks,
@@ -198,8 +198,8 @@
     }
 
     /// The next heartbeat is sent as soon as it may.
-    pub fn report_soon(&mut self) {
-        self.has_news = true;
+    pub fn request_early_heartbeat(&mut self) {
+        self.status_changed = true;
     }
 
     /// The heartbeat that is due now, if one is.
@@ -212,12 +212,14 @@
         if !self.is_responsive(now) {
             return None;
         }
-        let earliest = times.heartbeat_interval_s * HEARTBEAT_JITTER.start - NEWS_MARGIN_SECS;
-        let early = self.has_news && self.next_heartbeat - now < TimeSpan::from_secs(earliest);
+        let earliest =
+            times.heartbeat_interval_s * HEARTBEAT_JITTER.start - EARLY_HEARTBEAT_MARGIN_SECS;
+        let early =
+            self.status_changed && self.next_heartbeat - now < TimeSpan::from_secs(earliest);
         if now < self.next_heartbeat && !early {
             return None;
         }
-        self.has_news = false;
+        self.status_changed = false;
         let interval = times.heartbeat_interval_s * rng.random_range(HEARTBEAT_JITTER);
         self.next_heartbeat = now + TimeSpan::from_secs(interval);
         Some(self.status())
@@ -225,7 +227,7 @@
 
     /// A leader answered the heartbeat sent at `heartbeat_sent`: the lease is renewed.
     pub fn lease_renewed(&mut self, heartbeat_sent: Instant) {
-        self.lease_from = heartbeat_sent;
+        self.lease_renewed_at = heartbeat_sent;
     }
 
     /// Lets the lease expire, and tasks go on to their next phases.
@@ -235,31 +237,31 @@
             return;
         }
         for ((task, _), attempt) in self.attempts.iter_mut() {
-            if !attempt.phase_is_over(now) {
+            if !attempt.phase_elapsed(now) {
                 continue;
             }
             if attempt.phase == TaskPhase::Fetching {
                 self.images.insert(workload.spec(&task.job).image.clone());
             }
-            attempt.next_phase(now, task, self.faults.faulty, workload, times);
-            self.has_news = true;
+            attempt.advance_phase(now, task, self.faults.faulty, workload, times);
+            self.status_changed = true;
         }
     }
 
     /// The lease expires also while the machine is suspended: beyond it, nothing of it resumes.
     fn expire_lease(&mut self, now: Instant, times: &WorkerTimes) {
-        if self.up_at <= now && (now - self.lease_from).secs() > times.lease_s {
+        if self.up_at <= now && (now - self.lease_renewed_at).secs() > times.lease_s {
             self.attempts.clear();
             self.session = Session(self.session.0 + 1);
-            self.lease_from = now;
-            self.has_news = true;
+            self.lease_renewed_at = now;
+            self.status_changed = true;
         }
     }
 
     /// Executes commands, one after the other.
     pub fn execute(&mut self, now: Instant, commands: &[Command], workload: &Workload) {
         for command in commands {
-            self.has_news = true;
+            self.status_changed = true;
             match command {
                 Command::Launch { task, attempt_id } => {
                     self.launch(now, task, *attempt_id, workload);
