--- a/tests/simulation/attempt.rs
+++ b/tests/simulation/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt of a task on a machine: from fetching its image to its end.
+//! Simulated task attempts, from the image fetch to the end.
 
 use super::workload::{SavedProgress, TaskBehavior, Workload};
 use chalklug::config::WorkerTimes;
@@ -7,29 +7,29 @@
 use chalklug::protocol::workers::{Cause, TaskPhase};
 use chalklug::time::{Instant, TimeSpan};
 
-/// On a faulty machine a task fails after so long.
+/// Run time after which a task fails on a faulty machine.
 const FAULTY_MACHINE_TIME_TO_FAILURE_SECS: f64 = 0.5;
-/// A task that fails everywhere does so after so long.
+/// Run time after which a task fails whose job fails on every machine.
 const FAILING_TASK_TIME_TO_FAILURE_SECS: f64 = 0.2;
 
-/// A task attempt as its machine knows it.
+/// A task attempt as its worker tracks it.
 pub struct Attempt {
     pub phase: TaskPhase,
     pub cause: Option<Cause>,
-    /// Whether it saved a checkpoint as it was stopped.
+    /// Whether the attempt saved a checkpoint when it was stopped.
     pub checkpoint_saved: bool,
-    /// When the present phase ends by itself.
+    /// When the current phase ends unless a command or a gang member ends it earlier.
     phase_ends_at: Instant,
     running_since: Instant,
-    /// How long it runs once it begins.
+    /// How long the attempt runs after its image fetch and gang wait.
     run_secs: f64,
-    /// An earlier attempt has left the result.
+    /// Whether an earlier attempt of the task has saved the result.
     completed_before: bool,
     fails_everywhere: bool,
 }
 
 impl Attempt {
-    /// Begins to fetch the image.
+    /// Creates an attempt whose image fetch takes `fetch`.
     pub fn launch(
         now: Instant,
         task: &TaskId,
@@ -64,7 +64,7 @@
         self.phase == TaskPhase::Ended
     }
 
-    /// Whether it has its image and hasn't ended: it is on the machine, in the rules' sense.
+    /// Whether the checker counts the attempt as a placement: its image is fetched and it hasn't ended.
     pub fn is_on_machine(&self) -> bool {
         !matches!(self.phase, TaskPhase::Fetching | TaskPhase::Ended)
     }
@@ -80,12 +80,12 @@
         self.phase_ends_at = now + TimeSpan::from_secs(self.run_secs);
     }
 
-    /// How long it has been running.
+    /// Returns how long the attempt has been running.
     pub fn running_for(&self, now: Instant) -> TimeSpan {
         now - self.running_since
     }
 
-    /// Stops it: with enough grace it saves a checkpoint first.
+    /// Stops the attempt. A running task with checkpoints saves one first if the grace period allows it.
     pub fn stop(&mut self, now: Instant, spec: &JobSpec, grace_secs: f64) {
         match self.phase {
             TaskPhase::Ended => {}
@@ -98,12 +98,12 @@
         }
     }
 
-    /// Whether its phase is over by itself.
+    /// Whether the time of the current phase has elapsed.
     pub fn phase_elapsed(&self, now: Instant) -> bool {
         now >= self.phase_ends_at && !self.has_ended()
     }
 
-    /// Its phase is over: the next one begins.
+    /// Advances to the next phase after the time of the current one has elapsed.
     pub fn advance_phase(
         &mut self,
         now: Instant,
--- a/tests/simulation/gang.rs
+++ b/tests/simulation/gang.rs
@@ -1,4 +1,5 @@
-//! Gangs across machines: members begin together, complete together, and notice a member that is gone.
+//! Simulated gangs: members on different machines start together, complete together, and detect lost
+//! members.
 
 use super::attempt::Attempt;
 use super::worker::Worker;
@@ -10,15 +11,15 @@
 use chalklug::time::{Instant, TimeSpan};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// One attempt of a gang.
+/// An attempt of a whole gang, whose members share the attempt id.
 type GangAttempt = (JobId, AttemptId);
 
-/// What the members of all gangs see of each other.
+/// The states of all gang members, as their peers see them.
 #[derive(Default)]
 struct GangMembers {
-    /// Phases of members that haven't ended, on machines that respond.
+    /// Phases of the members that haven't ended, on responsive machines.
     phases: BTreeMap<GangAttempt, Vec<TaskPhase>>,
-    /// Gangs of which a member is done.
+    /// Gangs with a member that is done.
     done: BTreeSet<GangAttempt>,
 }
 
@@ -48,7 +49,7 @@
     }
 }
 
-/// Lets each member act on what it sees of the others.
+/// Advances each gang member according to the states of the others.
 pub fn advance(
     now: Instant,
     workers: &mut BTreeMap<MachineId, Worker>,
@@ -74,7 +75,7 @@
     }
 }
 
-/// Whether the member's phase changed.
+/// Advances a gang member and returns whether its phase changed.
 fn advance_member(
     now: Instant,
     attempt: &mut Attempt,
--- a/tests/simulation/network.rs
+++ b/tests/simulation/network.rs
@@ -1,4 +1,4 @@
-//! Messages on their way, and what happens when each arrives.
+//! Simulated network: messages in flight and their delivery.
 
 use super::{Simulation, TICK};
 use chalklug::coordination::attempts::reconciliation::HeartbeatOutcome;
@@ -10,20 +10,20 @@
 use rand::Rng;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How long a message takes when nothing is wrong.
+/// Latency of a message without faults.
 pub(super) const LATENCY: TimeSpan = TimeSpan(10);
-/// A worker ignores a response that comes later than this after its heartbeat.
+/// Time after a heartbeat was sent at which the worker starts to ignore the response.
 const HEARTBEAT_RESPONSE_TIMEOUT: TimeSpan = TimeSpan(4_000);
 
 /// What a partition does to messages that are sent during it.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum PartitionMode {
-    /// They arrive when it ends.
+    /// Messages arrive when the partition ends.
     Delay,
     Drop,
 }
 
-/// What is on its way. Leaders are told apart by their initial fencing tokens.
+/// A message in flight. Leaders are identified by their initial fencing tokens.
 pub(super) enum Message {
     Heartbeat {
         status: WorkerStatus,
@@ -64,12 +64,12 @@
     pub commands: Vec<Command>,
 }
 
-/// Messages on their way, in the order in which they arrive.
+/// Messages in flight, in order of arrival.
 #[derive(Default)]
 pub(super) struct Network {
     in_flight: BTreeMap<(Instant, u64), Message>,
     sent_count: u64,
-    /// Pushes that were answered or given up: whichever comes second is ignored.
+    /// Pushes with a response or a timeout; a second outcome is ignored.
     resolved_pushes: BTreeSet<(FencingToken, RequestId)>,
 }
 
@@ -79,14 +79,14 @@
         self.in_flight.insert((arrives, self.sent_count), message);
     }
 
-    /// Messages that have arrived by now, in order.
+    /// Removes and returns the messages that have arrived by `now`, in order.
     pub(super) fn take_due(&mut self, now: Instant) -> Vec<Message> {
         let later = self.in_flight.split_off(&(now + TimeSpan(1), 0));
         let due = std::mem::replace(&mut self.in_flight, later);
         due.into_values().collect()
     }
 
-    /// Whether the event settles no push that is settled already.
+    /// Returns whether the event is to be delivered: of the outcomes of a push, only the first is.
     fn is_first_outcome(&mut self, leader: FencingToken, event: &Event) -> bool {
         match event {
             Event::PushAnswered { request_id, .. } | Event::PushFailed { request_id, .. } => {
@@ -98,7 +98,7 @@
 }
 
 impl Simulation {
-    /// Sends a message that arrives after the delay, whatever partitions there are.
+    /// Sends a message that arrives after the delay, regardless of partitions.
     pub(super) fn send(&mut self, delay: TimeSpan, message: Message) {
         self.network.send(self.now + delay, message);
     }
@@ -107,7 +107,7 @@
         self.send(delay, Message::ToLeader { leader, event });
     }
 
-    /// Sends a message to or from a machine, as the partition around it allows.
+    /// Sends a message to or from a machine. A partition of the machine delays or drops the message.
     pub(super) fn send_over_machine_link(&mut self, machine_id: &MachineId, message: Message) {
         let now = self.now;
         let worker = self.workers.get(machine_id);
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Sends a heartbeat, unless it is lost, and perhaps a late duplicate.
+    /// Sends a heartbeat, unless a fault drops it, and at random a late duplicate.
     pub(super) fn send_heartbeat(&mut self, status: WorkerStatus) {
         let now = self.now;
         let machine_id = status.machine_id.clone();
@@ -136,7 +136,7 @@
         self.send_over_machine_link(&machine_id, heartbeat(status));
     }
 
-    /// A message arrives.
+    /// Delivers a message to its recipient.
     pub(super) fn deliver(&mut self, message: Message) {
         match message {
             Message::Heartbeat { status, sent } => self.deliver_heartbeat(status, sent),
@@ -186,7 +186,8 @@
         self.send_over_machine_link(&machine_id, response);
     }
 
-    /// A worker ignores late responses, those to earlier sessions, and those of lower tokens.
+    /// Delivers a heartbeat response. The worker ignores it if it is late, belongs to an earlier
+    /// session or has a lower fencing token than an earlier message.
     fn deliver_response(
         &mut self,
         machine_id: &MachineId,
@@ -208,7 +209,7 @@
             return;
         }
         worker.token = token;
-        worker.lease_renewed(heartbeat_sent);
+        worker.renew_lease(heartbeat_sent);
         worker.execute(now, commands, &self.workload);
     }
 
@@ -218,7 +219,7 @@
             return;
         };
         if let Some(end) = worker.unresponsive_until(now) {
-            // A suspended machine executes it when it resumes.
+            // A suspended machine receives the push when it resumes.
             self.send(end - now + TICK, Message::Push(push));
             return;
         }
@@ -282,7 +283,7 @@
     }
 }
 
-/// The leader can't tell whether the transaction was carried out.
+/// Returns the event for a transaction of which the leader can't tell whether it was applied.
 pub(super) fn write_unconfirmed(request_id: RequestId) -> Event {
     Event::WriteUnconfirmed {
         request_id,
--- a/tests/simulation/worker.rs
+++ b/tests/simulation/worker.rs
@@ -1,4 +1,5 @@
-//! A worker as the protocol describes it: sessions, a lease, fencing tokens, images, and its tasks.
+//! Simulated worker that follows the worker protocol: sessions, a lease, fencing tokens, cached images
+//! and task attempts.
 
 use super::attempt::Attempt;
 use super::network::PartitionMode;
@@ -13,13 +14,13 @@
 use rand::Rng;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What a worker with a preemption notice tells of the time it has left.
+/// Remaining time that a worker with a preemption notice reports.
 const PREEMPTION_NOTICE_SECS: f64 = 10.0;
-/// Heartbeats come at the announced interval, times a factor drawn from here.
+/// Range of the random factor that each heartbeat interval is multiplied by.
 const HEARTBEAT_JITTER: std::ops::Range<f64> = 0.75..1.25;
-/// A worker with news reports this much earlier than it may at the soonest.
-const EARLY_HEARTBEAT_MARGIN_SECS: f64 = 0.5;
-/// Rounding errors of sums of resources.
+/// Minimum time between a heartbeat and an early one that reports a changed status.
+const MIN_HEARTBEAT_SPACING_SECS: f64 = 0.5;
+/// Tolerance for rounding errors in sums of resources.
 const EPSILON: f64 = 1e-9;
 
 /// Faults of one machine.
@@ -29,27 +30,27 @@
     inbound_unreachable_until: Option<Instant>,
     outbound_unreachable_until: Option<Instant>,
     partition: Option<(Instant, PartitionMode)>,
-    /// Every task fails on it.
+    /// Whether every task fails on the machine.
     pub faulty: bool,
 }
 
 impl WorkerFaults {
-    /// Nothing on the machine goes on until then.
+    /// Suspends the machine: nothing on it runs until `end`.
     pub fn suspend_until(&mut self, end: Instant) {
         self.suspended_until = Some(end);
     }
 
-    /// Its heartbeats arrive, but nothing reaches it until then.
+    /// Drops all messages to the machine until `end`; its heartbeats still arrive.
     pub fn inbound_unreachable_until(&mut self, end: Instant) {
         self.inbound_unreachable_until = Some(end);
     }
 
-    /// It reaches no controller until then, while pushed commands reach it.
+    /// Drops the machine's heartbeats until `end`; pushes still reach it and are answered.
     pub fn outbound_unreachable_until(&mut self, end: Instant) {
         self.outbound_unreachable_until = Some(end);
     }
 
-    /// Nothing passes to or from it until then.
+    /// Delays or drops all messages to and from the machine until `end`.
     pub fn partition_until(&mut self, end: Instant, mode: PartitionMode) {
         self.partition = Some((end, mode));
     }
@@ -62,12 +63,12 @@
         is_active(self.outbound_unreachable_until, now)
     }
 
-    /// The partition around it, and when it ends.
+    /// Returns the end and the mode of the machine's partition, if one is active.
     pub fn partition(&self, now: Instant) -> Option<(Instant, PartitionMode)> {
         self.partition.filter(|(end, _)| now < *end)
     }
 
-    /// Whether any of them is active.
+    /// Whether any fault of the machine is active.
     pub fn any_active(&self, now: Instant) -> bool {
         self.faulty
             || is_active(self.suspended_until, now)
@@ -81,35 +82,35 @@
     until.is_some_and(|end| now < end)
 }
 
-/// One machine and the worker on it.
+/// A machine and the worker on it.
 pub struct Worker {
     pub id: MachineId,
     pub machine_type: MachineTypeInfo,
     pub zone: Zone,
     pub spot: bool,
     pub rented_at: Instant,
-    /// When it has booted.
+    /// When the machine finishes booting.
     pub up_at: Instant,
     pub session: Session,
-    /// The highest fencing token that reached it.
+    /// The highest fencing token that the worker has received.
     pub token: FencingToken,
     pub attempts: BTreeMap<(TaskId, AttemptId), Attempt>,
     pub faults: WorkerFaults,
-    /// Images take so many times as long to fetch.
+    /// Factor that the duration of an image fetch is multiplied by.
     pub fetch_slowdown: f64,
-    /// It has been told that the cloud takes it back.
+    /// Whether the worker has received a preemption notice.
     pub preemption_noticed: bool,
-    /// Its lease counts from when the last answered heartbeat was sent.
+    /// Start of the lease: the time at which the last answered heartbeat was sent.
     lease_renewed_at: Instant,
     sequence_number: u64,
     images: BTreeSet<Image>,
     next_heartbeat: Instant,
-    /// It has news, and reports as soon as it may.
+    /// Whether the status has changed since the last heartbeat, so that the next one is sent early.
     status_changed: bool,
 }
 
 impl Worker {
-    /// A machine that was rented now, and is up at `up_at`.
+    /// Creates a machine that was rented at `now` and finishes booting at `up_at`.
     pub fn new(
         id: MachineId,
         machine_type: MachineTypeInfo,
@@ -143,7 +144,7 @@
         format!("{}:9000", self.id)
     }
 
-    /// When it responds again, if it doesn't now: it boots or is suspended.
+    /// Returns when a booting or suspended machine responds again; `None` if it responds at `now`.
     pub fn unresponsive_until(&self, now: Instant) -> Option<Instant> {
         let suspended = self.faults.suspended_until.into_iter();
         let end = suspended.chain([self.up_at]).max()?;
@@ -154,7 +155,7 @@
         self.unresponsive_until(now).is_none()
     }
 
-    /// Whether the spec's job may run on this kind of machine, in this zone.
+    /// Whether the job may run on a machine of this type, in this zone, spot or not.
     pub fn allows(&self, spec: &JobSpec) -> bool {
         let types = spec.machine_types.as_ref();
         (spec.spot || !self.spot)
@@ -162,7 +163,7 @@
             && types.is_none_or(|types| types.contains(&self.machine_type.name))
     }
 
-    /// Tasks that have their image and haven't ended.
+    /// Returns the tasks whose image is fetched and that haven't ended.
     pub fn tasks_on_machine(&self) -> impl Iterator<Item = (&TaskId, &Attempt)> {
         let attempts = self.attempts.iter();
         attempts
@@ -170,7 +171,7 @@
             .map(|((task, _), attempt)| (task, attempt))
     }
 
-    /// The status that the worker tells now.
+    /// Returns the worker's current status with the next sequence number.
     pub fn status(&mut self) -> WorkerStatus {
         self.sequence_number += 1;
         let attempts = self.attempts.iter();
@@ -197,12 +198,12 @@
         }
     }
 
-    /// The next heartbeat is sent as soon as it may.
+    /// Makes the worker send its next heartbeat early.
     pub fn request_early_heartbeat(&mut self) {
         self.status_changed = true;
     }
 
-    /// The heartbeat that is due now, if one is.
+    /// Returns the heartbeat that is due at `now`, if any.
     pub fn heartbeat_due(
         &mut self,
         now: Instant,
@@ -212,10 +213,10 @@
         if !self.is_responsive(now) {
             return None;
         }
-        let earliest =
-            times.heartbeat_interval_s * HEARTBEAT_JITTER.start - EARLY_HEARTBEAT_MARGIN_SECS;
-        let early =
-            self.status_changed && self.next_heartbeat - now < TimeSpan::from_secs(earliest);
+        let early_window_secs =
+            times.heartbeat_interval_s * HEARTBEAT_JITTER.start - MIN_HEARTBEAT_SPACING_SECS;
+        let early = self.status_changed
+            && self.next_heartbeat - now < TimeSpan::from_secs(early_window_secs);
         if now < self.next_heartbeat && !early {
             return None;
         }
@@ -225,12 +226,12 @@
         Some(self.status())
     }
 
-    /// A leader answered the heartbeat sent at `heartbeat_sent`: the lease is renewed.
-    pub fn lease_renewed(&mut self, heartbeat_sent: Instant) {
+    /// Renews the lease when the heartbeat sent at `heartbeat_sent` is answered.
+    pub fn renew_lease(&mut self, heartbeat_sent: Instant) {
         self.lease_renewed_at = heartbeat_sent;
     }
 
-    /// Lets the lease expire, and tasks go on to their next phases.
+    /// Expires the lease if it is due, and advances attempts to their next phases.
     pub fn advance(&mut self, now: Instant, workload: &mut Workload, times: &WorkerTimes) {
         self.expire_lease(now, times);
         if !self.is_responsive(now) {
@@ -248,7 +249,8 @@
         }
     }
 
-    /// The lease expires also while the machine is suspended: beyond it, nothing of it resumes.
+    /// Ends all attempts and the session when the lease expires. The lease also expires while the
+    /// machine is suspended, so that no attempt resumes after the expiry.
     fn expire_lease(&mut self, now: Instant, times: &WorkerTimes) {
         if self.up_at <= now && (now - self.lease_renewed_at).secs() > times.lease_s {
             self.attempts.clear();
@@ -258,7 +260,7 @@
         }
     }
 
-    /// Executes commands, one after the other.
+    /// Executes the commands in order.
     pub fn execute(&mut self, now: Instant, commands: &[Command], workload: &Workload) {
         for command in commands {
             self.status_changed = true;
@@ -286,7 +288,7 @@
         }
     }
 
-    /// A repeated launch changes nothing; one that can't be carried out ends at once.
+    /// Launches an attempt. A repeated launch has no effect; an attempt that can't run ends at once.
     fn launch(&mut self, now: Instant, task: &TaskId, attempt_id: AttemptId, workload: &Workload) {
         let key = (task.clone(), attempt_id);
         if self.attempts.contains_key(&key) {
--- a/tests/simulation/workload.rs
+++ b/tests/simulation/workload.rs
@@ -1,4 +1,4 @@
-//! The jobs that users submitted, and how their tasks really behave.
+//! The submitted jobs and the actual behavior of their tasks.
 
 use chalklug::ids::{JobId, TaskId};
 use chalklug::protocol::users::{JobSpec, Shape};
@@ -7,22 +7,22 @@
 /// How the tasks of a job behave.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum TaskBehavior {
-    /// They complete after so many seconds.
+    /// The tasks complete after this run time.
     RunsForSecs(f64),
-    /// They fail shortly after they begin, on every machine.
+    /// The tasks fail shortly after their start, on every machine.
     FailsEverywhere,
 }
 
-/// What a task has saved.
+/// Progress that a task has saved.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum SavedProgress {
-    /// A checkpoint: so much is left.
+    /// A checkpoint, with the remaining run time.
     RemainingSecs(f64),
-    /// The result: a later attempt ends as done once it has its image.
+    /// The result; a later attempt is done as soon as its image is fetched.
     Completed,
 }
 
-/// All jobs ever submitted.
+/// All submitted jobs.
 #[derive(Default)]
 pub struct Workload {
     pub specs: BTreeMap<JobId, JobSpec>,
@@ -31,7 +31,7 @@
 }
 
 impl Workload {
-    /// A job that is submitted.
+    /// Adds a submitted job.
     pub fn add(&mut self, spec: JobSpec, behavior: TaskBehavior) {
         self.behaviors.insert(spec.id.clone(), behavior);
         self.specs.insert(spec.id.clone(), spec);
@@ -45,18 +45,18 @@
         self.behaviors[id]
     }
 
-    /// What the task has saved, if anything.
+    /// Returns the progress that the task has saved, if any.
     pub fn saved_progress(&self, task: &TaskId) -> Option<SavedProgress> {
         self.progress.get(task).copied()
     }
 
-    /// The task saves a checkpoint.
+    /// Records a checkpoint of the task.
     pub fn save_checkpoint(&mut self, task: &TaskId, remaining_secs: f64) {
         let saved = SavedProgress::RemainingSecs(remaining_secs);
         self.progress.insert(task.clone(), saved);
     }
 
-    /// The task's result is kept. A gang completes as a whole.
+    /// Records the result of the task; a gang completes as a whole.
     pub fn complete(&mut self, task: &TaskId) {
         let spec = &self.specs[&task.job];
         let completed = match spec.shape {
