--- a/tests/simulation/cloud.rs
+++ b/tests/simulation/cloud.rs
@@ -1,4 +1,4 @@
-//! The cloud: machines are rented, boot, and appear in a list that lags.
+//! Simulated cloud: rents and boots machines, and lists them with a lag.
 
 use super::worker::Worker;
 use super::Simulation;
@@ -12,14 +12,14 @@
 /// The boot time of a machine that never comes up.
 const NEVER_BOOTS: TimeSpan = TimeSpan(1_000_000_000);
 
-/// What the cloud knows besides the machines themselves.
+/// State of the cloud except for its machines, which are in `Simulation::workers`.
 pub(super) struct Cloud {
     pub machine_types: Vec<MachineTypeInfo>,
-    /// So many machines may run at once.
+    /// Maximum number of machines at a time.
     capacity: u32,
-    /// Machines given for each request, by idempotency key.
+    /// Machines granted to each request, by idempotency key.
     granted_machines: BTreeMap<IdempotencyKey, Vec<MachineId>>,
-    /// So many machines were ever rented.
+    /// Number of machines rented since the start of the run.
     rented_count: u32,
     list_history: Vec<(Instant, Vec<ListedMachine>)>,
 }
@@ -35,7 +35,7 @@
         }
     }
 
-    /// The list as it was `lag` ago.
+    /// Returns the latest machine list that is at least `lag` old, if there is one.
     fn lagging_list(&self, now: Instant, lag: TimeSpan) -> Option<Vec<ListedMachine>> {
         let mut latest_first = self.list_history.iter().rev();
         let (_, machines) = latest_first.find(|(taken, _)| now - *taken >= lag)?;
@@ -49,7 +49,8 @@
 }
 
 impl Simulation {
-    /// The leader gets the machine list, unless the cloud is unavailable.
+    /// Records the machine list, and delivers the lagging one to the leader unless the cloud is
+    /// unavailable.
     pub(super) fn list_machines(&mut self) {
         let now = self.now;
         let workers = self.workers.values();
@@ -72,7 +73,7 @@
         }
     }
 
-    /// Rents up to `count` machines; a repeated request gets the machines of the first.
+    /// Rents up to `count` machines. A repeated idempotency key returns the machines of its first request.
     pub(super) fn rent_machines(
         &mut self,
         idempotency_key: &IdempotencyKey,
--- a/tests/simulation/effects.rs
+++ b/tests/simulation/effects.rs
@@ -1,4 +1,4 @@
-//! Carrying out what the leader's scheduler asks for.
+//! Execution of the effects that the leader's scheduler requests.
 
 use super::network::{write_unconfirmed, Message, Push, LATENCY};
 use super::Simulation;
@@ -10,21 +10,21 @@
 use chalklug::time::TimeSpan;
 use rand::Rng;
 
-/// A leader gives a transaction without a response up after this time.
+/// Time after which a leader treats a transaction without a response as unconfirmed.
 const WRITE_TIMEOUT: TimeSpan = TimeSpan(900);
-/// A leader gives a push without a response up after this time.
+/// Time after which a leader treats a push without a response as failed.
 const PUSH_TIMEOUT: TimeSpan = TimeSpan(2_500);
-/// How late transactions are while all of them are.
+/// Delay of transactions while a fault delays all of them; longer than `WRITE_TIMEOUT`.
 const LATE_TRANSACTION_DELAY: TimeSpan = TimeSpan(3_000);
-/// How late single transactions are carried out, in milliseconds.
+/// Delay of single transactions that are delayed at random, in milliseconds.
 const SINGLE_LATE_TRANSACTION_MS: std::ops::Range<i64> = 2_000..12_000;
-/// What a slow state store takes more.
+/// Additional latency of a slow state store; shorter than `WRITE_TIMEOUT`.
 const SLOW_STORE_DELAY: TimeSpan = TimeSpan(700);
 const READ_LATENCY: TimeSpan = TimeSpan(20);
 const CLOUD_LATENCY: TimeSpan = TimeSpan(120);
 
 impl Simulation {
-    /// Carries out one effect for the present leader.
+    /// Executes an effect for the current leader.
     pub(super) fn execute_effect(&mut self, effect: Effect) {
         let Some(leader) = self.leadership.token() else {
             return;
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Sends a transaction; one that is late, or whose response is lost, has an unclear outcome.
+    /// Sends a transaction. If it is delayed or its response is lost, its outcome is unconfirmed.
     fn write(&mut self, leader: FencingToken, request_id: RequestId, transaction: Transaction) {
         let now = self.now;
         let mut delay = LATENCY;
@@ -110,7 +110,8 @@
         self.respond_to_read(leader, Event::TerminalRecordsRead(records));
     }
 
-    /// A read is repeated until the state store serves the leader.
+    /// Sends the result of a read to the leader. With elections, the result arrives after the state
+    /// store serves the leader again, since leaders retry reads.
     fn respond_to_read(&mut self, leader: FencingToken, event: Event) {
         let refuses_leader = self.faults.store_refuses_leader_until;
         let remaining_outage = refuses_leader.max(self.faults.store_unavailable_until) - self.now;
@@ -121,7 +122,7 @@
         self.send_to_leader(wait + READ_LATENCY, leader, event);
     }
 
-    /// Pushes commands, and perhaps a late duplicate of them.
+    /// Pushes commands to a worker and, at random, a late duplicate of them.
     fn push(&mut self, push: Push) {
         self.check_launches(&push.commands);
         let machine_id = push.machine_id.clone();
--- a/tests/simulation/faults.rs
+++ b/tests/simulation/faults.rs
@@ -1,43 +1,44 @@
-//! Faults of the network, the state store and the cloud. Each `…_until` holds until that moment.
+//! Faults of the network, the state store and the cloud. A fault with a field `…_until` is active until
+//! that time.
 
 use chalklug::time::Instant;
 
-/// What goes wrong outside the workers.
+/// The faults outside the workers.
 #[derive(Default)]
 pub struct Faults {
-    /// The state store refuses everything.
+    /// The state store refuses all requests.
     pub store_unavailable_until: Instant,
-    /// The state store refuses the present leader alone.
+    /// The state store refuses the requests of the current leader only.
     pub store_refuses_leader_until: Instant,
-    /// The state store carries transactions out, and its responses are lost.
+    /// The state store applies transactions, but its responses are lost.
     pub store_responses_lost_until: Instant,
-    /// Transactions are carried out seconds late, after the leader gave them up.
+    /// Transactions are applied seconds late, after the leader's timeout.
     pub transactions_late_until: Instant,
-    /// The state store responds late, but in time.
+    /// The state store responds slowly, but within the leader's timeout.
     pub store_slow_until: Instant,
-    /// Changes don't reach the leader, while its lease renewals and writes are served.
+    /// The watch delivers no changes to the leader, while lease renewals and writes succeed.
     pub watch_stalled_until: Instant,
-    /// Controllers don't hear of each other.
+    /// Messages between controllers are lost.
     pub peers_partitioned_until: Instant,
-    /// The cloud refuses everything.
+    /// The cloud refuses all requests.
     pub cloud_unavailable_until: Instant,
-    /// The share of transactions that get no response and are carried out late, after newer ones.
+    /// Share of transactions that get no response and are applied late, after newer ones.
     pub late_transaction_share: f64,
-    /// The share of heartbeats that are lost.
+    /// Share of heartbeats that are lost.
     pub lost_heartbeat_share: f64,
-    /// The share of heartbeats of which a duplicate comes late.
+    /// Share of heartbeats that are followed by a late duplicate.
     pub duplicate_heartbeat_share: f64,
-    /// The share of pushed commands of which a duplicate comes late.
+    /// Share of pushes that are followed by a late duplicate.
     pub duplicate_push_share: f64,
-    /// The first so many machines never boot.
+    /// Number of machines, counted from the first one rented, that never finish booting.
     pub machines_never_booting: u32,
-    /// Changes never reach the leader. It is no fault that excuses anything: it shows that the
-    /// checker sees what follows.
+    /// The watch never delivers changes to the leader. Doesn't count as an active fault, since
+    /// scenarios use it to show that the checker detects the broken rules.
     pub watch_blocked: bool,
 }
 
 impl Faults {
-    /// Whether any fault that excuses delays is active.
+    /// Whether any fault is active for which the checker tolerates delays.
     pub fn any_active(&self, now: Instant) -> bool {
         let ends = [
             self.cloud_unavailable_until,
@@ -56,7 +57,7 @@
         shares > 0.0 || ends.iter().any(|end| now < *end)
     }
 
-    /// Whether the state store serves the present leader.
+    /// Whether the state store serves the current leader.
     pub fn store_serves_leader(&self, now: Instant) -> bool {
         now >= self.store_unavailable_until && now >= self.store_refuses_leader_until
     }
