--- a/tests/simulation/leadership.rs
+++ b/tests/simulation/leadership.rs
@@ -1,5 +1,5 @@
-//! Who leads: the leader's lease on the state store, elections, failover, and what reaches the leader
-//! of the jobs.
+//! Simulated leadership: the leader's lease on the state store, elections, failover, and the delivery
+//! of job changes to the leader.
 
 use super::Simulation;
 use chalklug::config::LeaderTimes;
@@ -13,26 +13,26 @@
 use chalklug::storage::records::*;
 use chalklug::time::{Instant, TimeSpan};
 
-/// How long after a lease's expiry another controller notices.
+/// Time from the expiry of the leader's lease to the next election.
 const ELECTION_DELAY: TimeSpan = TimeSpan(500);
-/// A leader renews its lease this many times in the lease's life.
+/// How many times a leader renews its lease per lease duration.
 const RENEWALS_PER_LEASE: i64 = 5;
-/// A slow state store tells of changes only so often.
+/// Interval at which a slow state store delivers changes.
 const SLOW_WATCH_INTERVAL: TimeSpan = TimeSpan(1_500);
 
-/// The present leader, and the lease behind it.
+/// The current leader and its lease.
 pub(super) struct Leadership {
     pub scheduler: Option<Scheduler>,
-    /// The leader's right to act; none: it lasts for ever.
+    /// The leader's authority to act; `None` if the authority never expires.
     authority: Option<Authority>,
-    /// Leaders come and go by their leases: whoever loses its authority ends, and another is elected
-    /// once the lease on the state store has expired.
+    /// Whether a leader without authority steps down, and another one is elected once the lease on
+    /// the state store has expired.
     pub elections_enabled: bool,
     times: LeaderTimes,
     lease_expires_at: Instant,
     lease_renewed_at: Instant,
     term_count: u64,
-    /// Up to here the leader has heard of changes.
+    /// Store revision up to which changes were delivered to the leader.
     watched_revision: StoreRevision,
 }
 
@@ -43,7 +43,7 @@
             scheduler: None,
             authority: None,
             elections_enabled: false,
-            times: times.expect("cancel_s leaves room beyond lease_s"),
+            times: times.expect("cancel_s exceeds lease_s by enough for any leader"),
             lease_expires_at: Instant(0),
             lease_renewed_at: Instant(0),
             term_count: 0,
@@ -51,12 +51,12 @@
         }
     }
 
-    /// The initial fencing token of the present leader, which tells leaders apart.
+    /// Returns the initial fencing token of the current leader, which identifies the leader.
     pub(super) fn token(&self) -> Option<FencingToken> {
         self.scheduler.as_ref().map(Scheduler::initial_token)
     }
 
-    /// The scheduler of that leader, if it still leads.
+    /// Returns the scheduler of `leader` if it is still the current leader.
     pub(super) fn scheduler_of(&mut self, leader: FencingToken) -> Option<&mut Scheduler> {
         let scheduler = self.scheduler.as_mut();
         scheduler.filter(|scheduler| scheduler.initial_token() == leader)
@@ -82,19 +82,19 @@
 }
 
 impl Simulation {
-    /// From now on leaders come and go by their leases.
+    /// Enables elections, and with them the expiry of the leader's authority.
     pub fn enable_elections(&mut self) {
         self.leadership.elections_enabled = true;
     }
 
-    /// The leader dies. What it has sent stays on its way.
+    /// Crashes the leader; its messages stay in flight.
     pub fn crash_leader(&mut self) {
         self.leadership.scheduler = None;
         self.leadership.authority = None;
     }
 
-    /// The leader's lease: renewed while that is possible, expired after its life, and with its full
-    /// time again once an outage of the state store ends. Then another leader is elected.
+    /// Renews the leader's lease, or elects another leader after the expiry. A lease that is valid
+    /// during an outage of the state store gets its full duration again when the outage ends.
     pub(super) fn renew_lease_or_elect(&mut self) {
         let now = self.now;
         let outage_end = self.faults.store_unavailable_until;
@@ -123,13 +123,13 @@
         if !self.leadership.has_authority(now) {
             self.crash_leader();
             if served {
-                // It ends its own lease: others needn't wait for it.
+                // The leader revokes its own lease, so that the next election needn't wait for the expiry.
                 self.leadership.lease_expires_at = now;
             }
         }
     }
 
-    /// A new leader is elected and recovers its state from the state store.
+    /// Elects a new leader, which recovers its state from the state store.
     pub fn elect_leader(&mut self) {
         let now = self.now;
         let term = self.start_term();
@@ -140,13 +140,14 @@
         self.leadership.authority = elections.then(|| Authority::new(times, now));
         self.leadership.lease_expires_at = now + times.lease_duration;
         self.leadership.lease_renewed_at = now;
-        // The next leader is another controller, which the state store serves.
+        // The new leader is another controller, which the fault doesn't affect.
         self.faults.store_refuses_leader_until = Instant(0);
         let scheduler = Scheduler::recover(self.policy.clone(), term, now, recovered);
-        self.leadership.scheduler = Some(scheduler.unwrap_or_else(|e| panic!("{e}")));
+        self.leadership.scheduler =
+            Some(scheduler.unwrap_or_else(|e| panic!("failover failed: {e}")));
     }
 
-    /// Writes the keys that a new leader writes.
+    /// Starts a leadership term: writes the leader's record and the next fencing token.
     fn start_term(&mut self) -> LeadershipTerm {
         let last = self.store.get(FENCING_TOKEN_KEY);
         let last = last.and_then(|item| item.data.as_u64()).unwrap_or(0);
@@ -162,13 +163,16 @@
             changes: vec![
                 Change::Put {
                     put: LEADER_KEY.into(),
-                    data: serde_json::to_value(&record).expect("a record"),
+                    data: serde_json::to_value(&record).expect("leader records can be serialized"),
                     lease: Some(lease),
                 },
                 Change::put(FENCING_TOKEN_KEY.into(), token.0.into()),
             ],
         };
-        let applied = self.store.apply(&transaction).expect("no precondition");
+        let applied = self
+            .store
+            .apply(&transaction)
+            .expect("a transaction without preconditions is applied");
         let revision = KeyRevision(applied.0);
         LeadershipTerm {
             token,
@@ -180,7 +184,7 @@
         }
     }
 
-    /// All that a new leader reads from the state store.
+    /// Returns the state that a new leader reads from the state store.
     fn read_recovered_state(&self) -> RecoveredState {
         let open = self.store.list(OPEN_JOB_PREFIX).into_iter();
         RecoveredState {
@@ -200,12 +204,13 @@
         }
     }
 
-    /// Whether controllers hear of each other.
+    /// Whether messages between controllers arrive.
     pub(super) fn peers_connected(&self) -> bool {
         self.leadership.elections_enabled && self.now >= self.faults.peers_partitioned_until
     }
 
-    /// For how long the leader can't have heard of what was confirmed elsewhere.
+    /// Returns how old the leader's view may be: changes that other controllers confirmed since then
+    /// may be unknown to it.
     fn max_staleness(&self) -> TimeSpan {
         let now = self.now;
         let served = self.faults.store_serves_leader(now);
@@ -218,7 +223,7 @@
         }
     }
 
-    /// The checker sees each launch as it leaves the leader.
+    /// Passes the launches among the commands to the checker as the leader sends them.
     pub(super) fn check_launches(&mut self, commands: &[Command]) {
         let max_staleness = self.max_staleness();
         for command in commands {
@@ -228,7 +233,7 @@
         }
     }
 
-    /// A command that the scheduler would never send, to show that the checker sees it.
+    /// Executes a command that the scheduler would never send, to show that the checker detects it.
     pub fn send_rogue_command(&mut self, machine_id: &MachineId, command: Command) {
         let commands = [command];
         self.check_launches(&commands);
@@ -237,7 +242,7 @@
         }
     }
 
-    /// The leader hears of jobs that were opened or closed.
+    /// Delivers the jobs that were opened or closed to the leader, as its watch does.
     pub(super) fn deliver_job_changes(&mut self) {
         let now = self.now;
         let slow = now < self.faults.store_slow_until && now.0 % SLOW_WATCH_INTERVAL.0 != 0;
--- a/tests/simulation/mod.rs
+++ b/tests/simulation/mod.rs
@@ -1,8 +1,8 @@
-//! A deterministic simulation around the decision core: virtual time, a network, workers, a cloud,
-//! the state store and the election of leaders. The same seed gives the same run.
+//! Deterministic simulation of a cluster around the scheduler: virtual time, network, workers, cloud,
+//! state store and leader election. Runs with the same seed are identical.
 //!
-//! The checker applies the protocol's rules to what the simulated parts see; it knows nothing of the
-//! scheduler's own tables.
+//! The checker verifies the protocol's rules on the state of the simulated components. It doesn't read
+//! the scheduler's own tables.
 
 mod attempt;
 pub mod checker;
@@ -44,19 +44,19 @@
 /// How often the leader lists the cloud's machines.
 const MACHINE_LIST_INTERVAL: TimeSpan = TimeSpan(3_000);
 
-/// All simulated parts, and the leader's scheduler among them.
+/// All simulated components, including the leader's scheduler.
 pub struct Simulation {
     /// Virtual time.
     pub now: Instant,
     pub policy: Arc<Policy>,
     pub store: StateStore,
-    /// Machines in the cloud, also those that still boot.
+    /// All machines in the cloud, including those that are still booting.
     pub workers: BTreeMap<MachineId, Worker>,
     pub workload: Workload,
     pub checker: Checker,
-    /// Faults of the network, the state store and the cloud; each worker has its own besides.
+    /// Faults of the network, the state store and the cloud; `Worker::faults` has those of a machine.
     pub faults: Faults,
-    /// Of all that the leaders send.
+    /// Digest of all messages that leaders send.
     pub digest: WireDigest,
     cloud: Cloud,
     network: Network,
@@ -65,7 +65,8 @@
 }
 
 impl Simulation {
-    /// Nobody leads yet, there are no jobs, and the cloud lets at most `capacity` machines run.
+    /// Creates a simulation without a leader and without jobs, whose cloud runs at most `capacity`
+    /// machines.
     pub fn new(
         policy: Policy,
         machine_types: Vec<MachineTypeInfo>,
@@ -88,7 +89,7 @@
         }
     }
 
-    /// Advances virtual time, tick by tick.
+    /// Advances virtual time to `end`, tick by tick.
     pub fn run_until(&mut self, end: Instant) {
         while self.now < end {
             self.now += TICK;
@@ -96,7 +97,7 @@
         }
     }
 
-    /// Advances virtual time by so much.
+    /// Advances virtual time by `span`.
     pub fn run_for(&mut self, span: TimeSpan) {
         self.run_until(self.now + span);
     }
@@ -163,7 +164,7 @@
         }
     }
 
-    /// Machines that tasks of the job are on.
+    /// Returns the machines that run tasks of the job.
     pub fn machines_of(&self, id: &JobId) -> BTreeSet<MachineId> {
         let workers = self.workers.values();
         workers
@@ -172,7 +173,7 @@
             .collect()
     }
 
-    /// How late a duplicate comes: from a second to three worker leases.
+    /// Returns a random delay for a duplicate message: from 1 s to three worker leases.
     fn duplicate_delay(&mut self) -> TimeSpan {
         let lease = TimeSpan::from_secs(self.policy.facts.workers.lease_s);
         TimeSpan(self.rng.random_range(1_000..lease.0 * 3))
--- a/tests/simulation/state_store.rs
+++ b/tests/simulation/state_store.rs
@@ -1,4 +1,5 @@
-//! The state store: keys with revisions, transactions with preconditions, and changes since a revision.
+//! Simulated state store: keys with revisions, transactions with preconditions, and the changes since a
+//! revision.
 
 use chalklug::ids::{JobId, KeyRevision, StoreRevision};
 use chalklug::protocol::state::{Change, KeyValue, Transaction};
@@ -6,7 +7,7 @@
 use chalklug::storage::records::{open_job_key, terminal_key, TerminalRecord};
 use std::collections::BTreeMap;
 
-/// All keys, and every change ever made.
+/// All keys, and the history of their changes.
 #[derive(Default)]
 pub struct StateStore {
     pub store_revision: StoreRevision,
@@ -19,15 +20,15 @@
         self.items.get(key).cloned()
     }
 
-    /// All items whose keys begin with the prefix.
+    /// Returns all items whose keys start with the prefix.
     pub fn list(&self, prefix: &str) -> Vec<KeyValue> {
         let items = self.items.values();
         let listed = items.filter(|item| item.key.starts_with(prefix));
         listed.cloned().collect()
     }
 
-    /// Applies a transaction and returns the new revision; none: a precondition failed and nothing
-    /// changed.
+    /// Applies a transaction and returns the new store revision, or `None` if a precondition failed
+    /// and nothing changed.
     pub fn apply(&mut self, transaction: &Transaction) -> Option<StoreRevision> {
         let mut preconditions = transaction.preconditions.iter();
         if !preconditions.all(|p| self.key_revision(&p.key) == p.revision) {
@@ -64,14 +65,14 @@
         self.changes.push((self.store_revision, key));
     }
 
-    /// Keys changed after that revision, in order, each with its present value.
+    /// Returns the keys changed after the revision, in order, each with its current value.
     pub fn changes_since(&self, since: StoreRevision) -> Vec<(String, Option<KeyValue>)> {
         let changes = self.changes.iter();
         let newer = changes.filter(|(revision, _)| *revision > since);
         newer.map(|(_, key)| (key.clone(), self.get(key))).collect()
     }
 
-    /// The state of a job, as its records say.
+    /// Returns the phase of a job according to its records.
     pub fn phase(&self, id: &JobId) -> Option<JobPhase> {
         if self.items.contains_key(&open_job_key(id)) {
             return Some(JobPhase::Queued);
--- a/tests/simulation/users.rs
+++ b/tests/simulation/users.rs
@@ -1,4 +1,4 @@
-//! What users do through any controller: they submit jobs, cancel them, and ask for their states.
+//! Requests of users, which any controller handles: submissions, cancellations and job phases.
 
 use super::network::LATENCY;
 use super::workload::TaskBehavior;
@@ -9,7 +9,7 @@
 use chalklug::protocol::users::{JobPhase, JobSpec};
 use chalklug::storage::records::*;
 
-/// Open records are kept this short, so that upstream jobs often stand on pages of their own.
+/// Size limit of an open record, low enough that upstream jobs are often moved to dependency pages.
 const MAX_OPEN_RECORD_BYTES: usize = 420;
 
 fn to_json<T: serde::Serialize>(record: &T) -> serde_json::Value {
@@ -17,7 +17,7 @@
 }
 
 impl Simulation {
-    /// A controller accepts a job that depends on the `upstream` jobs.
+    /// Submits a job that depends on the `upstream` jobs.
     pub fn submit(&mut self, spec: JobSpec, behavior: TaskBehavior, upstream: Vec<JobId>) {
         let id = spec.id.clone();
         self.workload.add(spec.clone(), behavior);
@@ -27,7 +27,7 @@
             upstream_jobs: upstream.clone(),
             dependency_pages: 0,
         });
-        // As controllers do: with a cancelled upstream job it is cancelled from the start.
+        // As in the controllers, a job with a cancelled upstream job is cancelled on acceptance.
         let is_cancelled = |id: &JobId| self.store.phase(id) == Some(JobPhase::Cancelled);
         let change = match upstream.iter().any(is_cancelled) {
             true => {
@@ -45,14 +45,17 @@
             changes: vec![change],
         };
         let applied = self.store.apply(&transaction);
-        assert!(applied.is_some(), "a job is submitted once");
+        assert!(applied.is_some(), "{id}: submitted before");
         self.checker.job_accepted(self.now, spec, upstream);
     }
 
-    /// Writes what is too long for the record to pages; returns what stays in it.
+    /// Writes the upstream jobs to dependency pages if the record is too long, and returns the
+    /// resulting record.
     fn write_dependency_pages(&mut self, mut record: OpenJobRecord) -> OpenJobRecord {
         let pages = record.move_dependencies_to_pages(MAX_OPEN_RECORD_BYTES);
-        for (page, job_ids) in (0..).zip(pages.expect("a short description")) {
+        for (page, job_ids) in
+            (0..).zip(pages.expect("the description fits without its upstream jobs"))
+        {
             let key = dependency_page_key(&record.spec.id, page);
             let transaction = Transaction {
                 preconditions: Vec::new(),
@@ -63,24 +66,24 @@
         record
     }
 
-    /// An open record with all its upstream jobs, as controllers read it.
+    /// Returns an open record including the upstream jobs on its dependency pages.
     pub(super) fn read_open_record(&self, item: KeyValue) -> OpenJobRecord {
         let mut record: OpenJobRecord = serde_json::from_value(item.data).expect("an open record");
         for page in 0..record.dependency_pages {
             let item = self.store.get(&dependency_page_key(&record.spec.id, page));
-            let data = item.expect("a page of an open job").data;
-            let job_ids: Vec<JobId> = serde_json::from_value(data).expect("a page of names");
+            let data = item.expect("a dependency page of an open job").data;
+            let job_ids: Vec<JobId> = serde_json::from_value(data).expect("a list of job ids");
             record.upstream_jobs.extend(job_ids);
         }
         record
     }
 
-    /// A user cancels a job; whether a controller confirmed it.
+    /// Cancels a job and returns whether a controller confirmed the cancellation.
     #[must_use]
     pub fn cancel(&mut self, id: &JobId) -> bool {
         let elections = self.leadership.elections_enabled;
         if elections && self.now < self.faults.store_unavailable_until {
-            // No controller can confirm it: the user is told to come back.
+            // No controller can confirm the cancellation; the user is asked to retry.
             return false;
         }
         let Some(open) = self.store.get(&open_job_key(id)) else {
@@ -100,13 +103,17 @@
             ],
         };
         let applied = self.store.apply(&transaction);
-        assert!(applied.is_some(), "nobody else closes the job meanwhile");
+        assert!(
+            applied.is_some(),
+            "{id}: its open record changed during the cancellation"
+        );
         self.checker.job_cancelled(id, self.now);
         self.broadcast_cancellation(id);
         true
     }
 
-    /// The controller that confirmed a cancellation tells its peers, the leader among them.
+    /// Sends the leader the notification that the controller which confirmed a cancellation sends to
+    /// its peers.
     fn broadcast_cancellation(&mut self, id: &JobId) {
         if !self.peers_connected() {
             return;
@@ -117,7 +124,7 @@
         }
     }
 
-    /// What a user is told of a job, read as controllers read it.
+    /// Returns the phase of a job that controllers report to users.
     pub fn phase(&self, id: &JobId) -> Option<JobPhase> {
         self.store.phase(id)
     }
