--- a/tests/simulation/checker/job_states.rs
+++ b/tests/simulation/checker/job_states.rs
@@ -1,5 +1,6 @@
-//! Rules on what users are told: no job is forgotten, invented, called done too early, or changes once
-//! it has ended; jobs downstream of a cancelled one are cancelled in time.
+//! Rules on the job phases that users see: accepted jobs stay known, unknown jobs don't appear, no job is
+//! done before its tasks, no job changes after its end, and the jobs downstream of a cancelled job are
+//! cancelled in time.
 
 use super::Checker;
 use crate::simulation::state_store::StateStore;
@@ -8,8 +9,8 @@
 use chalklug::time::{Instant, TimeSpan};
 use std::collections::BTreeSet;
 
-/// After the last fault a leader has this long to write the terminal records of jobs cancelled with
-/// others.
+/// Time after the last fault within which the leader has to write the terminal records of jobs that were
+/// cancelled with an upstream job.
 const SETTLING_TIME: TimeSpan = TimeSpan(20_000);
 
 impl Checker {
@@ -45,8 +46,9 @@
         }
     }
 
-    /// Controllers answer from the upstream jobs' terminal records, at any time; the job's own record
-    /// must follow in time, unless some fault keeps the leader from writing it.
+    /// Whether the terminal record of a job with a cancelled upstream job is overdue. Controllers
+    /// report such a job as cancelled by its upstream jobs' records; the leader has to write the
+    /// job's own record within `cancel_s`, unless a recent fault may have prevented it.
     fn is_orphaned(
         &self,
         now: Instant,
@@ -59,7 +61,7 @@
         settled && since.is_some_and(|at| now - at > limit)
     }
 
-    /// When the first of all jobs that a job depends on, directly or through others, was cancelled.
+    /// Returns the earliest cancellation of a job that the job depends on, directly or transitively.
     fn upstream_cancelled_at(&self, id: &JobId) -> Option<Instant> {
         let mut seen = BTreeSet::new();
         let mut pending: Vec<&JobId> = self.upstream[id].iter().collect();
--- a/tests/simulation/checker/mod.rs
+++ b/tests/simulation/checker/mod.rs
@@ -1,5 +1,5 @@
-//! The protocol's rules, applied to what the simulated parts see. A rule that is broken is recorded by
-//! name, as `expect rule-broken` in scenarios names it.
+//! Checks of the protocol's rules on the state of the simulated components. A violation is recorded
+//! under the rule's name, which `expect rule-broken` in scenarios refers to.
 
 mod job_states;
 mod placement;
@@ -15,37 +15,37 @@
 use placement::Placement;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A leader that hears of a cancellation may send launches for this much longer.
+/// How long after a cancellation a leader may send launches of the job, however fresh its view is.
 const CANCELLATION_GRACE: TimeSpan = TimeSpan(1_000);
-/// Waiting jobs are looked at this often.
+/// How often the checker looks for starving jobs.
 const STARVATION_CHECK_INTERVAL: TimeSpan = TimeSpan(1_000);
-/// Rounding errors of sums of resources.
+/// Tolerance for rounding errors in sums of resources.
 const EPSILON: f64 = 1e-6;
 
-/// What the checker has seen, and the rules broken by it.
+/// Observations of the checker, and the rules that were broken.
 pub struct Checker {
     facts: DeploymentFacts,
     machine_types: Vec<MachineTypeInfo>,
     jobs: BTreeMap<JobId, JobSpec>,
-    /// Jobs that a job depends on.
+    /// The jobs that each job depends on directly.
     upstream: BTreeMap<JobId, Vec<JobId>>,
     accepted_at: BTreeMap<JobId, Instant>,
     cancelled_at: BTreeMap<JobId, Instant>,
-    /// Tasks that a worker has completed.
+    /// Indices of the tasks that a worker has completed, by job.
     done_tasks: BTreeMap<JobId, BTreeSet<u32>>,
     last_phases: BTreeMap<JobId, JobPhase>,
-    /// What was on which machine when last looked at.
+    /// The placements at the previous observation.
     placements: BTreeSet<Placement>,
-    /// How often each task was started.
+    /// How many times each task was started.
     pub start_counts: BTreeMap<TaskId, u32>,
     /// Names of the rules that were broken.
     pub broken_rules: BTreeSet<String>,
     /// The first violation, for the message of a failing test.
     pub first_violation: Option<String>,
-    /// A job that nobody submits.
+    /// A job that is never submitted.
     pub unknown_job: JobId,
     last_fault_at: Instant,
-    /// Since when there has been room for a job that waits.
+    /// Since when each pending job could have started.
     startable_since: BTreeMap<JobId, Instant>,
 }
 
@@ -70,12 +70,12 @@
         }
     }
 
-    /// Some fault is active that excuses delays.
+    /// Records that a fault is active for which delays are tolerated.
     pub fn fault_active(&mut self, now: Instant) {
         self.last_fault_at = now;
     }
 
-    /// A job is accepted: it must be able to run at all.
+    /// Records an accepted job, and checks that it fits some machine type and its team's limit.
     pub fn job_accepted(&mut self, now: Instant, spec: JobSpec, upstream: Vec<JobId>) {
         if !self.fits_some_machine(&spec) || !self.fits_team_limit(&spec) {
             self.record_violation(now, "accepted_unfit", spec.id.to_string());
@@ -110,13 +110,12 @@
         self.facts.teams.iter().find(|team| team.name == name)
     }
 
-    /// A user's cancellation is confirmed.
+    /// Records a confirmed cancellation.
     pub fn job_cancelled(&mut self, id: &JobId, now: Instant) {
         self.cancelled_at.insert(id.clone(), now);
     }
 
-    /// A launch leaves the leader, which may not have heard of anything confirmed within the last
-    /// `max_staleness`.
+    /// Checks a launch sent by a leader that may not know changes of the last `max_staleness`.
     pub fn launch_sent(&mut self, now: Instant, task: &TaskId, max_staleness: TimeSpan) {
         let allowed = max_staleness.max(CANCELLATION_GRACE);
         let cancelled_at = self.cancelled_at.get(&task.job);
@@ -125,13 +124,13 @@
         }
     }
 
-    /// A leader still acts although another may have taken over.
+    /// Records that a leader still acts when another one may be elected.
     pub fn leader_active_after_expiry(&mut self, now: Instant) {
-        let details = "a lease has expired, its leader acts";
+        let details = "the leader acts after the expiry of its lease";
         self.record_violation(now, "two_leaders", details.into());
     }
 
-    /// Looks at everything, once in each tick.
+    /// Checks the current state; called once per tick.
     pub fn observe(
         &mut self,
         now: Instant,
@@ -145,7 +144,7 @@
         }
     }
 
-    /// At the end of a run: something must have run.
+    /// Checks at the end of a run that at least one task was started.
     pub fn check_at_end(&mut self, now: Instant) {
         if self.start_counts.is_empty() {
             self.record_violation(now, "nothing_ran", String::new());
--- a/tests/simulation/checker/placement.rs
+++ b/tests/simulation/checker/placement.rs
@@ -1,5 +1,5 @@
-//! Rules on what runs where: no task twice, none too early, none where its job may not run, none long
-//! after its job's cancellation, and no team above its limit.
+//! Rules on placements: no task runs twice, before its upstream jobs are done, on a machine that its job
+//! doesn't allow, or too long after its job's cancellation, and no team exceeds its limit.
 
 use super::{Checker, EPSILON};
 use crate::simulation::state_store::StateStore;
@@ -54,7 +54,8 @@
         }
     }
 
-    /// A task may start once all upstream jobs are done, and while it is on no other machine.
+    /// Checks that the upstream jobs of a started task are done and that the task is on no other
+    /// machine.
     fn check_start(
         &mut self,
         now: Instant,
@@ -68,12 +69,12 @@
         }
         let elsewhere = |p: &Placement| p.task == new.task && p.machine_id != new.machine_id;
         if placements.iter().any(elsewhere) {
-            self.record_violation(now, "ran_twice", format!("{new} and elsewhere"));
+            self.record_violation(now, "ran_twice", format!("{new} and on another machine"));
         }
     }
 
-    /// The machine must be of a kind and in a zone that the job allows; tasks with affinity share a
-    /// zone, and those with anti-affinity don't crowd one.
+    /// Checks that the job allows the machine, that its tasks share a zone with affinity, and that
+    /// one zone has at most half of its tasks, rounded up, with anti-affinity.
     fn check_place(
         &mut self,
         now: Instant,
@@ -96,7 +97,7 @@
         }
     }
 
-    /// Tasks of a cancelled job must be gone in time.
+    /// Checks that the tasks of a cancelled job have ended within `cancel_s`.
     fn check_cancelled(&mut self, now: Instant, placements: &BTreeSet<Placement>) {
         let limit_secs = self.facts.workers.cancel_s;
         for placement in placements {
--- a/tests/simulation/checker/starvation.rs
+++ b/tests/simulation/checker/starvation.rs
@@ -1,4 +1,4 @@
-//! A rule on waiting: once the faults are over, no job waits for long while there is room for it.
+//! Rule on starvation: without active faults, no job that could start waits for long.
 
 use super::{Checker, EPSILON};
 use crate::simulation::attempt::Attempt;
@@ -9,12 +9,12 @@
 use chalklug::time::{Instant, TimeSpan};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Once the faults are over, no job may wait longer than this while there is room for it.
+/// Maximum time that a job may wait while it could start and no fault is active.
 const MAX_WAIT: TimeSpan = TimeSpan(90_000);
-/// One machine counts for at most so many tasks.
+/// Maximum number of tasks counted per machine, for tasks that request neither CPUs nor GPUs.
 const MAX_TASKS_PER_MACHINE: u32 = 1_000;
 
-/// A machine that responds and does its work, with what is free on it.
+/// A responsive machine that is neither faulty nor about to be reclaimed, and its free capacity.
 struct UsableMachine<'a> {
     worker: &'a Worker,
     cpus: f64,
@@ -22,7 +22,7 @@
 }
 
 impl UsableMachine<'_> {
-    /// So many tasks of the job fit.
+    /// Returns how many tasks of the job fit on the machine.
     fn tasks_that_fit(&self, spec: &JobSpec) -> u32 {
         let fitting = |free: f64, need: f64| match need > 0.0 {
             true => ((free + EPSILON) / need).floor().max(0.0) as u32,
@@ -34,10 +34,10 @@
     }
 }
 
-/// What is used and what is free, from all machines.
+/// Used and free capacity of all machines.
 struct Usage<'a> {
     gpus_by_team: BTreeMap<&'a str, f64>,
-    /// Tasks that are on some machine or fetch their image there.
+    /// Tasks with an attempt that hasn't ended, on any machine.
     placed_tasks: BTreeSet<&'a TaskId>,
     usable_machines: Vec<UsableMachine<'a>>,
 }
@@ -96,7 +96,8 @@
         usage
     }
 
-    /// Whether a task, or for a gang all of them, waits for nothing and has room.
+    /// Whether a task of the job, or for a gang all of them, could start: the job is released, below
+    /// its team's limit, and fits on the usable machines. Jobs with anti-affinity are left out.
     fn could_start(
         &self,
         spec: &JobSpec,
@@ -120,7 +121,7 @@
             && count_fitting_tasks(spec, usage, workers) >= concurrent_tasks
     }
 
-    /// So many tasks are neither done nor on any machine.
+    /// Returns the number of tasks that are neither done nor placed.
     fn count_unplaced_tasks(&self, spec: &JobSpec, usage: &Usage) -> u32 {
         let done = self.done_tasks.get(&spec.id);
         let is_unplaced = |index: &u32| {
@@ -139,7 +140,7 @@
     }
 }
 
-/// So many more tasks of the job fit on the machines that it may use; with affinity, in one zone.
+/// Returns how many more tasks of the job fit on the machines that it allows; with affinity, in one zone.
 fn count_fitting_tasks(
     spec: &JobSpec,
     usage: &Usage,
@@ -161,7 +162,7 @@
     }
 }
 
-/// Zones in which the job has tasks that haven't ended.
+/// Returns the zones in which the job has task attempts that haven't ended.
 fn zones_of<'a>(spec: &JobSpec, workers: &'a BTreeMap<MachineId, Worker>) -> BTreeSet<&'a Zone> {
     let is_live = |((task, _), attempt): (&(TaskId, AttemptId), &Attempt)| {
         task.job == spec.id && !attempt.has_ended()
