--- a/tests/scenario_language/events.rs
+++ b/tests/scenario_language/events.rs
@@ -1,4 +1,4 @@
-//! What happens in a scenario.
+//! The events of scenarios.
 
 use super::rogue::{launch_rogue_task, write_rogue_records};
 use super::{parse, submit, Words};
@@ -7,7 +7,7 @@
 use chalklug::ids::{JobId, MachineId};
 use chalklug::time::{Instant, TimeSpan};
 
-/// Lets an event of a scenario happen.
+/// Performs an event; panics if it is unknown or can't be performed.
 pub fn perform(simulation: &mut Simulation, event: &str, rest: &[&str]) {
     let words = Words(rest);
     let until = simulation.now + TimeSpan::from_secs(words.number("for", 0.0));
@@ -16,10 +16,10 @@
         || set_message_faults(simulation, event, &words)
         || perform_rogue_event(simulation, event, rest)
         || perform_machine_event(simulation, event, &words, until);
-    assert!(known, "not an event of scenarios: {event}");
+    assert!(known, "unknown scenario event: {event}");
 }
 
-/// Leaders, and what users do.
+/// Performs an event of leaders, of users or of the run. Returns whether the event is one of these.
 fn perform_job_event(simulation: &mut Simulation, event: &str, rest: &[&str]) -> bool {
     match event {
         "elect-leader" => simulation.elect_leader(),
@@ -29,7 +29,7 @@
             let confirmed = simulation.cancel(&JobId::from(rest[0]));
             assert!(confirmed, "cancellation not confirmed: {}", rest[0]);
         }
-        // The job may have ended: then it stays as it is.
+        // The job may have ended; then the cancellation has no effect.
         "try-cancel" => drop(simulation.cancel(&JobId::from(rest[0]))),
         "end-of-run" => simulation.checker.check_at_end(simulation.now),
         _ => return false,
@@ -37,7 +37,8 @@
     true
 }
 
-/// Faults of the state store, the cloud and the controllers.
+/// Starts a fault of the state store, the cloud or the controllers, which lasts until `until`.
+/// Returns whether the event is one of these.
 fn start_service_fault(simulation: &mut Simulation, event: &str, until: Instant) -> bool {
     let faults = &mut simulation.faults;
     match event {
@@ -54,7 +55,8 @@
     true
 }
 
-/// Messages that are lost, late or duplicated, by share; machines that never boot.
+/// Sets the share of messages that are lost, late or duplicated, or the number of machines that never
+/// boot. Returns whether the event is one of these.
 fn set_message_faults(simulation: &mut Simulation, event: &str, words: &Words) -> bool {
     let faults = &mut simulation.faults;
     match event {
@@ -68,7 +70,8 @@
     true
 }
 
-/// What the scheduler never does: it shows that the checker sees it.
+/// Performs an action that the scheduler never takes, to show that the checker detects it. Returns
+/// whether the event is one of these.
 fn perform_rogue_event(simulation: &mut Simulation, event: &str, rest: &[&str]) -> bool {
     match event {
         "rogue-launch" => launch_rogue_task(simulation, rest),
@@ -81,7 +84,7 @@
     true
 }
 
-/// Faults of one machine.
+/// Removes a machine or starts a fault of it. Returns whether the event is one of these.
 fn perform_machine_event(
     simulation: &mut Simulation,
     event: &str,
@@ -94,7 +97,7 @@
         return true;
     }
     let worker = simulation.workers.get_mut(&machine_id);
-    let worker = worker.unwrap_or_else(|| panic!("{machine_id} is not there"));
+    let worker = worker.unwrap_or_else(|| panic!("{event}: no machine {machine_id}"));
     start_worker_fault(worker, event, words, until)
 }
 
@@ -118,7 +121,7 @@
     true
 }
 
-/// The machine meant: by number, or the first one that a job is on.
+/// Returns the machine that `machine N` names, or the first one with tasks of the job in `of JOB`.
 pub(super) fn selected_machine(simulation: &Simulation, words: &Words) -> MachineId {
     if let Some(job) = words.get("of") {
         let machines = simulation.machines_of(&JobId::from(job));
@@ -127,7 +130,9 @@
         return first.unwrap_or_else(|| panic!("{job} is on no machine at {now:.1} s"));
     }
     let number: u32 = parse(
-        words.get("machine").expect("machine N or of JOB"),
+        words
+            .get("machine")
+            .expect("an event with `machine N` or `of JOB`"),
         "machine",
     );
     MachineId::from(format!("host-{number:06}").as_str())
--- a/tests/scenario_language/expectations.rs
+++ b/tests/scenario_language/expectations.rs
@@ -1,4 +1,4 @@
-//! What a scenario expects.
+//! The expectations of scenarios.
 
 use super::{job_number, parse, Words};
 use crate::simulation::Simulation;
@@ -17,12 +17,16 @@
             expect_in_range(
                 f64::from(starts),
                 &Words(rest),
-                &format!("{context}: starts of {id}"),
+                &format!("{context}: attempts of {id}"),
             );
         }
         ["running-tasks", id, count] => {
             let running = running_tasks(simulation, &JobId::from(*id));
-            assert_eq!(running.to_string(), *count, "{context}: tasks of {id}");
+            assert_eq!(
+                running.to_string(),
+                *count,
+                "{context}: running tasks of {id}"
+            );
         }
         ["machines", ..] => {
             let machines = simulation.workers.len() as f64;
@@ -33,7 +37,7 @@
             assert_eq!(machines.to_string(), *count, "{context}: machines of {id}");
         }
         ["rule-broken", rule] => expect_violation(simulation, rule, &context),
-        other => panic!("{context}: not an expectation: {other:?}"),
+        other => panic!("{context}: unknown expectation: {other:?}"),
     }
 }
 
@@ -43,20 +47,20 @@
         "running" => JobPhase::Running,
         "done" => JobPhase::Done,
         "cancelled" => JobPhase::Cancelled,
-        other => panic!("{context}: not a phase: {other}"),
+        other => panic!("{context}: unknown phase: {other}"),
     };
     let actual = simulation.phase(&JobId::from(id));
-    assert_eq!(actual, Some(expected), "{context}: {id}");
+    assert_eq!(actual, Some(expected), "{context}: phase of {id}");
 }
 
-/// So many jobs, numbered on from the first, have ended, one way or the other.
+/// Checks that `count` jobs, numbered consecutively from `first`, are done or cancelled.
 fn expect_ended(simulation: &Simulation, first: &str, count: &str, context: &str) {
     let first = job_number(first);
-    let count: u32 = parse(count, "a number of jobs");
+    let count: u32 = parse(count, "number of jobs");
     for number in first..first + count {
         let phase = simulation.phase(&JobId::from(format!("wk-{number}").as_str()));
         let ended = matches!(phase, Some(JobPhase::Done | JobPhase::Cancelled));
-        assert!(ended, "{context}: wk-{number} is {phase:?}");
+        assert!(ended, "{context}: wk-{number} hasn't ended: {phase:?}");
     }
 }
 
@@ -64,7 +68,7 @@
     let task = TaskId::parse(task).expect("a task");
     let starts = simulation.checker.start_counts.get(&task).copied();
     let starts = starts.unwrap_or(0);
-    assert_eq!(starts.to_string(), count, "{context}: starts of {task}");
+    assert_eq!(starts.to_string(), count, "{context}: attempts of {task}");
 }
 
 fn total_starts(simulation: &Simulation, id: &JobId) -> u32 {
@@ -79,17 +83,20 @@
     tasks.filter(|(task, _)| task.job == *id).count()
 }
 
-/// At least `at-least` and at most `at-most`, where these are given.
+/// Checks the value against the bounds `at-least` and `at-most`, if given.
 fn expect_in_range(actual: f64, words: &Words, context: &str) {
     let min = words.number("at-least", 0.0);
     let max = words.number("at-most", f64::INFINITY);
-    assert!((min..=max).contains(&actual), "{context}: {actual}");
+    assert!(
+        (min..=max).contains(&actual),
+        "{context}: {actual}, expected {min} to {max}"
+    );
 }
 
 fn expect_violation(simulation: &Simulation, rule: &str, context: &str) {
     let broken = &simulation.checker.broken_rules;
     assert!(
         broken.contains(rule),
-        "{context}: the checker did not see {rule}, only {broken:?}"
+        "{context}: the checker found no violation of {rule}, only of {broken:?}"
     );
 }
--- a/tests/scenario_language/job.rs
+++ b/tests/scenario_language/job.rs
@@ -1,14 +1,14 @@
-//! Jobs as scenarios describe them.
+//! Job descriptions in scenarios.
 
 use super::Words;
 use crate::simulation::{Simulation, TaskBehavior};
 use chalklug::ids::{Image, JobId, MachineType, Zone};
 use chalklug::protocol::users::{JobSpec, Priority, Shape};
 
-/// How long tasks run unless a scenario says otherwise.
+/// Run time of tasks unless a scenario sets another one.
 const DEFAULT_RUN_SECS: f64 = 10.0;
 
-/// The job that these words describe, its id first.
+/// Returns the job that the words describe; the first word is its id.
 pub fn job_spec(rest: &[&str]) -> JobSpec {
     let words = Words(rest);
     let run_secs = words.number("run", DEFAULT_RUN_SECS);
@@ -45,7 +45,7 @@
         "array" => Shape::Array,
         "gang" => Shape::Gang,
         "service" => Shape::Service,
-        other => panic!("not a shape: {other}"),
+        other => panic!("unknown shape: {other}"),
     }
 }
 
@@ -55,11 +55,11 @@
         "normal" => Priority::Normal,
         "urgent" => Priority::Urgent,
         "production" => Priority::Production,
-        other => panic!("not a priority: {other}"),
+        other => panic!("unknown priority: {other}"),
     }
 }
 
-/// Submits the job that these words describe.
+/// Submits the job that the words describe.
 pub fn submit(simulation: &mut Simulation, rest: &[&str]) {
     let words = Words(rest);
     let behavior = match words.has("fails-everywhere") {
--- a/tests/scenario_language/mod.rs
+++ b/tests/scenario_language/mod.rs
@@ -1,5 +1,5 @@
-//! The language of `tests/scenarios/*.txt`: its one parser, and what its words do to a simulation.
-//! `tests/scenarios/README.md` lists the words.
+//! Parser and interpreter of the scenario files `tests/scenarios/*.txt`, whose language
+//! `tests/scenarios/README.md` describes.
 
 mod events;
 mod expectations;
@@ -17,23 +17,23 @@
 use chalklug::ids::JobId;
 use chalklug::time::TimeSpan;
 
-/// Words that stand alone; all others are names, each followed by its value.
+/// Words without a value; every other name is followed by its value.
 const FLAGS: [&str; 4] = ["affinity", "anti-affinity", "spot", "fails-everywhere"];
 
 /// The words of a line after the first: `name value` pairs and flags.
 pub struct Words<'a>(pub &'a [&'a str]);
 
 impl<'a> Words<'a> {
-    /// The value of that name.
+    /// Returns the value that follows the name; for a flag, an empty string.
     pub fn get(&self, name: &str) -> Option<&'a str> {
-        let at = self.0.iter().position(|word| *word == name)?;
+        let index = self.0.iter().position(|word| *word == name)?;
         if FLAGS.contains(&name) {
             return Some("");
         }
-        self.0.get(at + 1).copied()
+        self.0.get(index + 1).copied()
     }
 
-    /// The number of that name.
+    /// Returns the number that follows the name, or `default` without that name.
     pub fn number(&self, name: &str, default: f64) -> f64 {
         let value = self.get(name);
         value.map_or(default, |value| parse(value, name))
@@ -43,7 +43,7 @@
         self.0.contains(&flag)
     }
 
-    /// Jobs of that name, separated by commas.
+    /// Returns the jobs that follow the name, separated by commas.
     pub fn jobs(&self, name: &str) -> Vec<JobId> {
         let list = self.get(name);
         list.map_or(Vec::new(), |list| {
@@ -52,18 +52,21 @@
     }
 }
 
-/// A value, or a panic that says of what.
+/// Parses the value of `what`; panics if it is invalid.
 fn parse<T: std::str::FromStr>(value: &str, what: &str) -> T {
     let parsed = value.parse();
-    parsed.unwrap_or_else(|_| panic!("{what}: not a value: {value}"))
+    parsed.unwrap_or_else(|_| panic!("{what}: invalid value: {value}"))
 }
 
 fn seconds(value: &str) -> TimeSpan {
     TimeSpan::from_secs(parse(value, "seconds"))
 }
 
-/// The number of a job, from which a stream of jobs counts on.
+/// Returns the number in a job id.
 fn job_number(id: &str) -> u32 {
     let number = id.strip_prefix("wk-");
-    parse(number.unwrap_or_else(|| panic!("not a job: {id}")), "job")
+    parse(
+        number.unwrap_or_else(|| panic!("not a job id: {id}")),
+        "job",
+    )
 }
--- a/tests/scenario_language/rogue.rs
+++ b/tests/scenario_language/rogue.rs
@@ -1,4 +1,5 @@
-//! What the scheduler never does, done on purpose: scenarios show with it that the checker sees it.
+//! Actions that the scheduler never takes. Scenarios use them to show that the checker detects the broken
+//! rules.
 
 use super::events::selected_machine;
 use super::{job_spec, Words};
@@ -9,10 +10,11 @@
 use chalklug::protocol::workers::Command;
 use chalklug::storage::records::{open_job_key, terminal_key, OpenJobRecord, TerminalRecord};
 
-/// An attempt id that no leader draws.
+/// Attempt id that no leader assigns.
 const ROGUE_ATTEMPT: AttemptId = AttemptId(1 << 50);
 
-/// Launches the task on the machine that the words name, or on one that has no task `not-of` a job.
+/// Launches a task on the machine that the words name; with `not-of JOB`, on a machine without tasks of
+/// that job.
 pub fn launch_rogue_task(simulation: &mut Simulation, rest: &[&str]) {
     let words = Words(rest);
     let command = Command::Launch {
@@ -30,10 +32,13 @@
     let used = simulation.machines_of(job);
     let mut workers = simulation.workers.values();
     let other = workers.find(|w| !used.contains(&w.id) && w.up_at <= simulation.now);
-    other.expect("another machine").id.clone()
+    other
+        .expect("a running machine without tasks of the job")
+        .id
+        .clone()
 }
 
-/// Deletes a job's records, writes that it is done, or opens it again.
+/// Deletes the records of a job, marks it done, or reopens it, depending on the event.
 pub fn write_rogue_records(simulation: &mut Simulation, event: &str, id: &JobId) {
     let spec = simulation.workload.specs.get(id).cloned();
     let spec = spec.unwrap_or_else(|| job_spec(&[id.as_str()]));
--- a/tests/scenario_language/script.rs
+++ b/tests/scenario_language/script.rs
@@ -1,33 +1,33 @@
-//! A scenario file: what it starts with, what happens when, and when it ends.
+//! Scenario files: the setup, timed events and expectations, and the end of the run.
 
 use super::{expect, job_number, parse, perform, seconds, Setup};
 use crate::simulation::Simulation;
 use chalklug::time::{Instant, TimeSpan};
 use std::collections::BTreeMap;
 
-/// A scenario as its file describes it.
+/// A parsed scenario file.
 #[derive(Default)]
 pub struct Scenario<'a> {
     pub setup: Setup,
-    /// Words of each event or expectation, by its time.
+    /// The words of each event and expectation, by time.
     steps: BTreeMap<Instant, Vec<Vec<String>>>,
     end: Instant,
     name: &'a str,
 }
 
 impl<'a> Scenario<'a> {
-    /// Reads the text of the file of that name.
+    /// Parses the text of the scenario file `name`.
     pub fn parse(name: &'a str, text: &str) -> Scenario<'a> {
-        let mut script = Scenario {
+        let mut scenario = Scenario {
             name,
             ..Scenario::default()
         };
         for line in text.lines() {
             let line = line.split('#').next().unwrap_or_default();
             let words: Vec<&str> = line.split_whitespace().collect();
-            script.add_line(&words);
+            scenario.add_line(&words);
         }
-        script
+        scenario
     }
 
     fn add_line(&mut self, words: &[&str]) {
@@ -48,7 +48,7 @@
         self.steps.entry(time).or_default().push(words);
     }
 
-    /// Jobs numbered on from the first, submitted one after the other.
+    /// Adds submissions of `count` jobs, one per interval, numbered consecutively from `first`.
     fn add_stream(
         &mut self,
         start: TimeSpan,
@@ -67,13 +67,14 @@
         }
     }
 
-    /// Whether the scenario shows that the checker sees a broken rule.
+    /// Whether the scenario expects a broken rule.
     fn expects_violation(&self) -> bool {
         let mut steps = self.steps.values().flatten();
         steps.any(|words| words[0] == "expect" && words[1] == "rule-broken")
     }
 
-    /// Plays the scenario; panics if an expectation doesn't hold or a rule is broken.
+    /// Runs the scenario; panics if an expectation doesn't hold or, unless the scenario expects a
+    /// broken rule, if any rule is broken.
     pub fn run(self) {
         let expects_violation = self.expects_violation();
         let mut simulation = self.setup.simulation();
--- a/tests/scenario_language/setup.rs
+++ b/tests/scenario_language/setup.rs
@@ -1,4 +1,4 @@
-//! What a scenario starts with: teams, machine types, limits.
+//! Setup of scenarios: teams, machine types and limits.
 
 use super::{parse, Words};
 use crate::simulation::Simulation;
@@ -7,22 +7,22 @@
 use chalklug::ids::{MachineType, Zone};
 use chalklug::protocol::cloud::MachineTypeInfo;
 
-/// So many pushes may await their responses at once.
+/// Maximum number of pushes in flight.
 const MAX_PUSHES: usize = 96;
 
-/// What a scenario starts with.
+/// Settings that a scenario starts with.
 pub struct Setup {
     pub facts: DeploymentFacts,
     pub machine_types: Vec<MachineTypeInfo>,
-    /// The cloud lets so many machines run.
+    /// Maximum number of machines in the cloud.
     pub max_machines: u32,
     pub seed: u64,
-    /// Leaders come and go by their leases.
+    /// Whether leaders lose their authority with their leases and others are elected.
     pub elections: bool,
 }
 
 impl Default for Setup {
-    /// What holds unless a scenario says otherwise.
+    /// Returns the settings of a scenario without setup lines.
     fn default() -> Setup {
         Setup {
             facts: DeploymentFacts {
@@ -62,7 +62,7 @@
 }
 
 impl Setup {
-    /// A setup of these lines.
+    /// Creates a setup from setup lines.
     pub fn from_lines(lines: &[&str]) -> Setup {
         let mut setup = Setup::default();
         for line in lines {
@@ -72,7 +72,7 @@
         setup
     }
 
-    /// One more line.
+    /// Applies a setup line that consists of the word `first` and the words `rest`.
     pub fn add_line(&mut self, first: &str, rest: &[&str]) {
         match first {
             "team" => self.facts.teams.push(team(rest)),
@@ -83,11 +83,11 @@
             "worker-lease" => self.facts.workers.lease_s = parse(rest[0], first),
             "cancel-within" => self.facts.workers.cancel_s = parse(rest[0], first),
             "elections" => self.elections = true,
-            other => panic!("not a word of scenarios: {other}"),
+            other => panic!("unknown setup word: {other}"),
         }
     }
 
-    /// A simulation that starts with this, with nothing in it yet.
+    /// Creates a simulation with these settings, without jobs, machines or a leader.
     pub fn simulation(self) -> Simulation {
         let policy = Policy {
             facts: self.facts,
