--- a/tests/scenario_language/mod.rs
+++ b/tests/scenario_language/mod.rs
@@ -52,7 +52,7 @@
     }
 }
 
-/// Parses the value of `what`; panics if it is invalid.
+/// Parses a value; `what` names the value in the panic message if it is invalid.
 fn parse<T: std::str::FromStr>(value: &str, what: &str) -> T {
     let parsed = value.parse();
     parsed.unwrap_or_else(|_| panic!("{what}: invalid value: {value}"))
@@ -62,7 +62,7 @@
     TimeSpan::from_secs(parse(value, "seconds"))
 }
 
-/// Returns the number in a job id.
+/// Returns the number N of the job id `wk-N`.
 fn job_number(id: &str) -> u32 {
     let number = id.strip_prefix("wk-");
     parse(
--- a/tests/scenario_language/setup.rs
+++ b/tests/scenario_language/setup.rs
@@ -17,7 +17,7 @@
     /// Maximum number of machines in the cloud.
     pub max_machines: u32,
     pub seed: u64,
-    /// Whether leaders lose their authority with their leases and others are elected.
+    /// Whether leaders can lose their authority, after which others are elected.
     pub elections: bool,
 }
 
--- a/tests/simulation/attempt.rs
+++ b/tests/simulation/attempt.rs
@@ -9,7 +9,7 @@
 
 /// Run time after which a task fails on a faulty machine.
 const FAULTY_MACHINE_TIME_TO_FAILURE_SECS: f64 = 0.5;
-/// Run time after which a task fails whose job fails on every machine.
+/// Run time after which a task with `TaskBehavior::FailsEverywhere` fails.
 const FAILING_TASK_TIME_TO_FAILURE_SECS: f64 = 0.2;
 
 /// A task attempt as its worker tracks it.
--- a/tests/simulation/checker/job_states.rs
+++ b/tests/simulation/checker/job_states.rs
@@ -47,7 +47,7 @@
     }
 
     /// Whether the terminal record of a job with a cancelled upstream job is overdue. Controllers
-    /// report such a job as cancelled by its upstream jobs' records; the leader has to write the
+    /// derive the phase of such a job from its upstream jobs' records; the leader has to write the
     /// job's own record within `cancel_s`, unless a recent fault may have prevented it.
     fn is_orphaned(
         &self,
--- a/tests/simulation/checker/mod.rs
+++ b/tests/simulation/checker/mod.rs
@@ -15,7 +15,8 @@
 use placement::Placement;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How long after a cancellation a leader may send launches of the job, however fresh its view is.
+/// Time after a cancellation during which a leader may send launches of the job even if its view is
+/// up to date.
 const CANCELLATION_GRACE: TimeSpan = TimeSpan(1_000);
 /// How often the checker looks for starving jobs.
 const STARVATION_CHECK_INTERVAL: TimeSpan = TimeSpan(1_000);
@@ -115,7 +116,7 @@
         self.cancelled_at.insert(id.clone(), now);
     }
 
-    /// Checks a launch sent by a leader that may not know changes of the last `max_staleness`.
+    /// Checks a launch sent by the leader, whose view may be up to `max_staleness` old.
     pub fn launch_sent(&mut self, now: Instant, task: &TaskId, max_staleness: TimeSpan) {
         let allowed = max_staleness.max(CANCELLATION_GRACE);
         let cancelled_at = self.cancelled_at.get(&task.job);
@@ -124,7 +125,7 @@
         }
     }
 
-    /// Records that a leader still acts when another one may be elected.
+    /// Records that a leader still acts after the expiry of its lease, when another may be elected.
     pub fn leader_active_after_expiry(&mut self, now: Instant) {
         let details = "the leader acts after the expiry of its lease";
         self.record_violation(now, "two_leaders", details.into());
--- a/tests/simulation/checker/placement.rs
+++ b/tests/simulation/checker/placement.rs
@@ -73,8 +73,8 @@
         }
     }
 
-    /// Checks that the job allows the machine, that its tasks share a zone with affinity, and that
-    /// one zone has at most half of its tasks, rounded up, with anti-affinity.
+    /// Checks that the job allows the machine; with affinity, that the job's tasks share a zone; with
+    /// anti-affinity, that the zone has at most half of them, rounded up.
     fn check_place(
         &mut self,
         now: Instant,
--- a/tests/simulation/checker/starvation.rs
+++ b/tests/simulation/checker/starvation.rs
@@ -11,7 +11,8 @@
 
 /// Maximum time that a job may wait while it could start and no fault is active.
 const MAX_WAIT: TimeSpan = TimeSpan(90_000);
-/// Maximum number of tasks counted per machine, for tasks that request neither CPUs nor GPUs.
+/// Maximum number of tasks counted per machine; tasks that request neither CPUs nor GPUs fit without
+/// limit.
 const MAX_TASKS_PER_MACHINE: u32 = 1_000;
 
 /// A responsive machine that is neither faulty nor about to be reclaimed, and its free capacity.
@@ -140,7 +141,8 @@
     }
 }
 
-/// Returns how many more tasks of the job fit on the machines that it allows; with affinity, in one zone.
+/// Returns how many more tasks of the job fit on the machines that it allows; with affinity, in a
+/// single zone.
 fn count_fitting_tasks(
     spec: &JobSpec,
     usage: &Usage,
--- a/tests/simulation/cloud.rs
+++ b/tests/simulation/cloud.rs
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Rents up to `count` machines. A repeated idempotency key returns the machines of its first request.
+    /// Rents up to `count` machines; a repeated idempotency key returns those of its first request.
     pub(super) fn rent_machines(
         &mut self,
         idempotency_key: &IdempotencyKey,
--- a/tests/simulation/leadership.rs
+++ b/tests/simulation/leadership.rs
@@ -123,7 +123,7 @@
         if !self.leadership.has_authority(now) {
             self.crash_leader();
             if served {
-                // The leader revokes its own lease, so that the next election needn't wait for the expiry.
+                // The leader revokes its lease, so that the next election needn't wait for the expiry.
                 self.leadership.lease_expires_at = now;
             }
         }
@@ -209,8 +209,8 @@
         self.leadership.elections_enabled && self.now >= self.faults.peers_partitioned_until
     }
 
-    /// Returns how old the leader's view may be: changes that other controllers confirmed since then
-    /// may be unknown to it.
+    /// Returns the maximum time for which the leader may not know a change that another controller has
+    /// confirmed.
     fn max_staleness(&self) -> TimeSpan {
         let now = self.now;
         let served = self.faults.store_serves_leader(now);
--- a/tests/simulation/network.rs
+++ b/tests/simulation/network.rs
@@ -12,7 +12,7 @@
 
 /// Latency of a message without faults.
 pub(super) const LATENCY: TimeSpan = TimeSpan(10);
-/// Time after a heartbeat was sent at which the worker starts to ignore the response.
+/// Maximum time from sending a heartbeat to its response; workers ignore later responses.
 const HEARTBEAT_RESPONSE_TIMEOUT: TimeSpan = TimeSpan(4_000);
 
 /// What a partition does to messages that are sent during it.
@@ -69,7 +69,7 @@
 pub(super) struct Network {
     in_flight: BTreeMap<(Instant, u64), Message>,
     sent_count: u64,
-    /// Pushes with a response or a timeout; a second outcome is ignored.
+    /// Pushes that were answered or timed out; a second outcome is ignored.
     resolved_pushes: BTreeSet<(FencingToken, RequestId)>,
 }
 
@@ -86,7 +86,7 @@
         due.into_values().collect()
     }
 
-    /// Returns whether the event is to be delivered: of the outcomes of a push, only the first is.
+    /// Returns whether to deliver the event; false for the second outcome of a push.
     fn is_first_outcome(&mut self, leader: FencingToken, event: &Event) -> bool {
         match event {
             Event::PushAnswered { request_id, .. } | Event::PushFailed { request_id, .. } => {
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Sends a heartbeat, unless a fault drops it, and at random a late duplicate.
+    /// Sends a heartbeat, and at random a late duplicate, unless a fault drops the heartbeat.
     pub(super) fn send_heartbeat(&mut self, status: WorkerStatus) {
         let now = self.now;
         let machine_id = status.machine_id.clone();
@@ -186,8 +186,8 @@
         self.send_over_machine_link(&machine_id, response);
     }
 
-    /// Delivers a heartbeat response. The worker ignores it if it is late, belongs to an earlier
-    /// session or has a lower fencing token than an earlier message.
+    /// Delivers a heartbeat response. The worker ignores a response that is late, belongs to an
+    /// earlier session, or has a lower fencing token than an earlier message.
     fn deliver_response(
         &mut self,
         machine_id: &MachineId,
--- a/tests/simulation/random_faults.rs
+++ b/tests/simulation/random_faults.rs
@@ -7,7 +7,7 @@
 use rand::rngs::StdRng;
 use rand::Rng;
 
-/// Starts a random fault. All but `late_transaction_share`, which the caller resets, end after a time.
+/// Starts a random fault, which ends by itself; the caller resets `late_transaction_share`.
 pub fn start_random_fault(simulation: &mut Simulation, rng: &mut StdRng) {
     let now = simulation.now;
     let short_end = now + TimeSpan(rng.random_range(1_000..12_000));
--- a/tests/simulation/state_store.rs
+++ b/tests/simulation/state_store.rs
@@ -65,7 +65,7 @@
         self.changes.push((self.store_revision, key));
     }
 
-    /// Returns the keys changed after the revision, in order, each with its current value.
+    /// Returns the keys changed after the revision `since`, in order, each with its current value.
     pub fn changes_since(&self, since: StoreRevision) -> Vec<(String, Option<KeyValue>)> {
         let changes = self.changes.iter();
         let newer = changes.filter(|(revision, _)| *revision > since);
--- a/tests/simulation/users.rs
+++ b/tests/simulation/users.rs
@@ -112,7 +112,7 @@
         true
     }
 
-    /// Sends the leader the notification that the controller which confirmed a cancellation sends to
+    /// Notifies the leader of a confirmed cancellation, as the confirming controller does with all of
     /// its peers.
     fn broadcast_cancellation(&mut self, id: &JobId) {
         if !self.peers_connected() {
--- a/tests/simulation/worker.rs
+++ b/tests/simulation/worker.rs
@@ -16,7 +16,7 @@
 
 /// Remaining time that a worker with a preemption notice reports.
 const PREEMPTION_NOTICE_SECS: f64 = 10.0;
-/// Range of the random factor that each heartbeat interval is multiplied by.
+/// Range of the random factor applied to each heartbeat interval.
 const HEARTBEAT_JITTER: std::ops::Range<f64> = 0.75..1.25;
 /// Minimum time between a heartbeat and an early one that reports a changed status.
 const MIN_HEARTBEAT_SPACING_SECS: f64 = 0.5;
@@ -50,7 +50,7 @@
         self.outbound_unreachable_until = Some(end);
     }
 
-    /// Delays or drops all messages to and from the machine until `end`.
+    /// Partitions the machine until `end`: messages to and from it are delayed or dropped.
     pub fn partition_until(&mut self, end: Instant, mode: PartitionMode) {
         self.partition = Some((end, mode));
     }
@@ -96,7 +96,7 @@
     pub token: FencingToken,
     pub attempts: BTreeMap<(TaskId, AttemptId), Attempt>,
     pub faults: WorkerFaults,
-    /// Factor that the duration of an image fetch is multiplied by.
+    /// Factor applied to the duration of image fetches.
     pub fetch_slowdown: f64,
     /// Whether the worker has received a preemption notice.
     pub preemption_noticed: bool,
@@ -155,7 +155,7 @@
         self.unresponsive_until(now).is_none()
     }
 
-    /// Whether the job may run on a machine of this type, in this zone, spot or not.
+    /// Whether the job allows the machine's type, its zone and, for a spot machine, spot machines.
     pub fn allows(&self, spec: &JobSpec) -> bool {
         let types = spec.machine_types.as_ref();
         (spec.spot || !self.spot)
