--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -54,6 +54,7 @@
 
 /// The deployment's teams, objectives, timeouts and limits.
 #[derive(Debug, Clone, Deserialize)]
+#[serde(expecting = "struct Facts")]
 pub struct DeploymentFacts {
     /// Largest difference between the clocks of two machines, in milliseconds.
     #[serde(default)]
--- a/src/coordination/attempts/ledger/task_attempt.rs
+++ b/src/coordination/attempts/ledger/task_attempt.rs
@@ -51,7 +51,7 @@
         LastStatus {
             phase: task.phase,
             cause: task.cause,
-            progress_saved: task.stored,
+            progress_saved: task.checkpoint_saved,
             since: same_phase.map_or(now, |previous| previous.since),
             message_id,
         }
--- a/src/coordination/attempts/reconciliation/mod.rs
+++ b/src/coordination/attempts/reconciliation/mod.rs
@@ -48,7 +48,7 @@
         let Some(machine) = self.machines.get_mut(machine_id) else {
             return HeartbeatOutcome::Refused;
         };
-        machine.last_heartbeat = (status.session, status.tick);
+        machine.last_heartbeat = (status.session, status.sequence_number);
         machine.last_heartbeat_at = Some(now);
         if machine.lease_withheld {
             // The lease has to expire: its expiry is the proof that removes the machine's attempts.
@@ -104,8 +104,9 @@
     /// before. A duplicate is refused and renews no lease, because the worker no longer waits for its response.
     fn is_duplicate_heartbeat(&self, status: &WorkerStatus) -> bool {
         let machine = self.machines.get(&status.machine_id);
-        let is_duplicate =
-            machine.is_some_and(|machine| (status.session, status.tick) <= machine.last_heartbeat);
+        let is_duplicate = machine.is_some_and(|machine| {
+            (status.session, status.sequence_number) <= machine.last_heartbeat
+        });
         if is_duplicate {
             tracing::debug!(machine = %status.machine_id, "duplicate heartbeat");
         }
--- a/src/coordination/autoscaler/forecast/expected_arrivals.rs
+++ b/src/coordination/autoscaler/forecast/expected_arrivals.rs
@@ -77,6 +77,6 @@
     if spec.shape == Shape::Gang {
         spec.shape = Shape::Array;
     }
-    spec.together = false;
+    spec.zone_affinity = false;
     spec
 }
--- a/src/coordination/jobs/job.rs
+++ b/src/coordination/jobs/job.rs
@@ -152,7 +152,7 @@
 
     /// Whether all tasks of the job have to be in one zone.
     pub fn has_affinity(&self) -> bool {
-        self.spec.together && self.spec.tasks > 1
+        self.spec.zone_affinity && self.spec.tasks > 1
     }
 
     /// Whether the job has zone affinity but its tasks may be in several zones. No task can start until all but one
--- a/src/coordination/jobs/lifecycle.rs
+++ b/src/coordination/jobs/lifecycle.rs
@@ -93,7 +93,7 @@
         let spec = job.spec();
         let objective = || self.policy.max_completion_s(&spec.class);
         let fallback = || objective().filter(|_| upstream.is_empty());
-        let deadline_s = spec.due_s.or_else(fallback);
+        let deadline_s = spec.deadline_s.or_else(fallback);
         // The image fetch time is unknown until the machine types are known.
         let fetch_s =
             Some(self.machines.shortest_image_fetch_s(spec)).filter(|seconds| seconds.is_finite());
--- a/src/coordination/placement/start_check.rs
+++ b/src/coordination/placement/start_check.rs
@@ -85,11 +85,11 @@
     own_tasks: u32,
 ) -> Result<(), StartDenial> {
     // If tasks may be in several zones, all of them are denied: whichever is chosen, others may run elsewhere.
-    if spec.together && counted.any_outside(zone) {
+    if spec.zone_affinity && counted.any_outside(zone) {
         return Err(StartDenial::OtherZone);
     }
     let others_here = counted.count_in(zone).saturating_sub(own_tasks);
-    if spec.scatter && others_here >= max_tasks_per_zone(spec) {
+    if spec.zone_anti_affinity && others_here >= max_tasks_per_zone(spec) {
         return Err(StartDenial::ZoneFull);
     }
     Ok(())
--- a/tests/simulation/checker/placement.rs
+++ b/tests/simulation/checker/placement.rs
@@ -89,9 +89,11 @@
         };
         let others = placements.iter().filter(is_other);
         let zones: Vec<&Zone> = others.map(|p| &workers[&p.machine_id].zone).collect();
-        let violates_affinity = spec.together && zones.iter().any(|zone| **zone != worker.zone);
+        let violates_affinity =
+            spec.zone_affinity && zones.iter().any(|zone| **zone != worker.zone);
         let tasks_in_zone = zones.iter().filter(|zone| ***zone == worker.zone).count() as u32 + 1;
-        let violates_anti_affinity = spec.scatter && tasks_in_zone > spec.tasks.div_ceil(2);
+        let violates_anti_affinity =
+            spec.zone_anti_affinity && tasks_in_zone > spec.tasks.div_ceil(2);
         if !worker.allows(spec) || violates_affinity || violates_anti_affinity {
             self.record_violation(now, "wrong_place", new.to_string());
         }
--- a/tests/simulation/checker/starvation.rs
+++ b/tests/simulation/checker/starvation.rs
@@ -109,7 +109,7 @@
         let is_done = |id: &JobId| store.phase(id) == Some(JobPhase::Done);
         let is_open = store.phase(&spec.id) == Some(JobPhase::Queued);
         let is_released = self.upstream[&spec.id].iter().all(is_done);
-        if !is_open || !is_released || spec.scatter {
+        if !is_open || !is_released || spec.zone_anti_affinity {
             return false;
         }
         let unplaced_tasks = self.count_unplaced_tasks(spec, usage);
@@ -153,12 +153,12 @@
     for machine in &usage.usable_machines {
         let zone = &machine.worker.zone;
         let satisfies_affinity =
-            !spec.together || zones_in_use.iter().all(|in_use| *in_use == zone);
+            !spec.zone_affinity || zones_in_use.iter().all(|in_use| *in_use == zone);
         if machine.worker.allows(spec) && satisfies_affinity {
             *fitting_tasks.entry(zone).or_default() += machine.tasks_that_fit(spec);
         }
     }
-    match spec.together {
+    match spec.zone_affinity {
         true => fitting_tasks.values().copied().max().unwrap_or(0),
         false => fitting_tasks.values().sum(),
     }
--- a/tests/simulation/worker.rs
+++ b/tests/simulation/worker.rs
@@ -181,7 +181,7 @@
                 attempt_id: *attempt_id,
                 phase: attempt.phase,
                 cause: attempt.cause,
-                stored: attempt.checkpoint_saved,
+                checkpoint_saved: attempt.checkpoint_saved,
             })
             .collect();
         WorkerStatus {
@@ -191,9 +191,9 @@
             zone: self.zone.clone(),
             spot: self.spot,
             session: self.session,
-            tick: SequenceNumber(self.sequence_number),
+            sequence_number: SequenceNumber(self.sequence_number),
             token: self.token,
-            recall_s: self.preemption_noticed.then_some(PREEMPTION_NOTICE_SECS),
+            preemption_notice_s: self.preemption_noticed.then_some(PREEMPTION_NOTICE_SECS),
             tasks,
         }
     }
