--- a/tests/scenario_language/events.rs
+++ b/tests/scenario_language/events.rs
@@ -1,4 +1,4 @@
-//! What happens in a scenario.
+//! The events of scenarios.
 
 use super::rogue::{launch_rogue_task, write_rogue_records};
 use super::{parse, submit, Words};
@@ -7,20 +7,20 @@
 use chalklug::ids::{JobId, MachineId};
 use chalklug::time::{Instant, TimeSpan};
 
-/// Lets an event of a scenario happen.
+/// Performs an event; panics if it is unknown or can't be performed.
 pub fn perform(simulation: &mut Simulation, event: &str, rest: &[&str]) {
     let words = Words(rest);
     let until = simulation.now + TimeSpan::from_secs(words.number("for", 0.0));
-    let known = perform_on_jobs(simulation, event, rest)
-        || perform_on_services(simulation, event, until)
-        || perform_on_messages(simulation, event, &words)
-        || perform_rogue(simulation, event, rest)
-        || perform_on_machine(simulation, event, &words, until);
-    assert!(known, "not an event of scenarios: {event}");
+    let known = perform_job_event(simulation, event, rest)
+        || start_service_fault(simulation, event, until)
+        || set_message_faults(simulation, event, &words)
+        || perform_rogue_event(simulation, event, rest)
+        || perform_machine_event(simulation, event, &words, until);
+    assert!(known, "unknown scenario event: {event}");
 }
 
-/// Leaders, and what users do.
-fn perform_on_jobs(simulation: &mut Simulation, event: &str, rest: &[&str]) -> bool {
+/// Performs an event of leaders, of users or of the run. Returns whether the event is one of these.
+fn perform_job_event(simulation: &mut Simulation, event: &str, rest: &[&str]) -> bool {
     match event {
         "elect-leader" => simulation.elect_leader(),
         "crash-leader" => simulation.crash_leader(),
@@ -29,7 +29,7 @@
             let confirmed = simulation.cancel(&JobId::from(rest[0]));
             assert!(confirmed, "cancellation not confirmed: {}", rest[0]);
         }
-        // The job may have ended: then it stays as it is.
+        // The job may have ended; then the cancellation has no effect.
         "try-cancel" => drop(simulation.cancel(&JobId::from(rest[0]))),
         "end-of-run" => simulation.checker.check_at_end(simulation.now),
         _ => return false,
@@ -37,8 +37,9 @@
     true
 }
 
-/// Faults of the state store, the cloud and the controllers.
-fn perform_on_services(simulation: &mut Simulation, event: &str, until: Instant) -> bool {
+/// Starts a fault of the state store, the cloud or the controllers, which lasts until `until`.
+/// Returns whether the event is one of these.
+fn start_service_fault(simulation: &mut Simulation, event: &str, until: Instant) -> bool {
     let faults = &mut simulation.faults;
     match event {
         "cloud-unavailable" => faults.cloud_unavailable_until = until,
@@ -54,8 +55,9 @@
     true
 }
 
-/// Messages that are lost, late or duplicated, by share; machines that never boot.
-fn perform_on_messages(simulation: &mut Simulation, event: &str, words: &Words) -> bool {
+/// Sets the share of messages that are lost, late or duplicated, or the number of machines that never
+/// boot. Returns whether the event is one of these.
+fn set_message_faults(simulation: &mut Simulation, event: &str, words: &Words) -> bool {
     let faults = &mut simulation.faults;
     match event {
         "duplicate-heartbeats" => faults.duplicate_heartbeat_share = words.number("share", 1.0),
@@ -68,8 +70,9 @@
     true
 }
 
-/// What the scheduler never does: it shows that the checker sees it.
-fn perform_rogue(simulation: &mut Simulation, event: &str, rest: &[&str]) -> bool {
+/// Performs an action that the scheduler never takes, to show that the checker detects it. Returns
+/// whether the event is one of these.
+fn perform_rogue_event(simulation: &mut Simulation, event: &str, rest: &[&str]) -> bool {
     match event {
         "rogue-launch" => launch_rogue_task(simulation, rest),
         "rogue-watch-blocked" => simulation.faults.watch_blocked = true,
@@ -81,24 +84,24 @@
     true
 }
 
-/// Faults of one machine.
-fn perform_on_machine(
+/// Removes a machine or starts a fault of it. Returns whether the event is one of these.
+fn perform_machine_event(
     simulation: &mut Simulation,
     event: &str,
     words: &Words,
     until: Instant,
 ) -> bool {
-    let machine_id = machine(simulation, words);
+    let machine_id = selected_machine(simulation, words);
     if event == "reclaim" {
         simulation.workers.remove(&machine_id);
         return true;
     }
     let worker = simulation.workers.get_mut(&machine_id);
-    let worker = worker.unwrap_or_else(|| panic!("{machine_id} is not there"));
-    perform_on_worker(worker, event, words, until)
+    let worker = worker.unwrap_or_else(|| panic!("{event}: no machine {machine_id}"));
+    start_worker_fault(worker, event, words, until)
 }
 
-fn perform_on_worker(worker: &mut Worker, event: &str, words: &Words, until: Instant) -> bool {
+fn start_worker_fault(worker: &mut Worker, event: &str, words: &Words, until: Instant) -> bool {
     match event {
         "suspend" => worker.faults.suspend_until(until),
         "partition" => {
@@ -118,8 +121,8 @@
     true
 }
 
-/// The machine meant: by number, or the first one that a job is on.
-pub(super) fn machine(simulation: &Simulation, words: &Words) -> MachineId {
+/// Returns the machine that `machine N` names, or the first one with tasks of the job in `of JOB`.
+pub(super) fn selected_machine(simulation: &Simulation, words: &Words) -> MachineId {
     if let Some(job) = words.get("of") {
         let machines = simulation.machines_of(&JobId::from(job));
         let first = machines.into_iter().next();
@@ -127,7 +130,9 @@
         return first.unwrap_or_else(|| panic!("{job} is on no machine at {now:.1} s"));
     }
     let number: u32 = parse(
-        words.get("machine").expect("machine N or of JOB"),
+        words
+            .get("machine")
+            .expect("an event with `machine N` or `of JOB`"),
         "machine",
     );
     MachineId::from(format!("host-{number:06}").as_str())
--- a/tests/simulation/checker/placement.rs
+++ b/tests/simulation/checker/placement.rs
@@ -1,5 +1,5 @@
-//! Rules on what runs where: no task twice, none too early, none where its job may not run, none long
-//! after its job's cancellation, and no team above its limit.
+//! Rules on placements: no task runs twice, before its upstream jobs are done, on a machine that its job
+//! doesn't allow, or too long after its job's cancellation, and no team exceeds its limit.
 
 use super::{Checker, EPSILON};
 use crate::simulation::state_store::StateStore;
@@ -32,11 +32,11 @@
         workers: &BTreeMap<MachineId, Worker>,
         store: &StateStore,
     ) {
-        self.note_done_tasks(workers);
+        self.record_done_tasks(workers);
         let placements = current_placements(workers);
         let new: Vec<Placement> = placements.difference(&self.placements).cloned().collect();
         for placement in &new {
-            *self.attempts.entry(placement.task.clone()).or_default() += 1;
+            *self.start_counts.entry(placement.task.clone()).or_default() += 1;
             self.check_start(now, placement, &placements, store);
             self.check_place(now, placement, &placements, workers);
         }
@@ -45,7 +45,7 @@
         self.placements = placements;
     }
 
-    fn note_done_tasks(&mut self, workers: &BTreeMap<MachineId, Worker>) {
+    fn record_done_tasks(&mut self, workers: &BTreeMap<MachineId, Worker>) {
         for ((task, _), attempt) in workers.values().flat_map(|worker| &worker.attempts) {
             if attempt.cause == Some(Cause::Done) {
                 let done = self.done_tasks.entry(task.job.clone()).or_default();
@@ -54,7 +54,8 @@
         }
     }
 
-    /// A task may start once all upstream jobs are done, and while it is on no other machine.
+    /// Checks that the upstream jobs of a started task are done and that the task is on no other
+    /// machine.
     fn check_start(
         &mut self,
         now: Instant,
@@ -68,12 +69,12 @@
         }
         let elsewhere = |p: &Placement| p.task == new.task && p.machine_id != new.machine_id;
         if placements.iter().any(elsewhere) {
-            self.record_violation(now, "ran_twice", format!("{new} and elsewhere"));
+            self.record_violation(now, "ran_twice", format!("{new} and on another machine"));
         }
     }
 
-    /// The machine must be of a kind and in a zone that the job allows; tasks with affinity share a
-    /// zone, and those with anti-affinity don't crowd one.
+    /// Checks that the job allows the machine; with affinity, that the job's tasks share a zone; with
+    /// anti-affinity, that the zone has at most half of them, rounded up.
     fn check_place(
         &mut self,
         now: Instant,
@@ -88,15 +89,17 @@
         };
         let others = placements.iter().filter(is_other);
         let zones: Vec<&Zone> = others.map(|p| &workers[&p.machine_id].zone).collect();
-        let apart = spec.zone_affinity && zones.iter().any(|zone| **zone != worker.zone);
-        let here = zones.iter().filter(|zone| ***zone == worker.zone).count() as u32 + 1;
-        let crowded = spec.zone_anti_affinity && here > spec.tasks.div_ceil(2);
-        if !worker.allows(spec) || apart || crowded {
+        let violates_affinity =
+            spec.zone_affinity && zones.iter().any(|zone| **zone != worker.zone);
+        let tasks_in_zone = zones.iter().filter(|zone| ***zone == worker.zone).count() as u32 + 1;
+        let violates_anti_affinity =
+            spec.zone_anti_affinity && tasks_in_zone > spec.tasks.div_ceil(2);
+        if !worker.allows(spec) || violates_affinity || violates_anti_affinity {
             self.record_violation(now, "wrong_place", new.to_string());
         }
     }
 
-    /// Tasks of a cancelled job must be gone in time.
+    /// Checks that the tasks of a cancelled job have ended within `cancel_s`.
     fn check_cancelled(&mut self, now: Instant, placements: &BTreeSet<Placement>) {
         let limit_secs = self.facts.workers.cancel_s;
         for placement in placements {
--- a/tests/simulation/cloud.rs
+++ b/tests/simulation/cloud.rs
@@ -1,4 +1,4 @@
-//! The cloud: machines are rented, boot, and appear in a list that lags.
+//! Simulated cloud: rents and boots machines, and lists them with a lag.
 
 use super::worker::Worker;
 use super::Simulation;
@@ -12,15 +12,15 @@
 /// The boot time of a machine that never comes up.
 const NEVER_BOOTS: TimeSpan = TimeSpan(1_000_000_000);
 
-/// What the cloud knows besides the machines themselves.
+/// State of the cloud except for its machines, which are in `Simulation::workers`.
 pub(super) struct Cloud {
     pub machine_types: Vec<MachineTypeInfo>,
-    /// So many machines may run at once.
+    /// Maximum number of machines at a time.
     capacity: u32,
-    /// Machines given for each request, by idempotency key.
-    scale_outs: BTreeMap<IdempotencyKey, Vec<MachineId>>,
-    /// So many machines were ever rented.
-    rented: u32,
+    /// Machines granted to each request, by idempotency key.
+    granted_machines: BTreeMap<IdempotencyKey, Vec<MachineId>>,
+    /// Number of machines rented since the start of the run.
+    rented_count: u32,
     list_history: Vec<(Instant, Vec<ListedMachine>)>,
 }
 
@@ -29,13 +29,13 @@
         Cloud {
             machine_types,
             capacity,
-            scale_outs: BTreeMap::new(),
-            rented: 0,
+            granted_machines: BTreeMap::new(),
+            rented_count: 0,
             list_history: Vec::new(),
         }
     }
 
-    /// The list as it was `lag` ago.
+    /// Returns the latest machine list that is at least `lag` old, if there is one.
     fn lagging_list(&self, now: Instant, lag: TimeSpan) -> Option<Vec<ListedMachine>> {
         let mut latest_first = self.list_history.iter().rev();
         let (_, machines) = latest_first.find(|(taken, _)| now - *taken >= lag)?;
@@ -43,17 +43,18 @@
     }
 
     fn next_machine_id(&mut self) -> MachineId {
-        self.rented += 1;
-        MachineId::from(format!("host-{:06}", self.rented).as_str())
+        self.rented_count += 1;
+        MachineId::from(format!("host-{:06}", self.rented_count).as_str())
     }
 }
 
 impl Simulation {
-    /// The leader gets the machine list, unless the cloud is unavailable.
+    /// Records the machine list, and delivers the lagging one to the leader unless the cloud is
+    /// unavailable.
     pub(super) fn list_machines(&mut self) {
         let now = self.now;
         let workers = self.workers.values();
-        let machines = workers.map(|worker| listed(worker, now)).collect();
+        let machines = workers.map(|worker| listed_machine(worker, now)).collect();
         self.cloud.list_history.push((now, machines));
         if now < self.faults.cloud_unavailable_until {
             return;
@@ -72,14 +73,14 @@
         }
     }
 
-    /// Rents up to `count` machines; a repeated request gets the machines of the first.
+    /// Rents up to `count` machines; a repeated idempotency key returns those of its first request.
     pub(super) fn rent_machines(
         &mut self,
         idempotency_key: &IdempotencyKey,
         offer: &MachineOffer,
         count: u32,
     ) -> ScaleOutAnswer {
-        if let Some(machine_ids) = self.cloud.scale_outs.get(idempotency_key) {
+        if let Some(machine_ids) = self.cloud.granted_machines.get(idempotency_key) {
             return ScaleOutAnswer::Granted(machine_ids.clone());
         }
         let running = self.workers.len() as u32;
@@ -95,13 +96,13 @@
             .map(|_| self.rent_machine(&info, &offer.zone, offer.spot))
             .collect();
         let key = idempotency_key.clone();
-        self.cloud.scale_outs.insert(key, machine_ids.clone());
+        self.cloud.granted_machines.insert(key, machine_ids.clone());
         ScaleOutAnswer::Granted(machine_ids)
     }
 
     fn rent_machine(&mut self, info: &MachineTypeInfo, zone: &Zone, spot: bool) -> MachineId {
         let id = self.cloud.next_machine_id();
-        let boot_time = match self.cloud.rented <= self.faults.machines_never_booting {
+        let boot_time = match self.cloud.rented_count <= self.faults.machines_never_booting {
             true => NEVER_BOOTS,
             false => TimeSpan::from_secs(info.boot_s),
         };
@@ -113,7 +114,7 @@
     }
 }
 
-fn listed(worker: &Worker, now: Instant) -> ListedMachine {
+fn listed_machine(worker: &Worker, now: Instant) -> ListedMachine {
     ListedMachine {
         id: worker.id.clone(),
         endpoint: worker.endpoint(),
--- a/tests/simulation/effects.rs
+++ b/tests/simulation/effects.rs
@@ -1,6 +1,6 @@
-//! Carrying out what the leader's scheduler asks for.
+//! Execution of the effects that the leader's scheduler requests.
 
-use super::network::{unclear_write, Message, Push, LATENCY};
+use super::network::{write_unconfirmed, Message, Push, LATENCY};
 use super::Simulation;
 use chalklug::coordination::autoscaler::MachineOffer;
 use chalklug::coordination::{Effect, Event, KeyReread, RequestId, TerminalRecordRead};
@@ -10,22 +10,22 @@
 use chalklug::time::TimeSpan;
 use rand::Rng;
 
-/// A leader gives a transaction without a response up after this time.
+/// Time after which a leader treats a transaction without a response as unconfirmed.
 const WRITE_TIMEOUT: TimeSpan = TimeSpan(900);
-/// A leader gives a push without a response up after this time.
+/// Time after which a leader treats a push without a response as failed.
 const PUSH_TIMEOUT: TimeSpan = TimeSpan(2_500);
-/// How late transactions are while all of them are.
+/// Delay of transactions while a fault delays all of them; longer than `WRITE_TIMEOUT`.
 const LATE_TRANSACTION_DELAY: TimeSpan = TimeSpan(3_000);
-/// How late single transactions are carried out, in milliseconds.
+/// Delay of single transactions that are delayed at random, in milliseconds.
 const SINGLE_LATE_TRANSACTION_MS: std::ops::Range<i64> = 2_000..12_000;
-/// What a slow state store takes more.
+/// Additional latency of a slow state store; shorter than `WRITE_TIMEOUT`.
 const SLOW_STORE_DELAY: TimeSpan = TimeSpan(700);
 const READ_LATENCY: TimeSpan = TimeSpan(20);
 const CLOUD_LATENCY: TimeSpan = TimeSpan(120);
 
 impl Simulation {
-    /// Carries out one effect for the present leader.
-    pub(super) fn carry_out(&mut self, effect: Effect) {
+    /// Executes an effect for the current leader.
+    pub(super) fn execute_effect(&mut self, effect: Effect) {
         let Some(leader) = self.leadership.token() else {
             return;
         };
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Sends a transaction; one that is late, or whose response is lost, has an unclear outcome.
+    /// Sends a transaction. If it is delayed or its response is lost, its outcome is unconfirmed.
     fn write(&mut self, leader: FencingToken, request_id: RequestId, transaction: Transaction) {
         let now = self.now;
         let mut delay = LATENCY;
@@ -73,7 +73,7 @@
         }
         let respond = delay == LATENCY && now >= self.faults.store_responses_lost_until;
         if !respond {
-            self.send_to_leader(WRITE_TIMEOUT, leader, unclear_write(request_id));
+            self.send_to_leader(WRITE_TIMEOUT, leader, write_unconfirmed(request_id));
         }
         if now < self.faults.store_slow_until {
             delay = delay + SLOW_STORE_DELAY;
@@ -110,18 +110,19 @@
         self.respond_to_read(leader, Event::TerminalRecordsRead(records));
     }
 
-    /// A read is repeated until the state store serves the leader.
+    /// Sends the result of a read to the leader. With elections, the result arrives after the state
+    /// store serves the leader again, since leaders retry reads.
     fn respond_to_read(&mut self, leader: FencingToken, event: Event) {
         let refuses_leader = self.faults.store_refuses_leader_until;
-        let unserved = refuses_leader.max(self.faults.store_unavailable_until) - self.now;
+        let remaining_outage = refuses_leader.max(self.faults.store_unavailable_until) - self.now;
         let wait = match self.leadership.elections_enabled {
-            true => unserved.max(TimeSpan::ZERO),
+            true => remaining_outage.max(TimeSpan::ZERO),
             false => TimeSpan::ZERO,
         };
         self.send_to_leader(wait + READ_LATENCY, leader, event);
     }
 
-    /// Pushes commands, and perhaps a late duplicate of them.
+    /// Pushes commands to a worker and, at random, a late duplicate of them.
     fn push(&mut self, push: Push) {
         self.check_launches(&push.commands);
         let machine_id = push.machine_id.clone();
@@ -135,7 +136,7 @@
             let delay = self.duplicate_delay();
             self.send(delay, Message::Push(push.clone()));
         }
-        self.send_past_partition(&machine_id, Message::Push(push));
+        self.send_over_machine_link(&machine_id, Message::Push(push));
     }
 
     fn scale_out(
--- a/tests/simulation/gang.rs
+++ b/tests/simulation/gang.rs
@@ -1,4 +1,5 @@
-//! Gangs across machines: members begin together, complete together, and notice a member that is gone.
+//! Simulated gangs: members on different machines start together, complete together, and detect lost
+//! members.
 
 use super::attempt::Attempt;
 use super::worker::Worker;
@@ -10,20 +11,24 @@
 use chalklug::time::{Instant, TimeSpan};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// One attempt of a gang.
+/// An attempt of a whole gang, whose members share the attempt id.
 type GangAttempt = (JobId, AttemptId);
 
-/// What the members of all gangs see of each other.
+/// The states of all gang members, as their peers see them.
 #[derive(Default)]
 struct GangMembers {
-    /// Phases of members that haven't ended, on machines that respond.
+    /// Phases of the members that haven't ended, on responsive machines.
     phases: BTreeMap<GangAttempt, Vec<TaskPhase>>,
-    /// Gangs of which a member is done.
+    /// Gangs with a member that is done.
     done: BTreeSet<GangAttempt>,
 }
 
 impl GangMembers {
-    fn of(now: Instant, workers: &BTreeMap<MachineId, Worker>, workload: &Workload) -> GangMembers {
+    fn collect(
+        now: Instant,
+        workers: &BTreeMap<MachineId, Worker>,
+        workload: &Workload,
+    ) -> GangMembers {
         let mut members = GangMembers::default();
         for worker in workers.values() {
             for ((task, attempt_id), attempt) in &worker.attempts {
@@ -44,14 +49,14 @@
     }
 }
 
-/// Lets each member act on what it sees of the others.
+/// Advances each gang member according to the states of the others.
 pub fn advance(
     now: Instant,
     workers: &mut BTreeMap<MachineId, Worker>,
     workload: &Workload,
     times: &WorkerTimes,
 ) {
-    let members = GangMembers::of(now, workers, workload);
+    let members = GangMembers::collect(now, workers, workload);
     let peer_timeout = TimeSpan::from_secs(times.gang_peer_timeout_s);
     for worker in workers.values_mut().filter(|w| w.is_responsive(now)) {
         let mut changed = false;
@@ -65,12 +70,12 @@
             changed |= advance_member(now, attempt, phases, complete, done, peer_timeout);
         }
         if changed {
-            worker.report_soon();
+            worker.request_early_heartbeat();
         }
     }
 }
 
-/// Whether the member's phase changed.
+/// Advances a gang member and returns whether its phase changed.
 fn advance_member(
     now: Instant,
     attempt: &mut Attempt,
