--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -1,7 +1,7 @@
-//! The messages on each wire: one module for each kind of peer.
+//! Message types of all protocols, one module for each kind of counterpart.
 //!
-//! The operators' words appear here only, in serde names; types and fields have the field's terms. Receivers ignore
-//! unknown fields; a field that may be null may be omitted. Nothing here sends or decides anything.
+//! Operators define the names on the wire; serde attributes map them to the code's terms. Receivers ignore unknown
+//! fields; a field that may be null may be omitted. These modules perform no I/O and contain no policy.
 
 pub mod cloud;
 pub mod peers;
