--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -1,37 +1,37 @@
-//! The wire between controllers and the cloud.
+//! Messages between controllers and the cloud.
 //!
-//! The operators' words are in serde names, and nowhere else.
+//! Wire names that differ from the code's terms are given as serde names.
 
 use crate::ids::{IdempotencyKey, MachineId, MachineType, Zone};
 use serde::{Deserialize, Serialize};
 
-/// A machine type.
+/// A machine type, as the cloud offers it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MachineTypeInfo {
     /// The name of the type.
     #[serde(rename = "sku")]
     pub name: MachineType,
-    /// CPUs of a machine.
+    /// CPUs per machine.
     pub cpus: f64,
-    /// GPUs of a machine.
+    /// GPUs per machine.
     #[serde(default)]
     pub gpus: f64,
-    /// Memory of a machine, in GB.
+    /// Memory per machine, in GB.
     #[serde(rename = "ramGb")]
     pub ram_gb: f64,
-    /// Room for container images, in GB.
+    /// Capacity of the container image cache, in GB.
     #[serde(rename = "localGb", default)]
     pub cache_gb: f64,
-    /// How fast a machine pulls images, in GB a second, give or take a third.
+    /// Typical image fetch rate of a machine, in GB per second; the actual rate varies by up to a third.
     #[serde(rename = "fetchGbPerS", default)]
     pub fetch_gb_per_s: f64,
-    /// Price of a machine for an hour.
+    /// Price per machine and hour.
     #[serde(rename = "hourly", default)]
     pub price: f64,
-    /// Price of a spot instance for an hour.
+    /// Price per spot machine and hour.
     #[serde(rename = "marketPrice", default)]
     pub spot_price: f64,
-    /// The usual time from renting a machine until it is up, in seconds.
+    /// Typical time from renting a machine until it is up, in seconds.
     #[serde(rename = "bootS", default)]
     pub boot_s: f64,
     /// The zones in which the cloud offers the type.
@@ -50,73 +50,73 @@
 /// A request to rent machines (scale out).
 #[derive(Clone, Debug, Serialize)]
 pub struct RentRequest {
-    /// Never reused for another request: repeated with the same key, it rents nothing more.
+    /// Unique per request: the cloud rents nothing more when a request is retried with the same key.
     #[serde(rename = "hire")]
     pub idempotency_key: IdempotencyKey,
-    /// The type of the machines.
+    /// The machine type to rent.
     #[serde(rename = "rig")]
     pub machine_type: MachineType,
-    /// Where they are to be.
+    /// The zone to rent in.
     #[serde(rename = "site")]
     pub zone: Zone,
-    /// Whether they may be spot instances, which the cloud can reclaim.
+    /// Whether to rent spot machines, which the cloud may reclaim.
     #[serde(rename = "loaners")]
     pub spot: bool,
-    /// How many.
+    /// The number of machines to rent.
     #[serde(rename = "number")]
     pub count: u32,
 }
 
-/// The machines rented.
+/// The response to a [`RentRequest`].
 #[derive(Clone, Debug, Deserialize)]
 pub struct RentReply {
-    /// The machines.
+    /// The rented machines.
     #[serde(rename = "hosts")]
     pub machine_ids: Vec<MachineId>,
 }
 
-/// A request to return machines (scale in).
+/// A request to terminate machines (scale in).
 #[derive(Clone, Debug, Serialize)]
 pub struct TerminateRequest {
-    /// The machines.
+    /// The machines to terminate.
     #[serde(rename = "hosts")]
     pub machine_ids: Vec<MachineId>,
 }
 
-/// How the cloud sees a machine.
+/// The phase of a machine in the cloud's machine list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum CloudPhase {
-    /// Booting.
+    /// The machine is booting.
     Starting,
-    /// It never came up, and never will.
+    /// The boot failed; the machine will never be up.
     Failed,
-    /// Up, as far as the cloud knows; also any phase not known.
+    /// The machine is up as far as the cloud knows. Unknown phases are read as this one.
     #[serde(other)]
     Running,
 }
 
-/// One line of the machine list.
+/// One entry of the machine list.
 #[derive(Clone, Debug, Deserialize)]
 pub struct ListedMachine {
-    /// The machine.
+    /// The machine's id.
     #[serde(rename = "ref")]
     pub id: MachineId,
-    /// Where its worker listens: address and port.
+    /// Listen address and port of the machine's worker.
     #[serde(default)]
     pub endpoint: String,
-    /// Its type.
+    /// The machine's type.
     #[serde(rename = "rig")]
     pub machine_type: MachineType,
-    /// Where it is.
+    /// The machine's zone.
     #[serde(rename = "site")]
     pub zone: Zone,
-    /// Whether it is a spot instance.
+    /// Whether the machine is a spot machine.
     #[serde(rename = "loaners", default)]
     pub spot: bool,
-    /// How the cloud sees it.
+    /// The machine's phase.
     pub phase: CloudPhase,
-    /// How long ago it was rented, in seconds.
+    /// Time since the machine was rented, in seconds.
     #[serde(rename = "heldS", default)]
     pub age_s: f64,
 }
@@ -124,7 +124,7 @@
 /// One page of the machine list.
 #[derive(Clone, Debug, Deserialize)]
 pub struct MachineListPage {
-    /// The machines on the page; the next page begins after the last of them.
+    /// The machines on the page; the next page starts after the last one.
     #[serde(rename = "hosts")]
     pub machines: Vec<ListedMachine>,
     /// Whether there are pages after this one.
