--- a/src/protocol/peers.rs
+++ b/src/protocol/peers.rs
@@ -1,31 +1,32 @@
-//! The wire between controllers: postcard in length-delimited frames. The order of variants and of their
-//! fields is the format: a new message needs a new variant, at the end.
+//! Messages between controllers, encoded with postcard in length-delimited frames. The encoding depends on the order
+//! of variants and of their fields: a new message is a new variant at the end.
 
 use crate::ids::JobId;
 use serde::{Deserialize, Serialize};
 
-/// A request of one controller to another.
+/// A request from one controller to another.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum PeerRequest {
-    /// Does the state store serve you, and do workers reach you?
+    /// Asks whether the receiver can reach the state store and when a worker last sent it a heartbeat.
     Hello,
-    /// Answer this user's request for me: the state store does not serve me. Never forwarded again.
+    /// Forwards a user's request because the sender cannot reach the state store. The receiver doesn't forward it
+    /// again.
     Forward {
         /// The HTTP method.
         method: String,
         /// The HTTP path.
         path: String,
-        /// The HTTP body, byte for byte.
+        /// The unmodified HTTP body.
         body: Vec<u8>,
     },
-    /// Task counts for display, from the leader. Replaces the previous list.
+    /// The leader's task counts, for status responses only. Replaces the previous list.
     Counts {
-        /// Job, completed tasks, running tasks.
+        /// For each job: id, number of completed tasks, number of running tasks.
         jobs: Vec<(JobId, u32, u32)>,
     },
-    /// The state store has confirmed that these jobs are cancelled.
+    /// Reports jobs whose cancellation the state store has confirmed.
     Cancelled {
-        /// Job and number of its tasks.
+        /// For each job: id, number of tasks.
         jobs: Vec<(JobId, u32)>,
     },
 }
@@ -33,20 +34,20 @@
 /// The reply to a [`PeerRequest`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum PeerReply {
-    /// The answer to `Hello`.
+    /// The reply to [`PeerRequest::Hello`].
     Hello {
-        /// Whether the state store served the peer a moment ago.
+        /// Whether the replying controller recently reached the state store.
         state_ok: bool,
-        /// Milliseconds since a worker last reported here, if one ever did.
+        /// Time since the replying controller last received a heartbeat, in milliseconds; `None` if it never did.
         workers_heard_ms: Option<i64>,
     },
-    /// The answer to `Forward`: an HTTP response.
+    /// The reply to [`PeerRequest::Forward`]: the HTTP response for the user.
     Answer {
         /// The HTTP status.
         status: u16,
         /// The HTTP body.
         body: Vec<u8>,
     },
-    /// The answer to everything else.
+    /// Acknowledges any other request.
     Noted,
 }
