--- a/src/protocol/state.rs
+++ b/src/protocol/state.rs
@@ -1,12 +1,12 @@
-//! The wire between controllers and the state store (the operators' "state service").
+//! Messages between controllers and the state store (the operators' "state service").
 //!
-//! The operators' words are in serde names, and nowhere else.
+//! Wire names that differ from the code's terms are given as serde names.
 
 use crate::ids::{KeyRevision, LeaseId, StoreRevision};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// One key as it stands.
+/// A key with its value and revision.
 #[derive(Clone, Debug, Deserialize)]
 pub struct KeyValue {
     /// The key.
@@ -17,7 +17,7 @@
     /// The revision of the key.
     #[serde(rename = "stamp")]
     pub revision: KeyRevision,
-    /// The lease that the key is bound to, if any: it is deleted when the lease expires.
+    /// The lease that the key is bound to, if any: the key is deleted when the lease expires.
     #[serde(rename = "hold", default)]
     pub lease: Option<LeaseId>,
 }
@@ -25,7 +25,7 @@
 /// One page of a listing.
 #[derive(Clone, Debug, Deserialize)]
 pub struct KeyValuePage {
-    /// The keys on the page, in order.
+    /// The entries of the page, sorted by key.
     pub pairs: Vec<KeyValue>,
     /// Whether there are pages after this one.
     #[serde(rename = "hasNext", default)]
@@ -35,18 +35,18 @@
     pub store_revision: StoreRevision,
 }
 
-/// A condition of a transaction: the key has this revision (0: absent).
+/// A precondition of a transaction: the key must have the given revision (0: absent).
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Precondition {
     /// The key.
     pub key: String,
-    /// The revision that it must have.
+    /// The required revision.
     #[serde(rename = "stamp")]
     pub revision: KeyRevision,
 }
 
 impl Precondition {
-    /// The key must not exist.
+    /// Returns the precondition that the key does not exist.
     pub fn absent(key: String) -> Precondition {
         Precondition {
             key,
@@ -66,7 +66,7 @@
         key: String,
         /// Its value.
         data: Value,
-        /// The lease that the key is to be bound to, if any.
+        /// The lease to bind the key to, if any.
         #[serde(rename = "hold", skip_serializing_if = "Option::is_none")]
         lease: Option<LeaseId>,
     },
@@ -79,7 +79,7 @@
 }
 
 impl Change {
-    /// Sets a key that no lease deletes.
+    /// Returns the change that sets a key without binding it to a lease.
     pub fn put(key: String, data: Value) -> Change {
         Change::Put {
             key,
@@ -87,11 +87,11 @@
             lease: None,
         }
     }
-    /// A deletion.
+    /// Returns the change that deletes a key.
     pub fn delete(key: String) -> Change {
         Change::Delete { key }
     }
-    /// The key that is changed.
+    /// The key to be set or deleted.
     pub fn key(&self) -> &str {
         match self {
             Change::Put { key, .. } => key,
@@ -100,13 +100,13 @@
     }
 }
 
-/// A transaction: all changes, if all preconditions hold, or none.
+/// A transaction: makes all changes if all preconditions hold, and none otherwise.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Transaction {
-    /// All of these must hold.
+    /// Preconditions, all of which must hold.
     #[serde(rename = "guards")]
     pub preconditions: Vec<Precondition>,
-    /// Then all of these are made.
+    /// Changes to make atomically.
     #[serde(rename = "apply")]
     pub changes: Vec<Change>,
 }
@@ -119,10 +119,10 @@
     pub store_revision: StoreRevision,
 }
 
-/// The response to a transaction whose preconditions failed.
+/// The response to a transaction that was rejected because a precondition failed.
 #[derive(Clone, Debug, Deserialize)]
 pub struct TransactionConflict {
-    /// Keys whose preconditions failed, as far as the store names them.
+    /// Keys whose preconditions failed; the list may be incomplete.
     #[serde(default)]
     pub failed: Vec<String>,
 }
@@ -138,13 +138,13 @@
 /// One change reported by a watch.
 #[derive(Clone, Debug, Deserialize)]
 pub struct WatchEvent {
-    /// The key that was set, if one was.
+    /// The key that was set; `None` if the change is a deletion.
     #[serde(rename = "put", default)]
     pub put_key: Option<String>,
-    /// The key that was deleted, if one was.
+    /// The key that was deleted; `None` if the change sets a key.
     #[serde(rename = "delete", default)]
     pub deleted_key: Option<String>,
-    /// The value that was set.
+    /// The new value, if the change sets a key.
     #[serde(default)]
     pub data: Value,
     /// The revision of the key.
@@ -155,7 +155,7 @@
 /// The response of a watch.
 #[derive(Clone, Debug, Deserialize)]
 pub struct WatchResponse {
-    /// The store revision up to which all changes are included: the next watch goes on from it.
+    /// The store revision up to which all changes are included; the next watch continues from here.
     #[serde(rename = "epoch")]
     pub store_revision: StoreRevision,
     /// The changes, in order.
