--- a/src/protocol/users.rs
+++ b/src/protocol/users.rs
@@ -1,64 +1,65 @@
-//! The wire between users and controllers: submissions, polls and cancellations.
+//! Messages between users and controllers: submissions, polls and cancellations.
 //!
-//! The operators' words are in serde names and in the texts that users read, and nowhere else.
+//! Wire names that differ from the code's terms are given as serde names. Error messages
+//! to users contain wire names.
 
 use crate::ids::{Image, JobId, MachineType, Zone};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use std::collections::BTreeSet;
 
-/// What kind of job it is.
+/// The kind of a job, which determines how its tasks are started and when they end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Shape {
     /// Independent tasks that run to completion.
     Array,
-    /// All tasks at once or none.
+    /// Members that run at the same time or not at all.
     Gang,
     /// Replicas that run until the job is cancelled.
     #[serde(rename = "standing")]
     Service,
 }
 
-/// Priority, lowest first so that the derived order is the order of precedence.
+/// The priority of a job. The variants are in ascending order because comparisons use the derived `Ord`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Priority {
-    /// Goes after everything else.
+    /// Scheduled after all other jobs.
     Low,
-    /// The usual one.
+    /// The usual priority.
     Normal,
-    /// Goes before normal jobs.
+    /// Scheduled before normal jobs.
     Urgent,
-    /// Goes first.
+    /// Scheduled before all other jobs.
     Production,
 }
 
-/// A job as its user describes it.
+/// A job specification, as submitted by a user.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
     /// The job's id, chosen by its user.
     #[serde(rename = "ref")]
     pub id: JobId,
-    /// The job class, by which service-level objectives are set.
+    /// The job class, which selects the service-level objectives that apply.
     #[serde(rename = "jobclass")]
     pub class: String,
     /// The team whose quota the job uses.
     #[serde(rename = "crew")]
     pub team: String,
-    /// What kind of job it is.
+    /// The kind of the job.
     pub shape: Shape,
-    /// How urgent it is.
+    /// The priority of the job.
     #[serde(rename = "urgency")]
     pub priority: Priority,
-    /// How many tasks it has.
+    /// The number of tasks.
     #[serde(rename = "pieces")]
     pub tasks: u32,
-    /// CPUs requested for each task.
+    /// CPUs requested per task.
     pub cpus: f64,
-    /// GPUs requested for each task.
+    /// GPUs requested per task.
     pub gpus: f64,
-    /// Memory requested for each task, in GB.
+    /// Memory requested per task, in GB.
     #[serde(rename = "ramGb")]
     pub ram_gb: f64,
     /// The container image of the tasks.
@@ -67,10 +68,10 @@
     /// The size of the image, in GB.
     #[serde(rename = "pullGb")]
     pub image_gb: f64,
-    /// The machine types that tasks may run on; None: any.
+    /// The machine types that tasks may run on; `None`: any.
     #[serde(rename = "rigs", default, skip_serializing_if = "Option::is_none")]
     pub machine_types: Option<Vec<MachineType>>,
-    /// The zone that tasks must run in; None: any.
+    /// The zone that tasks must run in; `None`: any.
     #[serde(rename = "site", default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<Zone>,
     /// Whether all tasks must run in one zone (affinity).
@@ -79,48 +80,49 @@
     /// Whether at most half of the tasks, rounded up, may run in one zone (anti-affinity).
     #[serde(rename = "scatter")]
     pub zone_anti_affinity: bool,
-    /// Whether tasks may run on spot instances.
+    /// Whether tasks may run on spot machines.
     #[serde(rename = "loaners")]
     pub spot: bool,
-    /// The user's estimate of a task's run time without the image pull, in seconds.
+    /// The user's estimate of a task's run time, in seconds, excluding the image fetch.
     #[serde(rename = "guessS")]
     pub estimated_run_time_s: f64,
-    /// Progress between two checkpoints of a task, in seconds; 0: it saves none, also when it is stopped.
+    /// Run time between two checkpoints of a task, in seconds; 0: the task saves no checkpoints, not even when it is
+    /// stopped.
     #[serde(rename = "markEveryS")]
     pub checkpoint_interval_s: f64,
-    /// The time a task needs to save a checkpoint when it is stopped, in seconds.
+    /// Time that a task needs to save a checkpoint when it is stopped, in seconds.
     #[serde(rename = "markCostS")]
     pub checkpoint_duration_s: f64,
-    /// By when the job should be done, in seconds from its submission.
+    /// Deadline for completing the job, in seconds after its submission; `None`: no deadline.
     #[serde(rename = "dueS", default, skip_serializing_if = "Option::is_none")]
     pub deadline_s: Option<f64>,
 }
 
-/// A job as it is submitted.
+/// A parsed submission.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Submission {
-    /// The job.
+    /// The job specification.
     pub spec: JobSpec,
-    /// Jobs that have to be done before any task of this one starts, each once.
+    /// Upstream jobs, without duplicates: all must be done before any task of this job starts.
     pub upstream_jobs: Vec<JobId>,
 }
 
-/// The field of a submission that names the jobs it waits for.
+/// The field of a submission that lists the upstream jobs.
 pub const WAITS_ON: &str = "waitsOn";
 
-/// A submission that can't be taken as it stands.
+/// The error for a submission that cannot be parsed or has invalid values.
 #[derive(Debug)]
 pub struct MalformedSubmission {
-    /// The job it names, if that much could be read: it may be known already.
+    /// The job id, if it could be parsed; the job may have been accepted earlier.
     pub id: Option<JobId>,
-    /// What is wrong, for the user.
+    /// The error message for the user.
     pub reason: String,
 }
 
-/// How many tasks a job may have.
+/// The maximum number of tasks in a job.
 pub const MAX_TASKS: u32 = 100_000;
 
-/// Parses and checks a submission.
+/// Parses and validates the body of a submission.
 pub fn parse_submission(body: &[u8]) -> Result<Submission, MalformedSubmission> {
     let value: Value = serde_json::from_slice(body).map_err(|error| MalformedSubmission {
         id: None,
@@ -137,7 +139,7 @@
     if !value.is_object() {
         return Err(fail("not an object".into()));
     }
-    let upstream_jobs = parse_waits_on(value.get(WAITS_ON))
+    let upstream_jobs = parse_upstream_jobs(value.get(WAITS_ON))
         .ok_or_else(|| fail(format!("{WAITS_ON}: not an array of job ids")))?;
     let spec: JobSpec = serde_json::from_value(value).map_err(|error| fail(error.to_string()))?;
     if id.is_none() {
@@ -153,7 +155,7 @@
     })
 }
 
-/// Checks that every amount and time is a finite number, 0 or more; the error names the field.
+/// Checks that every amount and duration is finite and not negative; the error names the field.
 fn check_numbers(spec: &JobSpec) -> Result<(), String> {
     for (name, value) in [
         ("cpus", Some(spec.cpus)),
@@ -172,8 +174,8 @@
     Ok(())
 }
 
-/// The jobs named; None if it is no list of job ids. Repeats count once.
-fn parse_waits_on(list: Option<&Value>) -> Option<Vec<JobId>> {
+/// Returns the upstream jobs without duplicates, or `None` if `list` is not an array of job ids.
+fn parse_upstream_jobs(list: Option<&Value>) -> Option<Vec<JobId>> {
     let list = match list {
         None | Some(Value::Null) => return Some(Vec::new()),
         Some(list) => list.as_array()?,
@@ -183,17 +185,17 @@
     Some(distinct.into_iter().collect())
 }
 
-/// What a user is told of a job.
+/// The phase of a job, as reported to users.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum JobPhase {
-    /// No task runs.
+    /// No task is running.
     Queued,
-    /// At least one task runs.
+    /// At least one task is running.
     Running,
-    /// All tasks are completed. Terminal.
+    /// All tasks are completed; terminal.
     Done,
-    /// The job is cancelled. Terminal.
+    /// The job is cancelled; terminal.
     #[serde(rename = "aborted")]
     Cancelled,
 }
@@ -201,23 +203,23 @@
 /// The body of the response to a submission or a cancellation.
 #[derive(Serialize)]
 pub struct JobResponse<'a> {
-    /// The job.
+    /// The id of the job.
     #[serde(rename = "ref")]
     pub id: &'a JobId,
-    /// Its phase.
+    /// The phase of the job.
     pub phase: JobPhase,
 }
 
 /// The body of the response to a poll.
 #[derive(Serialize)]
 pub struct JobStatusResponse<'a> {
-    /// The job.
+    /// The id of the job.
     #[serde(rename = "ref")]
     pub id: &'a JobId,
-    /// Its phase.
+    /// The phase of the job.
     pub phase: JobPhase,
-    /// How many tasks are completed.
+    /// The number of completed tasks.
     pub done: u32,
-    /// How many tasks run.
+    /// The number of running tasks.
     pub running: u32,
 }
