--- a/src/protocol/workers.rs
+++ b/src/protocol/workers.rs
@@ -1,39 +1,40 @@
-//! The wire between workers and controllers: heartbeats and commands.
+//! Messages between workers and controllers: heartbeats and commands.
 //!
-//! The operators' words are in serde names, and nowhere else.
+//! Wire names that differ from the code's terms are given as serde names.
 
 use crate::ids::{
     AttemptId, FencingToken, MachineId, MachineType, SequenceNumber, Session, TaskId, Zone,
 };
 use serde::{Deserialize, Serialize};
 
-/// A worker's status, in heartbeats and in the responses of `/commands` and `/inspect`.
+/// The status of a worker, sent in heartbeats and in the responses to `/commands` and `/inspect`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct WorkerStatus {
-    /// The worker's machine.
+    /// The machine that the worker runs on.
     #[serde(rename = "host")]
     pub machine_id: MachineId,
-    /// Where the worker listens: address and port.
+    /// Listen address and port of the worker.
     pub endpoint: String,
-    /// The machine's type.
+    /// The type of the machine.
     #[serde(rename = "rig")]
     pub machine_type: MachineType,
-    /// Where the machine is.
+    /// The zone of the machine.
     #[serde(rename = "site")]
     pub zone: Zone,
-    /// Whether it is a spot instance.
+    /// Whether the machine is a spot machine.
     #[serde(rename = "loaners", default)]
     pub spot: bool,
-    /// The worker's session: a new one begins when its lease has expired.
+    /// The worker session; a new one starts when the worker's lease has expired.
     #[serde(rename = "tenure")]
     pub session: Session,
-    /// Numbers the messages of a session: of two messages, the one with the larger session and tick is the newer.
+    /// The position of the message within its session. The newer of two messages of a worker has the larger pair of
+    /// session and sequence number.
     #[serde(rename = "tick")]
     pub sequence_number: SequenceNumber,
     /// The highest fencing token that the worker has seen.
     #[serde(rename = "baton", default)]
     pub token: FencingToken,
-    /// A preemption notice: in how many seconds the cloud reclaims the machine.
+    /// Preemption notice: time until the cloud reclaims the machine, in seconds.
     #[serde(rename = "recallS", default)]
     pub preemption_notice_s: Option<f64>,
     /// The task attempts on the machine.
@@ -41,101 +42,102 @@
     pub tasks: Vec<TaskStatus>,
 }
 
-/// One task on a machine.
+/// The status of a task attempt on a machine.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct TaskStatus {
     /// The task.
     #[serde(rename = "piece")]
     pub task: TaskId,
-    /// Which attempt at it.
+    /// The attempt at the task.
     #[serde(rename = "try")]
     pub attempt_id: AttemptId,
-    /// How far it is.
+    /// The phase of the attempt.
     pub phase: TaskPhase,
-    /// Why it ended, if it has.
+    /// Why the attempt ended, if it has.
     #[serde(default)]
     pub cause: Option<Cause>,
-    /// Whether its progress was saved when it was stopped.
+    /// Whether the attempt saved a checkpoint when it was stopped.
     #[serde(rename = "stored", default)]
     pub checkpoint_saved: bool,
 }
 
-/// How far a task is. Unknown phases count as present and running: the careful reading.
+/// The phase of a task attempt. An unknown phase is read as `Running`, the conservative choice: the attempt is
+/// assumed to be on the machine and running.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TaskPhase {
-    /// It waits for its container image.
+    /// Waits for the container image.
     #[serde(rename = "pulling")]
     Fetching,
-    /// A gang member waits for the others.
+    /// A gang member that waits for the other members.
     Waiting,
-    /// It was told to stop and saves a checkpoint.
+    /// Saves a checkpoint after a stop command.
     Saving,
-    /// It runs no more.
+    /// Has ended.
     #[serde(rename = "ended")]
     Ended,
-    /// It runs; also any phase not known.
+    /// Runs; also stands for every unknown phase.
     #[serde(other)]
     Running,
 }
 
-/// Why a task ended. Unknown causes count as errors.
+/// Why a task attempt ended. An unknown cause is read as `Error`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Cause {
     /// The task is completed.
     Done,
-    /// It was told to stop.
+    /// The attempt was stopped by a command.
     #[serde(rename = "halted")]
     Stopped,
-    /// Another member of its gang is gone.
+    /// Another member of the gang ended or lost contact.
     #[serde(rename = "mates_gone")]
     MatesGone,
-    /// Its gang did not come together in time.
+    /// The other members of the gang were not ready within the gang wait timeout.
     Incomplete,
-    /// The machine had no room for it.
+    /// The machine had too little free capacity.
     Full,
-    /// Another attempt at the task is on the machine.
+    /// Another attempt at the task was on the machine.
     Busy,
-    /// The worker can find no such job or task (yet).
+    /// The worker found no such job or task; it may appear later.
     #[serde(rename = "no_such")]
     Unknown,
-    /// The task failed; also any cause not known.
+    /// The task failed; also stands for every unknown cause.
     #[serde(other)]
     Error,
 }
 
-/// A command to a worker, which carries out the commands of a message in their order.
+/// A command to a worker. A worker executes the commands of a message in order.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "verb", rename_all = "lowercase")]
 pub enum Command {
-    /// Start a task attempt.
+    /// Starts a task attempt.
     Launch {
         /// The task.
         #[serde(rename = "piece")]
         task: TaskId,
-        /// Which attempt at it.
+        /// The attempt at the task.
         #[serde(rename = "try")]
         attempt_id: AttemptId,
     },
-    /// Stop a task attempt.
+    /// Stops a task attempt.
     Stop {
         /// The task.
         #[serde(rename = "piece")]
         task: TaskId,
-        /// Which attempt at it.
+        /// The attempt at the task.
         #[serde(rename = "try")]
         attempt_id: AttemptId,
-        /// How long it may take to save its progress, in seconds.
+        /// Time allowed for saving a checkpoint, in seconds.
         #[serde(rename = "windDownS")]
         grace_s: f64,
     },
-    /// Leave a task attempt that has ended out of the status from now on.
+    /// Removes an ended task attempt (a tombstone) from the worker's status.
     Clear {
         /// The task.
         #[serde(rename = "piece")]
         task: TaskId,
-        /// Which attempt at it.
+        /// The attempt at the task.
         #[serde(rename = "try")]
         attempt_id: AttemptId,
     },
@@ -147,15 +149,15 @@
     /// The leader's fencing token.
     #[serde(rename = "baton")]
     pub token: FencingToken,
-    /// What the worker is to do.
+    /// Commands to execute, in order.
     #[serde(rename = "orders")]
     pub commands: Vec<Command>,
 }
 
-/// The body of the response to a heartbeat by a controller that doesn't lead (421).
+/// The body of the response (421) to a heartbeat that reached a controller other than the leader.
 #[derive(Serialize)]
 pub struct Redirect<'a> {
-    /// The leader's name, if it is known.
+    /// The host name of the leader, if known.
     #[serde(rename = "foreman", skip_serializing_if = "Option::is_none")]
     pub leader: Option<&'a str>,
 }
@@ -166,10 +168,10 @@
     /// The leader's fencing token.
     #[serde(rename = "baton")]
     pub token: FencingToken,
-    /// The worker's session that the commands are meant for.
+    /// The worker session that the commands apply to.
     #[serde(rename = "tenure")]
     pub session: Session,
-    /// What the worker is to do.
+    /// Commands to execute, in order.
     #[serde(rename = "orders")]
     pub commands: Vec<Command>,
 }
