--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -1,5 +1,5 @@
-//! Moving bytes: HTTP with deadlines and a bounded number of connections, the link between controllers, rate
-//! limits, the allocation of sockets. No policy here.
+//! Network transport: HTTP with timeouts and a bounded number of connections, the protocol between controllers,
+//! rate limiting and socket allocation. The modules contain no scheduling policy.
 
 pub mod client;
 pub mod connection_table;
