--- a/src/transport/client.rs
+++ b/src/transport/client.rs
@@ -1,5 +1,5 @@
-//! The pooled HTTP client: every request has a deadline, and a failure says whether the request can have reached
-//! the other side.
+//! A pooled HTTP client. Every request has a timeout, and an error tells whether the request may have been carried
+//! out.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
@@ -9,40 +9,41 @@
 use hyper_util::rt::{TokioExecutor, TokioTimer};
 use std::time::Duration;
 
-/// The largest response read, in bytes; a watch has no size limit of its own, so ours is generous.
+/// Maximum size of a response body, in bytes. The state store doesn't limit the size of a watch response, so this
+/// limit is large.
 const MAX_RESPONSE_BYTES: usize = 8 * 1024 * 1024;
-/// An idle connection is closed after this.
+/// Time after which an idle connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A response.
+/// An HTTP response.
 #[derive(Debug)]
 pub struct HttpResponse {
     /// The HTTP status.
     pub status: u16,
-    /// The whole body.
+    /// The complete body.
     pub body: Bytes,
 }
 
-/// Why there is no response.
+/// Why a request got no response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum RequestError {
-    /// No connection came about: the request was certainly not carried out, nor will be.
+    /// No connection was established: the request was not carried out and never will be.
     #[error("the request was not sent")]
     NotSent,
-    /// The request may have been carried out, or may yet be.
+    /// The request may have been carried out, or may still be.
     #[error("the request got no response")]
     OutcomeUnknown,
 }
 
-/// The client.
+/// A pooled HTTP client; clones share the connection pool.
 #[derive(Clone)]
 pub struct HttpClient {
     pool: Pool<HttpConnector, Full<Bytes>>,
 }
 
 impl HttpClient {
-    /// A client that allows `connect_timeout` to establish a connection, and keeps so many idle ones open to each
-    /// host.
+    /// Creates a client that allows `connect_timeout` to establish a connection and keeps at most
+    /// `max_idle_per_host` idle connections to each host.
     pub fn new(connect_timeout: Duration, max_idle_per_host: usize) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_connect_timeout(Some(connect_timeout));
@@ -56,17 +57,17 @@
         HttpClient { pool }
     }
 
-    /// Sends one request to `host` (address and port) and reads the whole response by the deadline.
+    /// Sends a request to `host` (address and port) and reads the complete response within `timeout`.
     pub async fn send(
         &self,
         method: Method,
         host: &str,
         path: &str,
         body: Option<Vec<u8>>,
-        deadline: Duration,
+        timeout: Duration,
     ) -> Result<HttpResponse, RequestError> {
         let request = build_request(method, host, path, body)?;
-        tokio::time::timeout(deadline, self.exchange(request))
+        tokio::time::timeout(timeout, self.exchange(request))
             .await
             .unwrap_or(Err(RequestError::OutcomeUnknown))
     }
