--- a/src/transport/connection_table.rs
+++ b/src/transport/connection_table.rs
@@ -1,29 +1,30 @@
-//! The connections of an HTTP server, at most so many. When the table is full, a new connection takes the slot of
-//! the one worth least: of the lowest rank, idle, and longest unused. The caller says which connection ranks how.
+//! A table of bounded size for the connections of an HTTP server. When the table is full, a new connection evicts an
+//! existing one: idle connections before busy ones, then the lowest rank, then the least recently used. The caller
+//! assigns the ranks.
 //!
-//! Guards against running out of sockets: a machine without power never closes its connection, and once every
-//! socket is taken no connection to the state store or to a peer can be made either.
+//! Guards against socket exhaustion: a machine that loses power never closes its connection, and without free sockets
+//! the controller cannot connect to the state store or to a peer either.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-/// What a connection is worth when the table is full; a new one has the lowest rank.
+/// The eviction rank of a connection: lower ranks are evicted first. A new connection has the lowest rank.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Rank(pub u8);
 
-/// Identifies a connection in its table; never used twice.
+/// Identifies a connection within its table; never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ConnectionId(u64);
 
 #[derive(Debug)]
 struct ConnectionSlot {
     rank: Rank,
-    /// A request is being answered.
+    /// Whether a request is in progress.
     busy: bool,
     last_used: Instant,
-    /// Cancelled to close the connection.
+    /// Cancelling this token closes the connection.
     close: CancellationToken,
 }
 
@@ -33,16 +34,16 @@
     last_id: u64,
 }
 
-/// The connections of one server.
+/// The connections of an HTTP server.
 #[derive(Debug)]
 pub struct ConnectionTable {
     max_connections: usize,
-    /// Held for one change, never over an `await`.
+    /// Locked for a single operation, never across an `await`.
     slots: Mutex<Slots>,
 }
 
 impl ConnectionTable {
-    /// An empty table with so many slots, at least one.
+    /// Creates an empty table for `max_connections` connections, but at least one.
     pub fn new(max_connections: usize) -> ConnectionTable {
         ConnectionTable {
             max_connections: max_connections.max(1),
@@ -54,17 +55,17 @@
         self.slots.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// How many connections there are.
+    /// The number of connections in the table.
     pub fn connection_count(&self) -> usize {
         self.lock().by_id.len()
     }
 
-    /// Adds a connection that is closed through the token. If the table is full, the connection worth least is
-    /// closed and removed.
+    /// Inserts a connection with the lowest rank, to be closed by cancelling `close`. If the table is full, evicts a
+    /// connection first: closes and removes it.
     pub fn insert(&self, close: CancellationToken) -> ConnectionId {
         let mut slots = self.lock();
         if slots.by_id.len() >= self.max_connections {
-            slots.evict_least_valuable();
+            slots.evict_one();
         }
         slots.last_id += 1;
         let id = ConnectionId(slots.last_id);
@@ -78,17 +79,17 @@
         id
     }
 
-    /// From now on the connection has this rank.
+    /// Sets the eviction rank of a connection.
     pub fn set_rank(&self, id: ConnectionId, rank: Rank) {
         self.update(id, |slot| slot.rank = rank);
     }
 
-    /// A request on the connection is being answered.
+    /// Marks a connection as busy with a request.
     pub fn request_started(&self, id: ConnectionId) {
         self.update(id, |slot| slot.busy = true);
     }
 
-    /// The request has been answered.
+    /// Marks a connection as idle from now on.
     pub fn request_finished(&self, id: ConnectionId) {
         self.update(id, |slot| {
             slot.busy = false;
@@ -108,19 +109,19 @@
 }
 
 impl Slots {
-    fn evict_least_valuable(&mut self) {
-        let least = self
+    fn evict_one(&mut self) {
+        let victim = self
             .by_id
             .iter()
             .min_by_key(|(_, slot)| (slot.busy, slot.rank, slot.last_used))
             .map(|(id, _)| *id);
-        if let Some(slot) = least.and_then(|id| self.by_id.remove(&id)) {
+        if let Some(slot) = victim.and_then(|id| self.by_id.remove(&id)) {
             slot.close.cancel();
         }
     }
 }
 
-/// The connection that a request came on: among the request's extensions.
+/// Refers to the connection that a request arrived on; the server adds it to the request's extensions.
 #[derive(Clone, Debug)]
 pub struct ConnectionHandle {
     table: Arc<ConnectionTable>,
@@ -128,7 +129,7 @@
 }
 
 impl ConnectionHandle {
-    /// Adds a connection to the table.
+    /// Inserts a connection into the table and returns its handle.
     pub fn insert(table: &Arc<ConnectionTable>, close: CancellationToken) -> ConnectionHandle {
         ConnectionHandle {
             id: table.insert(close),
@@ -136,23 +137,23 @@
         }
     }
 
-    /// From now on the connection has this rank.
+    /// Sets the eviction rank of the connection.
     pub fn set_rank(&self, rank: Rank) {
         self.table.set_rank(self.id, rank);
     }
 
-    /// A request on the connection is being answered.
+    /// Marks the connection as busy with a request.
     pub fn request_started(&self) {
         self.table.request_started(self.id);
     }
 
-    /// The request has been answered.
+    /// Marks the connection as idle from now on.
     pub fn request_finished(&self) {
         self.table.request_finished(self.id);
     }
 }
 
-/// Removes the connection from its table when it is dropped, however the connection ends.
+/// Removes the connection from its table on drop, whatever ends the connection.
 pub struct RemoveOnDrop(pub ConnectionHandle);
 
 impl Drop for RemoveOnDrop {
