--- a/src/transport/peer.rs
+++ b/src/transport/peer.rs
@@ -1,5 +1,5 @@
-//! The link between controllers: postcard in length-delimited frames over TCP, one request at a time on each
-//! connection.
+//! Client and server of the protocol between controllers: postcard in length-delimited frames over TCP, one request
+//! at a time per connection.
 
 use crate::protocol::peers::{PeerReply, PeerRequest};
 use bytes::Bytes;
@@ -15,11 +15,11 @@
 
 type Connection = Framed<TcpStream, LengthDelimitedCodec>;
 
-/// The largest frame; a user's body is at most 64 KiB, counts are shorter.
+/// Maximum length of a frame. A forwarded user request has a body of at most 64 KiB; task counts are shorter.
 const MAX_FRAME_BYTES: usize = 256 * 1024;
-/// A connection on which no request comes for this long is closed.
+/// Time without a request after which a connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(120);
-/// Pause after a failure to accept a connection: most likely the sockets are used up.
+/// Pause before the retry when accepting a connection fails, most likely because the process is out of sockets.
 const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(50);
 
 fn framed(stream: TcpStream) -> Connection {
@@ -30,16 +30,16 @@
     Framed::new(stream, codec)
 }
 
-/// The client of one peer, with a few connections kept open.
+/// A client for one peer, with a pool of idle connections.
 pub struct PeerClient {
     address: SocketAddr,
     max_idle: usize,
-    /// Held only to take or put back a connection, never over an `await`.
+    /// Locked only to take or return a connection, never across an `await`.
     idle: Mutex<Vec<Connection>>,
 }
 
 impl PeerClient {
-    /// A client that has not connected yet, and will keep up to `max_idle` connections open.
+    /// Creates a client that keeps at most `max_idle` idle connections; connects on the first request.
     pub fn new(address: SocketAddr, max_idle: usize) -> Self {
         PeerClient {
             address,
@@ -48,32 +48,33 @@
         }
     }
 
-    /// Sends a request and waits for the reply, at most until the deadline. None: no reply.
-    pub async fn send(&self, request: &PeerRequest, deadline: Duration) -> Option<PeerReply> {
-        tokio::time::timeout(deadline, self.exchange(request))
+    /// Sends a request and returns the reply, or `None` if none arrives within `timeout`.
+    pub async fn send(&self, request: &PeerRequest, timeout: Duration) -> Option<PeerReply> {
+        tokio::time::timeout(timeout, self.exchange(request))
             .await
             .ok()
             .flatten()
     }
 
-    /// Tries an idle connection, which the peer may have closed, and then a new one.
+    /// Sends the request on an idle connection; if that fails, for example because the peer has closed the connection,
+    /// retries on a new one.
     async fn exchange(&self, request: &PeerRequest) -> Option<PeerReply> {
         let bytes = Bytes::from(postcard::to_stdvec(request).ok()?);
         let idle = self.idle.lock().ok()?.pop();
         if let Some(mut connection) = idle {
             if let Some(reply) = exchange_on(&mut connection, bytes.clone()).await {
-                self.keep(connection);
+                self.return_to_pool(connection);
                 return Some(reply);
             }
         }
         let stream = TcpStream::connect(self.address).await.ok()?;
         let mut connection = framed(stream);
         let reply = exchange_on(&mut connection, bytes).await?;
-        self.keep(connection);
+        self.return_to_pool(connection);
         Some(reply)
     }
 
-    fn keep(&self, connection: Connection) {
+    fn return_to_pool(&self, connection: Connection) {
         if let Ok(mut idle) = self.idle.lock() {
             if idle.len() < self.max_idle {
                 idle.push(connection);
@@ -88,17 +89,18 @@
     postcard::from_bytes(&frame).ok()
 }
 
-/// Answers peers until cancelled: a task for each connection, at most `max_connections` at the same time.
+/// Serves requests from peers until `stop` is cancelled. Each connection has its own task; at most `max_connections`
+/// are served at the same time.
 pub async fn serve<F, R>(
     listener: TcpListener,
     stop: CancellationToken,
     max_connections: usize,
-    answer: F,
+    handler: F,
 ) where
     F: Fn(PeerRequest) -> R + Send + Sync + 'static,
     R: Future<Output = PeerReply> + Send,
 {
-    let answer = Arc::new(answer);
+    let handler = Arc::new(handler);
     let slots = Arc::new(Semaphore::new(max_connections));
     loop {
         let Ok(slot) = slots.clone().acquire_owned().await else {
@@ -112,16 +114,17 @@
             tokio::time::sleep(ACCEPT_RETRY_PAUSE).await;
             continue;
         };
-        let (answer, stop) = (answer.clone(), stop.clone());
+        let (handler, stop) = (handler.clone(), stop.clone());
         tokio::spawn(async move {
             let _slot = slot;
-            serve_connection(framed(stream), &stop, answer.as_ref()).await;
+            serve_connection(framed(stream), &stop, handler.as_ref()).await;
         });
     }
 }
 
-/// Answers the requests on one connection, one after the other, until it is closed, idle for too long or broken.
-async fn serve_connection<F, R>(mut connection: Connection, stop: &CancellationToken, answer: &F)
+/// Serves the requests on a connection in sequence until the connection is closed, fails or reaches the idle
+/// timeout, or until `stop` is cancelled.
+async fn serve_connection<F, R>(mut connection: Connection, stop: &CancellationToken, handler: &F)
 where
     F: Fn(PeerRequest) -> R,
     R: Future<Output = PeerReply>,
@@ -135,7 +138,7 @@
         let Ok(request) = postcard::from_bytes(&frame) else {
             return;
         };
-        let Ok(reply) = postcard::to_stdvec(&answer(request).await) else {
+        let Ok(reply) = postcard::to_stdvec(&handler(request).await) else {
             return;
         };
         if connection.send(Bytes::from(reply)).await.is_err() {
