--- a/src/transport/server.rs
+++ b/src/transport/server.rs
@@ -1,4 +1,4 @@
-//! The HTTP server: a task for each connection, in a table of bounded size.
+//! The HTTP server. Each connection has its own task; the connection table bounds their number.
 
 use super::connection_table::{ConnectionHandle, ConnectionTable, RemoveOnDrop};
 use hyper::body::{Body, Incoming};
@@ -14,15 +14,15 @@
 use tokio_util::task::TaskTracker;
 use tower_service::Service;
 
-/// Pause after a failure to accept a connection: most likely the sockets are used up.
+/// Pause before the retry when accepting a connection fails, most likely because the process is out of sockets.
 const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(50);
 
-/// Serves until stopped; a connection on which no request begins for `idle` is closed. Requests that are being
-/// answered when the server stops are answered to their end.
+/// Serves HTTP connections until `stop` is cancelled, then completes the requests in progress. A connection on which
+/// no request starts for `idle_timeout` is closed.
 pub async fn serve<S, B>(
     listener: TcpListener,
     connections: Arc<ConnectionTable>,
-    idle: Duration,
+    idle_timeout: Duration,
     stop: CancellationToken,
     service: S,
 ) where
@@ -36,7 +36,8 @@
     B::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
 {
     let mut http = http1::Builder::new();
-    http.timer(TokioTimer::new()).header_read_timeout(idle);
+    http.timer(TokioTimer::new())
+        .header_read_timeout(idle_timeout);
     let tasks = TaskTracker::new();
     loop {
         let accepted = tokio::select! {
@@ -63,7 +64,8 @@
     tasks.wait().await;
 }
 
-/// Serves one connection until it ends or is to be closed.
+/// Serves a connection until it ends. When `close` is cancelled, completes the request in progress and closes the
+/// connection.
 async fn serve_connection<S, B>(
     http: http1::Builder,
     stream: TcpStream,
@@ -75,8 +77,8 @@
     B: Body + 'static,
     B::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
 {
-    let _remove = RemoveOnDrop(connection.clone());
-    let answer = service_fn(move |mut request: Request<Incoming>| {
+    let _guard = RemoveOnDrop(connection.clone());
+    let handler = service_fn(move |mut request: Request<Incoming>| {
         let connection = connection.clone();
         let mut service = service.clone();
         connection.request_started();
@@ -87,16 +89,17 @@
             response
         }
     });
-    let mut serving = std::pin::pin!(http.serve_connection(TokioIo::new(stream), answer));
-    let ended = tokio::select! {
-        ended = serving.as_mut() => ended,
+    let mut connection_future =
+        std::pin::pin!(http.serve_connection(TokioIo::new(stream), handler));
+    let result = tokio::select! {
+        result = connection_future.as_mut() => result,
         _ = close.cancelled() => {
-            // What is being answered is answered to its end; nothing new begins.
-            serving.as_mut().graceful_shutdown();
-            serving.await
+            // Completes the request in progress and accepts no further ones.
+            connection_future.as_mut().graceful_shutdown();
+            connection_future.await
         }
     };
-    if let Err(error) = ended {
+    if let Err(error) = result {
         tracing::debug!(%error, "connection ended with an error");
     }
 }
