--- a/src/transport/token_bucket.rs
+++ b/src/transport/token_bucket.rs
@@ -1,8 +1,8 @@
-//! A token bucket: a rate limit that allows bursts.
+//! A token bucket: a rate limiter that allows bursts.
 
 use crate::time::Instant;
 
-/// Bounds a rate. Takes the time from its caller.
+/// A token bucket. The caller supplies the current time.
 #[derive(Debug)]
 pub struct TokenBucket {
     tokens_per_sec: f64,
@@ -12,7 +12,7 @@
 }
 
 impl TokenBucket {
-    /// A full bucket that refills at a rate up to its capacity.
+    /// Creates a full bucket that is refilled at `tokens_per_sec`, up to `capacity`.
     pub fn new(tokens_per_sec: f64, capacity: f64) -> Self {
         TokenBucket {
             tokens_per_sec,
@@ -22,38 +22,38 @@
         }
     }
 
-    /// How full the bucket is, from 0 to 1; below 0 after a demand above its capacity.
+    /// Returns the fill level, from 0 to 1. Negative after a request for more tokens than the capacity.
     pub fn fill_ratio(&self, now: Instant) -> f64 {
-        self.refilled(now) / self.capacity
+        self.tokens_at(now) / self.capacity
     }
 
-    /// How many tokens could be taken now.
+    /// Returns the number of tokens that are available.
     pub fn available(&self, now: Instant) -> f64 {
         self.fill_ratio(now) * self.capacity
     }
 
-    /// Drops all tokens.
+    /// Removes all tokens.
     pub fn drain(&mut self, now: Instant) {
         self.tokens = 0.0;
         self.updated_at = now;
     }
 
-    /// Takes `count` tokens, or none if there are too few. True if they were taken.
+    /// Takes `count` tokens, or none if too few are available. Returns whether the tokens were taken.
     ///
-    /// A single demand above the capacity could never be met: it is let through on a full bucket, which then
-    /// owes the rest.
+    /// A request for more tokens than the capacity could never be met otherwise: a full bucket grants the request and
+    /// ends up with a negative number of tokens.
     #[must_use = "the caller may act only if the tokens were taken"]
     pub fn try_take(&mut self, now: Instant, count: f64) -> bool {
-        self.tokens = self.refilled(now);
+        self.tokens = self.tokens_at(now);
         self.updated_at = now;
-        let enough = self.tokens >= count.min(self.capacity);
-        if enough {
+        let is_granted = self.tokens >= count.min(self.capacity);
+        if is_granted {
             self.tokens -= count;
         }
-        enough
+        is_granted
     }
 
-    fn refilled(&self, now: Instant) -> f64 {
+    fn tokens_at(&self, now: Instant) -> f64 {
         let elapsed_secs = (now - self.updated_at).secs().max(0.0);
         (self.tokens + elapsed_secs * self.tokens_per_sec).min(self.capacity)
     }
