--- a/src/transport/connection_table.rs
+++ b/src/transport/connection_table.rs
@@ -89,7 +89,7 @@
         self.update(id, |slot| slot.busy = true);
     }
 
-    /// Marks a connection as idle from now on.
+    /// Marks a connection as idle and records the time of its last use.
     pub fn request_finished(&self, id: ConnectionId) {
         self.update(id, |slot| {
             slot.busy = false;
@@ -147,7 +147,7 @@
         self.table.request_started(self.id);
     }
 
-    /// Marks the connection as idle from now on.
+    /// Marks the connection as idle and records the time of its last use.
     pub fn request_finished(&self) {
         self.table.request_finished(self.id);
     }
