--- a/src/coordination/attempts/reconciliation/listed.rs
+++ b/src/coordination/attempts/reconciliation/listed.rs
@@ -1,4 +1,4 @@
-//! Attempts that a worker's status lists.
+//! Handles attempts that a worker status lists.
 
 use crate::coordination::attempts::ledger::{LastStatus, StatusEvidence};
 use crate::coordination::Scheduler;
@@ -7,7 +7,7 @@
 use crate::time::{Instant, TimeSpan};
 
 impl Scheduler {
-    /// Takes in what a status says of one attempt.
+    /// Updates the ledger from one task entry of a worker status.
     pub(super) fn reconcile_listed(
         &mut self,
         now: Instant,
@@ -19,10 +19,10 @@
             task: task.task.clone(),
             attempt_id: task.attempt_id,
         };
-        if !self.holds_attempt(machine_id, &key) {
+        if !self.has_attempt(machine_id, &key) {
             if !evidence.is_confirmed {
-                // Every attempt that is on a machine has an intent. One without was proven gone: this is a
-                // status from before that, and a later one will tell.
+                // An attempt that may be on a machine has a launch intent. One without was proven gone before,
+                // and this status may be older than that proof: a later status decides.
                 return;
             }
             self.adopt_attempt(now, machine_id, &key, task.phase);
@@ -33,32 +33,33 @@
         let Some(attempt) = machine.attempts.get_mut(&key) else {
             return;
         };
-        let before = attempt.last_status;
-        let shows_our_launch = before.is_none() && attempt.launch_session == Some(evidence.at.0);
-        let status = LastStatus::after(before, task, evidence.at, now);
-        let is_news = before.is_none_or(|before| !before.reports_same_state_as(&status));
-        if !is_news {
-            // Only noted, so that the attempt isn't taken for absent.
+        let previous = attempt.last_status;
+        let confirms_launch =
+            previous.is_none() && attempt.launch_session == Some(evidence.message_id.0);
+        let status = LastStatus::after(previous, task, evidence.message_id, now);
+        let has_changed = previous.is_none_or(|previous| !previous.reports_same_state_as(&status));
+        if !has_changed {
+            // Only marks the attempt as listed by the newest status.
             attempt.last_status = Some(status);
         }
-        if shows_our_launch {
+        if confirms_launch {
             machine.mark_reachable();
         }
-        if is_news {
+        if has_changed {
             self.record_status(now, machine_id, &key, status);
-            if before.map(|before| before.phase) != Some(task.phase) {
+            if previous.map(|previous| previous.phase) != Some(task.phase) {
                 self.phase_changed(now, machine_id, &key, task);
             }
         }
     }
 
-    fn holds_attempt(&self, machine_id: &MachineId, key: &AttemptKey) -> bool {
+    fn has_attempt(&self, machine_id: &MachineId, key: &AttemptKey) -> bool {
         let machine = self.machines.get(machine_id);
         machine.is_some_and(|machine| machine.attempts.contains(key))
     }
 
-    /// Enters an attempt that a worker lists and the ledger doesn't: a tombstone, for its intent needn't be
-    /// kept.
+    /// Inserts an attempt that a worker lists and the ledger lacks: usually a tombstone, as launch intents of
+    /// ended attempts need not be kept.
     fn adopt_attempt(
         &mut self,
         now: Instant,
@@ -69,7 +70,7 @@
         let mut attempt = self.new_attempt(machine_id, key.clone(), now);
         attempt.recovered = true;
         if phase == TaskPhase::Ended {
-            self.ledger().insert_without_place(machine_id, attempt);
+            self.ledger().insert_without_placement(machine_id, attempt);
         } else {
             self.ledger().insert(machine_id, attempt);
         }
@@ -84,12 +85,12 @@
     ) {
         match task.phase {
             TaskPhase::Waiting => {
-                self.note_image(now, machine_id, &key.task.job);
-                self.push_to_gang(&key.task.job);
+                self.record_cached_image(now, machine_id, &key.task.job);
+                self.queue_gang_pushes(&key.task.job);
             }
             TaskPhase::Running => {
                 tracing::debug!(task = %key.task, attempt = %key.attempt_id, machine = %machine_id, "task running");
-                self.note_image(now, machine_id, &key.task.job);
+                self.record_cached_image(now, machine_id, &key.task.job);
             }
             TaskPhase::Ended => {
                 let cause = task.cause.unwrap_or(Cause::Error);
@@ -99,15 +100,16 @@
         }
     }
 
-    /// A member has its image: those that had theirs at once may be launched now.
-    fn push_to_gang(&mut self, job_id: &JobId) {
+    /// Queues pushes to a gang's machines when a member has its image: members that waited for it
+    /// may be launched now.
+    fn queue_gang_pushes(&mut self, job_id: &JobId) {
         if let Some(job) = self.jobs.get(job_id) {
             let machines = job.placements().values().flatten();
             self.outbox.pushes_due.extend(machines.cloned());
         }
     }
 
-    /// Notes what a status says of an attempt in the ledger.
+    /// Records the reported status of an attempt in the ledger, and the start of its job.
     fn record_status(
         &mut self,
         now: Instant,
@@ -124,8 +126,8 @@
         }
     }
 
-    /// Since when an attempt that is first seen running now has run, at the latest. What a former leader
-    /// launched may have run for long: since its image was there.
+    /// Returns the latest time at which an attempt that is first seen running may have started. An attempt of a
+    /// former leader may have started as soon as its image was fetched.
     fn running_since(&self, now: Instant, machine_id: &MachineId, key: &AttemptKey) -> Instant {
         let machine = self.machines.get(machine_id);
         let attempt = machine.and_then(|machine| machine.attempts.get(key));
@@ -138,7 +140,7 @@
         }
     }
 
-    fn note_image(&mut self, now: Instant, machine_id: &MachineId, job: &JobId) {
+    fn record_cached_image(&mut self, now: Instant, machine_id: &MachineId, job: &JobId) {
         let Some(job) = self.jobs.get(job) else {
             return;
         };
@@ -146,9 +148,9 @@
         let Some(machine) = self.machines.get_mut(machine_id) else {
             return;
         };
-        let new = !machine.has_image(&job.spec().image);
+        let is_new = !machine.has_image(&job.spec().image);
         machine.record_image_use(&job.spec().image, job.spec().image_gb, cache_gb);
-        if let Some(page) = machine.page.filter(|_| new) {
+        if let Some(page) = machine.page.filter(|_| is_new) {
             self.writer.mark_machine_page_outdated(now, page);
         }
     }
