--- a/src/protocol/state.rs
+++ b/src/protocol/state.rs
@@ -94,8 +94,7 @@
     /// The key to be set or deleted.
     pub fn key(&self) -> &str {
         match self {
-            Change::Put { key, .. } => key,
-            Change::Delete { key } => key,
+            Change::Put { key, .. } | Change::Delete { key } => key,
         }
     }
 }
--- a/src/protocol/users.rs
+++ b/src/protocol/users.rs
@@ -1,7 +1,6 @@
 //! Messages between users and controllers: submissions, polls and cancellations.
 //!
-//! Wire names that differ from the code's terms are given as serde names. Error messages
-//! to users contain wire names.
+//! Wire names that differ from the code's terms are given as serde names. Error messages to users contain wire names.
 
 use crate::ids::{Image, JobId, MachineType, Zone};
 use serde::{Deserialize, Serialize};
@@ -14,7 +13,7 @@
 pub enum Shape {
     /// Independent tasks that run to completion.
     Array,
-    /// Members that run at the same time or not at all.
+    /// Gang members that run at the same time or not at all.
     Gang,
     /// Replicas that run until the job is cancelled.
     #[serde(rename = "standing")]
--- a/src/protocol/workers.rs
+++ b/src/protocol/workers.rs
@@ -99,7 +99,7 @@
     Full,
     /// Another attempt at the task was on the machine.
     Busy,
-    /// The worker found no such job or task; it may appear later.
+    /// The worker could not find the job or task; the job specification may not be available to the worker yet.
     #[serde(rename = "no_such")]
     Unknown,
     /// The task failed; also stands for every unknown cause.
