--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -22,7 +22,7 @@
 use chalklug::storage::records::*;
 use chalklug::time::{Instant, TimeSpan};
 use large_cluster::{
-    open_record, recovered, status, GPUS_PER_MACHINE, MACHINES, MACHINES_PER_PAGE,
+    open_job_record, recovered_state, status, GPUS_PER_MACHINE, MACHINES, MACHINES_PER_PAGE,
 };
 use leader::term;
 use recorded_scheduler::RecordedScheduler;
@@ -45,7 +45,8 @@
 #[test]
 fn failover_of_a_large_cluster_restarts_nothing_and_unchanged_heartbeats_cost_nothing() {
     let mut now = Instant(1000);
-    let mut scheduler = RecordedScheduler::recover(policy(), term(9), now, recovered()).unwrap();
+    let mut scheduler =
+        RecordedScheduler::recover(policy(), term(9), now, recovered_state()).unwrap();
     scheduler.audit().unwrap();
     assert_eq!(scheduler.machines_up(), MACHINES as usize);
     // Every attempt may still be running, so nothing is started, stopped, terminated or rented.
@@ -84,7 +85,8 @@
 #[test]
 fn writes_follow_the_number_of_ended_tasks() {
     let mut now = Instant(1000);
-    let mut scheduler = RecordedScheduler::recover(policy(), term(9), now, recovered()).unwrap();
+    let mut scheduler =
+        RecordedScheduler::recover(policy(), term(9), now, recovered_state()).unwrap();
     for n in 0..MACHINES {
         scheduler.heartbeat(now, &status(n, 1, 9, 0));
     }
@@ -142,7 +144,7 @@
         "urgency": priority, "pieces": tasks, "cpus": 0.25, "gpus": 0, "ramGb": 0.9, "bundle": "i",
         "pullGb": 1, "together": false, "scatter": false, "loaners": false, "guessS": 4,
         "markEveryS": 0, "markCostS": 0});
-    let record = open_record(&body);
+    let record = open_job_record(&body);
     Event::JobOpened(Box::new(OpenJob {
         record,
         revision: KeyRevision(5),
@@ -189,7 +191,7 @@
 
 /// Creates a new leader that has received a heartbeat without tasks from every machine.
 fn idle_cluster(policy: Arc<Policy>, now: Instant) -> RecordedScheduler {
-    let mut state = recovered();
+    let mut state = recovered_state();
     state.open_jobs.clear();
     state.intent_pages.clear();
     let mut scheduler = RecordedScheduler::recover(policy, term(9), now, state).unwrap();
@@ -238,7 +240,8 @@
 #[test]
 fn every_pending_job_has_a_pending_reason() {
     let now = Instant(1000);
-    let mut scheduler = RecordedScheduler::recover(policy(), term(9), now, recovered()).unwrap();
+    let mut scheduler =
+        RecordedScheduler::recover(policy(), term(9), now, recovered_state()).unwrap();
     // Every GPU of the team's limit may be in use, and no machine has sent a heartbeat yet.
     scheduler.handle(now, gpu_job_opened("wk-900001", 4, Vec::new()));
     let limited = JobId::from("wk-900001");
@@ -324,7 +327,8 @@
 #[test]
 fn new_leader_recovers_release_times_from_terminal_records() {
     let now = Instant(100_000);
-    let mut scheduler = RecordedScheduler::recover(policy(), term(9), now, recovered()).unwrap();
+    let mut scheduler =
+        RecordedScheduler::recover(policy(), term(9), now, recovered_state()).unwrap();
     let upstream = ["wk-800001", "wk-800002"].map(JobId::from).to_vec();
     scheduler.handle(now, gpu_job_opened("wk-900001", 4, upstream.clone()));
     scheduler.handle(
--- a/tests/loopback/state_store.rs
+++ b/tests/loopback/state_store.rs
@@ -1,7 +1,7 @@
 //! A stand-in of the state store over its published protocol: keys, transactions, leases, watches.
 
 use super::http::serve;
-use super::store_data::{query, Data};
+use super::store_data::{query_parameter, StoreData};
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -15,11 +15,11 @@
 /// The store, shared by the threads of its connections.
 #[derive(Default)]
 struct StateStore {
-    data: Mutex<Data>,
+    data: Mutex<StoreData>,
 }
 
 impl StateStore {
-    fn lock(&self) -> MutexGuard<'_, Data> {
+    fn lock(&self) -> MutexGuard<'_, StoreData> {
         self.data.lock().expect("no thread panics with the lock")
     }
 
@@ -30,7 +30,7 @@
         let mut data = self.lock();
         data.expire_leases(Instant::now());
         if let Some(rest) = path.strip_prefix("/grants") {
-            data.handle_lease(method, rest, body)
+            data.handle_lease_request(method, rest, body)
         } else if path == "/multi" {
             data.handle_transaction(body)
         } else if let Some(key) = path.strip_prefix("/store/") {
@@ -43,12 +43,12 @@
     /// Answers once something has changed, or when the time asked for is over.
     fn watch(&self, path: &str) -> Response {
         let number = |name| -> u64 {
-            let value = query(path, name);
+            let value = query_parameter(path, name);
             value
                 .and_then(|value| value.parse().ok())
                 .expect("a number")
         };
-        let prefix = query(path, "prefix").expect("a prefix");
+        let prefix = query_parameter(path, "prefix").expect("a prefix");
         let since = number("since");
         let end = Instant::now() + Duration::from_millis(number("holdMs"));
         loop {
--- a/tests/random/constraints.rs
+++ b/tests/random/constraints.rs
@@ -5,7 +5,7 @@
 //! are still pending while others run; zones lost for longer than a lease; leaders that follow each other; and
 //! launch intents on so many pages that obsolete ones stay on record.
 
-use super::logging::log_if_asked;
+use super::logging::init_logging;
 use super::random_faults::seeds;
 use super::scenario_language::{submit, Setup};
 use super::simulation::{PartitionMode, Simulation};
@@ -122,7 +122,7 @@
 
 #[test]
 fn jobs_with_constraints_start_only_where_they_may() {
-    log_if_asked();
+    init_logging();
     for seed in seeds(RUNS) {
         let mut run = Run::new(seed);
         run.simulation.elect_leader();
--- a/tests/random/faults.rs
+++ b/tests/random/faults.rs
@@ -1,6 +1,6 @@
 //! Random faults, seeded: no rule is broken and every job ends.
 
-use super::logging::log_if_asked;
+use super::logging::init_logging;
 use super::scenario_language::{submit, Setup};
 use super::simulation::random_faults::start_random_fault;
 use super::simulation::{PartitionMode, Simulation};
@@ -202,7 +202,7 @@
 /// and every job ends.
 #[test]
 fn random_pairs_of_faults_break_no_rule() {
-    log_if_asked();
+    init_logging();
     for seed in seeds(PAIR_RUNS) {
         let mut run = Run::new(seed, true);
         if seed % 3 == 0 {
@@ -221,7 +221,7 @@
 /// A day of random faults, bounded and seeded: the rules hold and every job ends.
 #[test]
 fn random_faults_break_no_rule() {
-    log_if_asked();
+    init_logging();
     for seed in seeds(SINGLE_RUNS) {
         let mut run = Run::new(seed, false);
         run.simulation.elect_leader();
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -42,7 +42,7 @@
 }
 
 fn run_scenario(path: &Path) {
-    logging::log_if_asked();
+    logging::init_logging();
     let text = std::fs::read_to_string(path).expect("the scenario can be read");
     Scenario::parse(&file_name(path), &text).run();
 }
--- a/tests/simulation/mod.rs
+++ b/tests/simulation/mod.rs
@@ -121,7 +121,7 @@
         let now = self.now;
         let scheduler = self.leadership.scheduler.as_mut();
         let effects = scheduler.map_or(Vec::new(), |scheduler| scheduler.step(now));
-        self.digest.effects(now, &effects);
+        self.digest.add_effects(now, &effects);
         for effect in effects {
             self.carry_out(effect);
         }
--- a/tests/simulation/network.rs
+++ b/tests/simulation/network.rs
@@ -170,7 +170,8 @@
         };
         let outcome = scheduler.heartbeat(self.now, &status);
         let token = scheduler.token();
-        self.digest.heartbeat_response(self.now, token, &outcome);
+        self.digest
+            .add_heartbeat_response(self.now, token, &outcome);
         let HeartbeatOutcome::Commands(commands) = outcome else {
             return;
         };
--- a/tests/soak/cloud.rs
+++ b/tests/soak/cloud.rs
@@ -4,7 +4,7 @@
 use super::faults::Link;
 use super::http::{serve, StandInRequest, StandInResponse};
 use super::links::{no_response, Delivery};
-use super::store_data::query;
+use super::store_data::query_parameter;
 use super::worker;
 use super::world::MachineKind;
 use rand::Rng;
@@ -195,8 +195,8 @@
     }
 
     fn list(&self, path: &str) -> StandInResponse {
-        let since = query(path, "since").unwrap_or_default();
-        let most = query(path, "most").and_then(|most| most.parse().ok());
+        let since = query_parameter(path, "since").unwrap_or_default();
+        let most = query_parameter(path, "most").and_then(|most| most.parse().ok());
         let most: usize = most.unwrap_or(500);
         let data = self.lock();
         let world = self.shared.world();
--- a/tests/soak/state_store.rs
+++ b/tests/soak/state_store.rs
@@ -4,7 +4,7 @@
 use super::faults::Link;
 use super::http::{serve, StandInRequest, StandInResponse};
 use super::links::{no_response, Delivery, Links};
-use super::store_data::{query, Data};
+use super::store_data::{query_parameter, StoreData};
 use rand::Rng;
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
@@ -45,7 +45,7 @@
 
 /// The store, and what is wrong with it.
 pub struct StateStore {
-    data: Mutex<Data>,
+    data: Mutex<StoreData>,
     late_transactions: Mutex<Vec<LateTransaction>>,
     faults: Mutex<StoreFaults>,
     links: Arc<Links>,
@@ -101,7 +101,7 @@
         *self.faults.lock().expect("faults") = StoreFaults::default();
     }
 
-    fn lock(&self) -> MutexGuard<'_, Data> {
+    fn lock(&self) -> MutexGuard<'_, StoreData> {
         self.data.lock().expect("the store's data")
     }
 
@@ -184,7 +184,7 @@
         let mut data = self.lock();
         data.expire_leases(Instant::now());
         if let Some(rest) = path.strip_prefix("/grants") {
-            data.handle_lease(method, rest, &request.body)
+            data.handle_lease_request(method, rest, &request.body)
         } else if path == "/multi" {
             data.handle_transaction(&request.body)
         } else if let Some(key) = path.strip_prefix("/store/") {
@@ -197,10 +197,10 @@
     /// Responds once something has changed, or when the time asked for is over; stays open in an outage.
     async fn watch(&self, controller: usize, path: &str) -> StandInResponse {
         let number = |name| -> u64 {
-            let value = query(path, name).and_then(|value| value.parse().ok());
+            let value = query_parameter(path, name).and_then(|value| value.parse().ok());
             value.unwrap_or(0)
         };
-        let prefix = query(path, "prefix").expect("a prefix");
+        let prefix = query_parameter(path, "prefix").expect("a prefix");
         let since = number("since");
         let end = Instant::now() + Duration::from_millis(number("holdMs"));
         loop {
--- a/tests/support/large_cluster.rs
+++ b/tests/support/large_cluster.rs
@@ -58,10 +58,10 @@
         "urgency": "normal", "pieces": TASKS_PER_JOB, "cpus": 1, "gpus": 1, "ramGb": 1, "bundle": "i",
         "pullGb": 1, "together": false, "scatter": false, "loaners": false, "guessS": 50,
         "markEveryS": 0, "markCostS": 0});
-    open_record(&body)
+    open_job_record(&body)
 }
 
-pub fn open_record(body: &serde_json::Value) -> OpenJobRecord {
+pub fn open_job_record(body: &serde_json::Value) -> OpenJobRecord {
     OpenJobRecord {
         spec: parse_submission(body.to_string().as_bytes()).unwrap().spec,
         accepted_at_ms: 0,
@@ -85,7 +85,7 @@
 }
 
 /// The state that a former leader left: every GPU of all machines runs a task.
-pub fn recovered() -> RecoveredState {
+pub fn recovered_state() -> RecoveredState {
     let records: Vec<OpenJobRecord> = (0..MACHINES / MACHINES_PER_JOB).map(running_job).collect();
     let intents = (0..).zip(&records);
     RecoveredState {
--- a/tests/support/logging.rs
+++ b/tests/support/logging.rs
@@ -1,7 +1,7 @@
 //! Log output of the scheduler, for whoever looks into a failing test.
 
 /// With `TEST_LOG` set, what the scheduler logs goes to standard error.
-pub fn log_if_asked() {
+pub fn init_logging() {
     if std::env::var_os("TEST_LOG").is_some() {
         let _ = tracing_subscriber::fmt()
             .with_max_level(tracing::Level::DEBUG)
--- a/tests/support/recorded_scheduler.rs
+++ b/tests/support/recorded_scheduler.rs
@@ -35,7 +35,7 @@
     /// One step.
     pub fn step(&mut self, now: Instant) -> Vec<Effect> {
         let effects = self.scheduler.step(now);
-        self.digest.effects(now, &effects);
+        self.digest.add_effects(now, &effects);
         effects
     }
 
@@ -44,7 +44,7 @@
     pub fn heartbeat(&mut self, now: Instant, status: &WorkerStatus) -> HeartbeatOutcome {
         let outcome = self.scheduler.heartbeat(now, status);
         let token = self.scheduler.token();
-        self.digest.heartbeat_response(now, token, &outcome);
+        self.digest.add_heartbeat_response(now, token, &outcome);
         outcome
     }
 }
--- a/tests/support/store_data.rs
+++ b/tests/support/store_data.rs
@@ -8,7 +8,7 @@
 const MAX_ITEMS: usize = 1_000;
 
 /// A status and a body.
-type StandInResponse = (u16, Value);
+type Response = (u16, Value);
 
 /// A value with its key revision, and the lease that it goes with.
 struct Item {
@@ -24,7 +24,7 @@
 
 /// All that the store keeps.
 #[derive(Default)]
-pub struct Data {
+pub struct StoreData {
     pub store_revision: u64,
     items: BTreeMap<String, Item>,
     changes: Vec<(u64, String)>,
@@ -32,7 +32,7 @@
     last_lease: u64,
 }
 
-impl Data {
+impl StoreData {
     fn put(&mut self, key: &str, data: Value, lease: Option<u64>) {
         let revision = self.store_revision;
         self.changes.push((revision, key.into()));
@@ -83,7 +83,7 @@
         }
     }
 
-    fn grant_lease(&mut self, body: &Value) -> StandInResponse {
+    fn grant_lease(&mut self, body: &Value) -> Response {
         let life = Duration::from_millis(body["lifeMs"].as_u64().expect("a life"));
         self.last_lease += 1;
         let lease = Lease {
@@ -95,7 +95,7 @@
     }
 
     /// A lease is granted, renewed or ended.
-    pub fn handle_lease(&mut self, method: &str, rest: &str, body: &Value) -> StandInResponse {
+    pub fn handle_lease_request(&mut self, method: &str, rest: &str, body: &Value) -> Response {
         if rest.is_empty() {
             return self.grant_lease(body);
         }
@@ -115,7 +115,7 @@
     }
 
     /// Carries a transaction out if all its preconditions hold and its leases live.
-    pub fn handle_transaction(&mut self, body: &Value) -> StandInResponse {
+    pub fn handle_transaction(&mut self, body: &Value) -> Response {
         let empty = Vec::new();
         let preconditions = body["guards"].as_array().unwrap_or(&empty).iter();
         let holds = |p: &&Value| Some(self.revision_of(text(&p["key"]))) == p["stamp"].as_u64();
@@ -145,7 +145,7 @@
     }
 
     /// One key.
-    pub fn get(&self, key: &str) -> StandInResponse {
+    pub fn get(&self, key: &str) -> Response {
         match self.items.get(key) {
             Some(item) => (
                 200,
@@ -156,10 +156,10 @@
     }
 
     /// Keys with a prefix, in order.
-    pub fn list(&self, path: &str) -> StandInResponse {
-        let prefix = query(path, "prefix").expect("a prefix");
-        let since = query(path, "since").unwrap_or_default();
-        let most = query(path, "most").and_then(|most| most.parse().ok());
+    pub fn list(&self, path: &str) -> Response {
+        let prefix = query_parameter(path, "prefix").expect("a prefix");
+        let since = query_parameter(path, "since").unwrap_or_default();
+        let most = query_parameter(path, "most").and_then(|most| most.parse().ok());
         let most = most.unwrap_or(MAX_ITEMS).min(MAX_ITEMS);
         let items = self.items.iter();
         let matching = items.filter(|(key, _)| key.starts_with(prefix) && key.as_str() > since);
@@ -194,7 +194,7 @@
 }
 
 /// A parameter of a path's query.
-pub fn query<'a>(path: &'a str, name: &str) -> Option<&'a str> {
+pub fn query_parameter<'a>(path: &'a str, name: &str) -> Option<&'a str> {
     let (_, query) = path.split_once('?')?;
     let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
     pairs.find(|(key, _)| *key == name).map(|(_, value)| value)
--- a/tests/support/wire_digest.rs
+++ b/tests/support/wire_digest.rs
@@ -49,14 +49,14 @@
     }
 
     /// What a step of the core asks for.
-    pub fn effects(&mut self, now: Instant, effects: &[Effect]) {
+    pub fn add_effects(&mut self, now: Instant, effects: &[Effect]) {
         for effect in effects {
             self.effect(now, effect);
         }
     }
 
     /// The response to a worker's heartbeat.
-    pub fn heartbeat_response(
+    pub fn add_heartbeat_response(
         &mut self,
         now: Instant,
         token: FencingToken,
