--- a/tests/loopback/cloud.rs
+++ b/tests/loopback/cloud.rs
@@ -1,5 +1,5 @@
-//! A stand-in of the cloud over its published protocol. Machines are up at once, each with a worker;
-//! none can be returned.
+//! A stand-in for the cloud that speaks its published protocol. A rented machine runs at once, with a worker; requests
+//! to terminate machines fail.
 
 use super::http::serve;
 use super::worker::{start_worker, WorkerLog};
@@ -10,7 +10,7 @@
 struct Cloud {
     controllers: Vec<String>,
     log: Arc<WorkerLog>,
-    /// All machines ever rented, as the list tells of them.
+    /// All machines rented so far, as listed to the controllers.
     machines: Mutex<Vec<Value>>,
 }
 
@@ -25,13 +25,13 @@
         if path.starts_with("/rentals/return") {
             return (503, json!({"error": "trouble"}));
         }
-        let machines = self.machines.lock().expect("machines");
+        let machines = self.machines.lock().expect("the lock is not poisoned");
         (200, json!({"hosts": *machines, "hasNext": false}))
     }
 
-    /// Rents one machine, whatever is asked for; returns its name.
+    /// Rents one machine, whatever the request says. Returns its name.
     fn rent(&self) -> String {
-        let mut machines = self.machines.lock().expect("machines");
+        let mut machines = self.machines.lock().expect("the lock is not poisoned");
         let name = format!("host-{:06}", machines.len() + 1);
         let endpoint = start_worker(&name, self.controllers.clone(), self.log.clone());
         machines.push(
@@ -47,7 +47,7 @@
         "hourly": 5.0, "marketPrice": 2.0, "bootS": 5, "sites": ["a"]}]})
 }
 
-/// Starts a cloud whose workers send heartbeats to these controllers.
+/// Starts a cloud whose workers send heartbeats to the controllers with these HTTP addresses.
 pub fn start_cloud(controllers: Vec<String>, log: Arc<WorkerLog>) -> SocketAddr {
     let cloud = Cloud {
         controllers,
--- a/tests/loopback/cluster.rs
+++ b/tests/loopback/cluster.rs
@@ -1,4 +1,4 @@
-//! Controllers as real processes, with stand-ins of the state store, the cloud and the workers.
+//! A cluster of controller processes, with stand-ins for the state store, the cloud and the workers.
 
 use super::client::{heartbeat, wait_for};
 use super::cloud::start_cloud;
@@ -12,17 +12,17 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
 
-/// One process of `chalklug serve`.
+/// A process that runs `chalklug serve`.
 pub struct Controller {
     child: Child,
     config: PathBuf,
-    /// Where users and workers reach it.
-    pub front: String,
+    /// The address for users and workers.
+    pub http_addr: String,
 }
 
 impl Controller {
-    /// With `LOOPBACK_LOG` set, its log goes to standard error.
-    fn start(config: &Path, front: &str) -> Controller {
+    /// Starts the process. Its log goes to standard error if `LOOPBACK_LOG` is set.
+    fn start(config: &Path, http_addr: &str) -> Controller {
         let log = match std::env::var_os("LOOPBACK_LOG") {
             Some(_) => Stdio::inherit(),
             None => Stdio::null(),
@@ -34,27 +34,27 @@
             command.arg("--operator").arg(operator);
         }
         Controller {
-            child: command.spawn().expect("a process"),
+            child: command.spawn().expect("the process starts"),
             config: config.into(),
-            front: front.into(),
+            http_addr: http_addr.into(),
         }
     }
 
-    /// Kills the process and waits for its end.
+    /// Kills the process and waits until it has exited.
     pub fn kill(&mut self) {
-        self.child.kill().expect("killed");
-        self.child.wait().expect("ended");
+        self.child.kill().expect("the process can be killed");
+        self.child.wait().expect("the process exits");
     }
 
-    /// Starts a killed controller again.
+    /// Starts a killed controller again, with the same settings.
     pub fn restart(&mut self) {
-        let restarted = Controller::start(&self.config, &self.front);
+        let restarted = Controller::start(&self.config, &self.http_addr);
         *self = restarted;
     }
 
     pub fn wait_until_healthy(&self) {
-        wait_for("health", || {
-            let (status, _) = http(&self.front, "GET", "/healthz", b"")?;
+        wait_for("the controller's health check to succeed", || {
+            let (status, _) = http(&self.http_addr, "GET", "/healthz", b"")?;
             (status == 200).then_some(())
         });
     }
@@ -67,14 +67,14 @@
     }
 }
 
-/// What the settings of a cluster's controllers say.
+/// What tests choose of the settings of a cluster's controllers.
 pub struct ClusterOptions<'a> {
-    /// Names the cluster's directory.
+    /// Part of the name of the cluster's directory.
     pub name: &'a str,
     pub controllers: usize,
     pub max_sockets: usize,
     pub cancel_secs: f64,
-    /// The operator's file, if there is one.
+    /// The content of the operator's settings file; None starts the controllers without one.
     pub operator: Option<&'a str>,
 }
 
@@ -89,7 +89,8 @@
         }
     }
 
-    /// The leader's lease is long, so that a busy machine doesn't decide the test.
+    /// Returns options with a long lease of the leader, so that it doesn't expire because the machine that runs the
+    /// test is busy.
     pub fn with_long_leader_lease(name: &'a str) -> ClusterOptions<'a> {
         ClusterOptions {
             cancel_secs: 90.0,
@@ -99,46 +100,46 @@
     }
 }
 
-/// Controllers, each with its own connection to the state store.
+/// Controllers, each with a proxy of its own to the state store.
 pub struct Cluster {
     pub controllers: Vec<Controller>,
-    /// Where users and workers reach each controller.
-    pub fronts: Vec<String>,
+    /// The addresses of the controllers for users and workers, in the order of `controllers`.
+    pub http_addrs: Vec<String>,
     pub store_proxies: Vec<StoreProxy>,
     pub worker_log: Arc<WorkerLog>,
     directory: PathBuf,
 }
 
 impl Cluster {
-    /// Starts three controllers.
+    /// Starts a cluster with three controllers and the default options.
     pub fn start(name: &str) -> Cluster {
         Cluster::start_with(&ClusterOptions::new(name))
     }
 
-    /// Starts all processes and waits until they are healthy.
+    /// Starts all controllers and waits until they are healthy.
     pub fn start_with(options: &ClusterOptions) -> Cluster {
         let count = options.controllers;
         let ports = free_ports(2 * count);
         let (front_ports, peer_ports) = ports.split_at(count);
-        let fronts: Vec<String> = front_ports.iter().map(|port| loopback(*port)).collect();
+        let http_addrs: Vec<String> = front_ports.iter().map(|port| loopback(*port)).collect();
         let worker_log = Arc::new(WorkerLog::new());
         let store = start_state_store();
         let store_proxies: Vec<StoreProxy> = (0..count).map(|_| StoreProxy::start(store)).collect();
-        let cloud = start_cloud(fronts.clone(), worker_log.clone());
+        let cloud = start_cloud(http_addrs.clone(), worker_log.clone());
         let directory = create_directory(options);
         let controllers: Vec<Controller> = (0..count)
             .map(|index| {
                 let settings = Settings {
                     options,
                     index,
-                    front: &fronts[index],
+                    http_addr: &http_addrs[index],
                     peer_ports,
                     cloud,
                     store: store_proxies[index].addr,
                 };
                 let config = directory.join(format!("n{index}.toml"));
-                std::fs::write(&config, settings.text()).expect("settings written");
-                Controller::start(&config, &fronts[index])
+                std::fs::write(&config, settings.to_toml()).expect("the settings can be written");
+                Controller::start(&config, &http_addrs[index])
             })
             .collect();
         for controller in &controllers {
@@ -146,31 +147,31 @@
         }
         Cluster {
             controllers,
-            fronts,
+            http_addrs,
             store_proxies,
             worker_log,
             directory,
         }
     }
 
-    /// Waits until one of them leads: its index and its fencing token.
-    pub fn wait_for_leader(&self, ticks: &mut Ticks) -> (usize, u64) {
-        self.wait_for_leader_except(ticks, None)
+    /// Waits until a controller leads. Returns its index and its fencing token.
+    pub fn wait_for_leader(&self, sequence_numbers: &mut SequenceNumbers) -> (usize, u64) {
+        self.wait_for_leader_except(sequence_numbers, None)
     }
 
-    /// Waits until another controller than that one leads.
+    /// Waits until a controller other than `excluded` leads. Returns its index and its fencing token.
     pub fn wait_for_leader_except(
         &self,
-        ticks: &mut Ticks,
-        excepted: Option<usize>,
+        sequence_numbers: &mut SequenceNumbers,
+        excluded: Option<usize>,
     ) -> (usize, u64) {
-        wait_for("a leader", || {
-            let mut fronts = self.fronts.iter().enumerate();
-            fronts.find_map(|(index, front)| {
-                if Some(index) == excepted {
+        wait_for("a controller to lead", || {
+            let mut http_addrs = self.http_addrs.iter().enumerate();
+            http_addrs.find_map(|(index, http_addr)| {
+                if Some(index) == excluded {
                     return None;
                 }
-                let (status, token) = heartbeat(front, ticks.next())?;
+                let (status, token) = heartbeat(http_addr, sequence_numbers.next())?;
                 (status == 200).then_some((index, token))
             })
         })
@@ -183,11 +184,11 @@
     }
 }
 
-/// Numbers the heartbeats of the machine that nobody rented.
+/// The sequence numbers of the unknown machine's heartbeats.
 #[derive(Default)]
-pub struct Ticks(u64);
+pub struct SequenceNumbers(u64);
 
-impl Ticks {
+impl SequenceNumbers {
     pub fn next(&mut self) -> u64 {
         self.0 += 1;
         self.0
@@ -201,9 +202,10 @@
 fn create_directory(options: &ClusterOptions) -> PathBuf {
     let name = format!("chalklug-{}-{}", options.name, std::process::id());
     let directory = std::env::temp_dir().join(name);
-    std::fs::create_dir_all(&directory).expect("a directory");
+    std::fs::create_dir_all(&directory).expect("the directory can be created");
     if let Some(text) = options.operator {
-        std::fs::write(directory.join("operator.json"), text).expect("the operator's file");
+        std::fs::write(directory.join("operator.json"), text)
+            .expect("the operator's settings can be written");
     }
     directory
 }
@@ -212,18 +214,18 @@
 struct Settings<'a> {
     options: &'a ClusterOptions<'a>,
     index: usize,
-    front: &'a str,
+    http_addr: &'a str,
     peer_ports: &'a [u16],
     cloud: SocketAddr,
     store: SocketAddr,
 }
 
 impl Settings<'_> {
-    fn text(&self) -> String {
+    fn to_toml(&self) -> String {
         let Settings {
             options,
             index,
-            front,
+            http_addr,
             cloud,
             store,
             ..
@@ -237,7 +239,7 @@
         let peer_bind = loopback(self.peer_ports[*index]);
         let peers = self.peers();
         format!(
-            "host_name = \"n{index}\"\nlocation = \"a\"\nfront = \"{front}\"\npeer_bind = \"{peer_bind}\"\nnew_field = 1\n{peers}\n\
+            "host_name = \"n{index}\"\nlocation = \"a\"\nfront = \"{http_addr}\"\npeer_bind = \"{peer_bind}\"\nnew_field = 1\n{peers}\n\
              [endpoints]\ncloud = \"{cloud}\"\nstate = \"{store}\"\n[facts]\nnodes = {controllers}\nclock_error_ms = 10.0\n\
              [[facts.teams]]\nname = \"blue\"\ngpus = 4.0\ngpus_max = 20.0\n\
              [facts.workers]\nreport_s = 0.3\nlease_s = 20.0\ngang_wait_s = 20.0\ngang_peer_s = 4.0\ncancel_s = {cancel_secs}\n\
@@ -246,7 +248,7 @@
         )
     }
 
-    /// The tables of the other controllers.
+    /// Returns the settings' tables of the other controllers.
     fn peers(&self) -> String {
         let mut text = String::new();
         for (peer, port) in self.peer_ports.iter().enumerate() {
@@ -262,11 +264,10 @@
     }
 }
 
-/// Ports for controllers to listen on: below those that outgoing connections get by themselves, and
-/// given to one cluster only.
+/// Returns free ports for controllers to listen on: below the range of ephemeral ports, and no port twice in a process.
 ///
-/// Guards against a controller that never came up: its port, found free and let go, had meanwhile gone
-/// to a connection of another test.
+/// If the system chose the port, a connection of another test could get the same port after the check that it is free
+/// and before the controller listens; the controller would fail to start.
 fn free_ports(count: usize) -> Vec<u16> {
     static NEXT: AtomicU64 = AtomicU64::new(0);
     const MIN_PORT: u64 = 12_000;
--- a/tests/loopback/dependencies.rs
+++ b/tests/loopback/dependencies.rs
@@ -1,28 +1,28 @@
-//! Jobs that depend on others, submitted to real processes over the protocol.
+//! Jobs with dependencies, submitted to controller processes over the published protocol.
 
 use super::client::*;
-use super::cluster::{Cluster, ClusterOptions, Ticks};
+use super::cluster::{Cluster, ClusterOptions, SequenceNumbers};
 use serde_json::{json, Value};
 use std::time::Duration;
 
-/// Longer than any test.
-const RUNS_FOR_EVER: Duration = Duration::from_secs(600);
+/// Longer than any test runs.
+const UNBOUNDED_RUN_TIME: Duration = Duration::from_secs(600);
 
-/// What may stand in `waitsOn`, and what is answered otherwise.
+/// Valid values of `waitsOn` are accepted, and others are rejected with status 400 or 422.
 #[test]
 fn invalid_upstream_lists_are_rejected() {
     let cluster = Cluster::start("dependency-lists");
-    cluster.worker_log.set_run_time(RUNS_FOR_EVER);
-    submit_accepted(&cluster.fronts[0], &job("wk-000001", 1));
+    cluster.worker_log.set_run_time(UNBOUNDED_RUN_TIME);
+    submit_accepted(&cluster.http_addrs[0], &job("wk-000001", 1));
     check_malformed_lists(&cluster);
-    check_short_lists(&cluster);
-    check_repeats_with_other_lists(&cluster);
-    check_more_than_are_read_one_by_one(&cluster);
-    check_more_than_one_record_has_room_for(&cluster);
+    check_empty_and_duplicate_lists(&cluster);
+    check_resubmissions_with_other_lists(&cluster);
+    check_many_upstream_jobs(&cluster);
+    check_upstream_list_larger_than_one_record(&cluster);
 }
 
 fn check_malformed_lists(cluster: &Cluster) {
-    let front = &cluster.fronts[0];
+    let http_addr = &cluster.http_addrs[0];
     for malformed in [
         json!("wk-000001"),
         json!({"a": "wk-000001"}),
@@ -31,84 +31,92 @@
         json!([null]),
     ] {
         let spec = downstream_job("wk-000010", 1, malformed);
-        assert_eq!(submit(front, &spec), Some(400), "{spec}");
+        assert_eq!(submit(http_addr, &spec), Some(400), "{spec}");
     }
     for unknown in [json!(["wk-000001", "wk-000999"]), json!(["wk-000010"])] {
         let spec = downstream_job("wk-000010", 1, unknown);
-        assert_eq!(submit(front, &spec), Some(422), "{spec}");
+        assert_eq!(submit(http_addr, &spec), Some(422), "{spec}");
     }
 }
 
-/// No list, an empty one, and one that names a job twice, accepted a moment ago by another controller.
-fn check_short_lists(cluster: &Cluster) {
+/// Submits without a list, with an empty list, and with a list that contains a job twice which another controller has
+/// just accepted.
+fn check_empty_and_duplicate_lists(cluster: &Cluster) {
     for (id, none) in [("wk-000020", json!(null)), ("wk-000021", json!([]))] {
         let spec = downstream_job(id, 1, none);
-        assert_eq!(submit(&cluster.fronts[0], &spec), Some(201));
+        assert_eq!(submit(&cluster.http_addrs[0], &spec), Some(201));
     }
     let spec = downstream_job("wk-000011", 1, json!(["wk-000001", "wk-000001"]));
-    assert_eq!(submit(&cluster.fronts[1], &spec), Some(201));
+    assert_eq!(submit(&cluster.http_addrs[1], &spec), Some(201));
 }
 
-/// A known job is known, whatever the list says now.
-fn check_repeats_with_other_lists(cluster: &Cluster) {
+/// A repeated submission of an accepted job succeeds, whatever its list of upstream jobs contains.
+fn check_resubmissions_with_other_lists(cluster: &Cluster) {
     let unknown = downstream_job("wk-000011", 1, json!(["wk-000001", "wk-000999"]));
-    assert_eq!(submit(&cluster.fronts[2], &unknown), Some(200));
+    assert_eq!(submit(&cluster.http_addrs[2], &unknown), Some(200));
     let itself = downstream_job("wk-000011", 1, json!(["wk-000011"]));
-    assert_eq!(submit(&cluster.fronts[0], &itself), Some(200));
+    assert_eq!(submit(&cluster.http_addrs[0], &itself), Some(200));
 }
 
-fn submit_all(front: &str, ids: &[String]) {
+fn submit_all(http_addr: &str, ids: &[String]) {
     for id in ids {
-        submit_accepted(front, &job(id, 1));
+        submit_accepted(http_addr, &job(id, 1));
     }
 }
 
-fn check_more_than_are_read_one_by_one(cluster: &Cluster) {
+/// More upstream jobs than a controller reads with single requests.
+fn check_many_upstream_jobs(cluster: &Cluster) {
     let ids: Vec<String> = (0..40).map(|n| format!("wk-0005{n:02}")).collect();
-    submit_all(&cluster.fronts[0], &ids);
+    submit_all(&cluster.http_addrs[0], &ids);
     let mut with_unknown = ids.clone();
     with_unknown.push("wk-000998".into());
     let spec = downstream_job("wk-000012", 1, json!(with_unknown));
-    assert_eq!(submit(&cluster.fronts[1], &spec), Some(422));
+    assert_eq!(submit(&cluster.http_addrs[1], &spec), Some(422));
     let spec = downstream_job("wk-000012", 1, json!(ids));
-    assert_eq!(submit_accepted(&cluster.fronts[1], &spec), "queued");
+    assert_eq!(submit_accepted(&cluster.http_addrs[1], &spec), "queued");
 }
 
-/// The names are so long that one record has no room for them all.
-fn check_more_than_one_record_has_room_for(cluster: &Cluster) {
+/// The upstream job ids are too long to fit into one record of the state store.
+fn check_upstream_list_larger_than_one_record(cluster: &Cluster) {
     let ids: Vec<String> = (0..150).map(|n| format!("wk-{n:040}")).collect();
-    submit_all(&cluster.fronts[0], &ids);
+    submit_all(&cluster.http_addrs[0], &ids);
     let spec = downstream_job("wk-000013", 1, json!(ids));
-    assert_eq!(submit_accepted(&cluster.fronts[1], &spec), "queued");
-    assert_eq!(submit(&cluster.fronts[0], &spec), Some(200));
-    assert_eq!(cancel_confirmed(&cluster.fronts[2], &ids[149]), "aborted");
-    for front in &cluster.fronts {
-        assert_eq!(wait_for_any_phase(front, "wk-000013"), "aborted");
+    assert_eq!(submit_accepted(&cluster.http_addrs[1], &spec), "queued");
+    assert_eq!(submit(&cluster.http_addrs[0], &spec), Some(200));
+    assert_eq!(
+        cancel_confirmed(&cluster.http_addrs[2], &ids[149]),
+        "aborted"
+    );
+    for http_addr in &cluster.http_addrs {
+        assert_eq!(wait_for_any_phase(http_addr, "wk-000013"), "aborted");
     }
 }
 
-/// Each step of a pipeline is launched only when all before it are done, through a change of leaders.
+/// The jobs of a pipeline are launched only after all of their upstream jobs are done, also across a failover.
 #[test]
 fn pipeline_runs_in_order_through_a_failover() {
     let mut cluster = Cluster::start("dependency-order");
-    let fronts = cluster.fronts.clone();
-    let (leader, _) = cluster.wait_for_leader(&mut Ticks::default());
-    submit_accepted(&fronts[0], &job("wk-000001", 3));
-    for (front, id, tasks, upstream) in [
+    let http_addrs = cluster.http_addrs.clone();
+    let (leader, _) = cluster.wait_for_leader(&mut SequenceNumbers::default());
+    submit_accepted(&http_addrs[0], &job("wk-000001", 3));
+    for (controller, id, tasks, upstream) in [
         (1, "wk-000002", 4, json!(["wk-000001"])),
         (2, "wk-000003", 2, json!(["wk-000001"])),
         (0, "wk-000004", 2, json!(["wk-000002", "wk-000003"])),
     ] {
-        submit_accepted(&fronts[front], &downstream_job(id, tasks, upstream));
+        submit_accepted(
+            &http_addrs[controller],
+            &downstream_job(id, tasks, upstream),
+        );
     }
-    wait_for_phase(&fronts[0], "wk-000001", "done");
+    wait_for_phase(&http_addrs[0], "wk-000001", "done");
     cluster.controllers[leader].kill();
     cluster.controllers[leader].restart();
-    wait_for_phase(&fronts[1], "wk-000004", "done");
-    // One submitted when all that it needs has ended, one of them long ago.
+    wait_for_phase(&http_addrs[1], "wk-000004", "done");
+    // A job submitted after all of its upstream jobs have ended, one of them long before.
     let upstream = json!(["wk-000004", "wk-000001"]);
-    submit_accepted(&fronts[2], &downstream_job("wk-000005", 1, upstream));
-    wait_for_phase(&fronts[0], "wk-000005", "done");
+    submit_accepted(&http_addrs[2], &downstream_job("wk-000005", 1, upstream));
+    wait_for_phase(&http_addrs[0], "wk-000005", "done");
     let launched = cluster.worker_log.launched();
     for (upstream, downstream) in [
         ("wk-000001", "wk-000002"),
@@ -121,92 +129,97 @@
     }
 }
 
-/// All tasks of the one job were launched before any of the other.
+/// Asserts that all launches of the upstream job precede those of the downstream job.
 fn assert_launched_in_order(launched: &[String], upstream: &str, downstream: &str) {
-    let is_of = |task: &String, id: &str| task.split('/').next() == Some(id);
-    let last = launched.iter().rposition(|task| is_of(task, upstream));
-    let first = launched.iter().position(|task| is_of(task, downstream));
+    let belongs_to = |task: &String, id: &str| task.split('/').next() == Some(id);
+    let last = launched.iter().rposition(|task| belongs_to(task, upstream));
+    let first = launched
+        .iter()
+        .position(|task| belongs_to(task, downstream));
     let (Some(last), Some(first)) = (last, first) else {
         panic!("{upstream} or {downstream} was not launched: {launched:?}");
     };
     assert!(
         last < first,
-        "{downstream} before {upstream} ended: {launched:?}"
+        "{downstream} was launched before {upstream} was done: {launched:?}"
     );
 }
 
-/// From the moment a cancellation is confirmed every controller calls all downstream jobs cancelled, though
-/// the leader, which the state store refuses, can't write their terminal records; what is said once stays.
-/// (The leader's lease is long, so that no other leads meanwhile.)
+/// Once a cancellation is confirmed, every controller reports all downstream jobs as cancelled, and keeps doing so, even
+/// while the leader can't write their terminal records because the state store refuses its requests. The leader's lease is
+/// long, so that no other controller takes over meanwhile.
 #[test]
 fn downstream_jobs_are_cancelled_at_once_on_every_controller() {
     let options = ClusterOptions::with_long_leader_lease("dependency-cancel");
     let cluster = Cluster::start_with(&options);
-    cluster.worker_log.set_run_time(RUNS_FOR_EVER);
-    let (leader, _) = cluster.wait_for_leader(&mut Ticks::default());
-    // The leader's own comes last.
-    let mut fronts = cluster.fronts.clone();
-    fronts.rotate_left((leader + 1) % 3);
-    submit_accepted(&fronts[0], &job("wk-000001", 1));
-    submit_accepted(&fronts[0], &job("wk-000002", 1));
+    cluster.worker_log.set_run_time(UNBOUNDED_RUN_TIME);
+    let (leader, _) = cluster.wait_for_leader(&mut SequenceNumbers::default());
+    // The leader's address comes last.
+    let mut http_addrs = cluster.http_addrs.clone();
+    http_addrs.rotate_left((leader + 1) % 3);
+    submit_accepted(&http_addrs[0], &job("wk-000001", 1));
+    submit_accepted(&http_addrs[0], &job("wk-000002", 1));
     let downstream = ["wk-000003", "wk-000004", "wk-000005"];
-    for (front, id, upstream) in [
+    for (controller, id, upstream) in [
         (1, downstream[0], json!(["wk-000001"])),
         (2, downstream[1], json!(["wk-000003", "wk-000002"])),
         (0, downstream[2], json!(["wk-000004"])),
     ] {
-        submit_accepted(&fronts[front], &downstream_job(id, 1, upstream));
+        submit_accepted(&http_addrs[controller], &downstream_job(id, 1, upstream));
     }
     for id in downstream {
-        assert_eq!(phase(&fronts[1], id).as_deref(), Some("queued"));
+        assert_eq!(phase(&http_addrs[1], id).as_deref(), Some("queued"));
     }
-    cluster.store_proxies[leader].refuse(true);
-    assert_eq!(cancel_confirmed(&fronts[0], "wk-000001"), "aborted");
+    cluster.store_proxies[leader].refuse_requests(true);
+    assert_eq!(cancel_confirmed(&http_addrs[0], "wk-000001"), "aborted");
     for id in downstream {
-        for front in &fronts {
-            assert_eq!(wait_for_any_phase(front, id), "aborted", "{id}");
+        for http_addr in &http_addrs {
+            assert_eq!(wait_for_any_phase(http_addr, id), "aborted", "{id}");
         }
     }
-    check_submissions_after_the_cancellation(&fronts);
-    cluster.store_proxies[leader].refuse(false);
-    check_cancelled_for_good(&fronts);
+    check_submissions_after_cancellation(&http_addrs);
+    cluster.store_proxies[leader].refuse_requests(false);
+    check_cancellations_persist(&http_addrs);
     let launched = cluster.worker_log.launched();
     let is_downstream = |task: &&String| downstream.iter().any(|id| task.starts_with(id));
     assert_eq!(launched.iter().find(is_downstream), None);
 }
 
-/// The last controller is the leader, which the state store refuses: it forwards submissions to its peers.
-fn check_submissions_after_the_cancellation(fronts: &[String]) {
+/// The last address is that of the leader, whose requests the state store refuses: it forwards submissions to its peers.
+fn check_submissions_after_cancellation(http_addrs: &[String]) {
     let downstream = |id: &str, upstream: Value| downstream_job(id, 1, upstream);
     let late = downstream("wk-000006", json!(["wk-000005"]));
-    assert_eq!(submit_accepted(&fronts[2], &late), "aborted");
-    assert_eq!(submit(&fronts[1], &late), Some(200));
+    assert_eq!(submit_accepted(&http_addrs[2], &late), "aborted");
+    assert_eq!(submit(&http_addrs[1], &late), Some(200));
     let forwarded = downstream("wk-000007", json!(["wk-000002"]));
-    assert_eq!(submit_accepted(&fronts[2], &forwarded), "queued");
+    assert_eq!(submit_accepted(&http_addrs[2], &forwarded), "queued");
     let forwarded = downstream("wk-000008", json!(["wk-000005"]));
-    assert_eq!(submit_accepted(&fronts[2], &forwarded), "aborted");
+    assert_eq!(submit_accepted(&http_addrs[2], &forwarded), "aborted");
 }
 
-fn check_cancelled_for_good(fronts: &[String]) {
+fn check_cancellations_persist(http_addrs: &[String]) {
     for id in ["wk-000004", "wk-000006"] {
-        assert_eq!(cancel_confirmed(&fronts[2], id), "aborted");
-        assert_eq!(phase(&fronts[0], id).as_deref(), Some("aborted"));
+        assert_eq!(cancel_confirmed(&http_addrs[2], id), "aborted");
+        assert_eq!(phase(&http_addrs[0], id).as_deref(), Some("aborted"));
     }
-    assert_ne!(phase(&fronts[0], "wk-000002").as_deref(), Some("aborted"));
+    assert_ne!(
+        phase(&http_addrs[0], "wk-000002").as_deref(),
+        Some("aborted")
+    );
 }
 
-/// A cancellation that is answered with `done` leaves downstream jobs alone.
+/// Cancelling a job that is already done doesn't cancel its downstream jobs.
 #[test]
 fn cancelling_a_done_job_leaves_downstream_jobs_alone() {
     let cluster = Cluster::start_with(&ClusterOptions {
         controllers: 1,
         ..ClusterOptions::new("dependency-done")
     });
-    let front = &cluster.fronts[0];
-    submit_accepted(front, &job("wk-000001", 1));
+    let http_addr = &cluster.http_addrs[0];
+    submit_accepted(http_addr, &job("wk-000001", 1));
     let downstream = downstream_job("wk-000002", 1, json!(["wk-000001"]));
-    submit_accepted(front, &downstream);
-    wait_for_phase(front, "wk-000001", "done");
-    assert_eq!(cancel_confirmed(front, "wk-000001"), "done");
-    wait_for_phase(front, "wk-000002", "done");
+    submit_accepted(http_addr, &downstream);
+    wait_for_phase(http_addr, "wk-000001", "done");
+    assert_eq!(cancel_confirmed(http_addr, "wk-000001"), "done");
+    wait_for_phase(http_addr, "wk-000002", "done");
 }
--- a/tests/loopback/http.rs
+++ b/tests/loopback/http.rs
@@ -1,4 +1,4 @@
-//! HTTP as the stand-ins and the tests speak it: one thread for each connection, JSON bodies.
+//! A blocking HTTP client and server with JSON bodies, for the tests and the stand-ins.
 
 use serde_json::Value;
 use std::io::{Read, Write};
@@ -10,10 +10,10 @@
 const READ_BUFFER_BYTES: usize = 16_384;
 const END_OF_HEAD: &str = "\r\n\r\n";
 
-/// Answers a request, given its method, its path and its body, with a status and a body.
+/// Handles a request, given its method, path and body. Returns the response's status and body.
 pub type Handler = Arc<dyn Fn(&str, &str, &Value) -> (u16, Value) + Send + Sync>;
 
-/// One exchange on a connection of its own. None: there was no response.
+/// Sends a request on a new connection. Returns the response's status and body, or None if no response came.
 pub fn http(addr: &str, method: &str, path: &str, body: &[u8]) -> Option<(u16, Value)> {
     let mut stream = TcpStream::connect(addr).ok()?;
     stream.set_read_timeout(Some(READ_TIMEOUT)).ok()?;
@@ -22,7 +22,7 @@
         body.len()
     );
     stream.write_all(head.as_bytes()).ok()?;
-    // The server may respond before it has read everything: a failed write is no failure here.
+    // The server may respond and close before it has read the whole body, so a failed write is not an error.
     let _ = stream.write_all(body);
     let mut response = Vec::new();
     let _ = stream.read_to_end(&mut response);
@@ -32,25 +32,25 @@
     Some((status, serde_json::from_str(body).unwrap_or(Value::Null)))
 }
 
-/// Reads the next message of a connection: the first two words of its first line, and its body.
-/// `buffer` keeps what came beyond it.
+/// Reads the next HTTP message from the connection. Returns the first two words of its first line, and its body. Bytes
+/// after the message stay in `buffer`.
 pub fn read_message(
     stream: &mut TcpStream,
     buffer: &mut Vec<u8>,
 ) -> Option<(String, String, Value)> {
-    let mut part = [0u8; READ_BUFFER_BYTES];
+    let mut chunk = [0u8; READ_BUFFER_BYTES];
     loop {
         if let Some(message) = take_message(buffer) {
             return Some(message);
         }
-        match stream.read(&mut part) {
-            Ok(count) if count > 0 => buffer.extend_from_slice(&part[..count]),
+        match stream.read(&mut chunk) {
+            Ok(count) if count > 0 => buffer.extend_from_slice(&chunk[..count]),
             _ => return None,
         }
     }
 }
 
-/// Takes a whole message out of the buffer, if there is one.
+/// Removes the first message from the buffer. Returns None if the message is not complete yet.
 fn take_message(buffer: &mut Vec<u8>) -> Option<(String, String, Value)> {
     let text = String::from_utf8_lossy(buffer).into_owned();
     let head_end = text.find(END_OF_HEAD)?;
@@ -74,10 +74,10 @@
         .map_or(0, |(_, value)| value.trim().parse().unwrap_or(0))
 }
 
-/// Serves on a port of loopback, with a thread for each connection.
+/// Starts a server on a free loopback port, with a thread for each connection. Returns its address.
 pub fn serve(handler: Handler) -> SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let addr = listener.local_addr().expect("an address");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+    let addr = listener.local_addr().expect("the listener has an address");
     std::thread::spawn(move || {
         for stream in listener.incoming().flatten() {
             let handler = handler.clone();
--- a/tests/loopback/invalid_requests.rs
+++ b/tests/loopback/invalid_requests.rs
@@ -1,4 +1,4 @@
-//! Requests that a controller must refuse, each with the right status.
+//! Checks of the status with which a controller rejects each kind of invalid request.
 
 use super::client::{job, submit};
 use super::http::http;
@@ -15,11 +15,13 @@
 
 fn job_without(field: &str) -> Value {
     let mut spec = job(JOB, 1);
-    spec.as_object_mut().expect("an object").remove(field);
+    spec.as_object_mut()
+        .expect("a job specification is an object")
+        .remove(field);
     spec
 }
 
-/// Checks them all at one controller.
+/// Runs all checks against one controller.
 pub fn check_invalid_requests(controller: &str) {
     check_malformed_submissions(controller);
     check_unreadable_bodies(controller);
@@ -62,7 +64,7 @@
     assert_eq!(post(&vec![b' '; 70_000]), Some(413));
 }
 
-/// Jobs that could never run.
+/// Jobs that can never run are rejected with status 422.
 fn check_unsatisfiable_submissions(controller: &str) {
     let mut gang = job(JOB, 30);
     gang["shape"] = json!("gang");
@@ -78,7 +80,7 @@
     }
 }
 
-/// A known job is known, however bad the repeat.
+/// A repeated submission of an accepted job succeeds, even if its body is invalid.
 fn check_repeated_submissions(controller: &str) {
     assert_eq!(submit(controller, &job(KNOWN_JOB, 1)), Some(201));
     let mut repeat = job(KNOWN_JOB, 1);
--- a/tests/loopback/state_store.rs
+++ b/tests/loopback/state_store.rs
@@ -1,4 +1,4 @@
-//! A stand-in of the state store over its published protocol: keys, transactions, leases, watches.
+//! A stand-in for the state store that speaks its published protocol: keys, transactions, leases and watches.
 
 use super::http::serve;
 use super::store_data::{query_parameter, StoreData};
@@ -7,12 +7,12 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-/// How often a waiting watch looks for changes.
+/// How often an open watch request checks for changes.
 const WATCH_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 type Response = (u16, Value);
 
-/// The store, shared by the threads of its connections.
+/// The store, shared by the threads that serve its connections.
 #[derive(Default)]
 struct StateStore {
     data: Mutex<StoreData>,
@@ -20,7 +20,7 @@
 
 impl StateStore {
     fn lock(&self) -> MutexGuard<'_, StoreData> {
-        self.data.lock().expect("no thread panics with the lock")
+        self.data.lock().expect("the lock is not poisoned")
     }
 
     fn handle(&self, method: &str, path: &str, body: &Value) -> Response {
@@ -40,17 +40,17 @@
         }
     }
 
-    /// Answers once something has changed, or when the time asked for is over.
+    /// Responds once a key with the prefix has changed, or when the request's wait time has passed.
     fn watch(&self, path: &str) -> Response {
-        let number = |name| -> u64 {
+        let number_parameter = |name| -> u64 {
             let value = query_parameter(path, name);
             value
                 .and_then(|value| value.parse().ok())
-                .expect("a number")
+                .expect("the parameter is a number")
         };
-        let prefix = query_parameter(path, "prefix").expect("a prefix");
-        let since = number("since");
-        let end = Instant::now() + Duration::from_millis(number("holdMs"));
+        let prefix = query_parameter(path, "prefix").expect("the path has a prefix");
+        let since = number_parameter("since");
+        let end = Instant::now() + Duration::from_millis(number_parameter("holdMs"));
         loop {
             let data = self.lock();
             let changes = data.changes_since(since, prefix);
@@ -63,7 +63,7 @@
     }
 }
 
-/// Starts a state store with nothing in it.
+/// Starts an empty state store. Returns its address.
 pub fn start_state_store() -> SocketAddr {
     let store = StateStore::default();
     serve(Arc::new(move |method, path, body| {
--- a/tests/loopback/store_proxy.rs
+++ b/tests/loopback/store_proxy.rs
@@ -1,4 +1,4 @@
-//! One controller's connection to the state store, which can be cut, refused or delayed.
+//! A proxy between one controller and the state store that can close connections, refuse requests and delay responses.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -6,16 +6,16 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How often a forwarding thread looks whether the connection was cut.
-const CUT_POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// How often a forwarding thread checks whether to close its connection.
+const DISCONNECT_POLL_INTERVAL: Duration = Duration::from_millis(50);
 const READ_BUFFER_BYTES: usize = 16_384;
-const UNAVAILABLE: &[u8] = b"HTTP/1.1 503 X\r\nContent-Length: 2\r\n\r\n{}";
+const UNAVAILABLE_RESPONSE: &[u8] = b"HTTP/1.1 503 X\r\nContent-Length: 2\r\n\r\n{}";
 
-/// What is wrong with the connection.
+/// The faults that the proxy injects.
 #[derive(Default)]
 struct Faults {
-    cut: AtomicBool,
-    refuse: AtomicBool,
+    disconnected: AtomicBool,
+    refuse_requests: AtomicBool,
     response_delay_ms: AtomicU64,
 }
 
@@ -25,23 +25,24 @@
     Responses,
 }
 
-/// A proxy before the state store.
+/// A proxy between one controller and the state store.
 pub struct StoreProxy {
     pub addr: SocketAddr,
     faults: Arc<Faults>,
 }
 
 impl StoreProxy {
-    /// Forwards all connections to that address.
+    /// Starts a proxy that forwards all connections to `target`.
     pub fn start(target: SocketAddr) -> StoreProxy {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let addr = listener.local_addr().expect("an address");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+        let addr = listener.local_addr().expect("the listener has an address");
         let faults = Arc::new(Faults::default());
         let shared = faults.clone();
         std::thread::spawn(move || {
             for client in listener.incoming().flatten() {
-                if !shared.cut.load(Ordering::Relaxed) {
-                    let store = TcpStream::connect(target).expect("the state store");
+                if !shared.disconnected.load(Ordering::Relaxed) {
+                    let store =
+                        TcpStream::connect(target).expect("the state store accepts connections");
                     start_forwarding(&client, &store, Direction::Requests, &shared);
                     start_forwarding(&store, &client, Direction::Responses, &shared);
                 }
@@ -50,17 +51,19 @@
         StoreProxy { addr, faults }
     }
 
-    /// While cut, new connections are closed and open ones end.
-    pub fn cut(&self, on: bool) {
-        self.faults.cut.store(on, Ordering::Relaxed);
+    /// While enabled, open connections end and new ones are closed at once.
+    pub fn disconnect(&self, enabled: bool) {
+        self.faults.disconnected.store(enabled, Ordering::Relaxed);
     }
 
-    /// While refusing, every request is answered 503.
-    pub fn refuse(&self, on: bool) {
-        self.faults.refuse.store(on, Ordering::Relaxed);
+    /// While enabled, every request is answered with status 503.
+    pub fn refuse_requests(&self, enabled: bool) {
+        self.faults
+            .refuse_requests
+            .store(enabled, Ordering::Relaxed);
     }
 
-    /// Responses are delayed by so much.
+    /// Delays every response by `delay`.
     pub fn delay_responses(&self, delay: Duration) {
         let delay_ms = delay.as_millis() as u64;
         let stored = &self.faults.response_delay_ms;
@@ -69,11 +72,11 @@
 }
 
 fn start_forwarding(from: &TcpStream, to: &TcpStream, direction: Direction, faults: &Arc<Faults>) {
-    let mut from = from.try_clone().expect("a second handle");
-    let mut to = to.try_clone().expect("a second handle");
+    let mut from = from.try_clone().expect("the socket can be cloned");
+    let mut to = to.try_clone().expect("the socket can be cloned");
     let faults = faults.clone();
-    let timeout = from.set_read_timeout(Some(CUT_POLL_INTERVAL));
-    timeout.expect("a timeout");
+    let timeout = from.set_read_timeout(Some(DISCONNECT_POLL_INTERVAL));
+    timeout.expect("the timeout can be set");
     std::thread::spawn(move || {
         forward(&mut from, &mut to, direction, &faults);
         let _ = from.shutdown(Shutdown::Both);
@@ -81,24 +84,24 @@
     });
 }
 
-/// Forwards until either side ends or the connection is cut.
+/// Forwards bytes until either side closes the connection or the proxy disconnects it.
 fn forward(from: &mut TcpStream, to: &mut TcpStream, direction: Direction, faults: &Faults) {
-    let mut part = [0u8; READ_BUFFER_BYTES];
-    while !faults.cut.load(Ordering::Relaxed) {
-        let count = match from.read(&mut part) {
+    let mut chunk = [0u8; READ_BUFFER_BYTES];
+    while !faults.disconnected.load(Ordering::Relaxed) {
+        let count = match from.read(&mut chunk) {
             Ok(count) if count > 0 => count,
             Err(error) if error.kind() == ErrorKind::WouldBlock => continue,
             _ => return,
         };
         let sent = match direction {
-            Direction::Requests if faults.refuse.load(Ordering::Relaxed) => {
-                from.write_all(UNAVAILABLE)
+            Direction::Requests if faults.refuse_requests.load(Ordering::Relaxed) => {
+                from.write_all(UNAVAILABLE_RESPONSE)
             }
-            Direction::Requests => to.write_all(&part[..count]),
+            Direction::Requests => to.write_all(&chunk[..count]),
             Direction::Responses => {
                 let delay_ms = faults.response_delay_ms.load(Ordering::Relaxed);
                 std::thread::sleep(Duration::from_millis(delay_ms));
-                to.write_all(&part[..count])
+                to.write_all(&chunk[..count])
             }
         };
         if sent.is_err() {
--- a/tests/loopback/terminal_states.rs
+++ b/tests/loopback/terminal_states.rs
@@ -1,102 +1,102 @@
-//! Concurrent requests around the end of jobs: a terminal state never changes.
+//! Concurrent requests about jobs that are ending, none of which may change a terminal phase.
 
 use super::client::*;
-use super::cluster::{Cluster, Ticks};
+use super::cluster::{Cluster, SequenceNumbers};
 use serde_json::Value;
 use std::time::Duration;
 
 const JOBS: usize = 10;
 
-/// One user, who asks all controllers about one job.
+/// A user who sends requests about one job to all controllers.
 struct User<'a> {
-    fronts: &'a [String],
+    http_addrs: &'a [String],
     id: &'a str,
     spec: Value,
-    /// The terminal phase that the user was told first.
-    told: Option<String>,
+    /// The first terminal phase that a controller reported to the user.
+    terminal_phase: Option<String>,
 }
 
 impl User<'_> {
-    /// A controller tells a phase: once terminal, it must stay.
-    fn is_told(&mut self, phase: String) {
+    /// Asserts that a phase reported by a controller doesn't contradict an earlier terminal phase.
+    fn observe_phase(&mut self, phase: String) {
         let terminal = Some(phase).filter(|phase| phase == "done" || phase == "aborted");
-        let (id, told) = (self.id, &self.told);
+        let (id, earlier) = (self.id, &self.terminal_phase);
         assert!(
-            told.is_none() || *told == terminal,
-            "{id}: {told:?}, then {terminal:?}"
+            earlier.is_none() || *earlier == terminal,
+            "{id}: reported as {earlier:?}, then as {terminal:?}"
         );
-        self.told = self.told.take().or(terminal);
+        self.terminal_phase = self.terminal_phase.take().or(terminal);
     }
 
-    fn cancel(&mut self, front: &str) {
-        let phase = cancel(front, self.id).filter(|(status, _)| *status == 200);
+    fn cancel(&mut self, http_addr: &str) {
+        let phase = cancel(http_addr, self.id).filter(|(status, _)| *status == 200);
         if let Some((_, phase)) = phase {
-            self.is_told(phase);
+            self.observe_phase(phase);
         }
     }
 
-    /// Submits the job again. None: there was no response.
-    fn submit_again(&mut self, front: &str) -> Option<()> {
-        let (status, phase) = submit_for_phase(front, &self.spec)?;
+    /// Submits the job again. Returns None if no response came.
+    fn submit_again(&mut self, http_addr: &str) -> Option<()> {
+        let (status, phase) = submit_for_phase(http_addr, &self.spec)?;
         assert!(status == 200 || status == 503, "{}: {status}", self.id);
         if status == 200 {
-            self.is_told(phase);
+            self.observe_phase(phase);
         }
         Some(())
     }
 
-    fn ask(&mut self, front: &str) {
-        if let Some(phase) = phase(front, self.id) {
-            self.is_told(phase);
+    fn query_phase(&mut self, http_addr: &str) {
+        if let Some(phase) = phase(http_addr, self.id) {
+            self.observe_phase(phase);
         }
     }
 
-    /// Submits the job and then asks, submits again, and from that round on cancels, until the job has
-    /// ended.
-    fn run(&mut self, first: usize, cancel_from: usize) {
-        let fronts = self.fronts;
-        wait_for("the job's acceptance", || {
-            submit(&fronts[first % 3], &self.spec).filter(|s| *s == 201 || *s == 200)
+    /// Submits the job, then queries its phase, resubmits it every fourth round, and cancels it in each round after
+    /// `cancel_after_round`, until a controller reports a terminal phase. Then every controller must report that phase.
+    fn run(&mut self, first_controller: usize, cancel_after_round: usize) {
+        let http_addrs = self.http_addrs;
+        wait_for("acceptance of the job", || {
+            submit(&http_addrs[first_controller % 3], &self.spec).filter(|s| *s == 201 || *s == 200)
         });
         let mut round = 0;
-        wait_for("a terminal state", || {
+        wait_for("a terminal phase", || {
             round += 1;
-            let front = &fronts[round % 3];
-            if round > cancel_from {
-                self.cancel(front);
+            let http_addr = &http_addrs[round % 3];
+            if round > cancel_after_round {
+                self.cancel(http_addr);
             }
             if round % 4 == 0 {
-                self.submit_again(front)?;
+                self.submit_again(http_addr)?;
             }
-            self.ask(&fronts[(round + 1) % 3]);
-            self.told.clone()
+            self.query_phase(&http_addrs[(round + 1) % 3]);
+            self.terminal_phase.clone()
         });
-        for front in fronts {
-            let phase = wait_for_any_phase(front, self.id);
-            self.is_told(phase);
+        for http_addr in http_addrs {
+            let phase = wait_for_any_phase(http_addr, self.id);
+            self.observe_phase(phase);
         }
     }
 }
 
-/// Questions, cancellations and repeated submissions come through all controllers while short jobs end.
-/// Whatever of done and aborted a user was told first, no controller says anything else afterwards.
+/// Users query, cancel and resubmit short jobs through all controllers while the jobs end. After a user has received the
+/// phase `done` or `aborted`, no controller reports another one.
 #[test]
 fn terminal_states_never_change_under_concurrent_requests() {
     let cluster = Cluster::start("terminal-states");
     cluster.worker_log.set_run_time(Duration::from_millis(300));
-    cluster.wait_for_leader(&mut Ticks::default());
+    cluster.wait_for_leader(&mut SequenceNumbers::default());
     let ids: Vec<String> = (0..JOBS).map(|n| format!("wk-0001{n:02}")).collect();
     std::thread::scope(|scope| {
         for (n, id) in ids.iter().enumerate() {
             let mut user = User {
-                fronts: &cluster.fronts,
+                http_addrs: &cluster.http_addrs,
                 id,
                 spec: job(id, 1 + n as u32 % 3),
-                told: None,
+                terminal_phase: None,
             };
-            // Every second job is cancelled, each a little later than the one before.
-            let cancel_from = if n % 2 == 0 { n } else { usize::MAX };
-            scope.spawn(move || user.run(n, cancel_from));
+            // Every second job is cancelled, each two rounds later than the one before.
+            let cancel_after_round = if n % 2 == 0 { n } else { usize::MAX };
+            scope.spawn(move || user.run(n, cancel_after_round));
         }
     });
 }
--- a/tests/loopback/worker.rs
+++ b/tests/loopback/worker.rs
@@ -1,5 +1,5 @@
-//! A stand-in of a worker over its published protocol: it sends heartbeats to all controllers in turn
-//! and takes pushed commands.
+//! A stand-in for a worker that speaks its published protocol: it sends heartbeats to all controllers in turn and accepts
+//! pushed commands.
 
 use super::http::{http, serve};
 use serde_json::{json, Value};
@@ -9,10 +9,10 @@
 use std::time::{Duration, Instant};
 
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(150);
-/// How long tasks run unless a test says otherwise.
+/// The run time of tasks unless a test sets another.
 const DEFAULT_RUN_MS: u64 = 1_500;
 
-/// What all workers of a cluster were told, and how long their tasks run.
+/// The commands that the workers of a cluster have executed, and the run time of their tasks.
 pub struct WorkerLog {
     launched: Mutex<Vec<String>>,
     stopped: Mutex<Vec<String>>,
@@ -37,43 +37,50 @@
         Duration::from_millis(self.run_ms.load(Ordering::Relaxed))
     }
 
-    /// Tasks launched so far, in order.
+    /// Returns the launched tasks, in order.
     pub fn launched(&self) -> Vec<String> {
-        self.launched.lock().expect("launches").clone()
+        self.launched
+            .lock()
+            .expect("the lock is not poisoned")
+            .clone()
     }
 
-    /// Tasks stopped so far, in order.
+    /// Returns the stopped tasks, in order.
     pub fn stopped(&self) -> Vec<String> {
-        self.stopped.lock().expect("stops").clone()
+        self.stopped
+            .lock()
+            .expect("the lock is not poisoned")
+            .clone()
     }
 
-    /// Panics if any task was launched twice.
+    /// Asserts that no task was launched twice.
     pub fn assert_each_launched_once(&self) {
         let mut launched = self.launched();
         let count = launched.len();
         launched.sort();
         launched.dedup();
-        assert_eq!(launched.len(), count, "each task was launched once");
+        assert_eq!(launched.len(), count, "a task was launched twice");
     }
 }
 
-/// A task attempt: its task and its attempt id.
+/// The task and the attempt id of a task attempt.
 type Attempt = (String, u64);
 
-/// What a worker knows, shared between its server and its heartbeats.
+/// The state of a worker, shared by its server and the thread that sends its heartbeats.
 struct Worker {
     machine: String,
     endpoint: String,
-    tick: u64,
+    sequence_number: u64,
     token: u64,
     started_at: BTreeMap<Attempt, Instant>,
     log: Arc<WorkerLog>,
 }
 
 impl Worker {
-    /// Executes the commands in a heartbeat's response or a push, unless their token is too low.
+    /// Executes the commands in a heartbeat response or a push. Ignores them if their fencing token is lower than the
+    /// highest one seen.
     fn execute(&mut self, body: &Value) {
-        let token = body["baton"].as_u64().expect("a token");
+        let token = body["baton"].as_u64().expect("a fencing token");
         if token < self.token {
             return;
         }
@@ -90,22 +97,22 @@
 
     fn launch(&mut self, attempt: Attempt) {
         if !self.started_at.contains_key(&attempt) {
-            let mut launched = self.log.launched.lock().expect("launches");
+            let mut launched = self.log.launched.lock().expect("the lock is not poisoned");
             launched.push(attempt.0.clone());
             self.started_at.insert(attempt, Instant::now());
         }
     }
 
     fn remove(&mut self, attempt: Attempt, is_stop: bool) {
-        let known = self.started_at.remove(&attempt).is_some();
-        if is_stop && known {
-            let mut stopped = self.log.stopped.lock().expect("stops");
+        let was_running = self.started_at.remove(&attempt).is_some();
+        if is_stop && was_running {
+            let mut stopped = self.log.stopped.lock().expect("the lock is not poisoned");
             stopped.push(attempt.0);
         }
     }
 
     fn status(&mut self) -> Value {
-        self.tick += 1;
+        self.sequence_number += 1;
         let run_time = self.log.run_time();
         let attempts = self.started_at.iter();
         let tasks: Vec<Value> = attempts
@@ -117,21 +124,21 @@
             )
             .collect();
         json!({"host": self.machine, "endpoint": self.endpoint, "rig": "box", "site": "a", "loaners": false,
-            "tenure": 1, "tick": self.tick, "baton": self.token, "recallS": null, "pieces": tasks,
+            "tenure": 1, "tick": self.sequence_number, "baton": self.token, "recallS": null, "pieces": tasks,
             "new": {"unknown": 1}})
     }
 }
 
 fn lock(worker: &Mutex<Worker>) -> MutexGuard<'_, Worker> {
-    worker.lock().expect("no thread panics with the lock")
+    worker.lock().expect("the lock is not poisoned")
 }
 
-/// Starts a worker on a machine of that name; returns its endpoint.
+/// Starts a worker on the named machine. Returns its endpoint.
 pub fn start_worker(machine: &str, controllers: Vec<String>, log: Arc<WorkerLog>) -> String {
     let worker = Arc::new(Mutex::new(Worker {
         machine: machine.to_owned(),
         endpoint: String::new(),
-        tick: 0,
+        sequence_number: 0,
         token: 0,
         started_at: BTreeMap::new(),
         log,
@@ -148,7 +155,7 @@
     endpoint
 }
 
-/// Sends heartbeats to the controllers in turn, for ever.
+/// Sends heartbeats to the controllers in turn, forever.
 fn send_heartbeats(worker: &Mutex<Worker>, controllers: &[String]) {
     for controller in controllers.iter().cycle() {
         let status = lock(worker).status().to_string();
