--- a/tests/support/large_cluster.rs
+++ b/tests/support/large_cluster.rs
@@ -1,4 +1,4 @@
-//! The state and the workers of a large cluster, as a former leader left them.
+//! The recorded state and the worker statuses of a large cluster whose GPUs are all in use, as a new leader finds them.
 
 use super::machine_type::machine_type;
 use chalklug::coordination::leadership::recovery::RecoveredState;
@@ -15,15 +15,15 @@
 pub const GPUS_PER_MACHINE: u64 = 8;
 const MACHINES_PER_JOB: u64 = 10;
 const TASKS_PER_JOB: u64 = MACHINES_PER_JOB * GPUS_PER_MACHINE;
-/// As many as a leader puts on a page of 4 KiB: fuller ones would be split, which is not tested here.
+/// As many as a leader packs into a page of 4 KiB. Larger pages would be split, which is not tested here.
 pub const MACHINES_PER_PAGE: u64 = 38;
 
 fn machine_id(n: u64) -> MachineId {
     MachineId::from(format!("host-{n:06}").as_str())
 }
 
-/// An item of the state store as it was before the failover.
-fn item<T: serde::Serialize>(key: String, record: &T) -> KeyValue {
+/// Returns a key of the state store with its record.
+fn key_value<T: serde::Serialize>(key: String, record: &T) -> KeyValue {
     KeyValue {
         key,
         data: serde_json::to_value(record).unwrap(),
@@ -48,11 +48,11 @@
     }
     let pages = pages.iter();
     pages
-        .map(|(n, page)| item(machine_page_key(PageNumber(*n as u32)), page))
+        .map(|(n, page)| key_value(machine_page_key(PageNumber(*n as u32)), page))
         .collect()
 }
 
-/// The n-th of the jobs that fill all GPUs.
+/// Returns the record of the n-th of the jobs that use all GPUs.
 fn running_job(n: u64) -> OpenJobRecord {
     let body = serde_json::json!({"ref": format!("wk-{n:06}"), "jobclass": "c", "crew": "blue", "shape": "array",
         "urgency": "normal", "pieces": TASKS_PER_JOB, "cpus": 1, "gpus": 1, "ramGb": 1, "bundle": "i",
@@ -61,6 +61,7 @@
     open_job_record(&body)
 }
 
+/// Returns the open job record of a submission with that body.
 pub fn open_job_record(body: &serde_json::Value) -> OpenJobRecord {
     OpenJobRecord {
         spec: parse_submission(body.to_string().as_bytes()).unwrap().spec,
@@ -70,7 +71,7 @@
     }
 }
 
-/// The launch intents of the n-th job's tasks.
+/// Returns a page with the launch intents of the n-th job's tasks.
 fn intent_page(n: u64, record: &OpenJobRecord) -> KeyValue {
     let job = &record.spec.id;
     let mut page = IntentPage::default();
@@ -81,10 +82,10 @@
     }
     page.jobs
         .insert(job.clone(), JobResources::of(&record.spec));
-    item(intent_page_key(PageNumber(n as u32)), &page)
+    key_value(intent_page_key(PageNumber(n as u32)), &page)
 }
 
-/// The state that a former leader left: every GPU of all machines runs a task.
+/// Returns the state that a new leader reads from the state store: every GPU of every machine runs a task.
 pub fn recovered_state() -> RecoveredState {
     let records: Vec<OpenJobRecord> = (0..MACHINES / MACHINES_PER_JOB).map(running_job).collect();
     let intents = (0..).zip(&records);
@@ -104,8 +105,8 @@
     }
 }
 
-/// The status of the n-th machine, on which so many of its tasks have ended.
-pub fn status(n: u64, tick: u64, token: u64, ended: usize) -> WorkerStatus {
+/// Returns the status of the n-th machine's worker, on which the first `ended` tasks have ended and the others run.
+pub fn status(n: u64, sequence_number: u64, token: u64, ended: usize) -> WorkerStatus {
     let tasks = (0..GPUS_PER_MACHINE).map(|t| {
         let ends = (t as usize) < ended;
         TaskStatus {
@@ -132,7 +133,7 @@
         zone: Zone::from("a"),
         spot: false,
         session: Session(1),
-        sequence_number: SequenceNumber(tick),
+        sequence_number: SequenceNumber(sequence_number),
         token: FencingToken(token),
         preemption_notice_s: None,
         tasks: tasks.collect(),
--- a/tests/support/leader.rs
+++ b/tests/support/leader.rs
@@ -1,4 +1,4 @@
-//! A leader's policy and leadership term, for tests of the scheduler alone.
+//! The policy and the leadership term of a leader, for tests that run only the scheduler.
 
 use chalklug::config::OperatorConfig;
 use chalklug::coordination::leadership::LeadershipTerm;
@@ -6,7 +6,8 @@
 use chalklug::ids::{FencingToken, KeyRevision, LeaseId};
 use std::sync::Arc;
 
-/// One team with that guaranteed share of GPUs and twice as much as its limit; that many pushes at once.
+/// Returns a policy with one team that has `gpus` as its guaranteed share and twice as many as its limit, and with at
+/// most `max_pushes` concurrent pushes.
 pub fn policy(gpus: f64, max_pushes: usize) -> Arc<Policy> {
     let text = format!(
         r#"
@@ -25,7 +26,7 @@
     })
 }
 
-/// A leadership term with that fencing token.
+/// Returns a leadership term with the given fencing token.
 pub fn term(token: u64) -> LeadershipTerm {
     LeadershipTerm {
         token: FencingToken(token),
--- a/tests/support/logging.rs
+++ b/tests/support/logging.rs
@@ -1,6 +1,6 @@
-//! Log output of the scheduler, for whoever looks into a failing test.
+//! Log output of the scheduler for the analysis of failed tests.
 
-/// With `TEST_LOG` set, what the scheduler logs goes to standard error.
+/// Writes the scheduler's log to standard error if `TEST_LOG` is set.
 pub fn init_logging() {
     if std::env::var_os("TEST_LOG").is_some() {
         let _ = tracing_subscriber::fmt()
--- a/tests/support/machine_type.rs
+++ b/tests/support/machine_type.rs
@@ -1,9 +1,9 @@
-//! The machine type of tests of the scheduler alone.
+//! The machine type in tests that run only the scheduler.
 
 use chalklug::ids::{MachineType, Zone};
 use chalklug::protocol::cloud::MachineTypeInfo;
 
-/// A machine type with that many GPUs.
+/// Returns a machine type with the given number of GPUs.
 pub fn machine_type(gpus: f64) -> MachineTypeInfo {
     MachineTypeInfo {
         name: MachineType::from("box"),
--- a/tests/support/recorded_scheduler.rs
+++ b/tests/support/recorded_scheduler.rs
@@ -1,4 +1,4 @@
-//! A scheduler with a digest of all that it sends, for tests of the scheduler alone.
+//! A scheduler whose output is recorded in a digest, for tests that run only the scheduler.
 
 use super::wire_digest::WireDigest;
 use chalklug::coordination::attempts::reconciliation::HeartbeatOutcome;
@@ -11,14 +11,14 @@
 use std::ops::{Deref, DerefMut};
 use std::sync::Arc;
 
-/// A scheduler whose effects and responses go into a digest.
+/// A scheduler whose effects and heartbeat responses are added to a digest.
 pub struct RecordedScheduler {
     scheduler: Scheduler,
     digest: WireDigest,
 }
 
 impl RecordedScheduler {
-    /// A new leader's scheduler, as `Scheduler::recover` makes it.
+    /// Creates a new leader's scheduler with [`Scheduler::recover`].
     pub fn recover(
         policy: Arc<Policy>,
         term: LeadershipTerm,
@@ -32,14 +32,14 @@
         })
     }
 
-    /// One step.
+    /// Runs one step of the scheduler. Returns its effects.
     pub fn step(&mut self, now: Instant) -> Vec<Effect> {
         let effects = self.scheduler.step(now);
         self.digest.add_effects(now, &effects);
         effects
     }
 
-    /// A worker's heartbeat.
+    /// Passes a worker's heartbeat to the scheduler. Returns the response.
     #[allow(dead_code, reason = "not every test binary has workers")]
     pub fn heartbeat(&mut self, now: Instant, status: &WorkerStatus) -> HeartbeatOutcome {
         let outcome = self.scheduler.heartbeat(now, status);
@@ -50,7 +50,7 @@
 }
 
 impl RecordedScheduler {
-    /// The state store has applied the transaction of that number.
+    /// Passes to the scheduler that the state store has applied the transaction with this request id.
     pub fn write_applied(
         &mut self,
         now: Instant,
--- a/tests/support/store_data.rs
+++ b/tests/support/store_data.rs
@@ -1,16 +1,16 @@
-//! What a state store keeps, for the stand-ins of it: keys, transactions and leases as the published protocol has them.
+//! The data of the stand-ins for the state store: keys, transactions and leases, as in the published protocol.
 
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// Items in one response.
+/// The maximum number of items in the response to a list request.
 const MAX_ITEMS: usize = 1_000;
 
-/// A status and a body.
+/// The status and the body of a response.
 type Response = (u16, Value);
 
-/// A value with its key revision, and the lease that it goes with.
+/// A value with its key revision and the lease that it is attached to, if any.
 struct Item {
     data: Value,
     revision: u64,
@@ -19,10 +19,10 @@
 
 struct Lease {
     expires_at: Instant,
-    life: Duration,
+    duration: Duration,
 }
 
-/// All that the store keeps.
+/// The content of the store, its history of changes, and its leases.
 #[derive(Default)]
 pub struct StoreData {
     pub store_revision: u64,
@@ -54,7 +54,7 @@
         self.items.get(key).map_or(0, |item| item.revision)
     }
 
-    /// Ends the leases that were not renewed in time.
+    /// Ends the leases that have expired.
     pub fn expire_leases(&mut self, now: Instant) {
         let leases = self.leases.iter();
         let expired = leases.filter(|(_, lease)| lease.expires_at < now);
@@ -64,11 +64,11 @@
         }
     }
 
-    /// An outage ends: every lease has its full time again.
+    /// Renews every lease to its full duration, at the end of an outage.
     #[allow(dead_code, reason = "not every stand-in has outages")]
     pub fn renew_all_leases(&mut self, now: Instant) {
         for lease in self.leases.values_mut() {
-            lease.expires_at = now + lease.life;
+            lease.expires_at = now + lease.duration;
         }
     }
 
@@ -84,37 +84,39 @@
     }
 
     fn grant_lease(&mut self, body: &Value) -> Response {
-        let life = Duration::from_millis(body["lifeMs"].as_u64().expect("a life"));
+        let duration = Duration::from_millis(body["lifeMs"].as_u64().expect("a lease duration"));
         self.last_lease += 1;
         let lease = Lease {
-            expires_at: Instant::now() + life,
-            life,
+            expires_at: Instant::now() + duration,
+            duration,
         };
         self.leases.insert(self.last_lease, lease);
         (200, json!({"hold": self.last_lease}))
     }
 
-    /// A lease is granted, renewed or ended.
+    /// Handles a request that grants, renews or ends a lease.
     pub fn handle_lease_request(&mut self, method: &str, rest: &str, body: &Value) -> Response {
         if rest.is_empty() {
             return self.grant_lease(body);
         }
         let id = rest.trim_start_matches('/').split('/').next();
-        let id: u64 = id.and_then(|id| id.parse().ok()).expect("a lease's id");
+        let id: u64 = id
+            .and_then(|id| id.parse().ok())
+            .expect("the path has a lease id");
         if method == "DELETE" {
             self.end_lease(id);
             return (200, json!({}));
         }
         match self.leases.get_mut(&id) {
             Some(lease) => {
-                lease.expires_at = Instant::now() + lease.life;
+                lease.expires_at = Instant::now() + lease.duration;
                 (200, json!({}))
             }
             None => (404, json!({})),
         }
     }
 
-    /// Carries a transaction out if all its preconditions hold and its leases live.
+    /// Applies a transaction if all of its preconditions hold and none of its leases has ended.
     pub fn handle_transaction(&mut self, body: &Value) -> Response {
         let empty = Vec::new();
         let preconditions = body["guards"].as_array().unwrap_or(&empty).iter();
@@ -144,7 +146,7 @@
         (200, json!({"epoch": self.store_revision}))
     }
 
-    /// One key.
+    /// Handles a read of one key.
     pub fn get(&self, key: &str) -> Response {
         match self.items.get(key) {
             Some(item) => (
@@ -155,9 +157,9 @@
         }
     }
 
-    /// Keys with a prefix, in order.
+    /// Handles a request that lists the keys with a prefix, in order.
     pub fn list(&self, path: &str) -> Response {
-        let prefix = query_parameter(path, "prefix").expect("a prefix");
+        let prefix = query_parameter(path, "prefix").expect("the path has a prefix");
         let since = query_parameter(path, "since").unwrap_or_default();
         let most = query_parameter(path, "most").and_then(|most| most.parse().ok());
         let most = most.unwrap_or(MAX_ITEMS).min(MAX_ITEMS);
@@ -175,7 +177,7 @@
         )
     }
 
-    /// What changed after that revision.
+    /// Returns the changes of keys with the prefix after the store revision `since`, each with the key's present value.
     pub fn changes_since(&self, since: u64, prefix: &str) -> Vec<Value> {
         let first = self.changes.partition_point(|(at, _)| *at <= since);
         let changes = self.changes[first..].iter();
@@ -190,10 +192,10 @@
 }
 
 fn text(value: &Value) -> &str {
-    value.as_str().expect("a text")
+    value.as_str().expect("the value is a string")
 }
 
-/// A parameter of a path's query.
+/// Returns the named parameter from the query of a path.
 pub fn query_parameter<'a>(path: &'a str, name: &str) -> Option<&'a str> {
     let (_, query) = path.split_once('?')?;
     let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
--- a/tests/support/wire_digest.rs
+++ b/tests/support/wire_digest.rs
@@ -1,5 +1,5 @@
-//! Digests of all that a leader sends: two versions of the decision core that behave alike give the
-//! same ones. Off unless `WIRE_DIGESTS` names a file, see `tests/scenarios/README.md`.
+//! Digests of everything that a leader sends. Two versions of the scheduler that behave alike have the same digests.
+//! Digests are written only if `WIRE_DIGESTS` names a file; see `tests/scenarios/README.md`.
 
 use chalklug::coordination::attempts::reconciliation::HeartbeatOutcome;
 use chalklug::coordination::Effect;
@@ -12,17 +12,17 @@
 use std::cell::Cell;
 use std::io::Write;
 
-/// Names the file that a line for each run is appended to: its name, its digest, and how many messages
-/// went into it.
+/// The environment variable that names the output file. Each run appends a line with its name, its digest, and its number
+/// of messages.
 const OUTPUT_VARIABLE: &str = "WIRE_DIGESTS";
 
 thread_local! {
-    /// Runs that the present test has begun.
+    /// The number of runs that the current test has started.
     static RUNS: Cell<u32> = const { Cell::new(0) };
 }
 
-/// The digest of one run: every transaction, read, command, answer and request to the cloud, as
-/// serialized on the wire, in order, each with its time.
+/// The digest of one run: every transaction, read, push, heartbeat response and request to the cloud, as serialized on the
+/// wire, in order, each with its time.
 pub struct WireDigest {
     name: String,
     messages: u64,
@@ -30,7 +30,7 @@
 }
 
 impl WireDigest {
-    /// The digest of the next run of this test, named after the test and counted.
+    /// Creates the digest of the current test's next run, named after the test and the number of the run.
     pub fn new() -> WireDigest {
         let run = RUNS.replace(RUNS.get() + 1);
         let thread = std::thread::current();
@@ -42,42 +42,42 @@
         }
     }
 
-    /// Names the run.
+    /// Sets the name of the run.
     #[allow(dead_code, reason = "not every test binary names its runs")]
     pub fn set_name(&mut self, name: &str) {
         self.name = name.to_owned();
     }
 
-    /// What a step of the core asks for.
+    /// Adds the effects of a step of the scheduler.
     pub fn add_effects(&mut self, now: Instant, effects: &[Effect]) {
         for effect in effects {
-            self.effect(now, effect);
+            self.add_effect(now, effect);
         }
     }
 
-    /// The response to a worker's heartbeat.
+    /// Adds the response to a worker's heartbeat.
     pub fn add_heartbeat_response(
         &mut self,
         now: Instant,
         token: FencingToken,
-        answer: &HeartbeatOutcome,
+        outcome: &HeartbeatOutcome,
     ) {
-        match answer {
+        match outcome {
             HeartbeatOutcome::Commands(commands) => {
                 let commands = commands.clone();
-                self.message(now, "answer", &HeartbeatResponse { token, commands });
+                self.add_message(now, "answer", &HeartbeatResponse { token, commands });
             }
-            HeartbeatOutcome::Refused => self.message(now, "refusal", &()),
+            HeartbeatOutcome::Refused => self.add_message(now, "refusal", &()),
         }
     }
 
-    fn effect(&mut self, now: Instant, effect: &Effect) {
+    fn add_effect(&mut self, now: Instant, effect: &Effect) {
         match effect {
-            Effect::Write { transaction, .. } => self.message(now, "transaction", transaction),
-            Effect::Reread { keys, .. } => self.message(now, "read", keys),
+            Effect::Write { transaction, .. } => self.add_message(now, "transaction", transaction),
+            Effect::Reread { keys, .. } => self.add_message(now, "read", keys),
             Effect::ReadTerminalRecords { ids } => {
                 let keys: Vec<String> = ids.iter().map(terminal_key).collect();
-                self.message(now, "read", &keys);
+                self.add_message(now, "read", &keys);
             }
             Effect::Push {
                 machine_id,
@@ -92,7 +92,7 @@
                     session: *session,
                     commands: commands.clone(),
                 };
-                self.message(now, "commands", &(machine_id, endpoint, commands));
+                self.add_message(now, "commands", &(machine_id, endpoint, commands));
             }
             Effect::ScaleOut {
                 idempotency_key,
@@ -106,17 +106,17 @@
                     spot: offer.spot,
                     count: *count,
                 };
-                self.message(now, "rental", &request);
+                self.add_message(now, "rental", &request);
             }
             Effect::ScaleIn { machine_ids } => {
                 let machine_ids = machine_ids.clone();
-                self.message(now, "return", &TerminateRequest { machine_ids });
+                self.add_message(now, "return", &TerminateRequest { machine_ids });
             }
-            Effect::StepDown { .. } => self.message(now, "step down", &()),
+            Effect::StepDown { .. } => self.add_message(now, "step down", &()),
         }
     }
 
-    fn message<T: serde::Serialize>(&mut self, now: Instant, kind: &str, body: &T) {
+    fn add_message<T: serde::Serialize>(&mut self, now: Instant, kind: &str, body: &T) {
         let body = serde_json::to_string(body).expect("messages can be serialized");
         if std::env::var_os("WIRE_DIGEST_MESSAGES").is_some() {
             eprintln!("{} {} {kind} {body}", self.name, now.0);
