--- a/tests/random/constraints.rs
+++ b/tests/random/constraints.rs
@@ -1,9 +1,8 @@
-//! Jobs with every constraint on where tasks may run, under random faults, seeded: no task starts where it must
-//! not.
+//! Jobs with every placement constraint, under seeded random faults: no task starts where its constraints forbid it.
 //!
-//! Guards against what only shows when several things come together: more work than room, so that tasks of a job
-//! are still pending while others run; zones lost for longer than a lease; leaders that follow each other; and
-//! launch intents on so many pages that obsolete ones stay on record.
+//! Guards against faults that need several conditions at once: too little capacity, so that some tasks of a job are
+//! pending while others run; zones unreachable for longer than a lease; several failovers; and launch intents on so many
+//! pages that obsolete intents remain recorded.
 
 use super::logging::init_logging;
 use super::random_faults::seeds;
@@ -14,15 +13,15 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-/// Runs; `SEEDS` gives another number.
+/// The number of runs, and so the last seed, unless `SEEDS` is set.
 const RUNS: u64 = 64;
-/// Rounds of jobs and a fault in a run.
+/// The number of rounds in a run, each with new jobs and a fault.
 const ROUNDS: u32 = 12;
-/// Fewer machines than the jobs could use.
+/// The limit on rented machines: fewer than the jobs could use.
 const MACHINES: u32 = 8;
-/// Small pages, as many as a large cluster has.
-const VALUE_KB: f64 = 0.5;
-/// Every constraint that a job can have, alone and together.
+/// The state store's limit on a value's size. It is small, so that there are as many pages as in a large cluster.
+const MAX_VALUE_KB: f64 = 0.5;
+/// The placement constraints of a job, alone and combined.
 const CONSTRAINTS: [&[&str]; 9] = [
     &["affinity"],
     &["affinity", "spot"],
@@ -49,7 +48,7 @@
             "machine-type far gpus 8 boot 7 price 25 zones a,b,c",
         ]);
         (setup.max_machines, setup.seed) = (MACHINES, seed);
-        setup.facts.state.value_kb = VALUE_KB;
+        setup.facts.state.value_kb = MAX_VALUE_KB;
         Run {
             simulation: setup.simulation(),
             rng: StdRng::seed_from_u64(seed),
@@ -57,11 +56,13 @@
         }
     }
 
+    /// Runs the simulation for a random time in the range, in milliseconds.
     fn wait(&mut self, range_ms: std::ops::Range<i64>) {
         let span = TimeSpan(self.rng.random_range(range_ms));
         self.simulation.run_for(span);
     }
 
+    /// Submits the next job, with random constraints.
     fn submit(&mut self) {
         let id = format!("wk-{:06}", self.submitted);
         let tasks = self.rng.random_range(2..16).to_string();
@@ -72,8 +73,8 @@
         self.submitted += 1;
     }
 
-    /// A zone is cut off, mostly for longer than a lease, while no machine can be rented or returned.
-    fn cut_a_zone(&mut self) {
+    /// Partitions the workers of a random zone, mostly for longer than a lease, while the cloud is unavailable.
+    fn partition_zone(&mut self) {
         let zone = Zone::from(["a", "b", "c"][self.rng.random_range(0..3)]);
         let now = self.simulation.now;
         let end = now + TimeSpan(self.rng.random_range(10_000..60_000));
@@ -89,7 +90,8 @@
         }
     }
 
-    fn reclaim_a_machine(&mut self) {
+    /// Reclaims a random machine without notice.
+    fn reclaim_machine(&mut self) {
         let workers = &self.simulation.workers;
         let ids: Vec<MachineId> = workers.keys().cloned().collect();
         if !ids.is_empty() {
@@ -98,24 +100,25 @@
         }
     }
 
-    fn change_leaders(&mut self) {
+    /// Crashes the leader and elects another one a random time later.
+    fn fail_over(&mut self) {
         self.simulation.crash_leader();
         self.wait(100..6_000);
         self.simulation.elect_leader();
     }
 
-    fn round(&mut self) {
+    fn run_round(&mut self) {
         for _ in 0..self.rng.random_range(1..4) {
             self.submit();
         }
         self.wait(2_000..15_000);
         match self.rng.random_range(0..4) {
-            0 => self.reclaim_a_machine(),
-            _ => self.cut_a_zone(),
+            0 => self.reclaim_machine(),
+            _ => self.partition_zone(),
         }
         self.wait(1_000..40_000);
         if self.rng.random_bool(0.7) {
-            self.change_leaders();
+            self.fail_over();
         }
     }
 }
@@ -127,7 +130,7 @@
         let mut run = Run::new(seed);
         run.simulation.elect_leader();
         for _ in 0..ROUNDS {
-            run.round();
+            run.run_round();
         }
         let checker = &run.simulation.checker;
         let first = &checker.first_violation;
--- a/tests/random/dependency_graphs.rs
+++ b/tests/random/dependency_graphs.rs
@@ -1,5 +1,5 @@
-//! Random dependency graphs of jobs under random faults, with leaders that come and go: no rule is broken,
-//! every job that should be is done, and every job downstream of a cancelled one is cancelled.
+//! Random dependency graphs of jobs under random faults and failovers: no rule is broken, every job downstream of a
+//! cancelled job is cancelled, and every other job that no user cancelled is done.
 
 use super::scenario_language::{submit, Setup};
 use super::simulation::random_faults::start_random_fault;
@@ -11,18 +11,20 @@
 use rand::{Rng, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Runs, each with its own seed; `SEEDS` gives another number.
+/// The number of runs, each with its own seed, unless `SEEDS` is set.
 const RUNS: u64 = 14;
-/// Batches of jobs submitted in one run.
+/// The number of batches of jobs in a run.
 const BATCHES: u32 = 8;
-/// After the last fault everything has this long to end.
-const QUIET: TimeSpan = TimeSpan(500_000);
+/// The time after the last fault within which all jobs must end.
+const DRAIN_TIME: TimeSpan = TimeSpan(500_000);
 
-/// One run: the jobs, what each depends on, and which were cancelled by their users.
+/// The state of one run.
 struct Run {
     simulation: Simulation,
     rng: StdRng,
+    /// The submitted jobs with their upstream jobs.
     upstream: BTreeMap<JobId, Vec<JobId>>,
+    /// The jobs that users cancelled.
     cancelled: BTreeSet<JobId>,
 }
 
@@ -48,15 +50,15 @@
         }
     }
 
-    /// Submits a job that depends on some of those before it: the latest ones more often, so that there
-    /// are chains, forks and joins; at times on jobs that ended long ago, or were cancelled.
+    /// Submits a job that depends on random earlier jobs, mostly on recent ones, so that the graph contains chains, forks
+    /// and joins. Some of the upstream jobs ended long before or were cancelled.
     fn submit(&mut self) {
         let n = self.upstream.len() as u32;
         let mut upstream = BTreeSet::new();
         if n > 0 && self.rng.random_bool(0.75) {
             for _ in 0..self.rng.random_range(1..4) {
-                let back = if self.rng.random_bool(0.8) { 4 } else { n };
-                upstream.insert(id(n - self.rng.random_range(1..=back.min(n))));
+                let max_distance = if self.rng.random_bool(0.8) { 4 } else { n };
+                upstream.insert(id(n - self.rng.random_range(1..=max_distance.min(n))));
             }
         }
         let name = format!("wk-{n:06}");
@@ -82,7 +84,8 @@
         self.upstream.insert(id(n), upstream);
     }
 
-    fn cancel_some(&mut self) {
+    /// Cancels one of the last eight jobs.
+    fn cancel_recent_job(&mut self) {
         let n = self.upstream.len() as u32;
         let job = id(self.rng.random_range(n.saturating_sub(8)..n));
         if self.simulation.cancel(&job) {
@@ -90,12 +93,14 @@
         }
     }
 
+    /// Runs the simulation for a random time, in milliseconds.
     fn wait(&mut self, from_ms: i64, to_ms: i64) {
-        let pause = self.rng.random_range(from_ms..to_ms);
-        self.simulation.run_for(TimeSpan(pause));
+        let span_ms = self.rng.random_range(from_ms..to_ms);
+        self.simulation.run_for(TimeSpan(span_ms));
     }
 
-    fn play(&mut self) {
+    /// Submits all batches of jobs, with random faults and cancellations after each, and waits for the jobs to end.
+    fn run_batches(&mut self) {
         for _ in 0..BATCHES {
             for _ in 0..self.rng.random_range(2..7) {
                 self.submit();
@@ -105,18 +110,21 @@
                 start_random_fault(&mut self.simulation, &mut self.rng);
                 self.wait(100, 6_000);
                 if self.rng.random_bool(0.35) {
-                    self.cancel_some();
+                    self.cancel_recent_job();
                 }
             }
             self.wait(500, 25_000);
             self.simulation.faults.late_transaction_share = 0.0;
         }
-        self.simulation.run_for(QUIET);
+        self.simulation.run_for(DRAIN_TIME);
     }
 
-    /// Whether the job, or one that it depends on, was cancelled.
-    fn to_be_cancelled(&self, job: &JobId) -> bool {
-        self.cancelled.contains(job) || self.upstream[job].iter().any(|p| self.to_be_cancelled(p))
+    /// Whether a user cancelled the job or one of its direct or indirect upstream jobs.
+    fn should_be_cancelled(&self, job: &JobId) -> bool {
+        self.cancelled.contains(job)
+            || self.upstream[job]
+                .iter()
+                .any(|p| self.should_be_cancelled(p))
     }
 }
 
@@ -125,7 +133,7 @@
     let seeds = std::env::var("SEEDS").ok().and_then(|n| n.parse().ok());
     for seed in 1..=seeds.unwrap_or(RUNS) {
         let mut run = Run::new(seed);
-        run.play();
+        run.run_batches();
         run.simulation.checker.check_at_end(run.simulation.now);
         let checker = &run.simulation.checker;
         assert!(
@@ -133,13 +141,13 @@
             "seed {seed}: {:?}",
             checker.first_violation
         );
-        let left = run.simulation.store.list("e/");
+        let remaining_pages = run.simulation.store.list("e/");
         assert!(
-            left.is_empty(),
-            "seed {seed}: dependency pages of jobs that have ended: {left:?}"
+            remaining_pages.is_empty(),
+            "seed {seed}: dependency pages of ended jobs remain: {remaining_pages:?}"
         );
         for job in run.upstream.keys() {
-            let expected = match run.to_be_cancelled(job) {
+            let expected = match run.should_be_cancelled(job) {
                 true => JobPhase::Cancelled,
                 false => JobPhase::Done,
             };
--- a/tests/random/faults.rs
+++ b/tests/random/faults.rs
@@ -1,4 +1,4 @@
-//! Random faults, seeded: no rule is broken and every job ends.
+//! Seeded random faults: no rule is broken, and every job that no user cancelled is done.
 
 use super::logging::init_logging;
 use super::scenario_language::{submit, Setup};
@@ -10,29 +10,31 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-/// Runs of pairs of faults, and of single faults; `SEEDS` gives another number.
+/// The number of runs with pairs of faults, and with single faults, unless `SEEDS` is set.
 const PAIR_RUNS: u64 = 16;
 const SINGLE_RUNS: u64 = 12;
-/// Batches of jobs in a run of pairs of faults.
+/// The number of batches of jobs in a run with pairs of faults.
 const BATCHES: u32 = 10;
-/// Jobs in a run of single faults.
+/// The number of jobs in a run with single faults.
 const JOBS: u32 = 24;
-/// After the last fault everything has this long to end.
-const QUIET_AFTER_PAIRS: TimeSpan = TimeSpan(500_000);
-const QUIET_AFTER_SINGLES: TimeSpan = TimeSpan(400_000);
+/// The time after the last fault within which all jobs must end.
+const DRAIN_TIME_AFTER_PAIRS: TimeSpan = TimeSpan(500_000);
+const DRAIN_TIME_AFTER_SINGLES: TimeSpan = TimeSpan(400_000);
 
-/// The seeds to run: from `FIRST` to `SEEDS`, where these are set.
+/// Returns the seeds to run: from `FIRST`, or 1 if it is not set, to `SEEDS`, or `last` if it is not set.
 pub fn seeds(last: u64) -> std::ops::RangeInclusive<u64> {
     let variable = |name: &str| std::env::var(name).ok().and_then(|n| n.parse().ok());
     variable("FIRST").unwrap_or(1)..=variable("SEEDS").unwrap_or(last)
 }
 
-/// One run: the simulation, what draws the faults, and the jobs that were cancelled.
+/// The state of one run.
 struct Run {
     simulation: Simulation,
+    /// Draws the jobs, the faults and the times between them.
     rng: StdRng,
     seed: u64,
     submitted: u32,
+    /// The jobs that users cancelled.
     cancelled: Vec<JobId>,
 }
 
@@ -53,24 +55,25 @@
         }
     }
 
+    /// Sets the share of heartbeats and of pushes that are duplicated.
     fn duplicate_messages(&mut self, share: f64) {
         self.simulation.faults.duplicate_heartbeat_share = share;
         self.simulation.faults.duplicate_push_share = share;
     }
 
-    /// Runs for a time drawn from the range, in milliseconds.
+    /// Runs the simulation for a random time in the range, in milliseconds.
     fn wait(&mut self, range_ms: std::ops::Range<i64>) {
         let span = TimeSpan(self.rng.random_range(range_ms));
         self.simulation.run_for(span);
     }
 
-    /// Submits the next job, with further words drawn from the list.
-    fn submit(&mut self, tasks: u32, run_secs: u32, choices: &[&[&str]]) {
+    /// Submits the next job, with a random one of the option sets.
+    fn submit(&mut self, tasks: u32, run_secs: u32, option_sets: &[&[&str]]) {
         let id = format!("wk-{:06}", self.submitted);
         let team = ["blue", "red"][self.submitted as usize % 2];
         let (tasks, run) = (tasks.to_string(), run_secs.to_string());
         let mut words = vec![id.as_str(), "team", team, "tasks", &tasks, "run", &run];
-        words.extend(choices[self.rng.random_range(0..choices.len())]);
+        words.extend(option_sets[self.rng.random_range(0..option_sets.len())]);
         submit(&mut self.simulation, &words);
         self.submitted += 1;
     }
@@ -82,7 +85,7 @@
         }
     }
 
-    /// No rule is broken, and every job that wasn't cancelled is done.
+    /// Asserts that no rule is broken and that every job that no user cancelled is done.
     fn check(&mut self) {
         let seed = self.seed;
         let checker = &mut self.simulation.checker;
@@ -96,19 +99,19 @@
         }
     }
 
-    /// A few jobs, then two faults a moment apart; users cancel in the very moment, too.
+    /// Submits a few jobs, then starts two faults within seconds of each other, each perhaps followed by a cancellation.
     fn batch_with_two_faults(&mut self) {
         for _ in 0..self.rng.random_range(1..4) {
             let tasks = self.rng.random_range(1..6);
             let run_secs = self.rng.random_range(3..40);
-            let choices: [&[&str]; 5] = [
+            let option_sets: [&[&str]; 5] = [
                 &["shape", "gang", "affinity"],
                 &["anti-affinity", "checkpoint", "4"],
                 &["zone", "b"],
                 &["affinity"],
                 &["spot", "checkpoint", "5"],
             ];
-            self.submit(tasks, run_secs, &choices);
+            self.submit(tasks, run_secs, &option_sets);
         }
         self.wait(2_000..9_000);
         for _ in 0..2 {
@@ -123,18 +126,18 @@
         self.simulation.faults.late_transaction_share = 0.0;
     }
 
-    /// A job, perhaps a fault, a cancellation, and a change of leaders.
+    /// Submits a job, draws a fault, and perhaps cancels the job and forces a failover.
     fn job_with_one_fault(&mut self) {
         let number = self.submitted;
         let tasks = self.rng.random_range(1..8);
         let run_secs = self.rng.random_range(3..25);
-        let choices: [&[&str]; 4] = [
+        let option_sets: [&[&str]; 4] = [
             &["shape", "gang", "affinity"],
             &["anti-affinity", "checkpoint", "4"],
             &["spot", "checkpoint", "5"],
             &["affinity"],
         ];
-        self.submit(tasks, run_secs, &choices);
+        self.submit(tasks, run_secs, &option_sets);
         self.start_single_fault();
         if self.rng.random_bool(0.15) {
             self.cancel(number);
@@ -147,8 +150,8 @@
         }
     }
 
-    /// A machine, if there is any.
-    fn some_machine(&mut self) -> Option<MachineId> {
+    /// Returns a random machine, or None if there is none.
+    fn random_machine(&mut self) -> Option<MachineId> {
         let mut ids: Vec<&MachineId> = self.simulation.workers.keys().collect();
         if ids.is_empty() {
             return None;
@@ -157,8 +160,9 @@
         Some(ids.swap_remove(index).clone())
     }
 
+    /// Starts a random fault of a machine or of a service; some draws end the loss of heartbeats.
     fn start_single_fault(&mut self) {
-        let machine_id = self.some_machine();
+        let machine_id = self.random_machine();
         let now = self.simulation.now;
         let end = now + TimeSpan(self.rng.random_range(2_000..30_000));
         let kind = self.rng.random_range(0..12);
@@ -198,8 +202,8 @@
     }
 }
 
-/// Pairs of faults, random and seeded, with leaders that come and go by their leases: the rules hold
-/// and every job ends.
+/// Random pairs of faults in quick succession, with elections and failovers by lease expiry: no rule is broken and every
+/// job ends.
 #[test]
 fn random_pairs_of_faults_break_no_rule() {
     init_logging();
@@ -213,12 +217,12 @@
             run.batch_with_two_faults();
         }
         run.duplicate_messages(0.0);
-        run.simulation.run_for(QUIET_AFTER_PAIRS);
+        run.simulation.run_for(DRAIN_TIME_AFTER_PAIRS);
         run.check();
     }
 }
 
-/// A day of random faults, bounded and seeded: the rules hold and every job ends.
+/// A long run with a random fault after each job and with forced failovers: no rule is broken and every job ends.
 #[test]
 fn random_faults_break_no_rule() {
     init_logging();
@@ -232,7 +236,7 @@
             run.job_with_one_fault();
         }
         run.simulation.faults.lost_heartbeat_share = 0.0;
-        run.simulation.run_for(QUIET_AFTER_SINGLES);
+        run.simulation.run_for(DRAIN_TIME_AFTER_SINGLES);
         run.check();
     }
 }
--- a/tests/upgrade/page_splitting.rs
+++ b/tests/upgrade/page_splitting.rs
@@ -1,5 +1,5 @@
-//! Pages that were written while the state store took larger values: a new leader splits them to what the
-//! store will take, and at no moment is a machine on no page.
+//! Pages written before the state store's limit on value sizes was lowered: a new leader splits them into pages that the
+//! store accepts, and at no moment is a machine missing from all pages.
 
 use super::machine_type::machine_type;
 use super::recorded_scheduler::RecordedScheduler;
@@ -17,18 +17,18 @@
 use std::sync::Arc;
 
 const MACHINES: u32 = 4_500;
-/// As many as a page of 8 KiB takes.
+/// As many as fit into a page of 8 KiB.
 const MACHINES_PER_PAGE: u32 = 89;
-/// So many writes are refused for their rate.
-const LIMITED_WRITES: usize = 3;
-/// The announced limits.
+/// The number of writes that the state store rejects because of its rate limit.
+const RATE_LIMITED_WRITES: usize = 3;
+/// The state store's lowered limits.
 const MAX_VALUE_BYTES: usize = 2 * 1024;
 const MAX_TRANSACTION_CHANGES: usize = 4;
 
-/// What settings say that announce the limits.
-const ANNOUNCED: &str = "next = { write_rps = 18.0, value_kb = 2.0, txn_ops = 4 }";
+/// The setting that announces the lowered limits.
+const ANNOUNCED_LIMITS: &str = "next = { write_rps = 18.0, value_kb = 2.0, txn_ops = 4 }";
 
-fn policy(announced: &str) -> Arc<Policy> {
+fn policy(announced_limits: &str) -> Arc<Policy> {
     let text = r#"
         teams = [{ name = "blue", gpus = 800.0, gpus_max = 1600.0 }]
         workers = { report_s = 5.0, lease_s = 26.0, gang_wait_s = 40.0, gang_peer_s = 4.0, cancel_s = 51.0 }
@@ -36,8 +36,9 @@
         cloud = { rps = 6.0, list_lag_s = 6.0 }
         quota = { cores = 0.1, memory_mb = 150.0, max_sockets = 3000 }
     "#;
-    let text = text.replace("NEXT", announced);
-    let mut facts: chalklug::config::DeploymentFacts = toml::from_str(&text).expect("facts");
+    let text = text.replace("NEXT", announced_limits);
+    let mut facts: chalklug::config::DeploymentFacts =
+        toml::from_str(&text).expect("the settings can be parsed");
     facts.state = facts.state.effective();
     Arc::new(Policy {
         facts,
@@ -50,7 +51,8 @@
     MachineId::from(format!("host-{n:06}").as_str())
 }
 
-/// Pages as a leader with room for 8 KiB leaves them, without images.
+/// Returns a state store with the machine pages of a former leader whose limit was 8 KiB. The machines have no cached
+/// images.
 fn large_pages() -> StateStore {
     let mut store = StateStore::default();
     for first in (0..MACHINES).step_by(MACHINES_PER_PAGE as usize) {
@@ -72,7 +74,7 @@
             page.machines.insert(machine_id(n), entry);
         }
         let key = machine_page_key(PageNumber(first / MACHINES_PER_PAGE));
-        let data = serde_json::to_value(&page).expect("a page");
+        let data = serde_json::to_value(&page).expect("the page can be serialized");
         let changes = vec![Change::put(key, data)];
         let preconditions = Vec::new();
         store
@@ -80,12 +82,18 @@
                 preconditions,
                 changes,
             })
-            .expect("no precondition");
+            .expect("a transaction without preconditions is applied");
     }
     store
 }
 
-fn recover(store: &StateStore, now: Instant, token: u64, announced: &str) -> RecordedScheduler {
+/// Returns the scheduler of a new leader that has recovered from the state store.
+fn recover(
+    store: &StateStore,
+    now: Instant,
+    token: u64,
+    announced_limits: &str,
+) -> RecordedScheduler {
     let term = LeadershipTerm {
         token: FencingToken(token),
         initial_token: FencingToken(token),
@@ -101,23 +109,25 @@
         unix_time_at_zero_ms: 1_700_000_000_000,
         ..RecoveredState::default()
     };
-    RecordedScheduler::recover(policy(announced), term, now, recovered)
+    RecordedScheduler::recover(policy(announced_limits), term, now, recovered)
         .expect("all pages can be read")
 }
 
-/// Machines on any page, and how often each is listed.
-fn listed(store: &StateStore) -> Vec<MachineId> {
+/// Returns the machines on all pages; a machine on several pages is listed once for each.
+fn listed_machines(store: &StateStore) -> Vec<MachineId> {
     let pages = store.list(MACHINE_PAGE_PREFIX).into_iter();
-    let pages = pages.map(|i| serde_json::from_value::<MachinePage>(i.data).expect("a page"));
+    let pages = pages
+        .map(|i| serde_json::from_value::<MachinePage>(i.data).expect("the page can be parsed"));
     pages.flat_map(|p| p.machines.into_keys()).collect()
 }
 
-fn sizes(store: &StateStore) -> Vec<usize> {
+/// Returns the sizes of the machine pages, in bytes.
+fn page_sizes_bytes(store: &StateStore) -> Vec<usize> {
     let pages = store.list(MACHINE_PAGE_PREFIX);
     pages.iter().map(|i| i.data.to_string().len()).collect()
 }
 
-/// Whether the state store accepts the transaction under its new limits.
+/// Whether the transaction is within the state store's lowered limits.
 fn is_accepted(transaction: &Transaction) -> bool {
     let is_too_large = |change: &Change| match change {
         Change::Put { data, .. } => data.to_string().len() > MAX_VALUE_BYTES,
@@ -127,9 +137,9 @@
         && !transaction.changes.iter().any(is_too_large)
 }
 
-/// Lets the scheduler write for that long; after each transaction every machine must be listed. Returns how
-/// many transactions the store has rejected for their size.
-fn write_for(
+/// Runs the scheduler for `span`, and asserts after each transaction that every machine is on a page. Returns the number of
+/// transactions that the store rejected for their size.
+fn run_for(
     scheduler: &mut RecordedScheduler,
     store: &mut StateStore,
     now: &mut Instant,
@@ -153,10 +163,12 @@
                 scheduler.handle(*now, Event::WriteRejected { request_id });
                 continue;
             }
-            let store_revision = store.apply(&transaction).expect("nobody else writes");
+            let store_revision = store
+                .apply(&transaction)
+                .expect("all preconditions hold, since nobody else writes");
             scheduler.write_applied(*now, request_id, store_revision);
-            let on_some_page: BTreeSet<MachineId> = listed(store).into_iter().collect();
-            assert_eq!(on_some_page, all, "a machine is on no page");
+            let on_pages: BTreeSet<MachineId> = listed_machines(store).into_iter().collect();
+            assert_eq!(on_pages, all, "a machine is on no page");
         }
     }
     rejected
@@ -165,35 +177,49 @@
 #[test]
 fn large_pages_are_split_without_losing_a_machine() {
     let mut store = large_pages();
-    assert!(sizes(&store).iter().any(|bytes| *bytes > MAX_VALUE_BYTES));
+    assert!(page_sizes_bytes(&store)
+        .iter()
+        .any(|bytes| *bytes > MAX_VALUE_BYTES));
     let mut now = Instant(1_000);
-    let mut scheduler = recover(&store, now, 5, ANNOUNCED);
-    let rejected = write_for(&mut scheduler, &mut store, &mut now, TimeSpan(60_000));
-    assert_eq!(rejected, 0, "announced limits hold from the first write");
-    assert!(sizes(&store).iter().all(|bytes| *bytes <= MAX_VALUE_BYTES));
-    assert_eq!(listed(&store).len(), MACHINES as usize, "each once");
+    let mut scheduler = recover(&store, now, 5, ANNOUNCED_LIMITS);
+    let rejected = run_for(&mut scheduler, &mut store, &mut now, TimeSpan(60_000));
+    assert_eq!(rejected, 0, "a transaction exceeds the announced limits");
+    assert!(page_sizes_bytes(&store)
+        .iter()
+        .all(|bytes| *bytes <= MAX_VALUE_BYTES));
+    assert_eq!(
+        listed_machines(&store).len(),
+        MACHINES as usize,
+        "a machine is on several pages"
+    );
 }
 
-/// Leaders crash at every stage of the split: the next one goes on from what it recovers.
+/// Leaders crash at various stages of the split, and each new leader continues from the pages that it recovers.
 #[test]
 fn failovers_while_pages_are_split_lose_no_machine() {
-    for stage_ms in (200..4_000).step_by(400) {
+    for term_ms in (200..4_000).step_by(400) {
         let mut store = large_pages();
         let mut now = Instant(1_000);
         for token in 5..9 {
-            let mut scheduler = recover(&store, now, token, ANNOUNCED);
+            let mut scheduler = recover(&store, now, token, ANNOUNCED_LIMITS);
             assert_eq!(scheduler.machines_up(), MACHINES as usize);
-            let rejected = write_for(&mut scheduler, &mut store, &mut now, TimeSpan(stage_ms));
+            let rejected = run_for(&mut scheduler, &mut store, &mut now, TimeSpan(term_ms));
             assert_eq!(rejected, 0);
         }
-        let mut scheduler = recover(&store, now, 9, ANNOUNCED);
-        write_for(&mut scheduler, &mut store, &mut now, TimeSpan(90_000));
-        assert!(sizes(&store).iter().all(|bytes| *bytes <= MAX_VALUE_BYTES));
-        assert_eq!(listed(&store).len(), MACHINES as usize, "stage {stage_ms}");
+        let mut scheduler = recover(&store, now, 9, ANNOUNCED_LIMITS);
+        run_for(&mut scheduler, &mut store, &mut now, TimeSpan(90_000));
+        assert!(page_sizes_bytes(&store)
+            .iter()
+            .all(|bytes| *bytes <= MAX_VALUE_BYTES));
+        assert_eq!(
+            listed_machines(&store).len(),
+            MACHINES as usize,
+            "after terms of {term_ms} ms"
+        );
     }
 }
 
-/// Opens that many jobs that depend on `wk-900`.
+/// Opens `count` jobs that depend on `wk-900`.
 fn open_downstream_jobs(scheduler: &mut RecordedScheduler, now: Instant, count: u32) {
     for n in 0..count {
         let body = serde_json::json!({"ref": format!("wk-{n}"), "jobclass": "c", "crew": "blue",
@@ -201,7 +227,7 @@
             "bundle": "i", "pullGb": 1, "together": false, "scatter": false, "loaners": false,
             "guessS": 50, "markEveryS": 0, "markCostS": 0});
         let spec = parse_submission(body.to_string().as_bytes())
-            .expect("a job")
+            .expect("the submission is valid")
             .spec;
         let record = OpenJobRecord {
             spec,
@@ -218,37 +244,37 @@
     }
 }
 
-/// The limits were lowered without notice: a rejected transaction is not sent again unchanged, and the leader
-/// discovers what the store accepts.
+/// The limits are lowered without announcement: the leader retries a rejected transaction with smaller batches and
+/// values, and discovers what the store accepts after at most 12 rejections.
 #[test]
 fn unannounced_lower_limits_are_discovered() {
     let mut store = large_pages();
     let mut now = Instant(1_000);
     let mut scheduler = recover(&store, now, 5, "");
-    // Jobs enough for transactions of many operations.
+    // Enough jobs for transactions that exceed the limit on changes.
     open_downstream_jobs(&mut scheduler, now, 40);
-    // All of them are to be cancelled with their upstream job.
+    // Their upstream job is cancelled, so all of them have to be cancelled.
     let read = TerminalRecordRead {
         job: JobId::from("wk-900"),
         record: Some(TerminalRecord::cancelled(1)),
     };
     scheduler.handle(now, Event::TerminalRecordsRead(vec![read]));
-    let rejected = write_for(&mut scheduler, &mut store, &mut now, TimeSpan(120_000));
+    let rejected = run_for(&mut scheduler, &mut store, &mut now, TimeSpan(120_000));
     assert!((1..=12).contains(&rejected), "{rejected} rejected");
     assert_eq!(
         store.list(TERMINAL_PREFIX).len(),
         40,
-        "all terminal records are written"
+        "terminal records are missing"
     );
 }
 
-/// The store limits the rate of changes: the leader writes nothing for as long as it is told, and then first
-/// what users wait for; pages are deferred.
+/// The store rejects writes because of its rate limit: the leader writes nothing for the requested pause, and then first
+/// writes the records that users wait for, and defers machine pages.
 #[test]
 fn rate_limiting_delays_only_deferrable_writes() {
     let store = large_pages();
     let mut now = Instant(1_000);
-    let mut scheduler = recover(&store, now, 5, ANNOUNCED);
+    let mut scheduler = recover(&store, now, 5, ANNOUNCED_LIMITS);
     open_downstream_jobs(&mut scheduler, now, 1);
     let read = TerminalRecordRead {
         job: JobId::from("wk-900"),
@@ -256,21 +282,21 @@
     };
     scheduler.handle(now, Event::TerminalRecordsRead(vec![read]));
     let pause = TimeSpan(250);
-    let mut limited_at: Vec<Instant> = Vec::new();
+    let mut rate_limited_at: Vec<Instant> = Vec::new();
     let first_applied = loop {
         now += TimeSpan(50);
-        assert!(now < Instant(20_000), "it never writes again");
+        assert!(now < Instant(20_000), "the leader stopped writing");
         let Some((request_id, transaction)) = last_write(&mut scheduler, now) else {
             continue;
         };
-        if let Some(last) = limited_at.last() {
+        if let Some(last) = rate_limited_at.last() {
             let waited = now - *last;
-            assert!(waited >= pause, "it writes again after {waited:?}");
+            assert!(waited >= pause, "the leader wrote again after {waited:?}");
         }
-        if limited_at.len() == LIMITED_WRITES {
+        if rate_limited_at.len() == RATE_LIMITED_WRITES {
             break transaction;
         }
-        limited_at.push(now);
+        rate_limited_at.push(now);
         scheduler.handle(now, Event::WriteRateLimited { request_id, pause });
     };
     let changes_of = |prefix: &str| {
@@ -281,7 +307,7 @@
     assert_eq!((terminal, pages), (1, 0), "{first_applied:?}");
 }
 
-/// The last transaction that a step asks for.
+/// Runs one step. Returns the last transaction that the scheduler requests, if any.
 fn last_write(scheduler: &mut RecordedScheduler, now: Instant) -> Option<(RequestId, Transaction)> {
     let effects = scheduler.step(now).into_iter();
     let writes = effects.filter_map(|effect| match effect {
