--- a/tests/loopback/cluster.rs
+++ b/tests/loopback/cluster.rs
@@ -67,7 +67,7 @@
     }
 }
 
-/// What tests choose of the settings of a cluster's controllers.
+/// The settings of a cluster's controllers that tests vary.
 pub struct ClusterOptions<'a> {
     /// Part of the name of the cluster's directory.
     pub name: &'a str,
--- a/tests/loopback/dependencies.rs
+++ b/tests/loopback/dependencies.rs
@@ -5,7 +5,7 @@
 use serde_json::{json, Value};
 use std::time::Duration;
 
-/// Longer than any test runs.
+/// Longer than any test runs, so that no task ends by itself.
 const UNBOUNDED_RUN_TIME: Duration = Duration::from_secs(600);
 
 /// Valid values of `waitsOn` are accepted, and others are rejected with status 400 or 422.
@@ -145,9 +145,9 @@
     );
 }
 
-/// Once a cancellation is confirmed, every controller reports all downstream jobs as cancelled, and keeps doing so, even
-/// while the leader can't write their terminal records because the state store refuses its requests. The leader's lease is
-/// long, so that no other controller takes over meanwhile.
+/// Once a cancellation is confirmed, every controller reports all downstream jobs as cancelled, and keeps doing so,
+/// even while the leader can't write their terminal records because the state store refuses its requests. The
+/// leader's lease is long, so that no other controller takes over meanwhile.
 #[test]
 fn downstream_jobs_are_cancelled_at_once_on_every_controller() {
     let options = ClusterOptions::with_long_leader_lease("dependency-cancel");
@@ -185,7 +185,8 @@
     assert_eq!(launched.iter().find(is_downstream), None);
 }
 
-/// The last address is that of the leader, whose requests the state store refuses: it forwards submissions to its peers.
+/// The last address is that of the leader, whose requests the state store refuses: it forwards submissions to its
+/// peers.
 fn check_submissions_after_cancellation(http_addrs: &[String]) {
     let downstream = |id: &str, upstream: Value| downstream_job(id, 1, upstream);
     let late = downstream("wk-000006", json!(["wk-000005"]));
--- a/tests/loopback/invalid_requests.rs
+++ b/tests/loopback/invalid_requests.rs
@@ -1,4 +1,4 @@
-//! Checks of the status with which a controller rejects each kind of invalid request.
+//! Checks that a controller rejects each kind of invalid request with the right status.
 
 use super::client::{job, submit};
 use super::http::http;
--- a/tests/loopback/main.rs
+++ b/tests/loopback/main.rs
@@ -1,6 +1,6 @@
-//! Tests of controller processes on the loopback interface, with stand-ins for the state store, the cloud and the workers
-//! that speak their published protocols. The tests assert order and outcome, not times: they wait for conditions, with
-//! a long timeout.
+//! Tests of controller processes on the loopback interface, with stand-ins for the state store, the cloud and the
+//! workers that speak their published protocols. The tests assert order and outcome, not times: they wait for
+//! conditions, with a long timeout.
 
 mod client;
 mod cloud;
@@ -23,9 +23,9 @@
 use std::net::TcpStream;
 use std::time::Duration;
 
-/// The state store refuses the leader's requests, another controller confirms a cancellation, and then the store refuses
-/// the requests of all controllers. The leader, whose lease has not expired, can learn of the cancellation only from its
-/// peer, and must stop the tasks. Its lease is long, so that it doesn't expire on a busy machine.
+/// The state store refuses the leader's requests, another controller confirms a cancellation, and then the store
+/// refuses the requests of all controllers. The leader, whose lease has not expired, can learn of the cancellation
+/// only from its peer, and must stop the tasks. Its lease is long, so that it doesn't expire on a busy machine.
 #[test]
 fn refused_leader_learns_of_cancellations_from_peers() {
     let options = ClusterOptions::with_long_leader_lease("refused-leader");
--- a/tests/loopback/terminal_states.rs
+++ b/tests/loopback/terminal_states.rs
@@ -78,8 +78,8 @@
     }
 }
 
-/// Users query, cancel and resubmit short jobs through all controllers while the jobs end. After a user has received the
-/// phase `done` or `aborted`, no controller reports another one.
+/// Users query, cancel and resubmit short jobs through all controllers while the jobs end. After a user has received
+/// the phase `done` or `aborted`, no controller reports another one.
 #[test]
 fn terminal_states_never_change_under_concurrent_requests() {
     let cluster = Cluster::start("terminal-states");
--- a/tests/loopback/worker.rs
+++ b/tests/loopback/worker.rs
@@ -1,5 +1,5 @@
-//! A stand-in for a worker that speaks its published protocol: it sends heartbeats to all controllers in turn and accepts
-//! pushed commands.
+//! A stand-in for a worker that speaks its published protocol: it sends heartbeats to all controllers in turn and
+//! accepts pushed commands.
 
 use super::http::{http, serve};
 use serde_json::{json, Value};
--- a/tests/random/constraints.rs
+++ b/tests/random/constraints.rs
@@ -1,8 +1,8 @@
 //! Jobs with every placement constraint, under seeded random faults: no task starts where its constraints forbid it.
 //!
 //! Guards against faults that need several conditions at once: too little capacity, so that some tasks of a job are
-//! pending while others run; zones unreachable for longer than a lease; several failovers; and launch intents on so many
-//! pages that obsolete intents remain recorded.
+//! pending while others run; zones unreachable for longer than a lease; several failovers; and launch intents on so
+//! many pages that obsolete intents remain recorded.
 
 use super::logging::init_logging;
 use super::random_faults::seeds;
--- a/tests/random/dependency_graphs.rs
+++ b/tests/random/dependency_graphs.rs
@@ -50,8 +50,8 @@
         }
     }
 
-    /// Submits a job that depends on random earlier jobs, mostly on recent ones, so that the graph contains chains, forks
-    /// and joins. Some of the upstream jobs ended long before or were cancelled.
+    /// Submits a job that depends on random earlier jobs, mostly on recent ones, so that the graph contains chains,
+    /// forks and joins. Some of the upstream jobs ended long before or were cancelled.
     fn submit(&mut self) {
         let n = self.upstream.len() as u32;
         let mut upstream = BTreeSet::new();
--- a/tests/random/faults.rs
+++ b/tests/random/faults.rs
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Sets the share of heartbeats and of pushes that are duplicated.
+    /// Sets the share of heartbeats and pushes that arrive a second time.
     fn duplicate_messages(&mut self, share: f64) {
         self.simulation.faults.duplicate_heartbeat_share = share;
         self.simulation.faults.duplicate_push_share = share;
@@ -99,7 +99,8 @@
         }
     }
 
-    /// Submits a few jobs, then starts two faults within seconds of each other, each perhaps followed by a cancellation.
+    /// Submits a few jobs, then starts two faults within seconds of each other, each perhaps followed by a
+    /// cancellation.
     fn batch_with_two_faults(&mut self) {
         for _ in 0..self.rng.random_range(1..4) {
             let tasks = self.rng.random_range(1..6);
@@ -202,8 +203,8 @@
     }
 }
 
-/// Random pairs of faults in quick succession, with elections and failovers by lease expiry: no rule is broken and every
-/// job ends.
+/// Random pairs of faults in quick succession, with elections and failovers by lease expiry: no rule is broken and
+/// every job ends.
 #[test]
 fn random_pairs_of_faults_break_no_rule() {
     init_logging();
--- a/tests/support/wire_digest.rs
+++ b/tests/support/wire_digest.rs
@@ -12,8 +12,8 @@
 use std::cell::Cell;
 use std::io::Write;
 
-/// The environment variable that names the output file. Each run appends a line with its name, its digest, and its number
-/// of messages.
+/// The environment variable that names the output file. Each run appends a line with its name, its digest, and its
+/// number of messages.
 const OUTPUT_VARIABLE: &str = "WIRE_DIGESTS";
 
 thread_local! {
@@ -21,8 +21,8 @@
     static RUNS: Cell<u32> = const { Cell::new(0) };
 }
 
-/// The digest of one run: every transaction, read, push, heartbeat response and request to the cloud, as serialized on the
-/// wire, in order, each with its time.
+/// The digest of one run: every transaction, read, push, heartbeat response and request to the cloud, as serialized
+/// on the wire, in order, each with its time.
 pub struct WireDigest {
     name: String,
     messages: u64,
--- a/tests/upgrade/page_splitting.rs
+++ b/tests/upgrade/page_splitting.rs
@@ -1,5 +1,5 @@
-//! Pages written before the state store's limit on value sizes was lowered: a new leader splits them into pages that the
-//! store accepts, and at no moment is a machine missing from all pages.
+//! Pages written before the state store's limit on value sizes was lowered: a new leader splits them into pages that
+//! the store accepts, and at no moment is a machine missing from all pages.
 
 use super::machine_type::machine_type;
 use super::recorded_scheduler::RecordedScheduler;
@@ -137,8 +137,8 @@
         && !transaction.changes.iter().any(is_too_large)
 }
 
-/// Runs the scheduler for `span`, and asserts after each transaction that every machine is on a page. Returns the number of
-/// transactions that the store rejected for their size.
+/// Runs the scheduler for `span`, and asserts after each transaction that every machine is on a page. Returns the
+/// number of transactions that the store rejected for their size.
 fn run_for(
     scheduler: &mut RecordedScheduler,
     store: &mut StateStore,
@@ -268,8 +268,8 @@
     );
 }
 
-/// The store rejects writes because of its rate limit: the leader writes nothing for the requested pause, and then first
-/// writes the records that users wait for, and defers machine pages.
+/// The store rejects writes because of its rate limit: the leader writes nothing for the requested pause, and then
+/// first writes the records that users wait for, and defers machine pages.
 #[test]
 fn rate_limiting_delays_only_deferrable_writes() {
     let store = large_pages();
