--- a/tests/loopback/client.rs
+++ b/tests/loopback/client.rs
@@ -93,7 +93,7 @@
     (status == 200).then_some(phase)
 }
 
-/// Waits until the controller returns a phase of the job.
+/// Waits until the controller returns a phase of the job. Returns the phase.
 pub fn wait_for_any_phase(controller: &str, id: &str) -> String {
     wait_for("a phase of the job", || phase(controller, id))
 }
--- a/tests/support/recorded_scheduler.rs
+++ b/tests/support/recorded_scheduler.rs
@@ -50,7 +50,7 @@
 }
 
 impl RecordedScheduler {
-    /// Passes to the scheduler that the state store has applied the transaction with this request id.
+    /// Notifies the scheduler that the state store has applied the transaction with this request id.
     pub fn write_applied(
         &mut self,
         now: Instant,
--- a/tests/support/store_data.rs
+++ b/tests/support/store_data.rs
@@ -161,16 +161,16 @@
     pub fn list(&self, path: &str) -> Response {
         let prefix = query_parameter(path, "prefix").expect("the path has a prefix");
         let since = query_parameter(path, "since").unwrap_or_default();
-        let most = query_parameter(path, "most").and_then(|most| most.parse().ok());
-        let most = most.unwrap_or(MAX_ITEMS).min(MAX_ITEMS);
+        let limit = query_parameter(path, "most").and_then(|limit| limit.parse().ok());
+        let limit = limit.unwrap_or(MAX_ITEMS).min(MAX_ITEMS);
         let items = self.items.iter();
         let matching = items.filter(|(key, _)| key.starts_with(prefix) && key.as_str() > since);
         let mut pairs: Vec<Value> = matching
-            .take(most + 1)
+            .take(limit + 1)
             .map(|(key, item)| json!({"key": key, "data": item.data, "stamp": item.revision}))
             .collect();
-        let has_next = pairs.len() > most;
-        pairs.truncate(most);
+        let has_next = pairs.len() > limit;
+        pairs.truncate(limit);
         (
             200,
             json!({"pairs": pairs, "hasNext": has_next, "epoch": self.store_revision}),
