--- a/tests/soak/checker.rs
+++ b/tests/soak/checker.rs
@@ -37,7 +37,7 @@
 
 /// What the rules are judged by.
 pub struct Limits {
-    pub cancel: Duration,
+    pub cancel_timeout: Duration,
     pub max_gpus: BTreeMap<String, f64>,
 }
 
@@ -52,7 +52,7 @@
 
 /// What is true of a machine.
 #[derive(Clone, Debug)]
-pub struct MachineFacts {
+pub struct MachineInfo {
     pub machine_type: String,
     pub zone: String,
     pub spot: bool,
@@ -62,32 +62,32 @@
 
 /// What a user was told of a job: when the question left, when the answer came, and what it said.
 #[derive(Clone, Copy, Debug)]
-pub struct Told<'a> {
-    pub asked_at: Instant,
-    pub told_at: Instant,
+pub struct UserResponse<'a> {
+    pub sent_at: Instant,
+    pub received_at: Instant,
     pub status: u16,
     pub phase: &'a str,
 }
 
 #[derive(Clone, Debug)]
-struct TerminalAnswer {
+struct TerminalResponse {
     phase: String,
-    told_at: Instant,
+    received_at: Instant,
 }
 
 struct CheckedJob {
     spec: JobSpec,
     accepted_at: Option<Instant>,
     /// A user has asked to cancel it, with whatever outcome.
-    cancel_asked: bool,
-    terminal: Option<TerminalAnswer>,
+    cancel_requested: bool,
+    terminal: Option<TerminalResponse>,
     completed: BTreeSet<u32>,
 }
 
 impl CheckedJob {
     fn cancelled_at(&self) -> Option<Instant> {
         let terminal = self.terminal.as_ref()?;
-        (terminal.phase == "aborted").then_some(terminal.told_at)
+        (terminal.phase == "aborted").then_some(terminal.received_at)
     }
 
     fn is_complete(&self) -> bool {
@@ -98,33 +98,33 @@
 /// Everything observed so far.
 pub struct Checker {
     limits: Limits,
-    began_at: Instant,
+    started_at: Instant,
     jobs: BTreeMap<String, CheckedJob>,
-    machines: BTreeMap<String, MachineFacts>,
-    on_machines: BTreeSet<Attempt>,
-    reported_late: BTreeSet<Attempt>,
+    machines: BTreeMap<String, MachineInfo>,
+    running_attempts: BTreeSet<Attempt>,
+    reported_overdue: BTreeSet<Attempt>,
     pub starts: u64,
-    pub answers: u64,
+    pub responses: u64,
     pub violations: Vec<Violation>,
 }
 
 impl Checker {
-    pub fn new(limits: Limits, began_at: Instant) -> Checker {
+    pub fn new(limits: Limits, started_at: Instant) -> Checker {
         Checker {
             limits,
-            began_at,
+            started_at,
             jobs: BTreeMap::new(),
             machines: BTreeMap::new(),
-            on_machines: BTreeSet::new(),
-            reported_late: BTreeSet::new(),
+            running_attempts: BTreeSet::new(),
+            reported_overdue: BTreeSet::new(),
             starts: 0,
-            answers: 0,
+            responses: 0,
             violations: Vec::new(),
         }
     }
 
     fn record(&mut self, now: Instant, rule: Rule, details: String) {
-        let at = now.saturating_duration_since(self.began_at);
+        let at = now.saturating_duration_since(self.started_at);
         self.violations.push(Violation { rule, details, at });
     }
 
@@ -132,7 +132,7 @@
         let job = CheckedJob {
             spec,
             accepted_at: None,
-            cancel_asked: false,
+            cancel_requested: false,
             terminal: None,
             completed: BTreeSet::new(),
         };
@@ -140,68 +140,69 @@
         self.jobs.entry(id).or_insert(job);
     }
 
-    pub fn cancel_asked(&mut self, job: &str) {
+    pub fn cancel_requested(&mut self, job: &str) {
         if let Some(job) = self.jobs.get_mut(job) {
-            job.cancel_asked = true;
+            job.cancel_requested = true;
         }
     }
 
-    pub fn machine_up(&mut self, id: &str, facts: MachineFacts) {
-        self.machines.insert(id.to_owned(), facts);
+    pub fn machine_up(&mut self, id: &str, info: MachineInfo) {
+        self.machines.insert(id.to_owned(), info);
     }
 
-    pub fn machine_gone(&mut self, id: &str) {
+    pub fn machine_removed(&mut self, id: &str) {
         self.machines.remove(id);
-        self.on_machines.retain(|attempt| attempt.machine != id);
+        self.running_attempts
+            .retain(|attempt| attempt.machine != id);
     }
 
     pub fn lease_renewed(&mut self, machine: &str, until: Instant) {
-        if let Some(facts) = self.machines.get_mut(machine) {
-            facts.lease_until = facts.lease_until.max(until);
+        if let Some(info) = self.machines.get_mut(machine) {
+            info.lease_until = info.lease_until.max(until);
         }
     }
 
     /// A new session of the worker has begun: nothing of the one before is left.
     pub fn session_ended(&mut self, machine: &str, next_lease_until: Instant) {
-        self.on_machines
+        self.running_attempts
             .retain(|attempt| attempt.machine != machine);
-        if let Some(facts) = self.machines.get_mut(machine) {
-            facts.lease_until = next_lease_until;
+        if let Some(info) = self.machines.get_mut(machine) {
+            info.lease_until = next_lease_until;
         }
     }
 
     /// Machines kill their tasks when their lease ends, also when the stand-in gets to it late.
-    fn end_leases(&mut self, now: Instant) {
+    fn expire_leases(&mut self, now: Instant) {
         let machines = &self.machines;
-        self.on_machines.retain(|attempt| {
-            let facts = machines.get(&attempt.machine);
-            facts.is_some_and(|facts| now <= facts.lease_until)
+        self.running_attempts.retain(|attempt| {
+            let info = machines.get(&attempt.machine);
+            info.is_some_and(|info| now <= info.lease_until)
         });
     }
 
-    pub fn task_left(&mut self, attempt: &Attempt) {
-        self.on_machines.remove(attempt);
+    pub fn task_ended(&mut self, attempt: &Attempt) {
+        self.running_attempts.remove(attempt);
     }
 
     pub fn task_completed(&mut self, attempt: &Attempt) {
         if let Some(job) = self.jobs.get_mut(&attempt.job) {
             job.completed.insert(attempt.index);
         }
-        self.task_left(attempt);
+        self.task_ended(attempt);
     }
 
     /// A task has its image, and is on its machine from now on.
     pub fn task_started(&mut self, now: Instant, attempt: &Attempt) {
-        self.end_leases(now);
+        self.expire_leases(now);
         self.starts += 1;
-        self.check_second_start(now, attempt);
-        self.check_place(now, attempt);
-        self.on_machines.insert(attempt.clone());
+        self.check_single_run(now, attempt);
+        self.check_placement(now, attempt);
+        self.running_attempts.insert(attempt.clone());
         self.check_quota(now, attempt);
     }
 
-    fn check_second_start(&mut self, now: Instant, attempt: &Attempt) {
-        let elsewhere = self.on_machines.iter().find(|other| {
+    fn check_single_run(&mut self, now: Instant, attempt: &Attempt) {
+        let elsewhere = self.running_attempts.iter().find(|other| {
             (&other.job, other.index) == (&attempt.job, attempt.index)
                 && other.machine != attempt.machine
         });
@@ -211,7 +212,7 @@
         }
     }
 
-    fn check_place(&mut self, now: Instant, attempt: &Attempt) {
+    fn check_placement(&mut self, now: Instant, attempt: &Attempt) {
         let (Some(job), Some(machine)) = (
             self.jobs.get(&attempt.job),
             self.machines.get(&attempt.machine),
@@ -219,18 +220,18 @@
             return self.record(now, Rule::Invented, format!("{attempt:?} of no known job"));
         };
         let spec = &job.spec;
-        let others = self.on_machines.iter().filter(|other| {
+        let others = self.running_attempts.iter().filter(|other| {
             other.job == attempt.job
                 && (other.index, &other.machine) != (attempt.index, &attempt.machine)
         });
         let zones: Vec<&str> = others
             .filter_map(|other| self.machines.get(&other.machine))
-            .map(|facts| facts.zone.as_str())
+            .map(|info| info.zone.as_str())
             .collect();
-        let here = zones.iter().filter(|zone| **zone == machine.zone).count() as u32;
-        let is_apart = spec.zone_affinity && zones.iter().any(|zone| *zone != machine.zone);
-        let is_crowded = spec.zone_anti_affinity && here + 1 > spec.tasks.div_ceil(2);
-        if !allows(spec, machine) || is_apart || is_crowded {
+        let in_zone = zones.iter().filter(|zone| **zone == machine.zone).count() as u32;
+        let breaks_affinity = spec.zone_affinity && zones.iter().any(|zone| *zone != machine.zone);
+        let breaks_anti_affinity = spec.zone_anti_affinity && in_zone + 1 > spec.tasks.div_ceil(2);
+        if !allows(spec, machine) || breaks_affinity || breaks_anti_affinity {
             let details = format!("{attempt:?} in zone {}, others in {zones:?}", machine.zone);
             self.record(now, Rule::WrongPlace, details);
         }
@@ -241,7 +242,7 @@
             return;
         };
         let specs = self
-            .on_machines
+            .running_attempts
             .iter()
             .filter_map(|a| self.jobs.get(&a.job));
         let of_team = specs.filter(|job| job.spec.team == team);
@@ -257,13 +258,13 @@
     }
 
     /// Looks for tasks of cancelled jobs that are on machines for too long.
-    pub fn look_at_cancelled(&mut self, now: Instant) {
-        self.end_leases(now);
-        let limit = self.limits.cancel + CANCEL_SLACK;
+    pub fn check_cancelled_jobs(&mut self, now: Instant) {
+        self.expire_leases(now);
+        let limit = self.limits.cancel_timeout + CANCEL_SLACK;
         let late: Vec<Attempt> = self
-            .on_machines
+            .running_attempts
             .iter()
-            .filter(|attempt| !self.reported_late.contains(attempt))
+            .filter(|attempt| !self.reported_overdue.contains(attempt))
             .filter(|attempt| {
                 let job = self.jobs.get(&attempt.job);
                 let cancelled_at = job.and_then(CheckedJob::cancelled_at);
@@ -273,7 +274,7 @@
             .collect();
         for attempt in late {
             self.record(now, Rule::RanCancelled, format!("{attempt:?}"));
-            self.reported_late.insert(attempt);
+            self.reported_overdue.insert(attempt);
         }
     }
 
@@ -283,7 +284,7 @@
     }
 
     /// What is true of a machine.
-    pub fn machine(&self, id: &str) -> Option<&MachineFacts> {
+    pub fn machine(&self, id: &str) -> Option<&MachineInfo> {
         self.machines.get(id)
     }
 
@@ -293,7 +294,7 @@
     }
 
     /// A job has waited for too long while there was room for it.
-    pub fn left_waiting(&mut self, now: Instant, id: &str) {
+    pub fn record_starvation(&mut self, now: Instant, id: &str) {
         self.record(
             now,
             Rule::LeftWaiting,
@@ -302,38 +303,38 @@
     }
 
     /// Accepted jobs of which the user has not been told that they are over.
-    pub fn unfinished(&self) -> Vec<String> {
+    pub fn unfinished_jobs(&self) -> Vec<String> {
         let jobs = self.jobs.iter();
-        let unfinished =
+        let unfinished_jobs =
             jobs.filter(|(_, job)| job.accepted_at.is_some() && job.terminal.is_none());
-        unfinished.map(|(id, _)| id.clone()).collect()
+        unfinished_jobs.map(|(id, _)| id.clone()).collect()
     }
 
     /// Accepted services that nobody has cancelled yet.
     pub fn running_services(&self) -> Vec<String> {
         let is_service = |id: &String| self.jobs[id].spec.shape == Shape::Service;
-        let unfinished = self.unfinished().into_iter();
-        unfinished.filter(is_service).collect()
+        let unfinished_jobs = self.unfinished_jobs().into_iter();
+        unfinished_jobs.filter(is_service).collect()
     }
 
     /// Accepted jobs, over or not.
-    pub fn accepted(&self) -> Vec<String> {
+    pub fn accepted_jobs(&self) -> Vec<String> {
         let jobs = self.jobs.iter();
         let accepted = jobs.filter(|(_, job)| job.accepted_at.is_some());
         accepted.map(|(id, _)| id.clone()).collect()
     }
 
     /// All troubles are over, and there was time for everything to end.
-    pub fn at_end(&mut self, now: Instant) {
+    pub fn check_at_end(&mut self, now: Instant) {
         if self.starts == 0 {
             self.record(now, Rule::NothingRan, "no task was started".into());
         }
-        for id in self.unfinished() {
+        for id in self.unfinished_jobs() {
             let job = &self.jobs[&id];
             let completed = job.completed.len();
-            let on_machines = self.on_machines.iter().filter(|a| a.job == id).count();
+            let running = self.running_attempts.iter().filter(|a| a.job == id).count();
             let details = format!(
-                "{id}: {completed} of {} tasks completed, {on_machines} on machines, {:?}",
+                "{id}: {completed} of {} tasks completed, {running} running, {:?}",
                 job.spec.tasks, job.spec
             );
             self.record(now, Rule::LeftWaiting, details);
@@ -342,7 +343,7 @@
 }
 
 /// Whether the job allows machines of this type, in this zone and of this kind.
-pub fn allows(spec: &JobSpec, machine: &MachineFacts) -> bool {
+pub fn allows(spec: &JobSpec, machine: &MachineInfo) -> bool {
     let types = spec.machine_types.as_ref();
     types.is_none_or(|types| types.iter().any(|t| t.as_str() == machine.machine_type))
         && spec
--- a/tests/soak/checker/answers.rs
+++ b/tests/soak/checker/answers.rs
@@ -1,27 +1,27 @@
 //! Rules on what users are told.
 
-use super::{Checker, Rule, TerminalAnswer, Told};
+use super::{Checker, Rule, TerminalResponse, UserResponse};
 
 impl Checker {
     /// A user was answered: to a submission, a question or a cancellation.
-    pub fn told(&mut self, id: &str, told: Told<'_>) {
-        self.answers += 1;
-        let now = told.told_at;
+    pub fn check_response(&mut self, id: &str, response: UserResponse<'_>) {
+        self.responses += 1;
+        let now = response.received_at;
         let Some(job) = self.jobs.get_mut(id) else {
-            if told.status == 200 {
-                self.record(now, Rule::Invented, format!("{id}: {}", told.phase));
+            if response.status == 200 {
+                self.record(now, Rule::Invented, format!("{id}: {}", response.phase));
             }
             return;
         };
-        match told.status {
+        match response.status {
             200 | 201 => {
                 job.accepted_at.get_or_insert(now);
-                self.told_phase(id, told);
+                self.check_phase(id, response);
             }
             400 | 404 | 422 => {
-                let was_accepted = job.accepted_at.is_some_and(|at| at < told.asked_at);
+                let was_accepted = job.accepted_at.is_some_and(|at| at < response.sent_at);
                 if was_accepted {
-                    let status = told.status;
+                    let status = response.status;
                     self.record(now, Rule::Forgotten, format!("{id}: {status}"));
                 }
             }
@@ -29,31 +29,32 @@
         }
     }
 
-    fn told_phase(&mut self, id: &str, told: Told<'_>) {
+    fn check_phase(&mut self, id: &str, response: UserResponse<'_>) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        let is_terminal = matches!(told.phase, "done" | "aborted");
+        let is_terminal = matches!(response.phase, "done" | "aborted");
         let mut broken = Vec::new();
         match &job.terminal {
             Some(terminal) => {
-                let is_older = told.asked_at > terminal.told_at && told.phase != terminal.phase;
-                let contradicts = is_terminal && told.phase != terminal.phase;
-                if is_older || contradicts {
+                let is_reopened =
+                    response.sent_at > terminal.received_at && response.phase != terminal.phase;
+                let contradicts = is_terminal && response.phase != terminal.phase;
+                if is_reopened || contradicts {
                     broken.push((
                         Rule::WentBack,
-                        format!("{id}: {} after {terminal:?}", told.phase),
+                        format!("{id}: {} after {terminal:?}", response.phase),
                     ));
                 }
             }
             None if is_terminal => {
-                let phase = told.phase.to_owned();
-                let told_at = told.told_at;
-                job.terminal = Some(TerminalAnswer { phase, told_at });
-                if told.phase == "aborted" && !job.cancel_asked {
+                let phase = response.phase.to_owned();
+                let received_at = response.received_at;
+                job.terminal = Some(TerminalResponse { phase, received_at });
+                if response.phase == "aborted" && !job.cancel_requested {
                     broken.push((Rule::WentBack, format!("{id}: nobody cancelled it")));
                 }
-                if told.phase == "done" && !job.is_complete() {
+                if response.phase == "done" && !job.is_complete() {
                     let completed = job.completed.len();
                     broken.push((Rule::NotDone, format!("{id}: {completed} tasks completed")));
                 }
@@ -61,7 +62,7 @@
             None => {}
         }
         for (rule, details) in broken {
-            self.record(told.told_at, rule, details);
+            self.record(response.received_at, rule, details);
         }
     }
 }
--- a/tests/soak/checker_sees.rs
+++ b/tests/soak/checker_sees.rs
@@ -1,8 +1,8 @@
 //! The checker sees each rule broken: a planted violation of each.
 
-use super::checker::{Attempt, Checker, Limits, MachineFacts, Rule, Told};
+use super::checker::{Attempt, Checker, Limits, MachineInfo, Rule, UserResponse};
 use super::starvation::WaitingJobs;
-use super::world::{MachineKind, RealJob, WorkerTimes, World};
+use super::world::{MachineKind, SimulatedJob, WorkerTimes, World};
 use chalklug::protocol::users::parse_submission;
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
@@ -11,26 +11,26 @@
 const LEASE: Duration = Duration::from_secs(5);
 
 /// A checker with a machine in each of the zones a and b, and a job with these further fields.
-fn checker(further: Value) -> (Checker, Instant) {
+fn checker(extra_fields: Value) -> (Checker, Instant) {
     let now = Instant::now();
     let limits = Limits {
-        cancel: Duration::from_secs(10),
+        cancel_timeout: Duration::from_secs(10),
         max_gpus: BTreeMap::from([("blue".to_owned(), 2.0)]),
     };
     let mut checker = Checker::new(limits, now);
     for (machine, zone) in [("m-a", "a"), ("m-b", "b"), ("m-b2", "b")] {
-        let facts = MachineFacts {
+        let info = MachineInfo {
             machine_type: "box".into(),
             zone: zone.into(),
             spot: zone == "b",
             lease_until: now + LEASE,
         };
-        checker.machine_up(machine, facts);
+        checker.machine_up(machine, info);
     }
     let mut spec = json!({"ref": "wk-1", "jobclass": "c", "crew": "blue", "shape": "array", "urgency": "normal",
         "pieces": 3, "cpus": 1, "gpus": 1, "ramGb": 1, "bundle": "i", "pullGb": 1, "together": false,
         "scatter": false, "loaners": true, "guessS": 5, "markEveryS": 0, "markCostS": 0});
-    for (field, value) in further.as_object().expect("fields") {
+    for (field, value) in extra_fields.as_object().expect("fields") {
         spec[field] = value.clone();
     }
     let submission = parse_submission(spec.to_string().as_bytes()).expect("a job");
@@ -47,11 +47,11 @@
     }
 }
 
-fn told(now: Instant, after_ms: u64, status: u16, phase: &str) -> Told<'_> {
-    let asked_at = now + Duration::from_millis(after_ms);
-    Told {
-        asked_at,
-        told_at: asked_at + Duration::from_millis(1),
+fn response(now: Instant, after_ms: u64, status: u16, phase: &str) -> UserResponse<'_> {
+    let sent_at = now + Duration::from_millis(after_ms);
+    UserResponse {
+        sent_at,
+        received_at: sent_at + Duration::from_millis(1),
         status,
         phase,
     }
@@ -97,12 +97,12 @@
         (json!({"together": true}), vec!["m-a", "m-b"]),
         (json!({"scatter": true, "pieces": 2}), vec!["m-b", "m-b2"]),
     ];
-    for (further, machines) in cases {
-        let (mut checker, now) = checker(further.clone());
+    for (extra_fields, machines) in cases {
+        let (mut checker, now) = checker(extra_fields.clone());
         for (index, machine) in machines.iter().enumerate() {
             checker.task_started(now, &attempt(index as u32, machine));
         }
-        assert_eq!(rules(&checker), [Rule::WrongPlace], "{further}");
+        assert_eq!(rules(&checker), [Rule::WrongPlace], "{extra_fields}");
     }
 }
 
@@ -110,14 +110,14 @@
 fn checker_sees_a_cancelled_job_running() {
     let (mut checker, now) = checker(json!({}));
     checker.task_started(now, &attempt(0, "m-a"));
-    checker.cancel_asked("wk-1");
-    checker.told("wk-1", told(now, 0, 200, "aborted"));
+    checker.cancel_requested("wk-1");
+    checker.check_response("wk-1", response(now, 0, 200, "aborted"));
     let late = now + Duration::from_secs(12);
     checker.lease_renewed("m-a", late);
-    checker.look_at_cancelled(now + Duration::from_secs(9));
+    checker.check_cancelled_jobs(now + Duration::from_secs(9));
     assert_eq!(rules(&checker), []);
-    checker.look_at_cancelled(late);
-    checker.look_at_cancelled(late);
+    checker.check_cancelled_jobs(late);
+    checker.check_cancelled_jobs(late);
     assert_eq!(rules(&checker), [Rule::RanCancelled]);
 }
 
@@ -134,10 +134,10 @@
     for (number, (answers, rule)) in cases.into_iter().enumerate() {
         let (mut checker, now) = checker(json!({}));
         if number > 3 {
-            checker.cancel_asked("wk-1");
+            checker.cancel_requested("wk-1");
         }
         for (n, (status, phase)) in answers.iter().enumerate() {
-            checker.told("wk-1", told(now, 100 * n as u64, *status, phase));
+            checker.check_response("wk-1", response(now, 100 * n as u64, *status, phase));
         }
         assert_eq!(rules(&checker), [rule], "{answers:?}");
     }
@@ -146,15 +146,15 @@
 #[test]
 fn checker_sees_an_invented_job() {
     let (mut checker, now) = checker(json!({}));
-    checker.told("wk-2", told(now, 0, 200, "queued"));
+    checker.check_response("wk-2", response(now, 0, 200, "queued"));
     assert_eq!(rules(&checker), [Rule::Invented]);
 }
 
 #[test]
 fn checker_sees_jobs_left_waiting_and_that_nothing_ran() {
     let (mut checker, now) = checker(json!({}));
-    checker.told("wk-1", told(now, 0, 201, "queued"));
-    checker.at_end(now);
+    checker.check_response("wk-1", response(now, 0, 201, "queued"));
+    checker.check_at_end(now);
     assert_eq!(rules(&checker), [Rule::NothingRan, Rule::LeftWaiting]);
 }
 
@@ -164,8 +164,8 @@
     let (checker, now) = checker(json!({}));
     let times = WorkerTimes {
         lease: LEASE,
-        gang_wait: LEASE,
-        gang_peer: LEASE,
+        gang_wait_timeout: LEASE,
+        gang_peer_timeout: LEASE,
     };
     let mut world = World::new(times, checker);
     let kind = MachineKind {
@@ -178,21 +178,26 @@
     };
     world.machine_up(now, "m-a", kind, String::new());
     let spec = world.checker.spec("wk-1").expect("the job").clone();
-    let job = RealJob {
+    let job = SimulatedJob {
         spec,
-        run: LEASE,
-        fetch: LEASE,
+        run_time: LEASE,
+        fetch_time: LEASE,
     };
     world.submit(job);
-    world.checker.told("wk-1", told(now, 0, 201, "queued"));
+    world
+        .checker
+        .check_response("wk-1", response(now, 0, 201, "queued"));
     let mut waiting = WaitingJobs::default();
-    assert!(waiting.look(now, &world).is_empty());
+    assert!(waiting.find_starved(now, &world).is_empty());
     let later = now + Duration::from_secs(19);
-    assert_eq!(waiting.look(later, &world), ["wk-1"]);
-    assert!(waiting.look(later, &world).is_empty(), "each once");
+    assert_eq!(waiting.find_starved(later, &world), ["wk-1"]);
+    assert!(waiting.find_starved(later, &world).is_empty(), "each once");
     let too_large = world.jobs.get_mut("wk-1").expect("the job");
     too_large.spec.gpus = 3.0;
     let mut waiting = WaitingJobs::default();
-    waiting.look(now, &world);
-    assert!(waiting.look(later, &world).is_empty(), "above the limit");
+    waiting.find_starved(now, &world);
+    assert!(
+        waiting.find_starved(later, &world).is_empty(),
+        "above the limit"
+    );
 }
--- a/tests/soak/cloud.rs
+++ b/tests/soak/cloud.rs
@@ -2,7 +2,7 @@
 
 use super::cluster::Shared;
 use super::faults::Link;
-use super::http::{serve, StandInRequest, StandInResponse};
+use super::http::{serve, HttpRequest, HttpResponse};
 use super::links::{no_response, Delivery};
 use super::store_data::query;
 use super::worker;
@@ -21,7 +21,7 @@
 const LIST_LAG: Duration = Duration::from_millis(800);
 const BOOT_MS: std::ops::Range<u64> = 200..2_500;
 /// A rented machine that never comes up.
-const NEVER_UP_SHARE: f64 = 0.03;
+const BOOT_FAILURE_SHARE: f64 = 0.03;
 
 /// A machine type as the cloud offers it.
 struct Offer {
@@ -61,7 +61,7 @@
 #[derive(Default)]
 struct Data {
     rentals: BTreeMap<String, Rental>,
-    answers: BTreeMap<String, Vec<String>>,
+    responses: BTreeMap<String, Vec<String>>,
     last_number: u32,
     refuses_until: Option<Instant>,
 }
@@ -97,24 +97,24 @@
     }
 
     /// Refuses everything for that long.
-    pub fn refuse(&self, lasts: Duration) {
-        self.lock().refuses_until = Some(Instant::now() + lasts);
+    pub fn refuse(&self, duration: Duration) {
+        self.lock().refuses_until = Some(Instant::now() + duration);
     }
 
     /// Refuses nothing any more.
-    pub fn mend(&self) {
+    pub fn clear_faults(&self) {
         self.lock().refuses_until = None;
     }
 
     /// Takes a machine back without notice.
     pub fn reclaim(&self, id: &str) {
         self.lock().rentals.remove(id);
-        self.shared.world().machine_gone(id);
+        self.shared.world().machine_removed(id);
     }
 
-    async fn handle(&self, controller: usize, request: StandInRequest) -> StandInResponse {
+    async fn handle(&self, controller: usize, request: HttpRequest) -> HttpResponse {
         let link = Link::Cloud(controller);
-        if self.shared.links.request(link).await == Delivery::Lost {
+        if self.shared.links.deliver_request(link).await == Delivery::Lost {
             no_response().await;
         }
         let is_refusing = self
@@ -124,34 +124,34 @@
         let response = if is_refusing {
             (503, json!({"error": "trouble"}))
         } else {
-            self.carry_out(&request)
+            self.execute(&request)
         };
-        if self.shared.links.response(link) == Delivery::Lost {
+        if self.shared.links.deliver_response(link) == Delivery::Lost {
             no_response().await;
         }
         response
     }
 
-    fn carry_out(&self, request: &StandInRequest) -> StandInResponse {
+    fn execute(&self, request: &HttpRequest) -> HttpResponse {
         match (request.method.as_str(), request.path.as_str()) {
             (_, "/machine_types") => (200, machine_types()),
             ("POST", "/rentals") => self.rent(&request.body),
-            ("POST", "/rentals/return") => self.take_back(&request.body),
+            ("POST", "/rentals/return") => self.terminate(&request.body),
             _ => self.list(&request.path),
         }
     }
 
-    fn rent(&self, body: &Value) -> StandInResponse {
+    fn rent(&self, body: &Value) -> HttpResponse {
         let mut data = self.lock();
         let key = body["hire"].as_str().expect("a key").to_owned();
-        if let Some(hosts) = data.answers.get(&key) {
+        if let Some(hosts) = data.responses.get(&key) {
             return (200, json!({"hosts": hosts}));
         }
-        let Some(kind) = kind(body) else {
+        let Some(kind) = requested_kind(body) else {
             return (400, json!({}));
         };
-        let room = self.max_machines.saturating_sub(data.rentals.len());
-        let count = room.min(body["number"].as_u64().unwrap_or(0) as usize);
+        let free = self.max_machines.saturating_sub(data.rentals.len());
+        let count = free.min(body["number"].as_u64().unwrap_or(0) as usize);
         if count == 0 {
             return (503, json!({"error": "no capacity"}));
         }
@@ -165,7 +165,7 @@
                 id
             })
             .collect();
-        data.answers.insert(key, hosts.clone());
+        data.responses.insert(key, hosts.clone());
         drop(data);
         for id in &hosts {
             self.boot(id.clone(), kind.clone());
@@ -174,7 +174,7 @@
     }
 
     fn boot(&self, id: String, kind: MachineKind) {
-        if rand::rng().random_bool(NEVER_UP_SHARE) {
+        if rand::rng().random_bool(BOOT_FAILURE_SHARE) {
             return;
         }
         let shared = self.shared.clone();
@@ -187,14 +187,14 @@
         });
     }
 
-    fn take_back(&self, body: &Value) -> StandInResponse {
+    fn terminate(&self, body: &Value) -> HttpResponse {
         for host in body["hosts"].as_array().into_iter().flatten() {
             self.reclaim(host.as_str().unwrap_or_default());
         }
         (200, json!({}))
     }
 
-    fn list(&self, path: &str) -> StandInResponse {
+    fn list(&self, path: &str) -> HttpResponse {
         let since = query(path, "since").unwrap_or_default();
         let most = query(path, "most").and_then(|most| most.parse().ok());
         let most: usize = most.unwrap_or(500);
@@ -211,7 +211,7 @@
                 let machine = world.machines.get(id);
                 let endpoint = machine.map_or("", |machine| machine.endpoint.as_str());
                 let phase = machine.map_or("starting", |_| "running");
-                worker::listed(id, &rental.kind, endpoint, phase, age)
+                worker::list_entry(id, &rental.kind, endpoint, phase, age)
             })
             .collect();
         let has_next = hosts.len() > most;
@@ -226,7 +226,7 @@
 }
 
 /// The kind of machine that a request asks for, if it is offered.
-fn kind(body: &Value) -> Option<MachineKind> {
+fn requested_kind(body: &Value) -> Option<MachineKind> {
     let name = body["rig"].as_str()?;
     let zone = body["site"].as_str()?;
     let offer = OFFERS.iter().find(|offer| offer.name == name)?;
--- a/tests/soak/cluster.rs
+++ b/tests/soak/cluster.rs
@@ -22,19 +22,19 @@
 /// How many controllers there are.
 pub const CONTROLLERS: usize = 3;
 const LEASE: Duration = Duration::from_secs(5);
-const GANG_WAIT: Duration = Duration::from_secs(6);
-const GANG_PEER: Duration = Duration::from_secs(2);
+const GANG_WAIT_TIMEOUT: Duration = Duration::from_secs(6);
+const GANG_PEER_TIMEOUT: Duration = Duration::from_secs(2);
 /// Within this time of a confirmed cancellation no task of the job may run any more.
-pub const CANCEL: Duration = Duration::from_secs(15);
-const VALUE_KB: f64 = 1.0;
-/// Teams, their guaranteed GPUs and their limits, in a cluster of [`SMALL_CLUSTER`] machines.
+pub const CANCEL_TIMEOUT: Duration = Duration::from_secs(15);
+const MAX_VALUE_KB: f64 = 1.0;
+/// Teams, their guaranteed GPUs and their limits, in a cluster of [`SMALL_CLUSTER_MACHINES`] machines.
 const TEAMS: [(&str, f64, f64); 2] = [("blue", 12.0, 40.0), ("red", 8.0, 24.0)];
 /// Machines for which the teams' limits are meant; larger clusters have larger limits and jobs.
-const SMALL_CLUSTER: usize = 24;
+const SMALL_CLUSTER_MACHINES: usize = 24;
 
 /// How much larger a cluster of so many machines is than a small one.
-pub fn scale_of(machines: usize) -> u32 {
-    (machines / SMALL_CLUSTER).max(1) as u32
+pub fn scale_factor(machines: usize) -> u32 {
+    (machines / SMALL_CLUSTER_MACHINES).max(1) as u32
 }
 
 /// Teams, their guaranteed GPUs and their limits.
@@ -46,20 +46,20 @@
 
 /// A share of messages that is treated in some way until a moment.
 #[derive(Clone, Copy)]
-struct ShareUntil {
+struct MessageFault {
     share: f64,
     until: Instant,
 }
 
 #[derive(Default)]
 struct MessageFaults {
-    duplicate_heartbeats: Option<ShareUntil>,
-    late_pushes: Option<ShareUntil>,
+    duplicate_heartbeats: Option<MessageFault>,
+    late_pushes: Option<MessageFault>,
 }
 
 /// What the parties of a run share.
 pub struct Shared {
-    pub fronts: Vec<String>,
+    pub http_addrs: Vec<String>,
     pub links: Arc<Links>,
     pub client: HttpClient,
     world: Mutex<World>,
@@ -79,13 +79,13 @@
     }
 
     /// The controller of that name.
-    pub fn number_of(&self, name: &str) -> Option<usize> {
+    pub fn controller_number(&self, name: &str) -> Option<usize> {
         let number: usize = name.strip_prefix('n')?.parse().ok()?;
-        (number < self.fronts.len()).then_some(number)
+        (number < self.http_addrs.len()).then_some(number)
     }
 
     /// A controller has answered a worker with 200.
-    pub fn note_leader(&self, controller: usize) {
+    pub fn record_leader(&self, controller: usize) {
         self.leader.store(controller, Ordering::Relaxed);
     }
 
@@ -102,32 +102,32 @@
         self.message_faults.lock().expect("message faults")
     }
 
-    pub fn duplicate_heartbeats(&self, share: f64, lasts: Duration) {
-        let until = Instant::now() + lasts;
-        self.message_faults().duplicate_heartbeats = Some(ShareUntil { share, until });
+    pub fn duplicate_heartbeats(&self, share: f64, duration: Duration) {
+        let until = Instant::now() + duration;
+        self.message_faults().duplicate_heartbeats = Some(MessageFault { share, until });
     }
 
-    pub fn delay_pushes(&self, share: f64, lasts: Duration) {
-        let until = Instant::now() + lasts;
-        self.message_faults().late_pushes = Some(ShareUntil { share, until });
+    pub fn delay_pushes(&self, share: f64, duration: Duration) {
+        let until = Instant::now() + duration;
+        self.message_faults().late_pushes = Some(MessageFault { share, until });
     }
 
-    pub fn mend_messages(&self) {
+    pub fn clear_message_faults(&self) {
         *self.message_faults() = MessageFaults::default();
     }
 
     /// Whether the heartbeat that is being sent is duplicated.
-    pub fn strikes_heartbeat(&self) -> bool {
-        strikes(self.message_faults().duplicate_heartbeats)
+    pub fn should_duplicate_heartbeat(&self) -> bool {
+        applies(self.message_faults().duplicate_heartbeats)
     }
 
     /// Whether the push that arrives is held up.
-    pub fn strikes_push(&self) -> bool {
-        strikes(self.message_faults().late_pushes)
+    pub fn should_delay_push(&self) -> bool {
+        applies(self.message_faults().late_pushes)
     }
 }
 
-fn strikes(fault: Option<ShareUntil>) -> bool {
+fn applies(fault: Option<MessageFault>) -> bool {
     fault.is_some_and(|f| Instant::now() < f.until && rand::rng().random_bool(f.share))
 }
 
@@ -144,31 +144,31 @@
     pub async fn start(directory: &Path, max_machines: usize) -> Cluster {
         let ports = free_ports(2 * CONTROLLERS);
         let addr = |port: &u16| format!("127.0.0.1:{port}");
-        let (front_ports, peer_ports) = ports.split_at(CONTROLLERS);
-        let fronts: Vec<String> = front_ports.iter().map(addr).collect();
-        let peer_binds: Vec<String> = peer_ports.iter().map(addr).collect();
-        let teams = teams(scale_of(max_machines));
-        let shared = Arc::new(new_shared(fronts.clone(), &teams));
+        let (http_ports, peer_ports) = ports.split_at(CONTROLLERS);
+        let http_addrs: Vec<String> = http_ports.iter().map(addr).collect();
+        let peer_listen_addrs: Vec<String> = peer_ports.iter().map(addr).collect();
+        let teams = teams(scale_factor(max_machines));
+        let shared = Arc::new(new_shared(http_addrs.clone(), &teams));
         let store = StateStore::new(CONTROLLERS, shared.links.clone());
         let cloud = Cloud::new(shared.clone(), max_machines);
         let _ = shared.cloud.set(cloud.clone());
         let mut settings = Settings {
-            fronts,
-            peer_addrs: peer_proxies(&shared.links, &peer_binds).await,
-            peer_binds,
-            stores: Vec::new(),
-            clouds: Vec::new(),
+            http_addrs,
+            peer_addrs: peer_proxies(&shared.links, &peer_listen_addrs).await,
+            peer_listen_addrs,
+            store_addrs: Vec::new(),
+            cloud_addrs: Vec::new(),
             teams,
-            heartbeat: HEARTBEAT_INTERVAL,
+            heartbeat_interval: HEARTBEAT_INTERVAL,
             lease: LEASE,
-            gang_wait: GANG_WAIT,
-            gang_peer: GANG_PEER,
-            cancel: CANCEL,
-            value_kb: VALUE_KB,
+            gang_wait_timeout: GANG_WAIT_TIMEOUT,
+            gang_peer_timeout: GANG_PEER_TIMEOUT,
+            cancel_timeout: CANCEL_TIMEOUT,
+            max_value_kb: MAX_VALUE_KB,
         };
         for number in 0..CONTROLLERS {
-            settings.stores.push(store.port_for(number).await);
-            settings.clouds.push(cloud.port_for(number).await);
+            settings.store_addrs.push(store.port_for(number).await);
+            settings.cloud_addrs.push(cloud.port_for(number).await);
         }
         Cluster {
             controllers: Controllers::start(directory, &settings),
@@ -179,21 +179,21 @@
     }
 }
 
-fn new_shared(fronts: Vec<String>, teams: &[(&str, f64, f64)]) -> Shared {
+fn new_shared(http_addrs: Vec<String>, teams: &[(&str, f64, f64)]) -> Shared {
     let max_gpus = teams
         .iter()
         .map(|(name, _, max)| ((*name).to_owned(), *max));
     let limits = Limits {
-        cancel: CANCEL,
+        cancel_timeout: CANCEL_TIMEOUT,
         max_gpus: max_gpus.collect(),
     };
     let times = WorkerTimes {
         lease: LEASE,
-        gang_wait: GANG_WAIT,
-        gang_peer: GANG_PEER,
+        gang_wait_timeout: GANG_WAIT_TIMEOUT,
+        gang_peer_timeout: GANG_PEER_TIMEOUT,
     };
     Shared {
-        fronts,
+        http_addrs,
         links: Arc::new(Links::default()),
         client: HttpClient::new(),
         world: Mutex::new(World::new(times, Checker::new(limits, Instant::now()))),
@@ -206,13 +206,13 @@
 /// A proxy for each pair of controllers, in each direction.
 async fn peer_proxies(
     links: &Arc<Links>,
-    peer_binds: &[String],
+    peer_listen_addrs: &[String],
 ) -> BTreeMap<(usize, usize), std::net::SocketAddr> {
     let mut proxies = BTreeMap::new();
     for from in 0..CONTROLLERS {
         for to in (0..CONTROLLERS).filter(|to| *to != from) {
             let link = Link::Peers(from, to);
-            let target = peer_binds[to].clone();
+            let target = peer_listen_addrs[to].clone();
             let addr = peer_proxy::start(links.clone(), link, target).await;
             proxies.insert((from, to), addr);
         }
--- a/tests/soak/controllers.rs
+++ b/tests/soak/controllers.rs
@@ -53,7 +53,7 @@
     }
 
     /// Whether it has ended by itself.
-    fn has_ended(&mut self) -> bool {
+    fn has_exited(&mut self) -> bool {
         let status = self.child.as_mut().map(Child::try_wait);
         matches!(status, Some(Ok(Some(_))))
     }
@@ -66,14 +66,15 @@
 }
 
 /// The leader's lease is short, as everything here is.
-const OPERATOR: &str = r#"{"leader_life_ms": 3000}"#;
+const OPERATOR_CONFIG: &str = r#"{"leader_life_ms": 3000}"#;
 
 impl Controllers {
     /// Writes the settings and starts every process.
     pub fn start(directory: &Path, settings: &Settings) -> Controllers {
         std::fs::create_dir_all(directory).expect("a directory");
-        std::fs::write(directory.join("operator.json"), OPERATOR).expect("the operator's file");
-        let numbers = 0..settings.fronts.len();
+        std::fs::write(directory.join("operator.json"), OPERATOR_CONFIG)
+            .expect("the operator's file");
+        let numbers = 0..settings.http_addrs.len();
         let controllers = numbers.map(|number| {
             let config = directory.join(format!("n{number}.toml"));
             std::fs::write(&config, settings.text(number, LIST_LAG_SECS)).expect("settings");
@@ -95,7 +96,7 @@
         self.controllers[number].kill();
     }
 
-    pub fn start_again(&mut self, number: usize) {
+    pub fn restart(&mut self, number: usize) {
         self.controllers[number].start();
     }
 
@@ -116,10 +117,10 @@
     }
 
     /// Controllers that have ended by themselves: none should.
-    pub fn ended(&mut self) -> Vec<usize> {
+    pub fn exited(&mut self) -> Vec<usize> {
         let controllers = self.controllers.iter_mut().enumerate();
-        let ended = controllers.filter_map(|(number, c)| c.has_ended().then_some(number));
-        ended.collect()
+        let exited = controllers.filter_map(|(number, c)| c.has_exited().then_some(number));
+        exited.collect()
     }
 
     /// Where settings and logs are.
--- a/tests/soak/faults.rs
+++ b/tests/soak/faults.rs
@@ -50,34 +50,34 @@
     /// Controllers are killed, and started again after that time.
     Kill {
         target: Target,
-        back_after: Duration,
+        restart_after: Duration,
     },
     /// The leader is killed so many times, again as soon as there is another.
     KillLeadersInSeries { times: u32 },
     /// Controllers stand still while their clocks run on.
-    Pause { target: Target, lasts: Duration },
+    Pause { target: Target, duration: Duration },
     /// Links of a controller, of a zone or of both are faulty.
     Links {
         links: Vec<Link>,
         fault: LinkFault,
-        lasts: Duration,
+        duration: Duration,
     },
     /// The state store refuses controllers.
-    RefuseState { target: Target, lasts: Duration },
+    RefuseState { target: Target, duration: Duration },
     /// That share of transactions is carried out late, without a response.
-    LateTransactions { share: f64, lasts: Duration },
+    LateTransactions { share: f64, duration: Duration },
     /// That share of transactions is carried out at once, without a response.
-    LostTransactionResponses { share: f64, lasts: Duration },
+    LostTransactionResponses { share: f64, duration: Duration },
     /// Of that share of heartbeats a copy arrives again, at any controller.
-    DuplicateHeartbeats { share: f64, lasts: Duration },
+    DuplicateHeartbeats { share: f64, duration: Duration },
     /// That share of pushes is carried out late, without a response.
-    LatePushes { share: f64, lasts: Duration },
+    LatePushes { share: f64, duration: Duration },
     /// So many machines hang and then go on.
-    Hang { machines: usize, lasts: Duration },
+    Hang { machines: usize, duration: Duration },
     /// So many machines are gone at once.
     Reclaim { machines: usize },
     /// The cloud refuses everything.
-    RefuseCloud { lasts: Duration },
+    RefuseCloud { duration: Duration },
     /// Users cancel so many jobs at once.
     CancelMany { jobs: usize },
 }
@@ -107,42 +107,42 @@
 }
 
 fn draw_fault(rng: &mut StdRng, controllers: usize) -> Fault {
-    let lasts = Duration::from_millis(rng.random_range(500..9_000));
+    let duration = Duration::from_millis(rng.random_range(500..9_000));
     let share = rng.random_range(0.1..0.5);
     match rng.random_range(0..16) {
         0 | 1 => Fault::Kill {
             target: draw_target(rng, controllers),
-            back_after: Duration::from_millis(rng.random_range(50..3_000)),
+            restart_after: Duration::from_millis(rng.random_range(50..3_000)),
         },
         2 => Fault::KillLeadersInSeries {
             times: rng.random_range(2..11),
         },
         3 => Fault::Pause {
             target: draw_target(rng, controllers),
-            lasts: Duration::from_millis(rng.random_range(300..7_000)),
+            duration: Duration::from_millis(rng.random_range(300..7_000)),
         },
         4..=7 => Fault::Links {
             links: draw_links(rng, controllers),
             fault: draw_link_fault(rng),
-            lasts,
+            duration,
         },
         8 => Fault::RefuseState {
             target: draw_target(rng, controllers),
-            lasts,
+            duration,
         },
-        9 => Fault::LateTransactions { share, lasts },
-        10 => Fault::LostTransactionResponses { share, lasts },
-        11 => Fault::DuplicateHeartbeats { share, lasts },
-        12 => Fault::LatePushes { share, lasts },
+        9 => Fault::LateTransactions { share, duration },
+        10 => Fault::LostTransactionResponses { share, duration },
+        11 => Fault::DuplicateHeartbeats { share, duration },
+        12 => Fault::LatePushes { share, duration },
         13 => Fault::Hang {
             machines: rng.random_range(1..5),
-            lasts,
+            duration,
         },
         14 => match rng.random_bool(0.5) {
             true => Fault::Reclaim {
                 machines: rng.random_range(1..4),
             },
-            false => Fault::RefuseCloud { lasts },
+            false => Fault::RefuseCloud { duration },
         },
         _ => Fault::CancelMany {
             jobs: rng.random_range(2..9),
--- a/tests/soak/http.rs
+++ b/tests/soak/http.rs
@@ -17,7 +17,7 @@
 use tokio::net::TcpListener;
 
 /// A request as a stand-in sees it.
-pub struct StandInRequest {
+pub struct HttpRequest {
     pub method: String,
     /// Path and query.
     pub path: String,
@@ -25,13 +25,13 @@
 }
 
 /// A status and a body.
-pub type StandInResponse = (u16, Value);
+pub type HttpResponse = (u16, Value);
 
 /// Serves on a port of loopback until the runtime ends.
 pub async fn serve<H, F>(handler: H) -> SocketAddr
 where
-    H: Fn(StandInRequest) -> F + Send + Sync + 'static,
-    F: Future<Output = StandInResponse> + Send + 'static,
+    H: Fn(HttpRequest) -> F + Send + Sync + 'static,
+    F: Future<Output = HttpResponse> + Send + 'static,
 {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let addr = listener.local_addr().expect("an address");
@@ -56,8 +56,8 @@
     request: Request<Incoming>,
 ) -> Result<Response<Full<Bytes>>, Infallible>
 where
-    H: Fn(StandInRequest) -> F,
-    F: Future<Output = StandInResponse>,
+    H: Fn(HttpRequest) -> F,
+    F: Future<Output = HttpResponse>,
 {
     let method = request.method().to_string();
     let path = request.uri().to_string();
@@ -65,7 +65,7 @@
         Ok(body) => serde_json::from_slice(&body.to_bytes()).unwrap_or(Value::Null),
         Err(_) => Value::Null,
     };
-    let request = StandInRequest { method, path, body };
+    let request = HttpRequest { method, path, body };
     let (status, body) = handler(request).await;
     let mut response = Response::new(Full::new(Bytes::from(body.to_string())));
     *response.status_mut() = StatusCode::from_u16(status).expect("a status");
@@ -89,7 +89,7 @@
         path: &str,
         body: String,
         timeout: Duration,
-    ) -> Option<StandInResponse> {
+    ) -> Option<HttpResponse> {
         let request = Request::builder()
             .method(method)
             .uri(format!("http://{addr}{path}"))
--- a/tests/soak/links.rs
+++ b/tests/soak/links.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 /// Longer than anybody waits for a response.
-const FOREVER: Duration = Duration::from_secs(120);
+const NO_RESPONSE_DURATION: Duration = Duration::from_secs(120);
 
 /// What becomes of a message.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -31,8 +31,8 @@
 
 impl Links {
     /// The links are faulty from now on, for that long.
-    pub fn break_links(&self, links: &[Link], fault: LinkFault, lasts: Duration) {
-        let until = Instant::now() + lasts;
+    pub fn break_links(&self, links: &[Link], fault: LinkFault, duration: Duration) {
+        let until = Instant::now() + duration;
         let mut faults = self.faults.lock().expect("links");
         for link in links {
             faults.insert(*link, ActiveFault { fault, until });
@@ -40,7 +40,7 @@
     }
 
     /// All links work again.
-    pub fn mend_all(&self) {
+    pub fn clear_faults(&self) {
         self.faults.lock().expect("links").clear();
     }
 
@@ -53,7 +53,7 @@
     }
 
     /// Waits for as long as a request is on its way.
-    pub async fn request(&self, link: Link) -> Delivery {
+    pub async fn deliver_request(&self, link: Link) -> Delivery {
         let Some(active) = self.active(link) else {
             return Delivery::Arrives;
         };
@@ -67,7 +67,7 @@
     }
 
     /// What becomes of a response.
-    pub fn response(&self, link: Link) -> Delivery {
+    pub fn deliver_response(&self, link: Link) -> Delivery {
         match self.active(link) {
             Some(active) if active.fault == LinkFault::DropResponses => Delivery::Lost,
             _ => Delivery::Arrives,
@@ -77,5 +77,5 @@
 
 /// Never answers.
 pub async fn no_response() {
-    tokio::time::sleep(FOREVER).await;
+    tokio::time::sleep(NO_RESPONSE_DURATION).await;
 }
--- a/tests/soak/main.rs
+++ b/tests/soak/main.rs
@@ -36,12 +36,12 @@
         seed,
         faults,
         starts,
-        answers,
+        responses,
         accepted,
         ..
     } = verdict;
     println!(
-        "seed {seed}: {faults} faults, {accepted} jobs, {starts} starts, {answers} answers, broken: {:?}",
+        "seed {seed}: {faults} faults, {accepted} jobs, {starts} starts, {responses} responses, broken: {:?}",
         verdict.rules()
     );
     if !verdict.has_failed() {
@@ -53,7 +53,7 @@
             violation.at, violation.rule, violation.details
         );
     }
-    println!("  ended by themselves: {:?}", verdict.ended_by_themselves);
+    println!("  ended by themselves: {:?}", verdict.unexpected_exits);
     for planned in &verdict.schedule {
         println!("  {:?} {:?}", planned.at, planned.fault);
     }
@@ -78,12 +78,12 @@
 fn no_rule_is_broken_under_random_faults() {
     let options = Options::read(|name| std::env::var(name).ok());
     let options = options.unwrap_or_else(|error| panic!("{error}"));
-    let waiting = Mutex::new(options.seed_range());
+    let seeds = Mutex::new(options.seed_range());
     let verdicts = Mutex::new(Vec::new());
     std::thread::scope(|scope| {
         for _ in 0..options.parallel {
             scope.spawn(|| loop {
-                let Some(seed) = waiting.lock().expect("seeds").next() else {
+                let Some(seed) = seeds.lock().expect("seeds").next() else {
                     return;
                 };
                 let verdict = run::run(seed, &options);
--- a/tests/soak/peer_proxy.rs
+++ b/tests/soak/peer_proxy.rs
@@ -62,8 +62,8 @@
             return;
         }
         let delivery = match direction {
-            Direction::Requests => links.request(link).await,
-            Direction::Responses => links.response(link),
+            Direction::Requests => links.deliver_request(link).await,
+            Direction::Responses => links.deliver_response(link),
         };
         if delivery == Delivery::Lost || to.write_all(&buffer[..count]).await.is_err() {
             return;
--- a/tests/soak/run.rs
+++ b/tests/soak/run.rs
@@ -1,11 +1,11 @@
 //! One run: a cluster, users, the faults of a seed, then quiet, and a verdict.
 
 use super::checker::{Rule, Violation};
-use super::cluster::{scale_of, Cluster, Shared, CONTROLLERS};
+use super::cluster::{scale_factor, Cluster, Shared, CONTROLLERS};
 use super::faults::{draw, Fault, PlannedFault, Target};
 use super::options::Options;
 use super::starvation::WaitingJobs;
-use super::users::{ask, cancel, User, USERS};
+use super::users::{cancel, query_status, User, USERS};
 use rand::seq::IteratorRandom;
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -13,21 +13,21 @@
 use std::time::{Duration, Instant};
 
 /// How often tasks, leases and the rules are looked at.
-const TICK: Duration = Duration::from_millis(25);
+const POLL_INTERVAL: Duration = Duration::from_millis(25);
 /// After the troubles everything has this long to end: what teams at their limits have left takes a while. Whether
 /// any job waits though it could start is looked at all along.
-const QUIET: Duration = Duration::from_secs(120);
+const JOBS_END_TIMEOUT: Duration = Duration::from_secs(120);
 /// The gap between the kills of a series.
-const SERIES_GAP: Duration = Duration::from_millis(1_500);
+const LEADER_KILL_INTERVAL: Duration = Duration::from_millis(1_500);
 
 /// What became of a run.
 pub struct Verdict {
     pub seed: u64,
     pub faults: usize,
     pub starts: u64,
-    pub answers: u64,
+    pub responses: u64,
     pub accepted: usize,
-    pub ended_by_themselves: Vec<usize>,
+    pub unexpected_exits: Vec<usize>,
     pub violations: Vec<Violation>,
     pub schedule: Vec<PlannedFault>,
     pub directory: PathBuf,
@@ -35,7 +35,7 @@
 
 impl Verdict {
     pub fn has_failed(&self) -> bool {
-        !self.violations.is_empty() || !self.ended_by_themselves.is_empty()
+        !self.violations.is_empty() || !self.unexpected_exits.is_empty()
     }
 
     /// The rules that were broken, each once.
@@ -54,12 +54,12 @@
         .enable_all()
         .build()
         .expect("a runtime");
-    let verdict = runtime.block_on(play(seed, options));
+    let verdict = runtime.block_on(run_seed(seed, options));
     runtime.shutdown_background();
     verdict
 }
 
-async fn play(seed: u64, options: &Options) -> Verdict {
+async fn run_seed(seed: u64, options: &Options) -> Verdict {
     let name = format!("chalklug-soak-{}-{seed}", std::process::id());
     let directory = std::env::temp_dir().join(name);
     let mut cluster = Cluster::start(&directory, options.machines).await;
@@ -68,46 +68,46 @@
     let stop = Arc::new(AtomicBool::new(false));
     let users: Vec<_> = (0..USERS)
         .map(|number| {
-            let scale = scale_of(options.machines);
+            let scale = scale_factor(options.machines);
             let user = User::new(cluster.shared.clone(), seed, number, scale);
             tokio::spawn(user.run(stop.clone()))
         })
         .collect();
-    let mut ended = strike(&mut cluster, &schedule, options.faults_for).await;
+    let mut exited = inject_faults(&mut cluster, &schedule, options.faults_for).await;
     stop.store(true, Ordering::Relaxed);
     for user in users {
         user.await.expect("no user panics");
     }
-    restore(&mut cluster);
-    wait_for_the_end(&cluster.shared).await;
-    ended.extend(cluster.controllers.ended());
+    end_faults(&mut cluster);
+    wait_for_jobs_to_end(&cluster.shared).await;
+    exited.extend(cluster.controllers.exited());
     ticker.abort();
-    verdict(seed, cluster, schedule, ended)
+    verdict(seed, cluster, schedule, exited)
 }
 
 async fn advance(shared: Arc<Shared>) {
     loop {
         shared.world().advance(Instant::now());
-        tokio::time::sleep(TICK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
 /// Lets the faults happen. Returns the controllers that ended by themselves.
-async fn strike(
+async fn inject_faults(
     cluster: &mut Cluster,
     schedule: &[PlannedFault],
     faults_for: Duration,
 ) -> Vec<usize> {
-    let began_at = Instant::now();
+    let started_at = Instant::now();
     let mut recoveries = Vec::new();
-    let mut ended = Vec::new();
+    let mut exited = Vec::new();
     for planned in schedule {
-        wait_until(cluster, began_at + planned.at, &mut recoveries).await;
-        ended.extend(cluster.controllers.ended());
-        strike_one(cluster, &planned.fault, &mut recoveries).await;
+        wait_until(cluster, started_at + planned.at, &mut recoveries).await;
+        exited.extend(cluster.controllers.exited());
+        inject_fault(cluster, &planned.fault, &mut recoveries).await;
     }
-    wait_until(cluster, began_at + faults_for, &mut recoveries).await;
-    ended
+    wait_until(cluster, started_at + faults_for, &mut recoveries).await;
+    exited
 }
 
 /// What is to be undone of a fault, and when.
@@ -133,15 +133,15 @@
         let due: Vec<Recovery> = due;
         for recovery in due {
             match recovery.action {
-                RecoveryAction::Start => cluster.controllers.start_again(recovery.controller),
+                RecoveryAction::Start => cluster.controllers.restart(recovery.controller),
                 RecoveryAction::Resume => cluster.controllers.resume(recovery.controller),
             }
         }
-        tokio::time::sleep(TICK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-fn targets(shared: &Shared, target: Target) -> Vec<usize> {
+fn target_controllers(shared: &Shared, target: Target) -> Vec<usize> {
     match target {
         Target::Leader => vec![shared.leader()],
         Target::Number(number) => vec![number],
@@ -149,26 +149,34 @@
     }
 }
 
-async fn strike_one(cluster: &mut Cluster, fault: &Fault, recoveries: &mut Vec<Recovery>) {
+async fn inject_fault(cluster: &mut Cluster, fault: &Fault, recoveries: &mut Vec<Recovery>) {
     let shared = cluster.shared.clone();
     let now = Instant::now();
     match fault {
-        Fault::Kill { target, back_after } => {
-            for controller in targets(&shared, *target) {
-                kill(cluster, controller, now + *back_after, recoveries);
+        Fault::Kill {
+            target,
+            restart_after,
+        } => {
+            for controller in target_controllers(&shared, *target) {
+                kill(cluster, controller, now + *restart_after, recoveries);
             }
         }
         Fault::KillLeadersInSeries { times } => {
             for _ in 0..*times {
                 let now = Instant::now();
-                kill(cluster, shared.leader(), now + SERIES_GAP / 3, recoveries);
-                wait_until(cluster, now + SERIES_GAP, recoveries).await;
+                kill(
+                    cluster,
+                    shared.leader(),
+                    now + LEADER_KILL_INTERVAL / 3,
+                    recoveries,
+                );
+                wait_until(cluster, now + LEADER_KILL_INTERVAL, recoveries).await;
             }
         }
-        Fault::Pause { target, lasts } => {
-            for controller in targets(&shared, *target) {
+        Fault::Pause { target, duration } => {
+            for controller in target_controllers(&shared, *target) {
                 cluster.controllers.pause(controller);
-                let at = now + *lasts;
+                let at = now + *duration;
                 let action = RecoveryAction::Resume;
                 recoveries.push(Recovery {
                     at,
@@ -180,30 +188,34 @@
         Fault::Links {
             links,
             fault,
-            lasts,
-        } => shared.links.break_links(links, *fault, *lasts),
-        Fault::RefuseState { target, lasts } => {
-            cluster.store.refuse(&targets(&shared, *target), *lasts);
+            duration,
+        } => shared.links.break_links(links, *fault, *duration),
+        Fault::RefuseState { target, duration } => {
+            cluster
+                .store
+                .refuse(&target_controllers(&shared, *target), *duration);
         }
-        Fault::LateTransactions { share, lasts } => {
-            cluster.store.delay_transactions(*share, *lasts);
+        Fault::LateTransactions { share, duration } => {
+            cluster.store.delay_transactions(*share, *duration);
         }
-        Fault::LostTransactionResponses { share, lasts } => {
-            cluster.store.lose_transaction_responses(*share, *lasts);
+        Fault::LostTransactionResponses { share, duration } => {
+            cluster.store.lose_transaction_responses(*share, *duration);
         }
-        Fault::DuplicateHeartbeats { share, lasts } => shared.duplicate_heartbeats(*share, *lasts),
-        Fault::LatePushes { share, lasts } => shared.delay_pushes(*share, *lasts),
-        Fault::Hang { machines, lasts } => {
-            for id in some_machines(&shared, *machines) {
-                shared.world().hang(now, &id, *lasts);
+        Fault::DuplicateHeartbeats { share, duration } => {
+            shared.duplicate_heartbeats(*share, *duration)
+        }
+        Fault::LatePushes { share, duration } => shared.delay_pushes(*share, *duration),
+        Fault::Hang { machines, duration } => {
+            for id in random_machines(&shared, *machines) {
+                shared.world().hang(now, &id, *duration);
             }
         }
         Fault::Reclaim { machines } => {
-            for id in some_machines(&shared, *machines) {
+            for id in random_machines(&shared, *machines) {
                 cluster.cloud.reclaim(&id);
             }
         }
-        Fault::RefuseCloud { lasts } => cluster.cloud.refuse(*lasts),
+        Fault::RefuseCloud { duration } => cluster.cloud.refuse(*duration),
         Fault::CancelMany { jobs } => cancel_many(&shared, *jobs),
     }
 }
@@ -211,18 +223,18 @@
 fn kill(
     cluster: &mut Cluster,
     controller: usize,
-    back_at: Instant,
+    restart_at: Instant,
     recoveries: &mut Vec<Recovery>,
 ) {
     cluster.controllers.kill(controller);
     recoveries.push(Recovery {
-        at: back_at,
+        at: restart_at,
         controller,
         action: RecoveryAction::Start,
     });
 }
 
-fn some_machines(shared: &Shared, count: usize) -> Vec<String> {
+fn random_machines(shared: &Shared, count: usize) -> Vec<String> {
     let world = shared.world();
     let ids = world.machines.keys().cloned();
     ids.choose_multiple(&mut rand::rng(), count)
@@ -230,8 +242,8 @@
 
 /// Users cancel jobs at the same moment, each at another controller.
 fn cancel_many(shared: &Arc<Shared>, count: usize) {
-    let unfinished = shared.world().checker.unfinished();
-    let chosen = unfinished
+    let unfinished_jobs = shared.world().checker.unfinished_jobs();
+    let chosen = unfinished_jobs
         .into_iter()
         .choose_multiple(&mut rand::rng(), count);
     for (number, id) in chosen.into_iter().enumerate() {
@@ -241,48 +253,48 @@
 }
 
 /// All troubles are over.
-fn restore(cluster: &mut Cluster) {
-    cluster.shared.links.mend_all();
-    cluster.shared.mend_messages();
-    cluster.store.mend();
-    cluster.cloud.mend();
+fn end_faults(cluster: &mut Cluster) {
+    cluster.shared.links.clear_faults();
+    cluster.shared.clear_message_faults();
+    cluster.store.clear_faults();
+    cluster.cloud.clear_faults();
     cluster.controllers.restore_all();
 }
 
 /// Waits until every accepted job is over, for a bounded time; services are cancelled. Then every controller is
 /// asked about every job.
-async fn wait_for_the_end(shared: &Shared) {
-    let end = Instant::now() + QUIET;
+async fn wait_for_jobs_to_end(shared: &Shared) {
+    let end = Instant::now() + JOBS_END_TIMEOUT;
     let mut waiting = WaitingJobs::default();
     while Instant::now() < end {
-        let unfinished = shared.world().checker.unfinished();
-        if unfinished.is_empty() {
+        let unfinished_jobs = shared.world().checker.unfinished_jobs();
+        if unfinished_jobs.is_empty() {
             break;
         }
-        look_at_waiting(shared, &mut waiting);
+        check_for_starvation(shared, &mut waiting);
         let services = shared.world().checker.running_services();
         for (number, id) in services.iter().enumerate() {
             cancel(shared, number % CONTROLLERS, id).await;
         }
-        for (number, id) in unfinished.iter().enumerate() {
-            ask(shared, number % CONTROLLERS, id).await;
+        for (number, id) in unfinished_jobs.iter().enumerate() {
+            query_status(shared, number % CONTROLLERS, id).await;
         }
         tokio::time::sleep(Duration::from_millis(500)).await;
     }
-    let accepted = shared.world().checker.accepted();
+    let accepted = shared.world().checker.accepted_jobs();
     for id in accepted {
         for controller in 0..CONTROLLERS {
-            ask(shared, controller, &id).await;
+            query_status(shared, controller, &id).await;
         }
     }
-    shared.world().checker.at_end(Instant::now());
+    shared.world().checker.check_at_end(Instant::now());
 }
 
-fn look_at_waiting(shared: &Shared, waiting: &mut WaitingJobs) {
+fn check_for_starvation(shared: &Shared, waiting: &mut WaitingJobs) {
     let now = Instant::now();
     let mut world = shared.world();
-    for id in waiting.look(now, &world) {
-        world.checker.left_waiting(now, &id);
+    for id in waiting.find_starved(now, &world) {
+        world.checker.record_starvation(now, &id);
     }
 }
 
@@ -290,7 +302,7 @@
     seed: u64,
     cluster: Cluster,
     schedule: Vec<PlannedFault>,
-    ended_by_themselves: Vec<usize>,
+    unexpected_exits: Vec<usize>,
 ) -> Verdict {
     let world = cluster.shared.world();
     let checker = &world.checker;
@@ -298,9 +310,9 @@
         seed,
         faults: schedule.len(),
         starts: checker.starts,
-        answers: checker.answers,
-        accepted: checker.accepted().len(),
-        ended_by_themselves,
+        responses: checker.responses,
+        accepted: checker.accepted_jobs().len(),
+        unexpected_exits,
         violations: checker.violations.clone(),
         schedule,
         directory: cluster.controllers.directory().to_owned(),
--- a/tests/soak/settings.rs
+++ b/tests/soak/settings.rs
@@ -7,30 +7,30 @@
 
 /// What all controllers of a run are told.
 pub struct Settings {
-    pub fronts: Vec<String>,
-    pub peer_binds: Vec<String>,
+    pub http_addrs: Vec<String>,
+    pub peer_listen_addrs: Vec<String>,
     /// Where a controller reaches another: the proxy between them.
     pub peer_addrs: BTreeMap<(usize, usize), SocketAddr>,
-    pub stores: Vec<SocketAddr>,
-    pub clouds: Vec<SocketAddr>,
+    pub store_addrs: Vec<SocketAddr>,
+    pub cloud_addrs: Vec<SocketAddr>,
     /// Teams, their guaranteed GPUs and their limits.
     pub teams: Vec<(&'static str, f64, f64)>,
-    pub heartbeat: Duration,
+    pub heartbeat_interval: Duration,
     pub lease: Duration,
-    pub gang_wait: Duration,
-    pub gang_peer: Duration,
-    pub cancel: Duration,
+    pub gang_wait_timeout: Duration,
+    pub gang_peer_timeout: Duration,
+    pub cancel_timeout: Duration,
     /// Small pages, as many as a large cluster has.
-    pub value_kb: f64,
+    pub max_value_kb: f64,
 }
 
 impl Settings {
     /// The file of one controller.
     pub fn text(&self, number: usize, list_lag_s: f64) -> String {
-        let nodes = self.fronts.len();
+        let nodes = self.http_addrs.len();
         let mut text = format!(
             "host_name = \"n{number}\"\nlocation = \"a\"\nfront = \"{}\"\npeer_bind = \"{}\"\n",
-            self.fronts[number], self.peer_binds[number]
+            self.http_addrs[number], self.peer_listen_addrs[number]
         );
         for peer in (0..nodes).filter(|peer| *peer != number) {
             let addr = self.peer_addrs[&(number, peer)];
@@ -39,7 +39,7 @@
             );
             text.push_str(&table);
         }
-        let (cloud, store) = (self.clouds[number], self.stores[number]);
+        let (cloud, store) = (self.cloud_addrs[number], self.store_addrs[number]);
         let _ = write!(
             text,
             "[endpoints]\ncloud = \"{cloud}\"\nstate = \"{store}\"\n[facts]\nnodes = {nodes}\nclock_error_ms = 10.0\n"
@@ -57,12 +57,12 @@
              cancel_s = {:.2}\n[facts.state]\nrps = 2000.0\nwrite_rps = 1000.0\nvalue_kb = {:.2}\ntxn_ops = 8\n\
              [facts.cloud]\nrps = 50.0\nlist_lag_s = {list_lag_s:.2}\n\
              [facts.quota]\ncores = 1.0\nmemory_mb = 500.0\nmax_sockets = 3000\n",
-            secs(&self.heartbeat),
+            secs(&self.heartbeat_interval),
             secs(&self.lease),
-            secs(&self.gang_wait),
-            secs(&self.gang_peer),
-            secs(&self.cancel),
-            self.value_kb,
+            secs(&self.gang_wait_timeout),
+            secs(&self.gang_peer_timeout),
+            secs(&self.cancel_timeout),
+            self.max_value_kb,
         );
         text
     }
--- a/tests/soak/starvation.rs
+++ b/tests/soak/starvation.rs
@@ -1,7 +1,7 @@
 //! Jobs that wait while a machine that fits has room and their team is under its limit.
 
 use super::checker::allows;
-use super::world::{Machine, RealJob, World};
+use super::world::{Machine, SimulatedJob, World};
 use chalklug::protocol::users::{JobSpec, Shape};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
@@ -17,23 +17,24 @@
 
 impl WaitingJobs {
     /// Looks at all unfinished jobs; returns those that have waited for too long, each once.
-    pub fn look(&mut self, now: Instant, world: &World) -> Vec<String> {
-        let unfinished: BTreeSet<String> = world.checker.unfinished().into_iter().collect();
-        let waiting = unfinished
+    pub fn find_starved(&mut self, now: Instant, world: &World) -> Vec<String> {
+        let unfinished_jobs: BTreeSet<String> =
+            world.checker.unfinished_jobs().into_iter().collect();
+        let waiting = unfinished_jobs
             .into_iter()
             .filter(|id| could_start(now, world, id));
         let waiting: BTreeSet<String> = waiting.collect();
         self.since.retain(|id, _| waiting.contains(id));
-        let mut too_long = Vec::new();
+        let mut starved = Vec::new();
         for id in waiting {
             let since = *self.since.entry(id.clone()).or_insert(now);
             if now - since > MAX_WAIT {
                 // Counted once: the next time is far away.
                 self.since.insert(id.clone(), now + MAX_WAIT * 100);
-                too_long.push(id);
+                starved.push(id);
             }
         }
-        too_long
+        starved
     }
 }
 
@@ -46,7 +47,7 @@
         !live.iter().any(|(_, task)| task == index) && !world.is_completed(id, *index)
     });
     let is_gang = spec.shape == Shape::Gang;
-    let at_once = match missing.count() as u32 {
+    let needed = match missing.count() as u32 {
         0 => return false,
         _ if is_gang && !live.is_empty() => return false,
         missing if is_gang => missing,
@@ -54,21 +55,21 @@
     };
     let used = world.used_gpus(&spec.team);
     let max = world.checker.max_gpus(&spec.team);
-    used + spec.gpus * f64::from(at_once) <= max && room_for(now, world, job, &live) >= at_once
+    used + spec.gpus * f64::from(needed) <= max && fitting_tasks(now, world, job, &live) >= needed
 }
 
 /// For how many more tasks of the job there is room where it may start.
-fn room_for(now: Instant, world: &World, job: &RealJob, live: &[(&Machine, u32)]) -> u32 {
+fn fitting_tasks(now: Instant, world: &World, job: &SimulatedJob, live: &[(&Machine, u32)]) -> u32 {
     let spec = &job.spec;
     let mut room: BTreeMap<&str, u32> = BTreeMap::new();
     for (id, machine) in &world.machines {
-        let facts = world.checker.machine(id);
-        if machine.is_hanging(now) || !facts.is_some_and(|facts| allows(spec, facts)) {
+        let info = world.checker.machine(id);
+        if machine.is_hanging(now) || !info.is_some_and(|info| allows(spec, info)) {
             continue;
         }
         let zone = machine.kind.zone;
         if zone_allows(spec, zone, live) {
-            *room.entry(zone).or_default() += machine.room_for(spec, &world.jobs);
+            *room.entry(zone).or_default() += machine.fitting_tasks(spec, &world.jobs);
         }
     }
     match spec.zone_affinity {
@@ -78,9 +79,9 @@
 }
 
 fn zone_allows(spec: &JobSpec, zone: &str, live: &[(&Machine, u32)]) -> bool {
-    let here = live.iter().filter(|(machine, _)| machine.kind.zone == zone);
-    let here = here.count();
-    let is_apart = spec.zone_affinity && here < live.len();
-    let is_full = spec.zone_anti_affinity && here as u32 >= spec.tasks.div_ceil(2);
-    !is_apart && !is_full
+    let in_zone = live.iter().filter(|(machine, _)| machine.kind.zone == zone);
+    let in_zone = in_zone.count();
+    let breaks_affinity = spec.zone_affinity && in_zone < live.len();
+    let breaks_anti_affinity = spec.zone_anti_affinity && in_zone as u32 >= spec.tasks.div_ceil(2);
+    !breaks_affinity && !breaks_anti_affinity
 }
--- a/tests/soak/state_store.rs
+++ b/tests/soak/state_store.rs
@@ -2,7 +2,7 @@
 //! faults that it may have. Each controller has a port of its own, by which it is known.
 
 use super::faults::Link;
-use super::http::{serve, StandInRequest, StandInResponse};
+use super::http::{serve, HttpRequest, HttpResponse};
 use super::links::{no_response, Delivery, Links};
 use super::store_data::{query, Data};
 use rand::Rng;
@@ -13,19 +13,19 @@
 use std::time::{Duration, Instant};
 
 /// How often leases are looked at, and waiting watches look for changes.
-const TICK: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// How much later a late transaction is carried out.
-const LATE_MS: std::ops::Range<u64> = 800..5_000;
+const LATE_EXECUTION_MS: std::ops::Range<u64> = 800..5_000;
 
 /// A share of transactions that is treated in some way until a moment.
 #[derive(Clone, Copy)]
-struct ShareUntil {
+struct TransactionFault {
     share: f64,
     until: Instant,
 }
 
-impl ShareUntil {
-    fn strikes(this: Option<ShareUntil>) -> bool {
+impl TransactionFault {
+    fn applies(this: Option<TransactionFault>) -> bool {
         this.is_some_and(|f| Instant::now() < f.until && rand::rng().random_bool(f.share))
     }
 }
@@ -33,14 +33,14 @@
 #[derive(Default)]
 struct StoreFaults {
     refused_until: BTreeMap<usize, Instant>,
-    late: Option<ShareUntil>,
-    unanswered: Option<ShareUntil>,
+    late: Option<TransactionFault>,
+    lost_responses: Option<TransactionFault>,
 }
 
 /// A transaction that is carried out later.
 struct LateTransaction {
     due_at: Instant,
-    request: StandInRequest,
+    request: HttpRequest,
 }
 
 /// The store, and what is wrong with it.
@@ -76,8 +76,8 @@
     }
 
     /// Refuses those controllers for that long.
-    pub fn refuse(&self, controllers: &[usize], lasts: Duration) {
-        let until = Instant::now() + lasts;
+    pub fn refuse(&self, controllers: &[usize], duration: Duration) {
+        let until = Instant::now() + duration;
         let mut faults = self.faults.lock().expect("faults");
         for controller in controllers {
             faults.refused_until.insert(*controller, until);
@@ -85,19 +85,20 @@
     }
 
     /// That share of transactions is carried out late, and gets no response.
-    pub fn delay_transactions(&self, share: f64, lasts: Duration) {
-        let until = Instant::now() + lasts;
-        self.faults.lock().expect("faults").late = Some(ShareUntil { share, until });
+    pub fn delay_transactions(&self, share: f64, duration: Duration) {
+        let until = Instant::now() + duration;
+        self.faults.lock().expect("faults").late = Some(TransactionFault { share, until });
     }
 
     /// That share of transactions gets no response.
-    pub fn lose_transaction_responses(&self, share: f64, lasts: Duration) {
-        let until = Instant::now() + lasts;
-        self.faults.lock().expect("faults").unanswered = Some(ShareUntil { share, until });
+    pub fn lose_transaction_responses(&self, share: f64, duration: Duration) {
+        let until = Instant::now() + duration;
+        self.faults.lock().expect("faults").lost_responses =
+            Some(TransactionFault { share, until });
     }
 
     /// Nothing is wrong with it any more.
-    pub fn mend(&self) {
+    pub fn clear_faults(&self) {
         *self.faults.lock().expect("faults") = StoreFaults::default();
     }
 
@@ -112,14 +113,14 @@
     }
 
     /// Carries out the late transactions that are due. The connections that they came on are long closed.
-    fn carry_out_due(&self, now: Instant) {
+    fn execute_due(&self, now: Instant) {
         let mut waiting = self.late_transactions.lock().expect("late transactions");
         let (due, not_due) = waiting.drain(..).partition(|late| late.due_at <= now);
         *waiting = not_due;
         drop(waiting);
         let due: Vec<LateTransaction> = due;
         for late in due {
-            self.carry_out(&late.request);
+            self.execute(&late.request);
         }
     }
 
@@ -131,15 +132,15 @@
                 self.lock().renew_all_leases(now);
             } else {
                 self.lock().expire_leases(now);
-                self.carry_out_due(now);
+                self.execute_due(now);
             }
-            tokio::time::sleep(TICK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    async fn handle(&self, controller: usize, request: StandInRequest) -> StandInResponse {
+    async fn handle(&self, controller: usize, request: HttpRequest) -> HttpResponse {
         let link = Link::StateStore(controller);
-        if self.links.request(link).await == Delivery::Lost {
+        if self.links.deliver_request(link).await == Delivery::Lost {
             no_response().await;
         }
         if request.path.starts_with("/watch") {
@@ -149,24 +150,24 @@
             return (503, json!({"error": "unavailable"}));
         }
         let is_transaction = request.path == "/multi";
-        let (late, unanswered) = {
+        let (late, lost_responses) = {
             let faults = self.faults.lock().expect("faults");
-            (faults.late, faults.unanswered)
+            (faults.late, faults.lost_responses)
         };
-        if is_transaction && ShareUntil::strikes(late) {
+        if is_transaction && TransactionFault::applies(late) {
             // The caller gives up, and the connection ends; the transaction is carried out all the same.
-            return self.carry_out_late(request).await;
+            return self.execute_late(request).await;
         }
-        let response = self.carry_out(&request);
-        let is_lost = is_transaction && ShareUntil::strikes(unanswered);
-        if is_lost || self.links.response(link) == Delivery::Lost {
+        let response = self.execute(&request);
+        let is_lost = is_transaction && TransactionFault::applies(lost_responses);
+        if is_lost || self.links.deliver_response(link) == Delivery::Lost {
             no_response().await;
         }
         response
     }
 
-    async fn carry_out_late(&self, request: StandInRequest) -> StandInResponse {
-        let late = Duration::from_millis(rand::rng().random_range(LATE_MS));
+    async fn execute_late(&self, request: HttpRequest) -> HttpResponse {
+        let late = Duration::from_millis(rand::rng().random_range(LATE_EXECUTION_MS));
         let late_transaction = LateTransaction {
             due_at: Instant::now() + late,
             request,
@@ -179,7 +180,7 @@
         (503, Value::Null)
     }
 
-    fn carry_out(&self, request: &StandInRequest) -> StandInResponse {
+    fn execute(&self, request: &HttpRequest) -> HttpResponse {
         let (method, path) = (request.method.as_str(), request.path.as_str());
         let mut data = self.lock();
         data.expire_leases(Instant::now());
@@ -195,7 +196,7 @@
     }
 
     /// Responds once something has changed, or when the time asked for is over; stays open in an outage.
-    async fn watch(&self, controller: usize, path: &str) -> StandInResponse {
+    async fn watch(&self, controller: usize, path: &str) -> HttpResponse {
         let number = |name| -> u64 {
             let value = query(path, name).and_then(|value| value.parse().ok());
             value.unwrap_or(0)
@@ -211,7 +212,7 @@
                     return (200, json!({"epoch": data.store_revision, "news": news}));
                 }
             }
-            tokio::time::sleep(TICK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 }
--- a/tests/soak/task.rs
+++ b/tests/soak/task.rs
@@ -10,7 +10,7 @@
     Waiting { since: Instant },
     Running { ends_at: Option<Instant> },
     Saving { until: Instant },
-    Ended { cause: &'static str, stored: bool },
+    Ended { cause: &'static str, saved: bool },
 }
 
 /// A task attempt that the worker knows.
@@ -28,14 +28,14 @@
 
     /// Refused.
     pub fn ended(cause: &'static str) -> Task {
-        let stored = false;
+        let saved = false;
         Task {
-            phase: Phase::Ended { cause, stored },
+            phase: Phase::Ended { cause, saved },
         }
     }
 
-    pub fn end(&mut self, cause: &'static str, stored: bool) {
-        self.phase = Phase::Ended { cause, stored };
+    pub fn end(&mut self, cause: &'static str, saved: bool) {
+        self.phase = Phase::Ended { cause, saved };
     }
 
     pub fn has_ended(&self) -> bool {
@@ -58,12 +58,12 @@
     }
 
     /// Its machine stood still for so long.
-    pub fn postpone(&mut self, lasts: Duration) {
+    pub fn postpone(&mut self, duration: Duration) {
         match &mut self.phase {
             Phase::Fetching { ready_at: at }
             | Phase::Waiting { since: at }
             | Phase::Saving { until: at }
-            | Phase::Running { ends_at: Some(at) } => *at += lasts,
+            | Phase::Running { ends_at: Some(at) } => *at += duration,
             Phase::Running { ends_at: None } | Phase::Ended { .. } => {}
         }
     }
@@ -76,9 +76,9 @@
             Phase::Waiting { .. } => "waiting",
             Phase::Running { .. } => "running",
             Phase::Saving { .. } => "saving",
-            Phase::Ended { cause, stored } => {
+            Phase::Ended { cause, saved } => {
                 return json!({"piece": piece, "try": attempt_id, "phase": "ended", "cause": cause,
-                    "stored": stored})
+                    "stored": saved})
             }
         };
         json!({"piece": piece, "try": attempt_id, "phase": phase})
--- a/tests/soak/worker.rs
+++ b/tests/soak/worker.rs
@@ -2,7 +2,7 @@
 
 use super::cluster::Shared;
 use super::faults::Link;
-use super::http::{serve, StandInRequest, StandInResponse};
+use super::http::{serve, HttpRequest, HttpResponse};
 use super::links::{no_response, Delivery};
 use super::world::MachineKind;
 use rand::Rng;
@@ -16,7 +16,7 @@
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
 const NEXT_CONTROLLER_DELAY: Duration = Duration::from_millis(400);
 /// How much later a copy of a heartbeat, or a late push, arrives.
-const LATE_MS: std::ops::Range<u64> = 500..7_000;
+const LATE_DELIVERY_MS: std::ops::Range<u64> = 500..7_000;
 
 /// Starts the worker of a machine that is up from now on.
 pub async fn start(shared: Arc<Shared>, id: String, kind: MachineKind) {
@@ -32,19 +32,19 @@
         .world()
         .machine_up(Instant::now(), &id, kind, endpoint);
     tokio::spawn(async move {
-        let first = rand::rng().random_range(0..shared.fronts.len());
+        let first = rand::rng().random_range(0..shared.http_addrs.len());
         let mut heartbeats = Heartbeats {
             shared,
             id,
             zone,
             controller: first,
         };
-        while heartbeats.next().await {}
+        while heartbeats.send_next().await {}
     });
 }
 
 /// Waits for as long as the machine hangs. False if it is gone.
-async fn hang(shared: &Shared, id: &str) -> bool {
+async fn wait_while_hanging(shared: &Shared, id: &str) -> bool {
     loop {
         let until = shared.world().hangs_until(id, Instant::now());
         let Some(until) = until else {
@@ -55,27 +55,24 @@
 }
 
 /// A pushed command, or a request for the status.
-async fn handle(
-    shared: Arc<Shared>,
-    id: &str,
-    zone: usize,
-    request: StandInRequest,
-) -> StandInResponse {
+async fn handle(shared: Arc<Shared>, id: &str, zone: usize, request: HttpRequest) -> HttpResponse {
     let link = Link::Pushes(zone);
-    if shared.links.request(link).await == Delivery::Lost || !hang(&shared, id).await {
+    if shared.links.deliver_request(link).await == Delivery::Lost
+        || !wait_while_hanging(&shared, id).await
+    {
         no_response().await;
     }
     let mut status_code = 200;
     if request.path == "/commands" {
-        if shared.strikes_push() {
-            push_late(shared.clone(), id.to_owned(), request.body);
+        if shared.should_delay_push() {
+            execute_push_late(shared.clone(), id.to_owned(), request.body);
             no_response().await;
             return (503, Value::Null);
         }
         let executed = shared.world().push(Instant::now(), id, &request.body);
         status_code = if executed { 200 } else { 409 };
     }
-    if shared.links.response(link) == Delivery::Lost {
+    if shared.links.deliver_response(link) == Delivery::Lost {
         no_response().await;
     }
     match shared.world().status(id) {
@@ -85,11 +82,11 @@
 }
 
 /// Commands that were held up on their way are executed once, late, if token and session still match.
-fn push_late(shared: Arc<Shared>, id: String, body: Value) {
+fn execute_push_late(shared: Arc<Shared>, id: String, body: Value) {
     tokio::spawn(async move {
-        let late = rand::rng().random_range(LATE_MS);
-        tokio::time::sleep(Duration::from_millis(late)).await;
-        if hang(&shared, &id).await {
+        let delay_ms = rand::rng().random_range(LATE_DELIVERY_MS);
+        tokio::time::sleep(Duration::from_millis(delay_ms)).await;
+        if wait_while_hanging(&shared, &id).await {
             shared.world().push(Instant::now(), &id, &body);
         }
     });
@@ -105,24 +102,24 @@
 
 impl Heartbeats {
     /// Waits until a heartbeat is due, and sends it. False if the machine is gone.
-    async fn next(&mut self) -> bool {
-        let began_at = Instant::now();
+    async fn send_next(&mut self) -> bool {
+        let started_at = Instant::now();
         loop {
             tokio::time::sleep(POLL_INTERVAL).await;
-            let waited = began_at.elapsed();
-            let has_news = match self.shared.world().machines.get(&self.id) {
-                Some(machine) => machine.has_news,
+            let waited = started_at.elapsed();
+            let has_changes = match self.shared.world().machines.get(&self.id) {
+                Some(machine) => machine.has_changes,
                 None => return false,
             };
-            if waited >= HEARTBEAT_INTERVAL || (has_news && waited >= MIN_HEARTBEAT_GAP) {
+            if waited >= HEARTBEAT_INTERVAL || (has_changes && waited >= MIN_HEARTBEAT_GAP) {
                 break;
             }
         }
-        if !hang(&self.shared, &self.id).await {
+        if !wait_while_hanging(&self.shared, &self.id).await {
             return false;
         }
         if !self.send().await {
-            self.controller = (self.controller + 1) % self.shared.fronts.len();
+            self.controller = (self.controller + 1) % self.shared.http_addrs.len();
             tokio::time::sleep(NEXT_CONTROLLER_DELAY).await;
         }
         true
@@ -137,23 +134,23 @@
                 return true;
             };
             if let Some(machine) = world.machines.get_mut(&self.id) {
-                machine.has_news = false;
+                machine.has_changes = false;
             }
             (world.session(&self.id).unwrap_or(0), status.to_string())
         };
-        self.duplicate_if_asked(&status);
+        self.send_duplicate_if_faulty(&status);
         let sent_at = Instant::now();
         let response = tokio::time::timeout(RESPONSE_TIMEOUT, self.exchange(status)).await;
         let Ok(Some((status, body))) = response else {
             return false;
         };
         // Whatever arrives while the machine hangs is taken in afterwards, if the lease still holds.
-        if !hang(&self.shared, &self.id).await {
+        if !wait_while_hanging(&self.shared, &self.id).await {
             return true;
         }
         match status {
             200 => {
-                self.shared.note_leader(self.controller);
+                self.shared.record_leader(self.controller);
                 let now = Instant::now();
                 if now.duration_since(sent_at) < RESPONSE_TIMEOUT {
                     let mut world = self.shared.world();
@@ -161,15 +158,15 @@
                 }
                 true
             }
-            421 => self.follow(&body),
+            421 => self.follow_redirect(&body),
             _ => false,
         }
     }
 
     /// Goes to the controller that this one names. False if it names none, or itself.
-    fn follow(&mut self, body: &Value) -> bool {
-        let named = body["foreman"].as_str();
-        let number = named.and_then(|name| self.shared.number_of(name));
+    fn follow_redirect(&mut self, body: &Value) -> bool {
+        let leader = body["foreman"].as_str();
+        let number = leader.and_then(|name| self.shared.controller_number(name));
         match number.filter(|number| *number != self.controller) {
             Some(number) => {
                 self.controller = number;
@@ -179,45 +176,49 @@
         }
     }
 
-    async fn exchange(&self, status: String) -> Option<StandInResponse> {
+    async fn exchange(&self, status: String) -> Option<HttpResponse> {
         let link = Link::Heartbeats(self.zone, self.controller);
-        if self.shared.links.request(link).await == Delivery::Lost {
+        if self.shared.links.deliver_request(link).await == Delivery::Lost {
             no_response().await;
         }
-        let front = &self.shared.fronts[self.controller];
+        let addr = &self.shared.http_addrs[self.controller];
         let timeout = RESPONSE_TIMEOUT;
         let client = &self.shared.client;
-        let response = client
-            .send(front, "POST", "/checkin", status, timeout)
-            .await;
-        if self.shared.links.response(link) == Delivery::Lost {
+        let response = client.send(addr, "POST", "/checkin", status, timeout).await;
+        if self.shared.links.deliver_response(link) == Delivery::Lost {
             no_response().await;
         }
         response
     }
 
     /// A copy of the heartbeat arrives again later, at any controller; nobody waits for its response.
-    fn duplicate_if_asked(&self, status: &str) {
-        if !self.shared.strikes_heartbeat() {
+    fn send_duplicate_if_faulty(&self, status: &str) {
+        if !self.shared.should_duplicate_heartbeat() {
             return;
         }
         let (shared, status) = (self.shared.clone(), status.to_owned());
         tokio::spawn(async move {
-            let late = rand::rng().random_range(LATE_MS);
-            tokio::time::sleep(Duration::from_millis(late)).await;
-            let number = rand::rng().random_range(0..shared.fronts.len());
-            let front = &shared.fronts[number];
+            let delay_ms = rand::rng().random_range(LATE_DELIVERY_MS);
+            tokio::time::sleep(Duration::from_millis(delay_ms)).await;
+            let number = rand::rng().random_range(0..shared.http_addrs.len());
+            let addr = &shared.http_addrs[number];
             let timeout = RESPONSE_TIMEOUT;
             shared
                 .client
-                .send(front, "POST", "/checkin", status, timeout)
+                .send(addr, "POST", "/checkin", status, timeout)
                 .await;
         });
     }
 }
 
 /// What a machine of that name looks like in the cloud's list.
-pub fn listed(id: &str, kind: &MachineKind, endpoint: &str, phase: &str, age: Duration) -> Value {
+pub fn list_entry(
+    id: &str,
+    kind: &MachineKind,
+    endpoint: &str,
+    phase: &str,
+    age: Duration,
+) -> Value {
     json!({"ref": id, "endpoint": endpoint, "rig": kind.machine_type, "site": kind.zone,
         "loaners": kind.spot, "phase": phase, "heldS": age.as_secs_f64()})
 }
--- a/tests/soak/world.rs
+++ b/tests/soak/world.rs
@@ -4,7 +4,7 @@
 mod commands;
 mod gangs;
 
-use super::checker::{Attempt, Checker, MachineFacts};
+use super::checker::{Attempt, Checker, MachineInfo};
 use super::task::{Phase, Task};
 use chalklug::protocol::users::{JobSpec, Shape};
 use serde_json::{json, Value};
@@ -15,8 +15,8 @@
 #[derive(Clone, Copy, Debug)]
 pub struct WorkerTimes {
     pub lease: Duration,
-    pub gang_wait: Duration,
-    pub gang_peer: Duration,
+    pub gang_wait_timeout: Duration,
+    pub gang_peer_timeout: Duration,
 }
 
 /// What a machine offers, and where it is.
@@ -32,11 +32,11 @@
 
 /// A job as it really is.
 #[derive(Clone, Debug)]
-pub struct RealJob {
+pub struct SimulatedJob {
     pub spec: JobSpec,
     /// How long each of its tasks runs; a service never ends.
-    pub run: Duration,
-    pub fetch: Duration,
+    pub run_time: Duration,
+    pub fetch_time: Duration,
 }
 
 type TaskKey = (String, u32);
@@ -49,14 +49,14 @@
     pub kind: MachineKind,
     pub endpoint: String,
     session: u64,
-    tick: u64,
+    sequence_number: u64,
     token: u64,
-    lease_from: Instant,
+    lease_renewed_at: Instant,
     hangs_until: Instant,
     tasks: BTreeMap<(TaskKey, u64), Task>,
     images: BTreeSet<String>,
     /// Something has changed since the last heartbeat.
-    pub has_news: bool,
+    pub has_changes: bool,
 }
 
 impl Machine {
@@ -65,7 +65,7 @@
     }
 
     /// For how many tasks of a job it has room.
-    pub fn room_for(&self, spec: &JobSpec, jobs: &BTreeMap<String, RealJob>) -> u32 {
+    pub fn fitting_tasks(&self, spec: &JobSpec, jobs: &BTreeMap<String, SimulatedJob>) -> u32 {
         let mut free = (self.kind.cpus, self.kind.gpus, self.kind.ram_gb);
         let live = self.tasks.iter().filter(|(_, task)| !task.has_ended());
         for (((job, _), _), _) in live {
@@ -88,7 +88,7 @@
 pub struct World {
     times: WorkerTimes,
     pub machines: BTreeMap<String, Machine>,
-    pub jobs: BTreeMap<String, RealJob>,
+    pub jobs: BTreeMap<String, SimulatedJob>,
     completed: BTreeSet<TaskKey>,
     /// What is left to run of tasks that have saved their progress.
     remaining: BTreeMap<TaskKey, Duration>,
@@ -120,48 +120,48 @@
         }
     }
 
-    pub fn submit(&mut self, job: RealJob) {
+    pub fn submit(&mut self, job: SimulatedJob) {
         self.checker.job_submitted(job.spec.clone());
         self.jobs.insert(job.spec.id.as_str().to_owned(), job);
     }
 
     pub fn machine_up(&mut self, now: Instant, id: &str, kind: MachineKind, endpoint: String) {
-        let facts = MachineFacts {
+        let info = MachineInfo {
             machine_type: kind.machine_type.into(),
             zone: kind.zone.into(),
             spot: kind.spot,
             lease_until: now + self.times.lease,
         };
-        self.checker.machine_up(id, facts);
+        self.checker.machine_up(id, info);
         let machine = Machine {
             kind,
             endpoint,
             session: 1,
-            tick: 0,
+            sequence_number: 0,
             token: 0,
-            lease_from: now,
+            lease_renewed_at: now,
             hangs_until: now,
             tasks: BTreeMap::new(),
             images: BTreeSet::new(),
-            has_news: true,
+            has_changes: true,
         };
         self.machines.insert(id.to_owned(), machine);
     }
 
     /// The machine and all on it are gone.
-    pub fn machine_gone(&mut self, id: &str) {
+    pub fn machine_removed(&mut self, id: &str) {
         self.machines.remove(id);
-        self.checker.machine_gone(id);
+        self.checker.machine_removed(id);
     }
 
     /// The machine stands still until then; what its tasks have to do takes so much longer.
-    pub fn hang(&mut self, now: Instant, id: &str, lasts: Duration) {
+    pub fn hang(&mut self, now: Instant, id: &str, duration: Duration) {
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
-        machine.hangs_until = now + lasts;
+        machine.hangs_until = now + duration;
         for task in machine.tasks.values_mut() {
-            task.postpone(lasts);
+            task.postpone(duration);
         }
     }
 
@@ -178,7 +178,7 @@
             self.advance_machine(now, id);
         }
         self.advance_gangs(now);
-        self.checker.look_at_cancelled(now);
+        self.checker.check_cancelled_jobs(now);
     }
 
     fn advance_machine(&mut self, now: Instant, id: &str) {
@@ -188,11 +188,11 @@
         if machine.is_hanging(now) {
             return;
         }
-        if now > machine.lease_from + self.times.lease {
+        if now > machine.lease_renewed_at + self.times.lease {
             machine.session += 1;
             machine.tasks.clear();
-            machine.lease_from = now;
-            machine.has_news = true;
+            machine.lease_renewed_at = now;
+            machine.has_changes = true;
             self.checker.session_ended(id, now + self.times.lease);
             return;
         }
@@ -211,7 +211,7 @@
         let (Some(task), Some(job)) = (machine.tasks.get_mut(key), self.jobs.get(&key.0 .0)) else {
             return;
         };
-        machine.has_news = true;
+        machine.has_changes = true;
         match task.phase {
             Phase::Fetching { .. } => {
                 machine.images.insert(job.spec.image.as_str().to_owned());
@@ -222,8 +222,8 @@
                 } else if job.spec.shape == Shape::Gang {
                     task.phase = Phase::Waiting { since: now };
                 } else {
-                    let run = self.remaining.get(&key.0).copied().unwrap_or(job.run);
-                    let ends_at = (job.spec.shape == Shape::Array).then_some(now + run);
+                    let run_time = self.remaining.get(&key.0).copied().unwrap_or(job.run_time);
+                    let ends_at = (job.spec.shape == Shape::Array).then_some(now + run_time);
                     task.phase = Phase::Running { ends_at };
                 }
             }
@@ -234,7 +234,7 @@
             }
             Phase::Saving { .. } => {
                 task.end("halted", true);
-                self.checker.task_left(&attempt);
+                self.checker.task_ended(&attempt);
             }
             Phase::Running { .. } | Phase::Waiting { .. } | Phase::Ended { .. } => {}
         }
@@ -270,7 +270,7 @@
     /// The machine's status: a new message.
     pub fn status(&mut self, id: &str) -> Option<Value> {
         let machine = self.machines.get_mut(id)?;
-        machine.tick += 1;
+        machine.sequence_number += 1;
         let tasks = machine.tasks.iter();
         let tasks: Vec<Value> = tasks
             .map(|(((job, index), attempt_id), task)| task.status(job, *index, *attempt_id))
@@ -278,7 +278,7 @@
         Some(
             json!({"host": id, "endpoint": machine.endpoint, "rig": machine.kind.machine_type,
             "site": machine.kind.zone, "loaners": machine.kind.spot, "tenure": machine.session,
-            "tick": machine.tick, "baton": machine.token, "recallS": null, "pieces": tasks}),
+            "tick": machine.sequence_number, "baton": machine.token, "recallS": null, "pieces": tasks}),
         )
     }
 
@@ -305,7 +305,7 @@
         if machine.session != session || token.is_none_or(|token| token < machine.token) {
             return;
         }
-        machine.lease_from = machine.lease_from.max(sent_at);
+        machine.lease_renewed_at = machine.lease_renewed_at.max(sent_at);
         self.checker.lease_renewed(id, sent_at + lease);
         self.execute(now, id, response);
     }
--- a/tests/soak/world/commands.rs
+++ b/tests/soak/world/commands.rs
@@ -13,17 +13,18 @@
             return;
         };
         let token = body["baton"].as_u64().unwrap_or(0);
-        machine.has_news |= token > machine.token;
+        machine.has_changes |= token > machine.token;
         machine.token = token;
-        for order in body["orders"].as_array().into_iter().flatten() {
-            let Some((job, index)) = order["piece"].as_str().and_then(|t| t.split_once('/')) else {
+        for command in body["orders"].as_array().into_iter().flatten() {
+            let Some((job, index)) = command["piece"].as_str().and_then(|t| t.split_once('/'))
+            else {
                 continue;
             };
             let task_key = (job.to_owned(), index.parse().unwrap_or(u32::MAX));
-            let key = (task_key, order["try"].as_u64().unwrap_or(0));
-            match order["verb"].as_str() {
+            let key = (task_key, command["try"].as_u64().unwrap_or(0));
+            match command["verb"].as_str() {
                 Some("launch") => self.launch(now, id, key),
-                Some("stop") => self.stop(now, id, &key, order["windDownS"].as_f64()),
+                Some("stop") => self.stop(now, id, &key, command["windDownS"].as_f64()),
                 _ => self.clear(id, &key),
             }
         }
@@ -36,7 +37,7 @@
         if machine.tasks.contains_key(&key) {
             return;
         }
-        machine.has_news = true;
+        machine.has_changes = true;
         let is_busy = machine
             .tasks
             .iter()
@@ -44,14 +45,14 @@
         let task = match self.jobs.get(&key.0 .0) {
             None => return,
             Some(_) if is_busy => Task::ended("busy"),
-            Some(job) if machine.room_for(&job.spec, &self.jobs) == 0 => Task::ended("full"),
+            Some(job) if machine.fitting_tasks(&job.spec, &self.jobs) == 0 => Task::ended("full"),
             Some(job) if machine.images.contains(job.spec.image.as_str()) => Task::fetching(now),
-            Some(job) => Task::fetching(now + job.fetch),
+            Some(job) => Task::fetching(now + job.fetch_time),
         };
         machine.tasks.insert(key, task);
     }
 
-    fn stop(&mut self, now: Instant, id: &str, key: &(TaskKey, u64), wind_down_s: Option<f64>) {
+    fn stop(&mut self, now: Instant, id: &str, key: &(TaskKey, u64), grace_s: Option<f64>) {
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
@@ -61,20 +62,22 @@
         let Some(job) = self.jobs.get(&key.0 .0) else {
             return;
         };
-        machine.has_news = true;
-        let saves = job.spec.checkpoint_interval_s > 0.0
-            && wind_down_s >= Some(job.spec.checkpoint_duration_s);
+        machine.has_changes = true;
+        let saves_checkpoint =
+            job.spec.checkpoint_interval_s > 0.0 && grace_s >= Some(job.spec.checkpoint_duration_s);
         match task.phase {
-            Phase::Running { ends_at: Some(at) } if saves && job.spec.shape == Shape::Array => {
-                let left = at.saturating_duration_since(now);
-                self.remaining.insert(key.0.clone(), left);
+            Phase::Running { ends_at: Some(at) }
+                if saves_checkpoint && job.spec.shape == Shape::Array =>
+            {
+                let remaining = at.saturating_duration_since(now);
+                self.remaining.insert(key.0.clone(), remaining);
                 let until = now + Duration::from_secs_f64(job.spec.checkpoint_duration_s);
                 task.phase = Phase::Saving { until };
             }
-            Phase::Saving { .. } if wind_down_s != Some(0.0) => {}
+            Phase::Saving { .. } if grace_s != Some(0.0) => {}
             _ => {
                 task.end("halted", false);
-                self.checker.task_left(&attempt_on(id, key));
+                self.checker.task_ended(&attempt_on(id, key));
             }
         }
     }
--- a/tests/soak/world/gangs.rs
+++ b/tests/soak/world/gangs.rs
@@ -31,7 +31,7 @@
 
     fn advance_gang(&mut self, now: Instant, gang: &GangAttempt, members: &[Member]) {
         let size = self.jobs[&gang.0].spec.tasks as usize;
-        let run = self.jobs[&gang.0].run;
+        let run_time = self.jobs[&gang.0].run_time;
         let mut counts = GangCounts::default();
         for (id, key) in members {
             let machine = &self.machines[id];
@@ -39,7 +39,7 @@
         }
         if counts.waiting == size {
             let running = Phase::Running {
-                ends_at: Some(now + run),
+                ends_at: Some(now + run_time),
             };
             self.set_phases(members, running);
         } else if counts.running == size {
@@ -49,18 +49,18 @@
             }
         } else if counts.running > 0 {
             let since = *self.incomplete_since.entry(gang.clone()).or_insert(now);
-            if now - since > self.times.gang_peer {
+            if now - since > self.times.gang_peer_timeout {
                 self.end_members(now, members, "mates_gone");
             }
         } else {
-            self.give_up_waiting(now, members);
+            self.end_timed_out_waits(now, members);
         }
     }
 
     fn set_phases(&mut self, members: &[Member], phase: Phase) {
         for (id, key) in members {
             if let Some(machine) = self.machines.get_mut(id) {
-                machine.has_news = true;
+                machine.has_changes = true;
                 machine
                     .tasks
                     .entry(key.clone())
@@ -80,26 +80,26 @@
             let Some(machine) = self.machines.get_mut(id).filter(|m| !m.is_hanging(now)) else {
                 continue;
             };
-            machine.has_news = true;
+            machine.has_changes = true;
             if let Some(task) = machine.tasks.get_mut(key) {
                 task.end(cause, false);
             }
             let attempt = attempt_on(id, key);
             match cause {
                 "done" => self.checker.task_completed(&attempt),
-                _ => self.checker.task_left(&attempt),
+                _ => self.checker.task_ended(&attempt),
             }
         }
     }
 
-    fn give_up_waiting(&mut self, now: Instant, members: &[Member]) {
-        let gang_wait = self.times.gang_wait;
-        let gives_up = |(id, key): &&Member| {
+    fn end_timed_out_waits(&mut self, now: Instant, members: &[Member]) {
+        let gang_wait_timeout = self.times.gang_wait_timeout;
+        let has_timed_out = |(id, key): &&Member| {
             let task = &self.machines[id].tasks[key];
-            matches!(task.phase, Phase::Waiting { since } if now - since > gang_wait)
+            matches!(task.phase, Phase::Waiting { since } if now - since > gang_wait_timeout)
         };
-        let given_up: Vec<_> = members.iter().filter(gives_up).cloned().collect();
-        self.end_members(now, &given_up, "incomplete");
+        let timed_out: Vec<_> = members.iter().filter(has_timed_out).cloned().collect();
+        self.end_members(now, &timed_out, "incomplete");
     }
 }
 
