--- a/tests/soak/checker.rs
+++ b/tests/soak/checker.rs
@@ -1,4 +1,5 @@
-//! Judges a run from outside: from what workers ran and what users were told, by the operators' rules.
+//! Checks the operators' rules against what is observed outside the controllers: the tasks that workers run, and the
+//! responses that users get.
 
 mod answers;
 
@@ -6,37 +7,48 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
-/// What our own workers may need beyond the time that the rule allows, when the machine is busy: the stand-ins
-/// and the controllers share it.
+/// Extra time for cancelled tasks to end, because the fake workers can be slow: they share the test machine with the
+/// controllers.
 const CANCEL_SLACK: Duration = Duration::from_millis(1_500);
 const EPSILON: f64 = 1e-6;
 
-/// A rule, by the operators' name.
+/// The operators' rules.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
+    /// A task ran on two machines at the same time.
     RanTwice,
+    /// A team exceeded its GPU limit.
     Quota,
+    /// A task ran on a machine that its job's constraints exclude.
     WrongPlace,
+    /// A task ran for too long after its job's cancellation was confirmed.
     RanCancelled,
+    /// A controller responded that an accepted job is unknown or invalid.
     Forgotten,
+    /// A job or task was reported or run that nobody submitted.
     Invented,
+    /// A job was reported as done before its tasks had completed.
     NotDone,
+    /// The terminal phase of a job changed, or a job was cancelled without a request.
     WentBack,
+    /// No task ran in the whole run.
     NothingRan,
+    /// A job waited although it could have started, or did not end.
     LeftWaiting,
 }
 
-/// A broken rule.
+/// A violation of a rule.
 #[derive(Clone, Debug)]
 pub struct Violation {
     pub rule: Rule,
     pub details: String,
-    /// Since the start of the run.
+    /// Time since the start of the run.
     pub at: Duration,
 }
 
-/// What the rules are judged by.
+/// The limits that the rules refer to.
 pub struct Limits {
+    /// How long tasks may run after their job's cancellation was confirmed.
     pub cancel_timeout: Duration,
     pub max_gpus: BTreeMap<String, f64>,
 }
@@ -50,17 +62,17 @@
     pub machine: String,
 }
 
-/// What is true of a machine.
+/// A machine's properties and its lease.
 #[derive(Clone, Debug)]
 pub struct MachineInfo {
     pub machine_type: String,
     pub zone: String,
     pub spot: bool,
-    /// Its tasks are killed then, unless an answer renews the lease.
+    /// When the worker's lease expires and its tasks are killed, unless a response renews the lease.
     pub lease_until: Instant,
 }
 
-/// What a user was told of a job: when the question left, when the answer came, and what it said.
+/// A controller's response to a user's request about a job.
 #[derive(Clone, Copy, Debug)]
 pub struct UserResponse<'a> {
     pub sent_at: Instant,
@@ -78,7 +90,7 @@
 struct CheckedJob {
     spec: JobSpec,
     accepted_at: Option<Instant>,
-    /// A user has asked to cancel it, with whatever outcome.
+    /// Whether a user has requested the cancellation, with any outcome.
     cancel_requested: bool,
     terminal: Option<TerminalResponse>,
     completed: BTreeSet<u32>,
@@ -95,7 +107,7 @@
     }
 }
 
-/// Everything observed so far.
+/// The observations of a run so far, and the violations found in them.
 pub struct Checker {
     limits: Limits,
     started_at: Instant,
@@ -162,7 +174,7 @@
         }
     }
 
-    /// A new session of the worker has begun: nothing of the one before is left.
+    /// Records that a worker's session has ended, with all its tasks, and the next one has started.
     pub fn session_ended(&mut self, machine: &str, next_lease_until: Instant) {
         self.running_attempts
             .retain(|attempt| attempt.machine != machine);
@@ -171,7 +183,8 @@
         }
     }
 
-    /// Machines kill their tasks when their lease ends, also when the stand-in gets to it late.
+    /// Removes the attempts on machines whose lease has expired. Workers kill tasks when their lease expires, but
+    /// the fake worker may get to it late.
     fn expire_leases(&mut self, now: Instant) {
         let machines = &self.machines;
         self.running_attempts.retain(|attempt| {
@@ -191,7 +204,7 @@
         self.task_ended(attempt);
     }
 
-    /// A task has its image, and is on its machine from now on.
+    /// Records that a task attempt has its image and runs on its machine from now on, and checks the rules.
     pub fn task_started(&mut self, now: Instant, attempt: &Attempt) {
         self.expire_leases(now);
         self.starts += 1;
@@ -207,7 +220,7 @@
                 && other.machine != attempt.machine
         });
         if let Some(other) = elsewhere {
-            let details = format!("{attempt:?} while {other:?}");
+            let details = format!("{attempt:?} started while {other:?} runs");
             self.record(now, Rule::RanTwice, details);
         }
     }
@@ -217,7 +230,11 @@
             self.jobs.get(&attempt.job),
             self.machines.get(&attempt.machine),
         ) else {
-            return self.record(now, Rule::Invented, format!("{attempt:?} of no known job"));
+            return self.record(
+                now,
+                Rule::Invented,
+                format!("{attempt:?}: unknown job or machine"),
+            );
         };
         let spec = &job.spec;
         let others = self.running_attempts.iter().filter(|other| {
@@ -257,7 +274,7 @@
         }
     }
 
-    /// Looks for tasks of cancelled jobs that are on machines for too long.
+    /// Records a violation for each task attempt that runs for too long after its job's cancellation was confirmed.
     pub fn check_cancelled_jobs(&mut self, now: Instant) {
         self.expire_leases(now);
         let limit = self.limits.cancel_timeout + CANCEL_SLACK;
@@ -278,31 +295,31 @@
         }
     }
 
-    /// A job's description.
+    /// Returns a job's description.
     pub fn spec(&self, id: &str) -> Option<&JobSpec> {
         Some(&self.jobs.get(id)?.spec)
     }
 
-    /// What is true of a machine.
+    /// Returns a machine's properties and lease.
     pub fn machine(&self, id: &str) -> Option<&MachineInfo> {
         self.machines.get(id)
     }
 
-    /// A team's limit.
+    /// Returns a team's GPU limit.
     pub fn max_gpus(&self, team: &str) -> f64 {
         self.limits.max_gpus.get(team).copied().unwrap_or(0.0)
     }
 
-    /// A job has waited for too long while there was room for it.
+    /// Records that a job has waited for too long while machines had free capacity for it.
     pub fn record_starvation(&mut self, now: Instant, id: &str) {
         self.record(
             now,
             Rule::LeftWaiting,
-            format!("{id} waits beside room for it"),
+            format!("{id} waits although machines have free capacity for it"),
         );
     }
 
-    /// Accepted jobs of which the user has not been told that they are over.
+    /// Returns the accepted jobs for which no response has reported a terminal phase.
     pub fn unfinished_jobs(&self) -> Vec<String> {
         let jobs = self.jobs.iter();
         let unfinished_jobs =
@@ -310,21 +327,21 @@
         unfinished_jobs.map(|(id, _)| id.clone()).collect()
     }
 
-    /// Accepted services that nobody has cancelled yet.
+    /// Returns the unfinished services.
     pub fn running_services(&self) -> Vec<String> {
         let is_service = |id: &String| self.jobs[id].spec.shape == Shape::Service;
         let unfinished_jobs = self.unfinished_jobs().into_iter();
         unfinished_jobs.filter(is_service).collect()
     }
 
-    /// Accepted jobs, over or not.
+    /// Returns the accepted jobs, unfinished or not.
     pub fn accepted_jobs(&self) -> Vec<String> {
         let jobs = self.jobs.iter();
         let accepted = jobs.filter(|(_, job)| job.accepted_at.is_some());
         accepted.map(|(id, _)| id.clone()).collect()
     }
 
-    /// All troubles are over, and there was time for everything to end.
+    /// Checks that tasks ran and that every accepted job has ended. Called after the faults, once jobs had time to end.
     pub fn check_at_end(&mut self, now: Instant) {
         if self.starts == 0 {
             self.record(now, Rule::NothingRan, "no task was started".into());
@@ -342,7 +359,7 @@
     }
 }
 
-/// Whether the job allows machines of this type, in this zone and of this kind.
+/// Returns whether the job allows the machine's type, its zone, and spot machines if it is one.
 pub fn allows(spec: &JobSpec, machine: &MachineInfo) -> bool {
     let types = spec.machine_types.as_ref();
     types.is_none_or(|types| types.iter().any(|t| t.as_str() == machine.machine_type))
--- a/tests/soak/checker/answers.rs
+++ b/tests/soak/checker/answers.rs
@@ -1,15 +1,19 @@
-//! Rules on what users are told.
+//! Rules on the controllers' responses to users.
 
 use super::{Checker, Rule, TerminalResponse, UserResponse};
 
 impl Checker {
-    /// A user was answered: to a submission, a question or a cancellation.
+    /// Checks the response to a submission, a status query or a cancellation.
     pub fn check_response(&mut self, id: &str, response: UserResponse<'_>) {
         self.responses += 1;
         let now = response.received_at;
         let Some(job) = self.jobs.get_mut(id) else {
             if response.status == 200 {
-                self.record(now, Rule::Invented, format!("{id}: {}", response.phase));
+                self.record(
+                    now,
+                    Rule::Invented,
+                    format!("{id}: {} but not submitted", response.phase),
+                );
             }
             return;
         };
@@ -22,7 +26,11 @@
                 let was_accepted = job.accepted_at.is_some_and(|at| at < response.sent_at);
                 if was_accepted {
                     let status = response.status;
-                    self.record(now, Rule::Forgotten, format!("{id}: {status}"));
+                    self.record(
+                        now,
+                        Rule::Forgotten,
+                        format!("{id}: status {status} after it was accepted"),
+                    );
                 }
             }
             _ => {}
@@ -52,11 +60,17 @@
                 let received_at = response.received_at;
                 job.terminal = Some(TerminalResponse { phase, received_at });
                 if response.phase == "aborted" && !job.cancel_requested {
-                    broken.push((Rule::WentBack, format!("{id}: nobody cancelled it")));
+                    broken.push((
+                        Rule::WentBack,
+                        format!("{id}: aborted without a cancellation request"),
+                    ));
                 }
                 if response.phase == "done" && !job.is_complete() {
                     let completed = job.completed.len();
-                    broken.push((Rule::NotDone, format!("{id}: {completed} tasks completed")));
+                    broken.push((
+                        Rule::NotDone,
+                        format!("{id}: done with {completed} tasks completed"),
+                    ));
                 }
             }
             None => {}
--- a/tests/soak/checker_sees.rs
+++ b/tests/soak/checker_sees.rs
@@ -1,4 +1,4 @@
-//! The checker sees each rule broken: a planted violation of each.
+//! Tests of the checker: it detects a violation of each rule.
 
 use super::checker::{Attempt, Checker, Limits, MachineInfo, Rule, UserResponse};
 use super::starvation::WaitingJobs;
@@ -10,7 +10,7 @@
 
 const LEASE: Duration = Duration::from_secs(5);
 
-/// A checker with a machine in each of the zones a and b, and a job with these further fields.
+/// Returns a checker that knows machines in zones a and b, and a job with these extra or replaced fields.
 fn checker(extra_fields: Value) -> (Checker, Instant) {
     let now = Instant::now();
     let limits = Limits {
@@ -30,10 +30,13 @@
     let mut spec = json!({"ref": "wk-1", "jobclass": "c", "crew": "blue", "shape": "array", "urgency": "normal",
         "pieces": 3, "cpus": 1, "gpus": 1, "ramGb": 1, "bundle": "i", "pullGb": 1, "together": false,
         "scatter": false, "loaners": true, "guessS": 5, "markEveryS": 0, "markCostS": 0});
-    for (field, value) in extra_fields.as_object().expect("fields") {
+    for (field, value) in extra_fields
+        .as_object()
+        .expect("extra fields are not an object")
+    {
         spec[field] = value.clone();
     }
-    let submission = parse_submission(spec.to_string().as_bytes()).expect("a job");
+    let submission = parse_submission(spec.to_string().as_bytes()).expect("invalid submission");
     checker.job_submitted(submission.spec);
     (checker, now)
 }
@@ -158,7 +161,8 @@
     assert_eq!(rules(&checker), [Rule::NothingRan, Rule::LeftWaiting]);
 }
 
-/// A job for which there is room, and which is nowhere, is seen after a while; one whose team is at its limit isn't.
+/// Reports a job once if it waits for too long while a machine has free capacity, but not if the job needs more GPUs
+/// than its team's limit.
 #[test]
 fn checker_sees_a_job_that_waits_beside_room_for_it() {
     let (checker, now) = checker(json!({}));
@@ -177,7 +181,7 @@
         ram_gb: 8.0,
     };
     world.machine_up(now, "m-a", kind, String::new());
-    let spec = world.checker.spec("wk-1").expect("the job").clone();
+    let spec = world.checker.spec("wk-1").expect("wk-1 is unknown").clone();
     let job = SimulatedJob {
         spec,
         run_time: LEASE,
@@ -191,13 +195,16 @@
     assert!(waiting.find_starved(now, &world).is_empty());
     let later = now + Duration::from_secs(19);
     assert_eq!(waiting.find_starved(later, &world), ["wk-1"]);
-    assert!(waiting.find_starved(later, &world).is_empty(), "each once");
-    let too_large = world.jobs.get_mut("wk-1").expect("the job");
+    assert!(
+        waiting.find_starved(later, &world).is_empty(),
+        "reported twice"
+    );
+    let too_large = world.jobs.get_mut("wk-1").expect("wk-1 is unknown");
     too_large.spec.gpus = 3.0;
     let mut waiting = WaitingJobs::default();
     waiting.find_starved(now, &world);
     assert!(
         waiting.find_starved(later, &world).is_empty(),
-        "above the limit"
+        "reported above the team's limit"
     );
 }
--- a/tests/soak/starvation.rs
+++ b/tests/soak/starvation.rs
@@ -1,4 +1,4 @@
-//! Jobs that wait while a machine that fits has room and their team is under its limit.
+//! Detects starvation: jobs that wait although machines have free capacity for them within their team's GPU limit.
 
 use super::checker::allows;
 use super::world::{Machine, SimulatedJob, World};
@@ -6,17 +6,17 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
-/// The operators allow 90 s; times here are a fifth of theirs.
+/// How long a startable job may wait. The operators allow 90 s; the times of the soak test are a fifth of theirs.
 const MAX_WAIT: Duration = Duration::from_secs(18);
 
-/// Since when each job has waited with room for it.
+/// Since when each waiting job could have started.
 #[derive(Default)]
 pub struct WaitingJobs {
     since: BTreeMap<String, Instant>,
 }
 
 impl WaitingJobs {
-    /// Looks at all unfinished jobs; returns those that have waited for too long, each once.
+    /// Checks the unfinished jobs, and returns those that have waited for too long. Returns each job once.
     pub fn find_starved(&mut self, now: Instant, world: &World) -> Vec<String> {
         let unfinished_jobs: BTreeSet<String> =
             world.checker.unfinished_jobs().into_iter().collect();
@@ -29,7 +29,7 @@
         for id in waiting {
             let since = *self.since.entry(id.clone()).or_insert(now);
             if now - since > MAX_WAIT {
-                // Counted once: the next time is far away.
+                // Keeps the job from being reported again during the run.
                 self.since.insert(id.clone(), now + MAX_WAIT * 100);
                 starved.push(id);
             }
@@ -38,7 +38,7 @@
     }
 }
 
-/// Whether a task of the job, or for a gang all of them, is nowhere and would find room.
+/// Returns whether free capacity and the team's limit allow a task of the job, or a whole gang, to start now.
 fn could_start(now: Instant, world: &World, id: &str) -> bool {
     let job = &world.jobs[id];
     let spec = &job.spec;
@@ -58,7 +58,7 @@
     used + spec.gpus * f64::from(needed) <= max && fitting_tasks(now, world, job, &live) >= needed
 }
 
-/// For how many more tasks of the job there is room where it may start.
+/// Returns how many more tasks of the job fit on the machines where the job may run.
 fn fitting_tasks(now: Instant, world: &World, job: &SimulatedJob, live: &[(&Machine, u32)]) -> u32 {
     let spec = &job.spec;
     let mut room: BTreeMap<&str, u32> = BTreeMap::new();
