--- a/tests/soak/faults.rs
+++ b/tests/soak/faults.rs
@@ -1,33 +1,33 @@
-//! Faults drawn from a seed. The schedule repeats from the seed; how the processes interleave does not.
+//! The faults of a run. The seed determines their schedule, but not how the processes interleave.
 
 use rand::rngs::StdRng;
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
 use std::time::Duration;
 
-/// Which controller a fault strikes.
+/// The controllers that a fault affects.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Target {
-    /// The one that answered workers last.
+    /// The leader: the controller that last answered a heartbeat with status 200.
     Leader,
-    /// The one with that number.
+    /// The controller with this number.
     Number(usize),
-    /// Each of them.
+    /// All controllers.
     All,
 }
 
-/// A kind of connection, between controllers and one kind of party.
+/// Connections between controllers and another kind of process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Link {
-    /// Requests of a controller to the state store.
+    /// Requests from a controller to the state store.
     StateStore(usize),
-    /// Requests of a controller to the cloud.
+    /// Requests from a controller to the cloud.
     Cloud(usize),
-    /// Heartbeats of the workers in a zone to a controller.
+    /// Heartbeats from the workers in a zone to a controller.
     Heartbeats(usize, usize),
-    /// Commands pushed to the workers of a zone.
+    /// Commands pushed to the workers in a zone.
     Pushes(usize),
-    /// What one controller sends another.
+    /// Requests from one controller to another.
     Peers(usize, usize),
 }
 
@@ -36,64 +36,65 @@
 pub enum LinkFault {
     /// Requests are never delivered.
     DropRequests,
-    /// Requests are delivered, responses are lost.
+    /// Requests are delivered, but their responses are lost.
     DropResponses,
     /// Requests are delivered when the fault ends.
     HoldRequests,
-    /// Requests are delivered so much later.
+    /// Requests are delivered after this delay.
     Delay(Duration),
 }
 
-/// One fault.
+/// A fault.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
-    /// Controllers are killed, and started again after that time.
+    /// Kills controllers, and restarts them after a while.
     Kill {
         target: Target,
         restart_after: Duration,
     },
-    /// The leader is killed so many times, again as soon as there is another.
+    /// Kills the leader several times, at fixed intervals.
     KillLeadersInSeries { times: u32 },
-    /// Controllers stand still while their clocks run on.
+    /// Suspends controllers; their clocks keep running.
     Pause { target: Target, duration: Duration },
-    /// Links of a controller, of a zone or of both are faulty.
+    /// Makes links of a controller, of a zone or of both faulty.
     Links {
         links: Vec<Link>,
         fault: LinkFault,
         duration: Duration,
     },
-    /// The state store refuses controllers.
+    /// The state store rejects requests of controllers.
     RefuseState { target: Target, duration: Duration },
-    /// That share of transactions is carried out late, without a response.
+    /// A share of transactions is executed late and gets no response.
     LateTransactions { share: f64, duration: Duration },
-    /// That share of transactions is carried out at once, without a response.
+    /// A share of transactions is executed without delay, but gets no response.
     LostTransactionResponses { share: f64, duration: Duration },
-    /// Of that share of heartbeats a copy arrives again, at any controller.
+    /// For a share of heartbeats, a copy arrives later at a random controller.
     DuplicateHeartbeats { share: f64, duration: Duration },
-    /// That share of pushes is carried out late, without a response.
+    /// A share of pushes is executed late and gets no response.
     LatePushes { share: f64, duration: Duration },
-    /// So many machines hang and then go on.
+    /// Random machines hang for a while.
     Hang { machines: usize, duration: Duration },
-    /// So many machines are gone at once.
+    /// The cloud reclaims random machines without notice.
     Reclaim { machines: usize },
-    /// The cloud refuses everything.
+    /// The cloud rejects all requests.
     RefuseCloud { duration: Duration },
-    /// Users cancel so many jobs at once.
+    /// Users cancel several jobs at the same time.
     CancelMany { jobs: usize },
 }
 
-/// A fault and when it begins, counted from the start of the run.
+/// A fault and its start time, counted from the start of the run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlannedFault {
     pub at: Duration,
     pub fault: Fault,
 }
 
-/// The longest pause between the beginnings of two faults.
+/// The longest time between the starts of two faults, in milliseconds.
 const MAX_GAP_MS: u64 = 4_000;
 const ZONES: usize = super::cloud::ZONES.len();
 
-/// The faults of a run, in order. Two or three overlap, for most last longer than the gaps between them.
+/// Draws the faults of a run, ordered by start time. Since most last longer than the time until the next one, usually
+/// two or three overlap.
 pub fn draw(seed: u64, controllers: usize, faults_for: Duration) -> Vec<PlannedFault> {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut planned = Vec::new();
@@ -166,7 +167,9 @@
         LinkFault::HoldRequests,
         LinkFault::Delay(delay),
     ];
-    *kinds.choose(rng).expect("there are kinds")
+    *kinds
+        .choose(rng)
+        .expect("there are link faults to choose from")
 }
 
 fn draw_links(rng: &mut StdRng, controllers: usize) -> Vec<Link> {
--- a/tests/soak/http.rs
+++ b/tests/soak/http.rs
@@ -1,4 +1,4 @@
-//! HTTP as the stand-ins speak it: JSON bodies over connections that stay open.
+//! HTTP server and client of the fake services, with JSON bodies and persistent connections.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
@@ -16,25 +16,29 @@
 use std::time::Duration;
 use tokio::net::TcpListener;
 
-/// A request as a stand-in sees it.
+/// A request to a fake service.
 pub struct HttpRequest {
     pub method: String,
-    /// Path and query.
+    /// The path with the query.
     pub path: String,
     pub body: Value,
 }
 
-/// A status and a body.
+/// The status and the body of a response.
 pub type HttpResponse = (u16, Value);
 
-/// Serves on a port of loopback until the runtime ends.
+/// Serves requests on a free loopback port until the runtime shuts down. Returns the address.
 pub async fn serve<H, F>(handler: H) -> SocketAddr
 where
     H: Fn(HttpRequest) -> F + Send + Sync + 'static,
     F: Future<Output = HttpResponse> + Send + 'static,
 {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let addr = listener.local_addr().expect("an address");
+    let listener = TcpListener::bind("127.0.0.1:0")
+        .await
+        .expect("failed to bind a loopback port");
+    let addr = listener
+        .local_addr()
+        .expect("failed to get the listener's address");
     let handler = Arc::new(handler);
     tokio::spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
@@ -43,7 +47,7 @@
                 let service = service_fn(move |request| respond(handler.clone(), request));
                 let connection = hyper::server::conn::http1::Builder::new()
                     .serve_connection(TokioIo::new(stream), service);
-                // An end in the middle of a request is one of the faults.
+                // Connections that break during a request are expected under faults.
                 let _ = connection.await;
             });
         }
@@ -68,11 +72,11 @@
     let request = HttpRequest { method, path, body };
     let (status, body) = handler(request).await;
     let mut response = Response::new(Full::new(Bytes::from(body.to_string())));
-    *response.status_mut() = StatusCode::from_u16(status).expect("a status");
+    *response.status_mut() = StatusCode::from_u16(status).expect("invalid HTTP status");
     Ok(response)
 }
 
-/// Sends requests to controllers.
+/// An HTTP client for requests to controllers.
 #[derive(Clone)]
 pub struct HttpClient(Client<HttpConnector, Full<Bytes>>);
 
@@ -81,7 +85,7 @@
         HttpClient(Client::builder(TokioExecutor::new()).build_http())
     }
 
-    /// One exchange; None if there was no response in time.
+    /// Sends a request and returns the response, or None if there was none within the timeout.
     pub async fn send(
         &self,
         addr: &str,
--- a/tests/soak/links.rs
+++ b/tests/soak/links.rs
@@ -1,19 +1,19 @@
-//! The state of the links between the parties: what happens to each message at this moment.
+//! Network faults: which links are faulty now, and what happens to messages on them.
 
 use super::faults::{Link, LinkFault};
 use std::collections::BTreeMap;
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-/// Longer than anybody waits for a response.
+/// How long a lost response is withheld: longer than any client's timeout.
 const NO_RESPONSE_DURATION: Duration = Duration::from_secs(120);
 
-/// What becomes of a message.
+/// The outcome of a message.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Delivery {
-    /// It arrives.
+    /// The message arrives.
     Arrives,
-    /// It never does.
+    /// The message is lost.
     Lost,
 }
 
@@ -23,36 +23,36 @@
     until: Instant,
 }
 
-/// The faulty links.
+/// The faulty links and their faults.
 #[derive(Default)]
 pub struct Links {
     faults: Mutex<BTreeMap<Link, ActiveFault>>,
 }
 
 impl Links {
-    /// The links are faulty from now on, for that long.
+    /// Makes the links faulty for the given duration.
     pub fn break_links(&self, links: &[Link], fault: LinkFault, duration: Duration) {
         let until = Instant::now() + duration;
-        let mut faults = self.faults.lock().expect("links");
+        let mut faults = self.faults.lock().expect("links lock poisoned");
         for link in links {
             faults.insert(*link, ActiveFault { fault, until });
         }
     }
 
-    /// All links work again.
+    /// Ends the faults of all links.
     pub fn clear_faults(&self) {
-        self.faults.lock().expect("links").clear();
+        self.faults.lock().expect("links lock poisoned").clear();
     }
 
     fn active(&self, link: Link) -> Option<ActiveFault> {
-        let faults = self.faults.lock().expect("links");
+        let faults = self.faults.lock().expect("links lock poisoned");
         faults
             .get(&link)
             .copied()
             .filter(|active| Instant::now() < active.until)
     }
 
-    /// Waits for as long as a request is on its way.
+    /// Waits for the delay of a request on this link, and returns whether the request arrives.
     pub async fn deliver_request(&self, link: Link) -> Delivery {
         let Some(active) = self.active(link) else {
             return Delivery::Arrives;
@@ -66,7 +66,7 @@
         Delivery::Arrives
     }
 
-    /// What becomes of a response.
+    /// Returns whether a response on this link arrives.
     pub fn deliver_response(&self, link: Link) -> Delivery {
         match self.active(link) {
             Some(active) if active.fault == LinkFault::DropResponses => Delivery::Lost,
@@ -75,7 +75,7 @@
     }
 }
 
-/// Never answers.
+/// Sleeps until every client has timed out, in place of a response.
 pub async fn no_response() {
     tokio::time::sleep(NO_RESPONSE_DURATION).await;
 }
--- a/tests/soak/peer_proxy.rs
+++ b/tests/soak/peer_proxy.rs
@@ -1,4 +1,4 @@
-//! The connection from one controller to another, which can be faulty.
+//! A proxy for connections from one controller to another, which applies the faults of their link.
 
 use super::faults::Link;
 use super::links::{Delivery, Links};
@@ -10,10 +10,14 @@
 
 const BUFFER_BYTES: usize = 16_384;
 
-/// Forwards connections to the address, as far as the link lets messages through.
+/// Starts a proxy that forwards connections to `target`. Returns the proxy's address.
 pub async fn start(links: Arc<Links>, link: Link, target: String) -> SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let addr = listener.local_addr().expect("an address");
+    let listener = TcpListener::bind("127.0.0.1:0")
+        .await
+        .expect("failed to bind a loopback port");
+    let addr = listener
+        .local_addr()
+        .expect("failed to get the listener's address");
     tokio::spawn(async move {
         while let Ok((client, _)) = listener.accept().await {
             tokio::spawn(forward(links.clone(), link, client, target.clone()));
@@ -48,7 +52,8 @@
     Responses,
 }
 
-/// Copies until either side ends or a message is lost: then the connection ends, as nothing more can be made of it.
+/// Copies bytes until either side closes the connection or a message is lost. A lost message ends the connection, since
+/// the rest of the byte stream could not be parsed.
 async fn copy(
     links: Arc<Links>,
     link: Link,
