--- a/tests/soak/cloud.rs
+++ b/tests/soak/cloud.rs
@@ -1,4 +1,4 @@
-//! A stand-in of the cloud: it rents machines up to a limit, lists them late, and takes them back.
+//! A fake cloud, which rents machines up to a limit, lists them with a delay, and terminates or reclaims them.
 
 use super::cluster::Shared;
 use super::faults::Link;
@@ -14,16 +14,17 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-/// The zones of machines.
+/// The zones in which machines can be rented.
 pub const ZONES: [&str; 3] = ["a", "b", "c"];
-/// How far the list lags behind, in seconds, as the settings say.
+/// Longest delay until a rented machine is listed, in seconds, as stated in the controllers' settings.
 pub const LIST_LAG_SECS: f64 = 1.0;
+/// The actual delay until a rented machine is listed.
 const LIST_LAG: Duration = Duration::from_millis(800);
 const BOOT_MS: std::ops::Range<u64> = 200..2_500;
-/// A rented machine that never comes up.
+/// The share of rented machines that never boot.
 const BOOT_FAILURE_SHARE: f64 = 0.03;
 
-/// A machine type as the cloud offers it.
+/// A machine type that the cloud offers.
 struct Offer {
     name: &'static str,
     cpus: f64,
@@ -61,12 +62,13 @@
 #[derive(Default)]
 struct Data {
     rentals: BTreeMap<String, Rental>,
+    /// The machines rented for each idempotency key.
     responses: BTreeMap<String, Vec<String>>,
     last_number: u32,
     refuses_until: Option<Instant>,
 }
 
-/// The cloud.
+/// The fake cloud.
 pub struct Cloud {
     data: Mutex<Data>,
     shared: Arc<Shared>,
@@ -82,7 +84,7 @@
         })
     }
 
-    /// A port for one controller.
+    /// Opens a port for one controller, and returns its address.
     pub async fn port_for(self: &Arc<Cloud>, controller: usize) -> SocketAddr {
         let cloud = self.clone();
         serve(move |request| {
@@ -93,20 +95,20 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, Data> {
-        self.data.lock().expect("the cloud's data")
+        self.data.lock().expect("cloud data lock poisoned")
     }
 
-    /// Refuses everything for that long.
+    /// Rejects all requests for the given duration.
     pub fn refuse(&self, duration: Duration) {
         self.lock().refuses_until = Some(Instant::now() + duration);
     }
 
-    /// Refuses nothing any more.
+    /// Stops rejecting requests.
     pub fn clear_faults(&self) {
         self.lock().refuses_until = None;
     }
 
-    /// Takes a machine back without notice.
+    /// Reclaims a machine without notice.
     pub fn reclaim(&self, id: &str) {
         self.lock().rentals.remove(id);
         self.shared.world().machine_removed(id);
@@ -143,7 +145,10 @@
 
     fn rent(&self, body: &Value) -> HttpResponse {
         let mut data = self.lock();
-        let key = body["hire"].as_str().expect("a key").to_owned();
+        let key = body["hire"]
+            .as_str()
+            .expect("rental request has no idempotency key")
+            .to_owned();
         if let Some(hosts) = data.responses.get(&key) {
             return (200, json!({"hosts": hosts}));
         }
@@ -219,13 +224,13 @@
         (200, json!({"hosts": hosts, "hasNext": has_next}))
     }
 
-    /// Whether the machine is rented.
+    /// Returns whether the machine is rented.
     pub fn is_rented(&self, id: &str) -> bool {
         self.lock().rentals.contains_key(id)
     }
 }
 
-/// The kind of machine that a request asks for, if it is offered.
+/// Returns the kind of machine that a request asks for, or None if it is not offered.
 fn requested_kind(body: &Value) -> Option<MachineKind> {
     let name = body["rig"].as_str()?;
     let zone = body["site"].as_str()?;
--- a/tests/soak/state_store.rs
+++ b/tests/soak/state_store.rs
@@ -1,5 +1,5 @@
-//! A stand-in of the state store: keys, transactions, leases and watches over the published protocol, with the
-//! faults that it may have. Each controller has a port of its own, by which it is known.
+//! A fake state store with keys, transactions, leases and watches over the published protocol, and injected faults.
+//! Each controller connects to a port of its own, which identifies the controller.
 
 use super::faults::Link;
 use super::http::{serve, HttpRequest, HttpResponse};
@@ -12,12 +12,12 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-/// How often leases are looked at, and waiting watches look for changes.
+/// How often leases, late transactions and open watches are checked.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// How much later a late transaction is carried out.
+/// Delay of late transactions, in milliseconds.
 const LATE_EXECUTION_MS: std::ops::Range<u64> = 800..5_000;
 
-/// A share of transactions that is treated in some way until a moment.
+/// A fault that affects a random share of transactions until a given time.
 #[derive(Clone, Copy)]
 struct TransactionFault {
     share: f64,
@@ -37,13 +37,13 @@
     lost_responses: Option<TransactionFault>,
 }
 
-/// A transaction that is carried out later.
+/// A transaction that is executed later.
 struct LateTransaction {
     due_at: Instant,
     request: HttpRequest,
 }
 
-/// The store, and what is wrong with it.
+/// The state store and its faults.
 pub struct StateStore {
     data: Mutex<Data>,
     late_transactions: Mutex<Vec<LateTransaction>>,
@@ -65,7 +65,7 @@
         store
     }
 
-    /// A port for one controller.
+    /// Opens a port for one controller, and returns its address.
     pub async fn port_for(self: &Arc<StateStore>, controller: usize) -> SocketAddr {
         let store = self.clone();
         serve(move |request| {
@@ -75,46 +75,52 @@
         .await
     }
 
-    /// Refuses those controllers for that long.
+    /// Rejects requests of these controllers for the given duration.
     pub fn refuse(&self, controllers: &[usize], duration: Duration) {
         let until = Instant::now() + duration;
-        let mut faults = self.faults.lock().expect("faults");
+        let mut faults = self.faults.lock().expect("faults lock poisoned");
         for controller in controllers {
             faults.refused_until.insert(*controller, until);
         }
     }
 
-    /// That share of transactions is carried out late, and gets no response.
+    /// Executes a share of transactions late and without a response.
     pub fn delay_transactions(&self, share: f64, duration: Duration) {
         let until = Instant::now() + duration;
-        self.faults.lock().expect("faults").late = Some(TransactionFault { share, until });
+        self.faults.lock().expect("faults lock poisoned").late =
+            Some(TransactionFault { share, until });
     }
 
-    /// That share of transactions gets no response.
+    /// Executes a share of transactions without delay, but sends no response.
     pub fn lose_transaction_responses(&self, share: f64, duration: Duration) {
         let until = Instant::now() + duration;
-        self.faults.lock().expect("faults").lost_responses =
-            Some(TransactionFault { share, until });
+        self.faults
+            .lock()
+            .expect("faults lock poisoned")
+            .lost_responses = Some(TransactionFault { share, until });
     }
 
-    /// Nothing is wrong with it any more.
+    /// Ends all faults of the store.
     pub fn clear_faults(&self) {
-        *self.faults.lock().expect("faults") = StoreFaults::default();
+        *self.faults.lock().expect("faults lock poisoned") = StoreFaults::default();
     }
 
     fn lock(&self) -> MutexGuard<'_, Data> {
-        self.data.lock().expect("the store's data")
+        self.data.lock().expect("store data lock poisoned")
     }
 
     fn refuses(&self, controller: usize) -> bool {
-        let faults = self.faults.lock().expect("faults");
+        let faults = self.faults.lock().expect("faults lock poisoned");
         let until = faults.refused_until.get(&controller);
         until.is_some_and(|until| Instant::now() < *until)
     }
 
-    /// Carries out the late transactions that are due. The connections that they came on are long closed.
+    /// Executes the late transactions that are due. Their connections are closed by now.
     fn execute_due(&self, now: Instant) {
-        let mut waiting = self.late_transactions.lock().expect("late transactions");
+        let mut waiting = self
+            .late_transactions
+            .lock()
+            .expect("late transactions lock poisoned");
         let (due, not_due) = waiting.drain(..).partition(|late| late.due_at <= now);
         *waiting = not_due;
         drop(waiting);
@@ -124,7 +130,8 @@
         }
     }
 
-    /// In an outage no lease expires; when one controller alone is refused, its leases run out.
+    /// Expires leases and executes late transactions. While all controllers are rejected, as in an outage of the
+    /// store, leases are renewed instead; if only some are rejected, their leases expire.
     async fn run(self: Arc<StateStore>) {
         loop {
             let now = Instant::now();
@@ -151,11 +158,11 @@
         }
         let is_transaction = request.path == "/multi";
         let (late, lost_responses) = {
-            let faults = self.faults.lock().expect("faults");
+            let faults = self.faults.lock().expect("faults lock poisoned");
             (faults.late, faults.lost_responses)
         };
         if is_transaction && TransactionFault::applies(late) {
-            // The caller gives up, and the connection ends; the transaction is carried out all the same.
+            // The controller times out and closes the connection, but the transaction is still executed later.
             return self.execute_late(request).await;
         }
         let response = self.execute(&request);
@@ -174,7 +181,7 @@
         };
         self.late_transactions
             .lock()
-            .expect("late transactions")
+            .expect("late transactions lock poisoned")
             .push(late_transaction);
         no_response().await;
         (503, Value::Null)
@@ -195,13 +202,13 @@
         }
     }
 
-    /// Responds once something has changed, or when the time asked for is over; stays open in an outage.
+    /// Responds once there are changes or after the requested time. Sends no response while the controller is rejected.
     async fn watch(&self, controller: usize, path: &str) -> HttpResponse {
         let number = |name| -> u64 {
             let value = query(path, name).and_then(|value| value.parse().ok());
             value.unwrap_or(0)
         };
-        let prefix = query(path, "prefix").expect("a prefix");
+        let prefix = query(path, "prefix").expect("watch request has no prefix");
         let since = number("since");
         let end = Instant::now() + Duration::from_millis(number("holdMs"));
         loop {
