--- a/tests/soak/task.rs
+++ b/tests/soak/task.rs
@@ -1,9 +1,9 @@
-//! One task attempt on a worker.
+//! A task attempt on a fake worker.
 
 use serde_json::{json, Value};
 use std::time::{Duration, Instant};
 
-/// How far an attempt is.
+/// The phase of a task attempt.
 #[derive(Clone, Copy, Debug)]
 pub enum Phase {
     Fetching { ready_at: Instant },
@@ -13,20 +13,20 @@
     Ended { cause: &'static str, saved: bool },
 }
 
-/// A task attempt that the worker knows.
+/// A task attempt that the worker lists in its status.
 pub struct Task {
     pub phase: Phase,
 }
 
 impl Task {
-    /// Waiting for its image until then.
+    /// Returns an attempt whose image is fetched until the given time.
     pub fn fetching(ready_at: Instant) -> Task {
         Task {
             phase: Phase::Fetching { ready_at },
         }
     }
 
-    /// Refused.
+    /// Returns an attempt that the worker denied to start.
     pub fn ended(cause: &'static str) -> Task {
         let saved = false;
         Task {
@@ -42,12 +42,12 @@
         matches!(self.phase, Phase::Ended { .. })
     }
 
-    /// It has its image and has not ended.
+    /// Returns whether the attempt has its image and has not ended.
     pub fn is_on_machine(&self) -> bool {
         !matches!(self.phase, Phase::Fetching { .. } | Phase::Ended { .. })
     }
 
-    /// Whether it has something to do by itself now.
+    /// Returns whether the attempt is due for its next phase.
     pub fn is_due(&self, now: Instant) -> bool {
         match self.phase {
             Phase::Fetching { ready_at } => ready_at <= now,
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Its machine stood still for so long.
+    /// Postpones the end of the current phase, because the machine hangs.
     pub fn postpone(&mut self, duration: Duration) {
         match &mut self.phase {
             Phase::Fetching { ready_at: at }
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Its line in a status.
+    /// Returns the attempt's entry in the worker's status.
     pub fn status(&self, job: &str, index: u32, attempt_id: u64) -> Value {
         let piece = format!("{job}/{index}");
         let phase = match self.phase {
--- a/tests/soak/worker.rs
+++ b/tests/soak/worker.rs
@@ -1,4 +1,4 @@
-//! The worker of one machine on the network: heartbeats to the controllers in turn, and pushed commands.
+//! The network side of a machine's fake worker: sends heartbeats to the leader and receives pushed commands.
 
 use super::cluster::Shared;
 use super::faults::Link;
@@ -15,10 +15,10 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(30);
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
 const NEXT_CONTROLLER_DELAY: Duration = Duration::from_millis(400);
-/// How much later a copy of a heartbeat, or a late push, arrives.
+/// Delay of duplicated heartbeats and late pushes, in milliseconds.
 const LATE_DELIVERY_MS: std::ops::Range<u64> = 500..7_000;
 
-/// Starts the worker of a machine that is up from now on.
+/// Starts the worker of a machine that has booted.
 pub async fn start(shared: Arc<Shared>, id: String, kind: MachineKind) {
     let zone = shared.zone_number(kind.zone);
     let (served, served_id) = (shared.clone(), id.clone());
@@ -43,7 +43,7 @@
     });
 }
 
-/// Waits for as long as the machine hangs. False if it is gone.
+/// Waits while the machine hangs. Returns false if the machine no longer exists.
 async fn wait_while_hanging(shared: &Shared, id: &str) -> bool {
     loop {
         let until = shared.world().hangs_until(id, Instant::now());
@@ -54,7 +54,7 @@
     }
 }
 
-/// A pushed command, or a request for the status.
+/// Handles pushed commands or a request for the status.
 async fn handle(shared: Arc<Shared>, id: &str, zone: usize, request: HttpRequest) -> HttpResponse {
     let link = Link::Pushes(zone);
     if shared.links.deliver_request(link).await == Delivery::Lost
@@ -81,7 +81,7 @@
     }
 }
 
-/// Commands that were held up on their way are executed once, late, if token and session still match.
+/// Executes pushed commands after a delay, if their fencing token and session are still current.
 fn execute_push_late(shared: Arc<Shared>, id: String, body: Value) {
     tokio::spawn(async move {
         let delay_ms = rand::rng().random_range(LATE_DELIVERY_MS);
@@ -92,7 +92,7 @@
     });
 }
 
-/// Sends heartbeats to one controller, and to others when it does not answer.
+/// Sends heartbeats to one controller, and to the next one if there is no response.
 struct Heartbeats {
     shared: Arc<Shared>,
     id: String,
@@ -101,7 +101,7 @@
 }
 
 impl Heartbeats {
-    /// Waits until a heartbeat is due, and sends it. False if the machine is gone.
+    /// Waits until a heartbeat is due, and sends it. Returns false if the machine no longer exists.
     async fn send_next(&mut self) -> bool {
         let started_at = Instant::now();
         loop {
@@ -125,7 +125,8 @@
         true
     }
 
-    /// Sends a heartbeat; false if another controller is to be tried, one not named by this one.
+    /// Sends a heartbeat. Returns false if the next controller is to be tried: there was no response or an error, or a
+    /// redirect to no other controller.
     async fn send(&mut self) -> bool {
         let (session, status) = {
             let mut world = self.shared.world();
@@ -144,7 +145,7 @@
         let Ok(Some((status, body))) = response else {
             return false;
         };
-        // Whatever arrives while the machine hangs is taken in afterwards, if the lease still holds.
+        // A response that arrives while the machine hangs is handled afterwards, if the lease is still valid.
         if !wait_while_hanging(&self.shared, &self.id).await {
             return true;
         }
@@ -163,7 +164,7 @@
         }
     }
 
-    /// Goes to the controller that this one names. False if it names none, or itself.
+    /// Follows a redirect to the leader. Returns false if the response names no controller or the one that sent it.
     fn follow_redirect(&mut self, body: &Value) -> bool {
         let leader = body["foreman"].as_str();
         let number = leader.and_then(|name| self.shared.controller_number(name));
@@ -191,7 +192,7 @@
         response
     }
 
-    /// A copy of the heartbeat arrives again later, at any controller; nobody waits for its response.
+    /// If the heartbeat is to be duplicated, sends a copy later to a random controller and ignores the response.
     fn send_duplicate_if_faulty(&self, status: &str) {
         if !self.shared.should_duplicate_heartbeat() {
             return;
@@ -211,7 +212,7 @@
     }
 }
 
-/// What a machine of that name looks like in the cloud's list.
+/// Returns a machine's entry in the cloud's machine list.
 pub fn list_entry(
     id: &str,
     kind: &MachineKind,
--- a/tests/soak/world.rs
+++ b/tests/soak/world.rs
@@ -1,5 +1,5 @@
-//! Machines and the tasks on them, as the published protocol says that workers behave. One lock guards them all,
-//! and the checker that watches.
+//! The simulated machines and the tasks on them. Their workers follow the published protocol. A single lock guards
+//! machines, tasks and checker.
 
 mod commands;
 mod gangs;
@@ -11,7 +11,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
-/// What workers go by.
+/// The lease duration and the gang timeouts of workers.
 #[derive(Clone, Copy, Debug)]
 pub struct WorkerTimes {
     pub lease: Duration,
@@ -19,7 +19,7 @@
     pub gang_peer_timeout: Duration,
 }
 
-/// What a machine offers, and where it is.
+/// A machine's type, zone, capacity, and whether it is a spot machine.
 #[derive(Clone, Debug)]
 pub struct MachineKind {
     pub machine_type: &'static str,
@@ -30,21 +30,22 @@
     pub ram_gb: f64,
 }
 
-/// A job as it really is.
+/// A job with its actual run time and image fetch time.
 #[derive(Clone, Debug)]
 pub struct SimulatedJob {
     pub spec: JobSpec,
-    /// How long each of its tasks runs; a service never ends.
+    /// How long each task runs. Tasks of services never end.
     pub run_time: Duration,
+    /// How long a machine takes to fetch the image.
     pub fetch_time: Duration,
 }
 
 type TaskKey = (String, u32);
 type GangAttempt = (String, u64);
-/// A task attempt and its machine.
+/// A gang member: its machine, and its task attempt there.
 type Member = (String, (TaskKey, u64));
 
-/// One machine with its worker.
+/// A machine and the state of its worker.
 pub struct Machine {
     pub kind: MachineKind,
     pub endpoint: String,
@@ -55,7 +56,7 @@
     hangs_until: Instant,
     tasks: BTreeMap<(TaskKey, u64), Task>,
     images: BTreeSet<String>,
-    /// Something has changed since the last heartbeat.
+    /// Whether the worker's status has changed since the last heartbeat.
     pub has_changes: bool,
 }
 
@@ -64,7 +65,7 @@
         now < self.hangs_until
     }
 
-    /// For how many tasks of a job it has room.
+    /// Returns how many tasks with these resource requests fit into the free capacity.
     pub fn fitting_tasks(&self, spec: &JobSpec, jobs: &BTreeMap<String, SimulatedJob>) -> u32 {
         let mut free = (self.kind.cpus, self.kind.gpus, self.kind.ram_gb);
         let live = self.tasks.iter().filter(|(_, task)| !task.has_ended());
@@ -84,15 +85,15 @@
     }
 }
 
-/// All machines, jobs and results.
+/// All machines, jobs and completed tasks, and the checker.
 pub struct World {
     times: WorkerTimes,
     pub machines: BTreeMap<String, Machine>,
     pub jobs: BTreeMap<String, SimulatedJob>,
     completed: BTreeSet<TaskKey>,
-    /// What is left to run of tasks that have saved their progress.
+    /// Remaining run time of tasks that have saved a checkpoint.
     remaining: BTreeMap<TaskKey, Duration>,
-    /// Since when running gang attempts have lacked a member.
+    /// Since when members of running gang attempts have been missing.
     incomplete_since: BTreeMap<GangAttempt, Instant>,
     pub checker: Checker,
 }
@@ -148,13 +149,13 @@
         self.machines.insert(id.to_owned(), machine);
     }
 
-    /// The machine and all on it are gone.
+    /// Removes a machine with its tasks.
     pub fn machine_removed(&mut self, id: &str) {
         self.machines.remove(id);
         self.checker.machine_removed(id);
     }
 
-    /// The machine stands still until then; what its tasks have to do takes so much longer.
+    /// Makes the machine hang for the given duration, which postpones all that its tasks do.
     pub fn hang(&mut self, now: Instant, id: &str, duration: Duration) {
         let Some(machine) = self.machines.get_mut(id) else {
             return;
@@ -165,13 +166,13 @@
         }
     }
 
-    /// Until when the machine hangs, if it does.
+    /// Returns the end of the machine's hang, or None if the machine is not hanging.
     pub fn hangs_until(&self, id: &str, now: Instant) -> Option<Instant> {
         let machine = self.machines.get(id)?;
         machine.is_hanging(now).then_some(machine.hangs_until)
     }
 
-    /// Lets everything happen that is due.
+    /// Executes everything that is due on the machines, and checks the cancelled jobs.
     pub fn advance(&mut self, now: Instant) {
         let ids: Vec<String> = self.machines.keys().cloned().collect();
         for id in &ids {
@@ -240,7 +241,7 @@
         }
     }
 
-    /// Tasks of a job that are on a machine or waiting for their image there.
+    /// Returns the job's tasks that have not ended, with their machines. Includes tasks whose image is being fetched.
     pub fn live_tasks(&self, job: &str) -> Vec<(&Machine, u32)> {
         let machines = self.machines.values();
         let live = machines.flat_map(|machine| {
@@ -251,12 +252,12 @@
         live.collect()
     }
 
-    /// Whether a task has completed.
+    /// Returns whether a task has completed.
     pub fn is_completed(&self, job: &str, index: u32) -> bool {
         self.completed.contains(&(job.to_owned(), index))
     }
 
-    /// What a team's tasks take, those waiting for their image included.
+    /// Returns the GPUs that a team's tasks use, including tasks whose image is being fetched.
     pub fn used_gpus(&self, team: &str) -> f64 {
         let tasks = self.machines.values().flat_map(|machine| &machine.tasks);
         let live = tasks.filter(|(_, task)| !task.has_ended());
@@ -267,7 +268,7 @@
             .sum()
     }
 
-    /// The machine's status: a new message.
+    /// Returns the worker's status as a new message with its own sequence number.
     pub fn status(&mut self, id: &str) -> Option<Value> {
         let machine = self.machines.get_mut(id)?;
         machine.sequence_number += 1;
@@ -282,12 +283,13 @@
         )
     }
 
-    /// The session that a heartbeat sent now belongs to.
+    /// Returns the worker's current session.
     pub fn session(&self, id: &str) -> Option<u64> {
         Some(self.machines.get(id)?.session)
     }
 
-    /// A controller has answered a heartbeat with 200.
+    /// Handles a heartbeat response with status 200: renews the lease and executes the commands. Ignores a response
+    /// that belongs to another session or has an outdated fencing token.
     pub fn heartbeat_answered(
         &mut self,
         now: Instant,
@@ -310,7 +312,7 @@
         self.execute(now, id, response);
     }
 
-    /// Pushed commands. True if they were executed.
+    /// Executes pushed commands if their fencing token and session are current. Returns whether they were executed.
     pub fn push(&mut self, now: Instant, id: &str, body: &Value) -> bool {
         self.advance_machine(now, id);
         let Some(machine) = self.machines.get(id) else {
--- a/tests/soak/world/commands.rs
+++ b/tests/soak/world/commands.rs
@@ -1,4 +1,4 @@
-//! What a worker does on command.
+//! How a worker executes commands.
 
 use super::{attempt_on, TaskKey, World};
 use crate::task::{Phase, Task};
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 impl World {
-    /// Executes the commands of a response or a push, in order.
+    /// Executes the commands of a heartbeat response or a push, in order.
     pub(super) fn execute(&mut self, now: Instant, id: &str, body: &Value) {
         let Some(machine) = self.machines.get_mut(id) else {
             return;
--- a/tests/soak/world/gangs.rs
+++ b/tests/soak/world/gangs.rs
@@ -1,4 +1,4 @@
-//! Gangs: their tasks start together, complete together, and give up without each other.
+//! Gangs: the members of a gang attempt start and complete together, and end after a timeout if others are missing.
 
 use super::{attempt_on, GangAttempt, Member, World};
 use crate::task::{Phase, Task};
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Ends the members whose machines don't hang.
+    /// Ends the members on machines that are not hanging.
     fn end_members(&mut self, now: Instant, members: &[Member], cause: &'static str) {
         if cause == "done" {
             for (_, key) in members {
@@ -103,7 +103,7 @@
     }
 }
 
-/// The members of a gang attempt that are on machines.
+/// Counts the members of a gang attempt that are on responsive machines.
 #[derive(Default)]
 struct GangCounts {
     waiting: usize,
