--- a/tests/soak/users.rs
+++ b/tests/soak/users.rs
@@ -1,4 +1,4 @@
-//! Users: they submit, ask, repeat and cancel, at all controllers, all the time.
+//! Simulated users, who submit, resubmit, query and cancel jobs at random controllers.
 
 use super::checker::UserResponse;
 use super::cluster::Shared;
@@ -12,21 +12,21 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Users of a run.
+/// The number of users in a run.
 pub const USERS: u64 = 5;
-/// Jobs that a user submits in a run.
+/// The most jobs that a user submits in a run.
 const JOBS_PER_USER: u32 = 14;
 const PAUSE_MS: std::ops::Range<u64> = 20..350;
 const SUBMIT_TIMEOUT: Duration = Duration::from_secs(5);
 const QUERY_TIMEOUT: Duration = Duration::from_secs(2);
 const IMAGES: [&str; 4] = ["img-0", "img-1", "img-2", "img-3"];
 
-/// One user.
+/// A simulated user.
 pub struct User {
     shared: Arc<Shared>,
     rng: StdRng,
     number: u64,
-    /// How many times as many tasks as in a small cluster jobs have.
+    /// Factor by which jobs have more tasks than in a small cluster.
     scale: u32,
     submitted: u32,
     specs: Vec<Value>,
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Goes on until told to stop.
+    /// Sends random requests until `stop` is set.
     pub async fn run(mut self, stop: Arc<AtomicBool>) {
         while !stop.load(Ordering::Relaxed) {
             let pause_ms = self.rng.random_range(PAUSE_MS);
@@ -60,12 +60,13 @@
         }
     }
 
-    /// Submits a job until it is taken; gives up after a while, and then it may or may not be known.
+    /// Submits a new job, and retries until it is accepted. After the last retry it remains open whether a
+    /// controller has accepted the job.
     async fn submit_new(&mut self) {
         let id = format!("wk-{}{:05}", self.number + 1, self.submitted);
         self.submitted += 1;
         let spec = draw_job(&mut self.rng, &id, self.scale);
-        let parsed = parse_submission(spec.to_string().as_bytes()).expect("a job");
+        let parsed = parse_submission(spec.to_string().as_bytes()).expect("invalid submission");
         let job = simulated_job(&mut self.rng, parsed.spec);
         self.shared.world().submit(job);
         self.specs.push(spec.clone());
@@ -89,7 +90,7 @@
 
     async fn query_status(&mut self, controller: usize) {
         if let Some(spec) = self.specs.choose(&mut self.rng) {
-            let id = spec["ref"].as_str().expect("an id").to_owned();
+            let id = spec["ref"].as_str().expect("job has no id").to_owned();
             query_status(&self.shared, controller, &id).await;
         }
     }
@@ -101,13 +102,13 @@
 
     async fn cancel(&mut self, controller: usize) {
         if let Some(spec) = self.specs.choose(&mut self.rng) {
-            let id = spec["ref"].as_str().expect("an id").to_owned();
+            let id = spec["ref"].as_str().expect("job has no id").to_owned();
             cancel(&self.shared, controller, &id).await;
         }
     }
 }
 
-/// One exchange with a controller; what it says goes to the checker.
+/// Sends a request about a job to a controller, and passes the response to the checker. Returns the response's status.
 async fn exchange(
     shared: &Shared,
     controller: usize,
@@ -132,20 +133,20 @@
     Some(status)
 }
 
-/// Submits a job at one controller: the status.
+/// Submits a job at one controller. Returns the response's status.
 pub async fn submit(shared: &Shared, controller: usize, spec: &Value) -> Option<u16> {
-    let id = spec["ref"].as_str().expect("an id");
+    let id = spec["ref"].as_str().expect("job has no id");
     let request = ("POST", "/submissions".to_owned(), spec.to_string());
     exchange(shared, controller, id, request, SUBMIT_TIMEOUT).await
 }
 
-/// Asks one controller about a job: the status.
+/// Queries a job's status at one controller. Returns the response's HTTP status.
 pub async fn query_status(shared: &Shared, controller: usize, id: &str) -> Option<u16> {
     let request = ("GET", format!("/submissions/{id}"), String::new());
     exchange(shared, controller, id, request, QUERY_TIMEOUT).await
 }
 
-/// Cancels a job at one controller: the status.
+/// Cancels a job at one controller. Returns the response's status.
 pub async fn cancel(shared: &Shared, controller: usize, id: &str) -> Option<u16> {
     shared.world().checker.cancel_requested(id);
     let path = format!("/submissions/{id}/withdraw");
@@ -161,11 +162,11 @@
     }
 }
 
-/// A job with constraints of any kind.
+/// Draws a job with random constraints.
 fn draw_job(rng: &mut StdRng, id: &str, scale: u32) -> Value {
     let shape = *["array", "array", "gang", "standing"]
         .choose(rng)
-        .expect("a shape");
+        .expect("no shapes");
     let tasks = match shape {
         "array" => rng.random_range(1..24),
         "gang" => rng.random_range(1..6),
@@ -174,15 +175,15 @@
     let zone_affinity = shape != "standing" && rng.random_bool(0.45);
     let zone_anti_affinity = shape == "standing" || (!zone_affinity && rng.random_bool(0.15));
     let zone = (!zone_anti_affinity && rng.random_bool(0.2))
-        .then(|| *["a", "b"].choose(rng).expect("a zone"));
+        .then(|| *["a", "b"].choose(rng).expect("no zones"));
     let types = rng
         .random_bool(0.2)
-        .then(|| *["box", "far"].choose(rng).expect("a type"));
+        .then(|| *["box", "far"].choose(rng).expect("no machine types"));
     let checkpoint_s = if rng.random_bool(0.3) { 1.0 } else { 0.0 };
-    let team = *["blue", "red"].choose(rng).expect("a team");
+    let team = *["blue", "red"].choose(rng).expect("no teams");
     let priority = *["low", "normal", "normal", "urgent", "production"]
         .choose(rng)
-        .expect("an urgency");
+        .expect("no priorities");
     json!({"ref": id, "jobclass": shape, "crew": team, "shape": shape, "urgency": priority, "pieces": tasks,
         "cpus": 1.0, "gpus": 1.0, "ramGb": 4.0, "bundle": IMAGES.choose(rng), "pullGb": 1.0,
         "rigs": types.map(|name| [name]), "site": zone, "together": zone_affinity, "scatter": zone_anti_affinity,
