--- a/tests/soak/cluster.rs
+++ b/tests/soak/cluster.rs
@@ -1,4 +1,4 @@
-//! What the parties of a run share, and how they are put together.
+//! Starts the controllers of a run with the fake services around them, and defines the state that they share.
 
 use super::checker::{Checker, Limits};
 use super::cloud::{Cloud, ZONES};
@@ -19,32 +19,32 @@
 use std::sync::{Arc, Mutex, MutexGuard, OnceLock};
 use std::time::{Duration, Instant};
 
-/// How many controllers there are.
+/// The number of controllers.
 pub const CONTROLLERS: usize = 3;
 const LEASE: Duration = Duration::from_secs(5);
 const GANG_WAIT_TIMEOUT: Duration = Duration::from_secs(6);
 const GANG_PEER_TIMEOUT: Duration = Duration::from_secs(2);
-/// Within this time of a confirmed cancellation no task of the job may run any more.
+/// How long tasks of a job may run after the job's cancellation was confirmed.
 pub const CANCEL_TIMEOUT: Duration = Duration::from_secs(15);
 const MAX_VALUE_KB: f64 = 1.0;
-/// Teams, their guaranteed GPUs and their limits, in a cluster of [`SMALL_CLUSTER_MACHINES`] machines.
+/// Teams with guaranteed GPUs and GPU limits for a cluster of [`SMALL_CLUSTER_MACHINES`] machines.
 const TEAMS: [(&str, f64, f64); 2] = [("blue", 12.0, 40.0), ("red", 8.0, 24.0)];
-/// Machines for which the teams' limits are meant; larger clusters have larger limits and jobs.
+/// The cluster size that [`TEAMS`] is meant for. In larger clusters, quotas and jobs are scaled up.
 const SMALL_CLUSTER_MACHINES: usize = 24;
 
-/// How much larger a cluster of so many machines is than a small one.
+/// Returns the factor by which quotas and jobs are scaled up for a cluster of this size.
 pub fn scale_factor(machines: usize) -> u32 {
     (machines / SMALL_CLUSTER_MACHINES).max(1) as u32
 }
 
-/// Teams, their guaranteed GPUs and their limits.
+/// Returns the teams with scaled guaranteed GPUs and GPU limits.
 fn teams(scale: u32) -> Vec<(&'static str, f64, f64)> {
     let factor = f64::from(scale);
     let scaled = |(name, gpus, max): (&'static str, f64, f64)| (name, gpus * factor, max * factor);
     TEAMS.into_iter().map(scaled).collect()
 }
 
-/// A share of messages that is treated in some way until a moment.
+/// A fault that affects a random share of messages until a given time.
 #[derive(Clone, Copy)]
 struct MessageFault {
     share: f64,
@@ -57,7 +57,7 @@
     late_pushes: Option<MessageFault>,
 }
 
-/// What the parties of a run share.
+/// State shared by users, workers, the cloud and the injection of faults.
 pub struct Shared {
     pub http_addrs: Vec<String>,
     pub links: Arc<Links>,
@@ -70,26 +70,26 @@
 
 impl Shared {
     pub fn world(&self) -> MutexGuard<'_, World> {
-        self.world.lock().expect("no task panics with the lock")
+        self.world.lock().expect("world lock poisoned")
     }
 
     pub fn zone_number(&self, zone: &str) -> usize {
         let number = ZONES.iter().position(|known| *known == zone);
-        number.expect("a known zone")
+        number.expect("unknown zone")
     }
 
-    /// The controller of that name.
+    /// Returns the number of the controller with this host name.
     pub fn controller_number(&self, name: &str) -> Option<usize> {
         let number: usize = name.strip_prefix('n')?.parse().ok()?;
         (number < self.http_addrs.len()).then_some(number)
     }
 
-    /// A controller has answered a worker with 200.
+    /// Records that a controller answered a heartbeat with status 200, and so acts as the leader.
     pub fn record_leader(&self, controller: usize) {
         self.leader.store(controller, Ordering::Relaxed);
     }
 
-    /// The controller that answered a worker last.
+    /// Returns the controller that last answered a heartbeat with status 200.
     pub fn leader(&self) -> usize {
         self.leader.load(Ordering::Relaxed)
     }
@@ -99,7 +99,9 @@
     }
 
     fn message_faults(&self) -> MutexGuard<'_, MessageFaults> {
-        self.message_faults.lock().expect("message faults")
+        self.message_faults
+            .lock()
+            .expect("message faults lock poisoned")
     }
 
     pub fn duplicate_heartbeats(&self, share: f64, duration: Duration) {
@@ -116,12 +118,12 @@
         *self.message_faults() = MessageFaults::default();
     }
 
-    /// Whether the heartbeat that is being sent is duplicated.
+    /// Draws whether the current heartbeat is duplicated.
     pub fn should_duplicate_heartbeat(&self) -> bool {
         applies(self.message_faults().duplicate_heartbeats)
     }
 
-    /// Whether the push that arrives is held up.
+    /// Draws whether the current push is delayed.
     pub fn should_delay_push(&self) -> bool {
         applies(self.message_faults().late_pushes)
     }
@@ -131,7 +133,7 @@
     fault.is_some_and(|f| Instant::now() < f.until && rand::rng().random_bool(f.share))
 }
 
-/// All parties of a run.
+/// The controllers of a run and the fake services that they use.
 pub struct Cluster {
     pub shared: Arc<Shared>,
     pub store: Arc<StateStore>,
@@ -140,7 +142,7 @@
 }
 
 impl Cluster {
-    /// Starts everything.
+    /// Starts the services and the controllers.
     pub async fn start(directory: &Path, max_machines: usize) -> Cluster {
         let ports = free_ports(2 * CONTROLLERS);
         let addr = |port: &u16| format!("127.0.0.1:{port}");
@@ -203,7 +205,7 @@
     }
 }
 
-/// A proxy for each pair of controllers, in each direction.
+/// Starts a proxy for each pair of controllers and each direction.
 async fn peer_proxies(
     links: &Arc<Links>,
     peer_listen_addrs: &[String],
@@ -220,8 +222,8 @@
     proxies
 }
 
-/// Ports for controllers to listen on, below those that outgoing connections get by themselves, and other ones
-/// than `tests/loopback` takes. A controller that is killed needs its port again.
+/// Returns free ports for controllers to listen on. They are below the ephemeral range, so that no outgoing connection
+/// occupies the port of a controller while it restarts, and apart from those of `tests/loopback`.
 fn free_ports(count: usize) -> Vec<u16> {
     static NEXT: AtomicUsize = AtomicUsize::new(0);
     const MIN_PORT: usize = 6_000;
--- a/tests/soak/controllers.rs
+++ b/tests/soak/controllers.rs
@@ -1,5 +1,5 @@
-//! The controllers: real processes, which may be killed, paused and started again. Only our own children are
-//! touched, by their ids, and they end with the run, however that ends.
+//! The controller processes, which faults kill, pause and restart. Signals go only to child processes of the test,
+//! which are killed when [`Controllers`] is dropped, also after a panic.
 
 use super::cloud::LIST_LAG_SECS;
 use super::settings::Settings;
@@ -9,7 +9,7 @@
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 
-/// One controller.
+/// A controller and the paths of its files.
 struct Controller {
     child: Option<Child>,
     config: PathBuf,
@@ -25,7 +25,7 @@
             .create(true)
             .append(true)
             .open(&self.log)
-            .expect("a log file");
+            .expect("failed to open the log file");
         let child = Command::new(env!("CARGO_BIN_EXE_chalklug"))
             .args(["serve", "--config"])
             .arg(&self.config)
@@ -35,7 +35,7 @@
             .stdin(Stdio::null())
             .stderr(log)
             .spawn()
-            .expect("a process");
+            .expect("failed to start a controller");
         self.child = Some(child);
     }
 
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Whether it has ended by itself.
+    /// Whether the process has exited without being killed by the test.
     fn has_exited(&mut self) -> bool {
         let status = self.child.as_mut().map(Child::try_wait);
         matches!(status, Some(Ok(Some(_))))
@@ -65,19 +65,20 @@
     directory: PathBuf,
 }
 
-/// The leader's lease is short, as everything here is.
+/// Operator settings: a short leader lease, in proportion to the other intervals of the test.
 const OPERATOR_CONFIG: &str = r#"{"leader_life_ms": 3000}"#;
 
 impl Controllers {
-    /// Writes the settings and starts every process.
+    /// Writes the settings files and starts all controllers.
     pub fn start(directory: &Path, settings: &Settings) -> Controllers {
-        std::fs::create_dir_all(directory).expect("a directory");
+        std::fs::create_dir_all(directory).expect("failed to create the run's directory");
         std::fs::write(directory.join("operator.json"), OPERATOR_CONFIG)
-            .expect("the operator's file");
+            .expect("failed to write operator.json");
         let numbers = 0..settings.http_addrs.len();
         let controllers = numbers.map(|number| {
             let config = directory.join(format!("n{number}.toml"));
-            std::fs::write(&config, settings.text(number, LIST_LAG_SECS)).expect("settings");
+            std::fs::write(&config, settings.text(number, LIST_LAG_SECS))
+                .expect("failed to write a settings file");
             let mut controller = Controller {
                 child: None,
                 config,
@@ -108,7 +109,7 @@
         self.controllers[number].signal(Signal::SIGCONT);
     }
 
-    /// All of them run, whatever was done to them.
+    /// Resumes the paused controllers and starts the killed ones.
     pub fn restore_all(&mut self) {
         for controller in &mut self.controllers {
             controller.signal(Signal::SIGCONT);
@@ -116,14 +117,14 @@
         }
     }
 
-    /// Controllers that have ended by themselves: none should.
+    /// Returns the controllers that have exited without being killed by the test.
     pub fn exited(&mut self) -> Vec<usize> {
         let controllers = self.controllers.iter_mut().enumerate();
         let exited = controllers.filter_map(|(number, c)| c.has_exited().then_some(number));
         exited.collect()
     }
 
-    /// Where settings and logs are.
+    /// Returns the directory of the settings files and logs.
     pub fn directory(&self) -> &Path {
         &self.directory
     }
--- a/tests/soak/main.rs
+++ b/tests/soak/main.rs
@@ -1,7 +1,8 @@
-//! Soak: real controllers under random faults, with stand-ins of everything else, judged from outside.
+//! Soak test: real controller processes under random faults, with a fake state store, cloud, workers and users. A
+//! checker compares what users and workers observe with the operators' rules.
 //!
-//! Faults are drawn from a seed and overlap; users go on submitting, asking, repeating and cancelling. The schedule
-//! repeats from its seed, the interleaving of the processes does not. `docs/SOAK.md` says how to run many seeds.
+//! The seed of a run determines the schedule of faults, which overlap, but not how the processes interleave. Users
+//! submit, resubmit, query and cancel jobs throughout. `docs/SOAK.md` describes how to run many seeds.
 
 mod checker;
 mod checker_sees;
@@ -28,7 +29,7 @@
 use run::Verdict;
 use std::sync::Mutex;
 
-/// Lines of each controller's log that a failed run prints, around the first violation or the end.
+/// Lines printed from the end of each controller's log after a failed run.
 const LOG_LINES: usize = 40;
 
 fn report(verdict: &Verdict) {
@@ -41,7 +42,7 @@
         ..
     } = verdict;
     println!(
-        "seed {seed}: {faults} faults, {accepted} jobs, {starts} starts, {responses} responses, broken: {:?}",
+        "seed {seed}: {faults} faults, {accepted} jobs, {starts} starts, {responses} answers, broken: {:?}",
         verdict.rules()
     );
     if !verdict.has_failed() {
@@ -53,14 +54,17 @@
             violation.at, violation.rule, violation.details
         );
     }
-    println!("  ended by themselves: {:?}", verdict.unexpected_exits);
+    println!(
+        "  controllers that exited unexpectedly: {:?}",
+        verdict.unexpected_exits
+    );
     for planned in &verdict.schedule {
         println!("  {:?} {:?}", planned.at, planned.fault);
     }
     print_logs(verdict);
 }
 
-/// The last lines of all controllers' logs; the files stay where they are.
+/// Prints the last lines of all controllers' logs. The log files are kept.
 fn print_logs(verdict: &Verdict) {
     println!("  logs: {}", verdict.directory.display());
     for number in 0..cluster::CONTROLLERS {
@@ -73,7 +77,7 @@
     }
 }
 
-/// Real processes under random faults: no rule is broken, every job ends, and no controller ends by itself.
+/// Under random faults no rule is broken, every job ends, and no controller process exits unexpectedly.
 #[test]
 fn no_rule_is_broken_under_random_faults() {
     let options = Options::read(|name| std::env::var(name).ok());
@@ -83,7 +87,7 @@
     std::thread::scope(|scope| {
         for _ in 0..options.parallel {
             scope.spawn(|| loop {
-                let Some(seed) = seeds.lock().expect("seeds").next() else {
+                let Some(seed) = seeds.lock().expect("seeds lock poisoned").next() else {
                     return;
                 };
                 let verdict = run::run(seed, &options);
@@ -91,11 +95,14 @@
                 if !verdict.has_failed() {
                     run::clean_up(&verdict.directory);
                 }
-                verdicts.lock().expect("verdicts").push(verdict);
+                verdicts
+                    .lock()
+                    .expect("verdicts lock poisoned")
+                    .push(verdict);
             });
         }
     });
-    let verdicts = verdicts.into_inner().expect("verdicts");
+    let verdicts = verdicts.into_inner().expect("verdicts lock poisoned");
     let failed = verdicts.iter().filter(|verdict| verdict.has_failed());
     let failed: Vec<u64> = failed.map(|verdict| verdict.seed).collect();
     assert!(failed.is_empty(), "failed seeds: {failed:?}");
--- a/tests/soak/options.rs
+++ b/tests/soak/options.rs
@@ -1,21 +1,21 @@
-//! What a soak run may be asked for, by environment variables.
+//! Options of the soak test, read from environment variables.
 
 use std::ops::RangeInclusive;
 use std::time::Duration;
 
-/// How many seeds are run, how many at once, and how long and how large each run is.
+/// The number of seeds, how many of them run in parallel, and the duration and size of each run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Options {
     pub first_seed: u64,
     pub seeds: u64,
     pub parallel: usize,
-    /// How long faults go on in each run.
+    /// How long faults are injected in each run.
     pub faults_for: Duration,
-    /// Machines that the cloud lets run.
+    /// The most machines that the cloud rents out at a time.
     pub machines: usize,
 }
 
-/// An option that makes no sense.
+/// The value of an option is not a whole number in its range.
 #[derive(Debug, PartialEq, thiserror::Error)]
 #[error("{name}={value}: must be a whole number from {min} to {max}")]
 pub struct BadOption {
@@ -26,8 +26,8 @@
 }
 
 impl Options {
-    /// From the variables `SOAK_FIRST`, `SOAK_SEEDS`, `SOAK_PARALLEL`, `SOAK_SECONDS` and `SOAK_MACHINES`, each with a
-    /// default that suits continuous integration.
+    /// Reads the variables `SOAK_FIRST`, `SOAK_SEEDS`, `SOAK_PARALLEL`, `SOAK_SECONDS` and `SOAK_MACHINES`. The
+    /// defaults suit continuous integration.
     pub fn read(variable: impl Fn(&str) -> Option<String>) -> Result<Options, BadOption> {
         let number = |name, range, default| read_number(&variable, name, range, default);
         Ok(Options {
@@ -39,7 +39,7 @@
         })
     }
 
-    /// The seeds to run.
+    /// Returns the seeds to run.
     pub fn seed_range(&self) -> RangeInclusive<u64> {
         self.first_seed..=self.first_seed + self.seeds - 1
     }
--- a/tests/soak/run.rs
+++ b/tests/soak/run.rs
@@ -1,4 +1,5 @@
-//! One run: a cluster, users, the faults of a seed, then quiet, and a verdict.
+//! A run of one seed: starts a cluster and users, injects faults, waits until all jobs have ended, and returns the
+//! violations.
 
 use super::checker::{Rule, Violation};
 use super::cluster::{scale_factor, Cluster, Shared, CONTROLLERS};
@@ -12,24 +13,26 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// How often tasks, leases and the rules are looked at.
+/// How often the workers' tasks and leases, the rules and due recoveries are checked.
 const POLL_INTERVAL: Duration = Duration::from_millis(25);
-/// After the troubles everything has this long to end: what teams at their limits have left takes a while. Whether
-/// any job waits though it could start is looked at all along.
+/// How long jobs may take to end once there are no more faults. Teams at their limits need a while for their remaining
+/// jobs; starvation is checked meanwhile.
 const JOBS_END_TIMEOUT: Duration = Duration::from_secs(120);
-/// The gap between the kills of a series.
+/// The time between two kills of [`Fault::KillLeadersInSeries`].
 const LEADER_KILL_INTERVAL: Duration = Duration::from_millis(1_500);
 
-/// What became of a run.
+/// The result of a run.
 pub struct Verdict {
     pub seed: u64,
     pub faults: usize,
     pub starts: u64,
     pub responses: u64,
     pub accepted: usize,
+    /// Controllers whose process exited without being killed.
     pub unexpected_exits: Vec<usize>,
     pub violations: Vec<Violation>,
     pub schedule: Vec<PlannedFault>,
+    /// Contains the controllers' settings and logs.
     pub directory: PathBuf,
 }
 
@@ -38,7 +41,7 @@
         !self.violations.is_empty() || !self.unexpected_exits.is_empty()
     }
 
-    /// The rules that were broken, each once.
+    /// Returns the rules that were broken, without duplicates.
     pub fn rules(&self) -> Vec<Rule> {
         let mut rules: Vec<Rule> = self.violations.iter().map(|v| v.rule).collect();
         rules.sort();
@@ -47,13 +50,13 @@
     }
 }
 
-/// Plays one seed on a runtime of its own.
+/// Runs one seed on a Tokio runtime of its own.
 pub fn run(seed: u64, options: &Options) -> Verdict {
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(2)
         .enable_all()
         .build()
-        .expect("a runtime");
+        .expect("failed to build a Tokio runtime");
     let verdict = runtime.block_on(run_seed(seed, options));
     runtime.shutdown_background();
     verdict
@@ -76,7 +79,7 @@
     let mut exited = inject_faults(&mut cluster, &schedule, options.faults_for).await;
     stop.store(true, Ordering::Relaxed);
     for user in users {
-        user.await.expect("no user panics");
+        user.await.expect("a user task panicked");
     }
     end_faults(&mut cluster);
     wait_for_jobs_to_end(&cluster.shared).await;
@@ -92,7 +95,7 @@
     }
 }
 
-/// Lets the faults happen. Returns the controllers that ended by themselves.
+/// Injects the scheduled faults. Returns the controllers that exited without being killed.
 async fn inject_faults(
     cluster: &mut Cluster,
     schedule: &[PlannedFault],
@@ -110,7 +113,7 @@
     exited
 }
 
-/// What is to be undone of a fault, and when.
+/// Restarts or resumes a controller some time after a fault.
 struct Recovery {
     at: Instant,
     controller: usize,
@@ -122,7 +125,7 @@
     Resume,
 }
 
-/// Waits, and undoes what is due meanwhile.
+/// Waits until the given time, and performs the recoveries that fall due.
 async fn wait_until(cluster: &mut Cluster, until: Instant, recoveries: &mut Vec<Recovery>) {
     while Instant::now() < until {
         let now = Instant::now();
@@ -240,7 +243,7 @@
     ids.choose_multiple(&mut rand::rng(), count)
 }
 
-/// Users cancel jobs at the same moment, each at another controller.
+/// Cancels random unfinished jobs at the same time, through all controllers in turn.
 fn cancel_many(shared: &Arc<Shared>, count: usize) {
     let unfinished_jobs = shared.world().checker.unfinished_jobs();
     let chosen = unfinished_jobs
@@ -252,7 +255,7 @@
     }
 }
 
-/// All troubles are over.
+/// Ends all faults, and restarts or resumes all controllers.
 fn end_faults(cluster: &mut Cluster) {
     cluster.shared.links.clear_faults();
     cluster.shared.clear_message_faults();
@@ -261,8 +264,8 @@
     cluster.controllers.restore_all();
 }
 
-/// Waits until every accepted job is over, for a bounded time; services are cancelled. Then every controller is
-/// asked about every job.
+/// Waits until every accepted job has ended, for at most [`JOBS_END_TIMEOUT`], and cancels services. Then queries every
+/// job's status at every controller.
 async fn wait_for_jobs_to_end(shared: &Shared) {
     let end = Instant::now() + JOBS_END_TIMEOUT;
     let mut waiting = WaitingJobs::default();
@@ -321,7 +324,7 @@
     verdict
 }
 
-/// Removes what a run left on disk, unless it failed and its logs are wanted.
+/// Removes the directory of a run that has not failed.
 pub fn clean_up(directory: &Path) {
     let _ = std::fs::remove_dir_all(directory);
 }
--- a/tests/soak/settings.rs
+++ b/tests/soak/settings.rs
@@ -1,31 +1,31 @@
-//! The settings file of each controller.
+//! The controllers' settings files.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// What all controllers of a run are told.
+/// The settings of all controllers of a run.
 pub struct Settings {
     pub http_addrs: Vec<String>,
     pub peer_listen_addrs: Vec<String>,
-    /// Where a controller reaches another: the proxy between them.
+    /// Addresses of the proxies between controllers, by the connecting controller and its peer.
     pub peer_addrs: BTreeMap<(usize, usize), SocketAddr>,
     pub store_addrs: Vec<SocketAddr>,
     pub cloud_addrs: Vec<SocketAddr>,
-    /// Teams, their guaranteed GPUs and their limits.
+    /// Teams, each with its guaranteed GPUs and its GPU limit.
     pub teams: Vec<(&'static str, f64, f64)>,
     pub heartbeat_interval: Duration,
     pub lease: Duration,
     pub gang_wait_timeout: Duration,
     pub gang_peer_timeout: Duration,
     pub cancel_timeout: Duration,
-    /// Small pages, as many as a large cluster has.
+    /// Largest stored value, in kB. A small limit makes a small cluster need as many pages as a large one.
     pub max_value_kb: f64,
 }
 
 impl Settings {
-    /// The file of one controller.
+    /// Returns the contents of one controller's settings file.
     pub fn text(&self, number: usize, list_lag_s: f64) -> String {
         let nodes = self.http_addrs.len();
         let mut text = format!(
