--- a/tests/soak/faults.rs
+++ b/tests/soak/faults.rs
@@ -16,18 +16,18 @@
     All,
 }
 
-/// Connections between controllers and another kind of process.
+/// A network link that can be faulty. Controllers and zones are given by their numbers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Link {
     /// Requests from a controller to the state store.
     StateStore(usize),
     /// Requests from a controller to the cloud.
     Cloud(usize),
-    /// Heartbeats from the workers in a zone to a controller.
+    /// Heartbeats from the workers in a zone (first) to a controller (second).
     Heartbeats(usize, usize),
     /// Commands pushed to the workers in a zone.
     Pushes(usize),
-    /// Requests from one controller to another.
+    /// Requests from one controller (first) to another (second).
     Peers(usize, usize),
 }
 
