--- a/tests/soak/cloud.rs
+++ b/tests/soak/cloud.rs
@@ -1,8 +1,8 @@
-//! A stand-in of the cloud: it rents machines up to a limit, lists them late, and takes them back.
+//! A fake cloud, which rents machines up to a limit, lists them with a delay, and terminates or reclaims them.
 
 use super::cluster::Shared;
 use super::faults::Link;
-use super::http::{serve, StandInRequest, StandInResponse};
+use super::http::{serve, HttpRequest, HttpResponse};
 use super::links::{no_response, Delivery};
 use super::store_data::query_parameter;
 use super::worker;
@@ -14,16 +14,17 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-/// The zones of machines.
+/// The zones in which machines can be rented.
 pub const ZONES: [&str; 3] = ["a", "b", "c"];
-/// How far the list lags behind, in seconds, as the settings say.
+/// Longest delay until a rented machine is listed, in seconds, as stated in the controllers' settings.
 pub const LIST_LAG_SECS: f64 = 1.0;
+/// The actual delay until a rented machine is listed.
 const LIST_LAG: Duration = Duration::from_millis(800);
 const BOOT_MS: std::ops::Range<u64> = 200..2_500;
-/// A rented machine that never comes up.
-const NEVER_UP_SHARE: f64 = 0.03;
+/// The share of rented machines that never boot.
+const BOOT_FAILURE_SHARE: f64 = 0.03;
 
-/// A machine type as the cloud offers it.
+/// A machine type that the cloud offers.
 struct Offer {
     name: &'static str,
     cpus: f64,
@@ -61,12 +62,13 @@
 #[derive(Default)]
 struct Data {
     rentals: BTreeMap<String, Rental>,
-    answers: BTreeMap<String, Vec<String>>,
+    /// The machines rented for each idempotency key.
+    responses: BTreeMap<String, Vec<String>>,
     last_number: u32,
     refuses_until: Option<Instant>,
 }
 
-/// The cloud.
+/// The fake cloud.
 pub struct Cloud {
     data: Mutex<Data>,
     shared: Arc<Shared>,
@@ -82,7 +84,7 @@
         })
     }
 
-    /// A port for one controller.
+    /// Opens a port for one controller, and returns its address.
     pub async fn port_for(self: &Arc<Cloud>, controller: usize) -> SocketAddr {
         let cloud = self.clone();
         serve(move |request| {
@@ -93,28 +95,28 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, Data> {
-        self.data.lock().expect("the cloud's data")
+        self.data.lock().expect("cloud data lock poisoned")
     }
 
-    /// Refuses everything for that long.
-    pub fn refuse(&self, lasts: Duration) {
-        self.lock().refuses_until = Some(Instant::now() + lasts);
+    /// Rejects all requests for the given duration.
+    pub fn refuse(&self, duration: Duration) {
+        self.lock().refuses_until = Some(Instant::now() + duration);
     }
 
-    /// Refuses nothing any more.
-    pub fn mend(&self) {
+    /// Stops rejecting requests.
+    pub fn clear_faults(&self) {
         self.lock().refuses_until = None;
     }
 
-    /// Takes a machine back without notice.
+    /// Reclaims a machine without notice.
     pub fn reclaim(&self, id: &str) {
         self.lock().rentals.remove(id);
-        self.shared.world().machine_gone(id);
+        self.shared.world().machine_removed(id);
     }
 
-    async fn handle(&self, controller: usize, request: StandInRequest) -> StandInResponse {
+    async fn handle(&self, controller: usize, request: HttpRequest) -> HttpResponse {
         let link = Link::Cloud(controller);
-        if self.shared.links.request(link).await == Delivery::Lost {
+        if self.shared.links.deliver_request(link).await == Delivery::Lost {
             no_response().await;
         }
         let is_refusing = self
@@ -124,34 +126,37 @@
         let response = if is_refusing {
             (503, json!({"error": "trouble"}))
         } else {
-            self.carry_out(&request)
+            self.execute(&request)
         };
-        if self.shared.links.response(link) == Delivery::Lost {
+        if self.shared.links.deliver_response(link) == Delivery::Lost {
             no_response().await;
         }
         response
     }
 
-    fn carry_out(&self, request: &StandInRequest) -> StandInResponse {
+    fn execute(&self, request: &HttpRequest) -> HttpResponse {
         match (request.method.as_str(), request.path.as_str()) {
             (_, "/machine_types") => (200, machine_types()),
             ("POST", "/rentals") => self.rent(&request.body),
-            ("POST", "/rentals/return") => self.take_back(&request.body),
+            ("POST", "/rentals/return") => self.terminate(&request.body),
             _ => self.list(&request.path),
         }
     }
 
-    fn rent(&self, body: &Value) -> StandInResponse {
+    fn rent(&self, body: &Value) -> HttpResponse {
         let mut data = self.lock();
-        let key = body["hire"].as_str().expect("a key").to_owned();
-        if let Some(hosts) = data.answers.get(&key) {
+        let key = body["hire"]
+            .as_str()
+            .expect("rental request has no idempotency key")
+            .to_owned();
+        if let Some(hosts) = data.responses.get(&key) {
             return (200, json!({"hosts": hosts}));
         }
-        let Some(kind) = kind(body) else {
+        let Some(kind) = requested_kind(body) else {
             return (400, json!({}));
         };
-        let room = self.max_machines.saturating_sub(data.rentals.len());
-        let count = room.min(body["number"].as_u64().unwrap_or(0) as usize);
+        let free = self.max_machines.saturating_sub(data.rentals.len());
+        let count = free.min(body["number"].as_u64().unwrap_or(0) as usize);
         if count == 0 {
             return (503, json!({"error": "no capacity"}));
         }
@@ -165,7 +170,7 @@
                 id
             })
             .collect();
-        data.answers.insert(key, hosts.clone());
+        data.responses.insert(key, hosts.clone());
         drop(data);
         for id in &hosts {
             self.boot(id.clone(), kind.clone());
@@ -174,7 +179,7 @@
     }
 
     fn boot(&self, id: String, kind: MachineKind) {
-        if rand::rng().random_bool(NEVER_UP_SHARE) {
+        if rand::rng().random_bool(BOOT_FAILURE_SHARE) {
             return;
         }
         let shared = self.shared.clone();
@@ -187,14 +192,14 @@
         });
     }
 
-    fn take_back(&self, body: &Value) -> StandInResponse {
+    fn terminate(&self, body: &Value) -> HttpResponse {
         for host in body["hosts"].as_array().into_iter().flatten() {
             self.reclaim(host.as_str().unwrap_or_default());
         }
         (200, json!({}))
     }
 
-    fn list(&self, path: &str) -> StandInResponse {
+    fn list(&self, path: &str) -> HttpResponse {
         let since = query_parameter(path, "since").unwrap_or_default();
         let most = query_parameter(path, "most").and_then(|most| most.parse().ok());
         let most: usize = most.unwrap_or(500);
@@ -211,7 +216,7 @@
                 let machine = world.machines.get(id);
                 let endpoint = machine.map_or("", |machine| machine.endpoint.as_str());
                 let phase = machine.map_or("starting", |_| "running");
-                worker::listed(id, &rental.kind, endpoint, phase, age)
+                worker::list_entry(id, &rental.kind, endpoint, phase, age)
             })
             .collect();
         let has_next = hosts.len() > most;
@@ -219,14 +224,14 @@
         (200, json!({"hosts": hosts, "hasNext": has_next}))
     }
 
-    /// Whether the machine is rented.
+    /// Returns whether the machine is rented.
     pub fn is_rented(&self, id: &str) -> bool {
         self.lock().rentals.contains_key(id)
     }
 }
 
-/// The kind of machine that a request asks for, if it is offered.
-fn kind(body: &Value) -> Option<MachineKind> {
+/// Returns the kind of machine that a request asks for, or None if it is not offered.
+fn requested_kind(body: &Value) -> Option<MachineKind> {
     let name = body["rig"].as_str()?;
     let zone = body["site"].as_str()?;
     let offer = OFFERS.iter().find(|offer| offer.name == name)?;
--- a/tests/soak/state_store.rs
+++ b/tests/soak/state_store.rs
@@ -1,8 +1,8 @@
-//! A stand-in of the state store: keys, transactions, leases and watches over the published protocol, with the
-//! faults that it may have. Each controller has a port of its own, by which it is known.
+//! A fake state store with keys, transactions, leases and watches over the published protocol, and injected faults.
+//! Each controller connects to a port of its own, which identifies the controller.
 
 use super::faults::Link;
-use super::http::{serve, StandInRequest, StandInResponse};
+use super::http::{serve, HttpRequest, HttpResponse};
 use super::links::{no_response, Delivery, Links};
 use super::store_data::{query_parameter, StoreData};
 use rand::Rng;
@@ -12,20 +12,20 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-/// How often leases are looked at, and waiting watches look for changes.
-const TICK: Duration = Duration::from_millis(20);
-/// How much later a late transaction is carried out.
-const LATE_MS: std::ops::Range<u64> = 800..5_000;
+/// How often leases, late transactions and open watches are checked.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Delay of late transactions, in milliseconds.
+const LATE_EXECUTION_MS: std::ops::Range<u64> = 800..5_000;
 
-/// A share of transactions that is treated in some way until a moment.
+/// A fault that affects a random share of transactions until a given time.
 #[derive(Clone, Copy)]
-struct ShareUntil {
+struct TransactionFault {
     share: f64,
     until: Instant,
 }
 
-impl ShareUntil {
-    fn strikes(this: Option<ShareUntil>) -> bool {
+impl TransactionFault {
+    fn applies(this: Option<TransactionFault>) -> bool {
         this.is_some_and(|f| Instant::now() < f.until && rand::rng().random_bool(f.share))
     }
 }
@@ -33,17 +33,17 @@
 #[derive(Default)]
 struct StoreFaults {
     refused_until: BTreeMap<usize, Instant>,
-    late: Option<ShareUntil>,
-    unanswered: Option<ShareUntil>,
+    late: Option<TransactionFault>,
+    lost_responses: Option<TransactionFault>,
 }
 
-/// A transaction that is carried out later.
+/// A transaction that is executed later.
 struct LateTransaction {
     due_at: Instant,
-    request: StandInRequest,
+    request: HttpRequest,
 }
 
-/// The store, and what is wrong with it.
+/// The state store and its faults.
 pub struct StateStore {
     data: Mutex<StoreData>,
     late_transactions: Mutex<Vec<LateTransaction>>,
@@ -65,7 +65,7 @@
         store
     }
 
-    /// A port for one controller.
+    /// Opens a port for one controller, and returns its address.
     pub async fn port_for(self: &Arc<StateStore>, controller: usize) -> SocketAddr {
         let store = self.clone();
         serve(move |request| {
@@ -75,55 +75,63 @@
         .await
     }
 
-    /// Refuses those controllers for that long.
-    pub fn refuse(&self, controllers: &[usize], lasts: Duration) {
-        let until = Instant::now() + lasts;
-        let mut faults = self.faults.lock().expect("faults");
+    /// Rejects requests of these controllers for the given duration.
+    pub fn refuse(&self, controllers: &[usize], duration: Duration) {
+        let until = Instant::now() + duration;
+        let mut faults = self.faults.lock().expect("faults lock poisoned");
         for controller in controllers {
             faults.refused_until.insert(*controller, until);
         }
     }
 
-    /// That share of transactions is carried out late, and gets no response.
-    pub fn delay_transactions(&self, share: f64, lasts: Duration) {
-        let until = Instant::now() + lasts;
-        self.faults.lock().expect("faults").late = Some(ShareUntil { share, until });
+    /// Executes a share of transactions late and without a response.
+    pub fn delay_transactions(&self, share: f64, duration: Duration) {
+        let until = Instant::now() + duration;
+        self.faults.lock().expect("faults lock poisoned").late =
+            Some(TransactionFault { share, until });
     }
 
-    /// That share of transactions gets no response.
-    pub fn lose_transaction_responses(&self, share: f64, lasts: Duration) {
-        let until = Instant::now() + lasts;
-        self.faults.lock().expect("faults").unanswered = Some(ShareUntil { share, until });
+    /// Executes a share of transactions without delay, but sends no response.
+    pub fn lose_transaction_responses(&self, share: f64, duration: Duration) {
+        let until = Instant::now() + duration;
+        self.faults
+            .lock()
+            .expect("faults lock poisoned")
+            .lost_responses = Some(TransactionFault { share, until });
     }
 
-    /// Nothing is wrong with it any more.
-    pub fn mend(&self) {
-        *self.faults.lock().expect("faults") = StoreFaults::default();
+    /// Ends all faults of the store.
+    pub fn clear_faults(&self) {
+        *self.faults.lock().expect("faults lock poisoned") = StoreFaults::default();
     }
 
     fn lock(&self) -> MutexGuard<'_, StoreData> {
-        self.data.lock().expect("the store's data")
+        self.data.lock().expect("store data lock poisoned")
     }
 
     fn refuses(&self, controller: usize) -> bool {
-        let faults = self.faults.lock().expect("faults");
+        let faults = self.faults.lock().expect("faults lock poisoned");
         let until = faults.refused_until.get(&controller);
         until.is_some_and(|until| Instant::now() < *until)
     }
 
-    /// Carries out the late transactions that are due. The connections that they came on are long closed.
-    fn carry_out_due(&self, now: Instant) {
-        let mut waiting = self.late_transactions.lock().expect("late transactions");
+    /// Executes the late transactions that are due. Their connections are closed by now.
+    fn execute_due(&self, now: Instant) {
+        let mut waiting = self
+            .late_transactions
+            .lock()
+            .expect("late transactions lock poisoned");
         let (due, not_due) = waiting.drain(..).partition(|late| late.due_at <= now);
         *waiting = not_due;
         drop(waiting);
         let due: Vec<LateTransaction> = due;
         for late in due {
-            self.carry_out(&late.request);
+            self.execute(&late.request);
         }
     }
 
-    /// In an outage no lease expires; when one controller alone is refused, its leases run out.
+    /// Expires leases and executes late transactions. While all controllers are rejected, as in an outage of the
+    /// store, leases are renewed instead; if only some are rejected, their leases expire.
     async fn run(self: Arc<StateStore>) {
         loop {
             let now = Instant::now();
@@ -131,15 +139,15 @@
                 self.lock().renew_all_leases(now);
             } else {
                 self.lock().expire_leases(now);
-                self.carry_out_due(now);
+                self.execute_due(now);
             }
-            tokio::time::sleep(TICK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    async fn handle(&self, controller: usize, request: StandInRequest) -> StandInResponse {
+    async fn handle(&self, controller: usize, request: HttpRequest) -> HttpResponse {
         let link = Link::StateStore(controller);
-        if self.links.request(link).await == Delivery::Lost {
+        if self.links.deliver_request(link).await == Delivery::Lost {
             no_response().await;
         }
         if request.path.starts_with("/watch") {
@@ -149,37 +157,37 @@
             return (503, json!({"error": "unavailable"}));
         }
         let is_transaction = request.path == "/multi";
-        let (late, unanswered) = {
-            let faults = self.faults.lock().expect("faults");
-            (faults.late, faults.unanswered)
+        let (late, lost_responses) = {
+            let faults = self.faults.lock().expect("faults lock poisoned");
+            (faults.late, faults.lost_responses)
         };
-        if is_transaction && ShareUntil::strikes(late) {
-            // The caller gives up, and the connection ends; the transaction is carried out all the same.
-            return self.carry_out_late(request).await;
+        if is_transaction && TransactionFault::applies(late) {
+            // The controller times out and closes the connection, but the transaction is still executed later.
+            return self.execute_late(request).await;
         }
-        let response = self.carry_out(&request);
-        let is_lost = is_transaction && ShareUntil::strikes(unanswered);
-        if is_lost || self.links.response(link) == Delivery::Lost {
+        let response = self.execute(&request);
+        let is_lost = is_transaction && TransactionFault::applies(lost_responses);
+        if is_lost || self.links.deliver_response(link) == Delivery::Lost {
             no_response().await;
         }
         response
     }
 
-    async fn carry_out_late(&self, request: StandInRequest) -> StandInResponse {
-        let late = Duration::from_millis(rand::rng().random_range(LATE_MS));
+    async fn execute_late(&self, request: HttpRequest) -> HttpResponse {
+        let late = Duration::from_millis(rand::rng().random_range(LATE_EXECUTION_MS));
         let late_transaction = LateTransaction {
             due_at: Instant::now() + late,
             request,
         };
         self.late_transactions
             .lock()
-            .expect("late transactions")
+            .expect("late transactions lock poisoned")
             .push(late_transaction);
         no_response().await;
         (503, Value::Null)
     }
 
-    fn carry_out(&self, request: &StandInRequest) -> StandInResponse {
+    fn execute(&self, request: &HttpRequest) -> HttpResponse {
         let (method, path) = (request.method.as_str(), request.path.as_str());
         let mut data = self.lock();
         data.expire_leases(Instant::now());
@@ -194,13 +202,13 @@
         }
     }
 
-    /// Responds once something has changed, or when the time asked for is over; stays open in an outage.
-    async fn watch(&self, controller: usize, path: &str) -> StandInResponse {
+    /// Responds once there are changes or after the requested time. Sends no response while the controller is rejected.
+    async fn watch(&self, controller: usize, path: &str) -> HttpResponse {
         let number = |name| -> u64 {
             let value = query_parameter(path, name).and_then(|value| value.parse().ok());
             value.unwrap_or(0)
         };
-        let prefix = query_parameter(path, "prefix").expect("a prefix");
+        let prefix = query_parameter(path, "prefix").expect("watch request has no prefix");
         let since = number("since");
         let end = Instant::now() + Duration::from_millis(number("holdMs"));
         loop {
@@ -211,7 +219,7 @@
                     return (200, json!({"epoch": data.store_revision, "news": news}));
                 }
             }
-            tokio::time::sleep(TICK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 }
--- a/tests/soak/world.rs
+++ b/tests/soak/world.rs
@@ -1,25 +1,25 @@
-//! Machines and the tasks on them, as the published protocol says that workers behave. One lock guards them all,
-//! and the checker that watches.
+//! The simulated machines and the tasks on them. Their workers follow the published protocol. A single lock guards
+//! machines, tasks and checker.
 
 mod commands;
 mod gangs;
 
-use super::checker::{Attempt, Checker, MachineFacts};
+use super::checker::{Attempt, Checker, MachineInfo};
 use super::task::{Phase, Task};
 use chalklug::protocol::users::{JobSpec, Shape};
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
-/// What workers go by.
+/// The lease duration and the gang timeouts of workers.
 #[derive(Clone, Copy, Debug)]
 pub struct WorkerTimes {
     pub lease: Duration,
-    pub gang_wait: Duration,
-    pub gang_peer: Duration,
+    pub gang_wait_timeout: Duration,
+    pub gang_peer_timeout: Duration,
 }
 
-/// What a machine offers, and where it is.
+/// A machine's type, zone, capacity, and whether it is a spot machine.
 #[derive(Clone, Debug)]
 pub struct MachineKind {
     pub machine_type: &'static str,
@@ -30,33 +30,34 @@
     pub ram_gb: f64,
 }
 
-/// A job as it really is.
+/// A job with its actual run time and image fetch time.
 #[derive(Clone, Debug)]
-pub struct RealJob {
+pub struct SimulatedJob {
     pub spec: JobSpec,
-    /// How long each of its tasks runs; a service never ends.
-    pub run: Duration,
-    pub fetch: Duration,
+    /// How long each task runs. Tasks of services never end.
+    pub run_time: Duration,
+    /// How long a machine takes to fetch the image.
+    pub fetch_time: Duration,
 }
 
 type TaskKey = (String, u32);
 type GangAttempt = (String, u64);
-/// A task attempt and its machine.
+/// A gang member: its machine, and its task attempt there.
 type Member = (String, (TaskKey, u64));
 
-/// One machine with its worker.
+/// A machine and the state of its worker.
 pub struct Machine {
     pub kind: MachineKind,
     pub endpoint: String,
     session: u64,
-    tick: u64,
+    sequence_number: u64,
     token: u64,
-    lease_from: Instant,
+    lease_renewed_at: Instant,
     hangs_until: Instant,
     tasks: BTreeMap<(TaskKey, u64), Task>,
     images: BTreeSet<String>,
-    /// Something has changed since the last heartbeat.
-    pub has_news: bool,
+    /// Whether the worker's status has changed since the last heartbeat.
+    pub has_changes: bool,
 }
 
 impl Machine {
@@ -64,8 +65,8 @@
         now < self.hangs_until
     }
 
-    /// For how many tasks of a job it has room.
-    pub fn room_for(&self, spec: &JobSpec, jobs: &BTreeMap<String, RealJob>) -> u32 {
+    /// Returns how many tasks with these resource requests fit into the free capacity.
+    pub fn fitting_tasks(&self, spec: &JobSpec, jobs: &BTreeMap<String, SimulatedJob>) -> u32 {
         let mut free = (self.kind.cpus, self.kind.gpus, self.kind.ram_gb);
         let live = self.tasks.iter().filter(|(_, task)| !task.has_ended());
         for (((job, _), _), _) in live {
@@ -84,15 +85,15 @@
     }
 }
 
-/// All machines, jobs and results.
+/// All machines, jobs and completed tasks, and the checker.
 pub struct World {
     times: WorkerTimes,
     pub machines: BTreeMap<String, Machine>,
-    pub jobs: BTreeMap<String, RealJob>,
+    pub jobs: BTreeMap<String, SimulatedJob>,
     completed: BTreeSet<TaskKey>,
-    /// What is left to run of tasks that have saved their progress.
+    /// Remaining run time of tasks that have saved a checkpoint.
     remaining: BTreeMap<TaskKey, Duration>,
-    /// Since when running gang attempts have lacked a member.
+    /// Since when members of running gang attempts have been missing.
     incomplete_since: BTreeMap<GangAttempt, Instant>,
     pub checker: Checker,
 }
@@ -120,65 +121,65 @@
         }
     }
 
-    pub fn submit(&mut self, job: RealJob) {
+    pub fn submit(&mut self, job: SimulatedJob) {
         self.checker.job_submitted(job.spec.clone());
         self.jobs.insert(job.spec.id.as_str().to_owned(), job);
     }
 
     pub fn machine_up(&mut self, now: Instant, id: &str, kind: MachineKind, endpoint: String) {
-        let facts = MachineFacts {
+        let info = MachineInfo {
             machine_type: kind.machine_type.into(),
             zone: kind.zone.into(),
             spot: kind.spot,
             lease_until: now + self.times.lease,
         };
-        self.checker.machine_up(id, facts);
+        self.checker.machine_up(id, info);
         let machine = Machine {
             kind,
             endpoint,
             session: 1,
-            tick: 0,
+            sequence_number: 0,
             token: 0,
-            lease_from: now,
+            lease_renewed_at: now,
             hangs_until: now,
             tasks: BTreeMap::new(),
             images: BTreeSet::new(),
-            has_news: true,
+            has_changes: true,
         };
         self.machines.insert(id.to_owned(), machine);
     }
 
-    /// The machine and all on it are gone.
-    pub fn machine_gone(&mut self, id: &str) {
+    /// Removes a machine with its tasks.
+    pub fn machine_removed(&mut self, id: &str) {
         self.machines.remove(id);
-        self.checker.machine_gone(id);
+        self.checker.machine_removed(id);
     }
 
-    /// The machine stands still until then; what its tasks have to do takes so much longer.
-    pub fn hang(&mut self, now: Instant, id: &str, lasts: Duration) {
+    /// Makes the machine hang for the given duration, which postpones all that its tasks do.
+    pub fn hang(&mut self, now: Instant, id: &str, duration: Duration) {
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
-        machine.hangs_until = now + lasts;
+        machine.hangs_until = now + duration;
         for task in machine.tasks.values_mut() {
-            task.postpone(lasts);
+            task.postpone(duration);
         }
     }
 
-    /// Until when the machine hangs, if it does.
+    /// Returns the end of the machine's hang, or None if the machine is not hanging.
     pub fn hangs_until(&self, id: &str, now: Instant) -> Option<Instant> {
         let machine = self.machines.get(id)?;
         machine.is_hanging(now).then_some(machine.hangs_until)
     }
 
-    /// Lets everything happen that is due.
+    /// Executes everything that is due on the machines, and checks the cancelled jobs.
     pub fn advance(&mut self, now: Instant) {
         let ids: Vec<String> = self.machines.keys().cloned().collect();
         for id in &ids {
             self.advance_machine(now, id);
         }
         self.advance_gangs(now);
-        self.checker.look_at_cancelled(now);
+        self.checker.check_cancelled_jobs(now);
     }
 
     fn advance_machine(&mut self, now: Instant, id: &str) {
@@ -188,11 +189,11 @@
         if machine.is_hanging(now) {
             return;
         }
-        if now > machine.lease_from + self.times.lease {
+        if now > machine.lease_renewed_at + self.times.lease {
             machine.session += 1;
             machine.tasks.clear();
-            machine.lease_from = now;
-            machine.has_news = true;
+            machine.lease_renewed_at = now;
+            machine.has_changes = true;
             self.checker.session_ended(id, now + self.times.lease);
             return;
         }
@@ -211,7 +212,7 @@
         let (Some(task), Some(job)) = (machine.tasks.get_mut(key), self.jobs.get(&key.0 .0)) else {
             return;
         };
-        machine.has_news = true;
+        machine.has_changes = true;
         match task.phase {
             Phase::Fetching { .. } => {
                 machine.images.insert(job.spec.image.as_str().to_owned());
@@ -222,8 +223,8 @@
                 } else if job.spec.shape == Shape::Gang {
                     task.phase = Phase::Waiting { since: now };
                 } else {
-                    let run = self.remaining.get(&key.0).copied().unwrap_or(job.run);
-                    let ends_at = (job.spec.shape == Shape::Array).then_some(now + run);
+                    let run_time = self.remaining.get(&key.0).copied().unwrap_or(job.run_time);
+                    let ends_at = (job.spec.shape == Shape::Array).then_some(now + run_time);
                     task.phase = Phase::Running { ends_at };
                 }
             }
@@ -234,13 +235,13 @@
             }
             Phase::Saving { .. } => {
                 task.end("halted", true);
-                self.checker.task_left(&attempt);
+                self.checker.task_ended(&attempt);
             }
             Phase::Running { .. } | Phase::Waiting { .. } | Phase::Ended { .. } => {}
         }
     }
 
-    /// Tasks of a job that are on a machine or waiting for their image there.
+    /// Returns the job's tasks that have not ended, with their machines. Includes tasks whose image is being fetched.
     pub fn live_tasks(&self, job: &str) -> Vec<(&Machine, u32)> {
         let machines = self.machines.values();
         let live = machines.flat_map(|machine| {
@@ -251,12 +252,12 @@
         live.collect()
     }
 
-    /// Whether a task has completed.
+    /// Returns whether a task has completed.
     pub fn is_completed(&self, job: &str, index: u32) -> bool {
         self.completed.contains(&(job.to_owned(), index))
     }
 
-    /// What a team's tasks take, those waiting for their image included.
+    /// Returns the GPUs that a team's tasks use, including tasks whose image is being fetched.
     pub fn used_gpus(&self, team: &str) -> f64 {
         let tasks = self.machines.values().flat_map(|machine| &machine.tasks);
         let live = tasks.filter(|(_, task)| !task.has_ended());
@@ -267,10 +268,10 @@
             .sum()
     }
 
-    /// The machine's status: a new message.
+    /// Returns the worker's status as a new message with its own sequence number.
     pub fn status(&mut self, id: &str) -> Option<Value> {
         let machine = self.machines.get_mut(id)?;
-        machine.tick += 1;
+        machine.sequence_number += 1;
         let tasks = machine.tasks.iter();
         let tasks: Vec<Value> = tasks
             .map(|(((job, index), attempt_id), task)| task.status(job, *index, *attempt_id))
@@ -278,16 +279,17 @@
         Some(
             json!({"host": id, "endpoint": machine.endpoint, "rig": machine.kind.machine_type,
             "site": machine.kind.zone, "loaners": machine.kind.spot, "tenure": machine.session,
-            "tick": machine.tick, "baton": machine.token, "recallS": null, "pieces": tasks}),
+            "tick": machine.sequence_number, "baton": machine.token, "recallS": null, "pieces": tasks}),
         )
     }
 
-    /// The session that a heartbeat sent now belongs to.
+    /// Returns the worker's current session.
     pub fn session(&self, id: &str) -> Option<u64> {
         Some(self.machines.get(id)?.session)
     }
 
-    /// A controller has answered a heartbeat with 200.
+    /// Handles a heartbeat response with status 200: renews the lease and executes the commands. Ignores a response
+    /// that belongs to another session or has an outdated fencing token.
     pub fn heartbeat_answered(
         &mut self,
         now: Instant,
@@ -305,12 +307,12 @@
         if machine.session != session || token.is_none_or(|token| token < machine.token) {
             return;
         }
-        machine.lease_from = machine.lease_from.max(sent_at);
+        machine.lease_renewed_at = machine.lease_renewed_at.max(sent_at);
         self.checker.lease_renewed(id, sent_at + lease);
         self.execute(now, id, response);
     }
 
-    /// Pushed commands. True if they were executed.
+    /// Executes pushed commands if their fencing token and session are current. Returns whether they were executed.
     pub fn push(&mut self, now: Instant, id: &str, body: &Value) -> bool {
         self.advance_machine(now, id);
         let Some(machine) = self.machines.get(id) else {
