--- a/src/coordination/persistence/draft/token.rs
+++ b/src/coordination/persistence/draft/token.rs
@@ -34,7 +34,7 @@
         let preconditions = vec![(FENCING_TOKEN_KEY.to_string(), term.token_counter_revision)];
         let changes = vec![
             Change::Put {
-                key: LEADER_KEY.into(),
+                put_key: LEADER_KEY.into(),
                 data,
                 lease: Some(term.lease),
             },
--- a/src/protocol/state.rs
+++ b/src/protocol/state.rs
@@ -63,7 +63,7 @@
     Put {
         /// The key.
         #[serde(rename = "put")]
-        key: String,
+        put_key: String,
         /// Its value.
         data: Value,
         /// The lease to bind the key to, if any.
@@ -74,7 +74,7 @@
     Delete {
         /// The key.
         #[serde(rename = "delete")]
-        key: String,
+        deleted_key: String,
     },
 }
 
@@ -82,19 +82,20 @@
     /// Returns the change that sets a key without binding it to a lease.
     pub fn put(key: String, data: Value) -> Change {
         Change::Put {
-            key,
+            put_key: key,
             data,
             lease: None,
         }
     }
     /// Returns the change that deletes a key.
     pub fn delete(key: String) -> Change {
-        Change::Delete { key }
+        Change::Delete { deleted_key: key }
     }
     /// The key to be set or deleted.
     pub fn key(&self) -> &str {
         match self {
-            Change::Put { key, .. } | Change::Delete { key } => key,
+            Change::Put { put_key, .. } => put_key,
+            Change::Delete { deleted_key } => deleted_key,
         }
     }
 }
--- a/src/runtime/api/cancellation.rs
+++ b/src/runtime/api/cancellation.rs
@@ -77,7 +77,7 @@
         preconditions: vec![still_open, Precondition::absent(terminal_key(id))],
         changes: vec![
             Change::Delete {
-                key: open_job_key(id),
+                deleted_key: open_job_key(id),
             },
             Change::put(terminal_key(id), record),
         ],
--- a/src/runtime/leader/election.rs
+++ b/src/runtime/leader/election.rs
@@ -89,7 +89,7 @@
         ],
         changes: vec![
             Change::Put {
-                key: LEADER_KEY.into(),
+                put_key: LEADER_KEY.into(),
                 data: serde_json::to_value(&record).ok()?,
                 lease: Some(lease),
             },
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -108,7 +108,7 @@
                 transaction,
             } = effect
             {
-                let finish = |c: &&Change| matches!(c, Change::Put { key, .. } if key.starts_with(TERMINAL_PREFIX));
+                let finish = |c: &&Change| matches!(c, Change::Put { put_key, .. } if put_key.starts_with(TERMINAL_PREFIX));
                 finished += transaction.changes.iter().filter(finish).count();
                 scheduler.write_applied(now, request_id, StoreRevision(1000 + request_id.0));
             }
@@ -169,10 +169,10 @@
                 continue;
             };
             for change in transaction.changes {
-                let Change::Put { key, data, .. } = change else {
+                let Change::Put { put_key, data, .. } = change else {
                     continue;
                 };
-                if key.starts_with(INTENT_PAGE_PREFIX) {
+                if put_key.starts_with(INTENT_PAGE_PREFIX) {
                     let page: IntentPage = serde_json::from_value(data).unwrap();
                     for LaunchIntent { attempt, .. } in page.intents() {
                         let task = attempt.task;
@@ -301,8 +301,8 @@
                     transaction,
                 } => {
                     assert!(transaction.changes.len() <= 8);
-                    let terminal_record = |c: &&Change| matches!(c, Change::Put { key, .. } if key.starts_with(TERMINAL_PREFIX));
-                    let open = |c: &&Change| matches!(c, Change::Delete { key } if key.starts_with(OPEN_JOB_PREFIX));
+                    let terminal_record = |c: &&Change| matches!(c, Change::Put { put_key, .. } if put_key.starts_with(TERMINAL_PREFIX));
+                    let open = |c: &&Change| matches!(c, Change::Delete { deleted_key } if deleted_key.starts_with(OPEN_JOB_PREFIX));
                     terminal_records += transaction.changes.iter().filter(terminal_record).count();
                     deletes += transaction.changes.iter().filter(open).count();
                     scheduler.write_applied(now, request_id, StoreRevision(1000 + request_id.0));
--- a/tests/protocol.rs
+++ b/tests/protocol.rs
@@ -99,12 +99,14 @@
         }],
         changes: vec![
             Change::Put {
-                key: "a/b".into(),
+                put_key: "a/b".into(),
                 data: json!(1),
                 lease: Some(LeaseId(7)),
             },
             Change::put("e".into(), json!({})),
-            Change::Delete { key: "c/d".into() },
+            Change::Delete {
+                deleted_key: "c/d".into(),
+            },
         ],
     };
     assert_eq!(
--- a/tests/scenario_language/rogue.rs
+++ b/tests/scenario_language/rogue.rs
@@ -42,7 +42,7 @@
 pub fn write_rogue_records(simulation: &mut Simulation, event: &str, id: &JobId) {
     let spec = simulation.workload.specs.get(id).cloned();
     let spec = spec.unwrap_or_else(|| job_spec(&[id.as_str()]));
-    let delete = |key| Change::Delete { key };
+    let delete = |key| Change::Delete { deleted_key: key };
     let changes = match event {
         "rogue-delete-records" => vec![delete(open_job_key(id)), delete(terminal_key(id))],
         "rogue-done" => vec![delete(open_job_key(id)), put_done(&spec)],
--- a/tests/simulation/leadership.rs
+++ b/tests/simulation/leadership.rs
@@ -162,7 +162,7 @@
             preconditions: Vec::new(),
             changes: vec![
                 Change::Put {
-                    key: LEADER_KEY.into(),
+                    put_key: LEADER_KEY.into(),
                     data: serde_json::to_value(&record).expect("leader records can be serialized"),
                     lease: Some(lease),
                 },
--- a/tests/simulation/users.rs
+++ b/tests/simulation/users.rs
@@ -97,7 +97,7 @@
             }],
             changes: vec![
                 Change::Delete {
-                    key: open_job_key(id),
+                    deleted_key: open_job_key(id),
                 },
                 Change::put(terminal_key(id), to_json(&terminal_record)),
             ],
