--- a/src/coordination/attempts/ledger/task_attempt.rs
+++ b/src/coordination/attempts/ledger/task_attempt.rs
@@ -31,7 +31,7 @@
     /// Why the attempt ended, if it has.
     pub cause: Option<Cause>,
     /// Whether the task saved its progress when it was stopped.
-    pub progress_saved: bool,
+    pub checkpoint_saved: bool,
     /// When the attempt was first seen in this phase.
     pub since: Instant,
     /// The session and sequence number of the status.
@@ -51,7 +51,7 @@
         LastStatus {
             phase: task.phase,
             cause: task.cause,
-            progress_saved: task.checkpoint_saved,
+            checkpoint_saved: task.checkpoint_saved,
             since: same_phase.map_or(now, |previous| previous.since),
             message_id,
         }
@@ -62,8 +62,8 @@
         &self,
         other: &LastStatus,
     ) -> bool {
-        (self.phase, self.cause, self.progress_saved)
-            == (other.phase, other.cause, other.progress_saved)
+        (self.phase, self.cause, self.checkpoint_saved)
+            == (other.phase, other.cause, other.checkpoint_saved)
     }
 }
 
