--- a/src/coordination/attempts/ledger/audit.rs
+++ b/src/coordination/attempts/ledger/audit.rs
@@ -20,30 +20,32 @@
 #[derive(Debug, thiserror::Error)]
 pub enum AuditError {
     /// The free capacity or the number of live attempts of a machine differs.
-    #[error("machine {machine}: free capacity tracked as {tracked:?}, counted {counted:?}")]
+    #[error(
+        "machine {machine}: free capacity tracked as {tracked:?}, recomputed as {recomputed:?}"
+    )]
     Machine {
         /// The machine's id.
         machine: String,
         /// Free capacity as tracked.
         tracked: Resources,
         /// Free capacity as recomputed.
-        counted: Resources,
+        recomputed: Resources,
     },
     /// The usage of a team differs.
-    #[error("team usage tracked as {tracked:?}, counted {counted:?}")]
+    #[error("team usage tracked as {tracked:?}, recomputed as {recomputed:?}")]
     TeamUsage {
         /// Usage as tracked, by team.
         tracked: TeamUsage,
         /// Usage as recomputed.
-        counted: TeamUsage,
+        recomputed: TeamUsage,
     },
     /// The index of machines with free capacity differs.
-    #[error("machines with free capacity tracked as {tracked:?}, counted {counted:?}")]
+    #[error("machines with free capacity tracked as {tracked:?}, recomputed as {recomputed:?}")]
     MachineIndex {
         /// Index as tracked.
         tracked: MachineIndex,
         /// Index as recomputed.
-        counted: MachineIndex,
+        recomputed: MachineIndex,
     },
     /// The attempt counts of a job differ.
     #[error("{job}: {attempts} attempts and {running} running tracked, the counts differ")]
@@ -56,14 +58,14 @@
         running: u32,
     },
     /// The placements of a job's tasks differ: each live attempt must have one.
-    #[error("{job}: tasks by zone tracked as {tracked:?}, counted {counted:?}")]
+    #[error("{job}: tasks by zone tracked as {tracked:?}, recomputed as {recomputed:?}")]
     Placements {
         /// The job.
         job: JobId,
         /// Tasks by zone as tracked.
         tracked: TasksByZone,
         /// Tasks by zone as recomputed.
-        counted: TasksByZone,
+        recomputed: TasksByZone,
     },
     /// An attempt planned by this leader violates its job's constraints, given the other attempts that it
     /// planned.
@@ -105,28 +107,28 @@
     }
 
     fn audit_machine(&self, machine: &Machine) -> Result<(), AuditError> {
-        let counted = machine
+        let recomputed = machine
             .attempts
             .compute_free(self.machines.capacity(&machine.machine_type));
         let live = machine.live_attempts().count();
-        if nearly_equal(&counted, machine.free()) && machine.attempts.live_count() == live {
+        if nearly_equal(&recomputed, machine.free()) && machine.attempts.live_count() == live {
             return Ok(());
         }
         Err(AuditError::Machine {
             machine: machine.id.to_string(),
             tracked: *machine.free(),
-            counted,
+            recomputed,
         })
     }
 
     fn audit_team_usage(&self) -> Result<(), AuditError> {
-        let mut counted = TeamUsage::new(self.policy.facts.teams.len());
+        let mut recomputed = TeamUsage::new(self.policy.facts.teams.len());
         let live = self.machines.values().flat_map(Machine::live_attempts);
         for attempt in live {
-            counted.charge(attempt.team, &attempt.request);
+            recomputed.charge(attempt.team, &attempt.request);
         }
         let nearly_all_equal = {
-            let mut pairs = counted.iter().zip(self.team_usage.iter());
+            let mut pairs = recomputed.iter().zip(self.team_usage.iter());
             pairs.all(|(a, b)| nearly_equal(a, b))
         };
         if nearly_all_equal {
@@ -134,26 +136,26 @@
         }
         Err(AuditError::TeamUsage {
             tracked: self.team_usage.clone(),
-            counted,
+            recomputed,
         })
     }
 
     fn audit_machine_index(&self) -> Result<(), AuditError> {
-        let mut counted = MachineIndex::default();
+        let mut recomputed = MachineIndex::default();
         for machine in self.machines.values() {
             let id = machine.id.clone();
             match self.machines.free_capacity_on(machine) {
-                FreeCapacity::Available => drop(counted.with_free_capacity.insert(id)),
-                FreeCapacity::CpusOnly => drop(counted.with_free_cpus_only.insert(id)),
+                FreeCapacity::Available => drop(recomputed.with_free_capacity.insert(id)),
+                FreeCapacity::CpusOnly => drop(recomputed.with_free_cpus_only.insert(id)),
                 FreeCapacity::None => {}
             }
         }
-        if counted == self.machines.index {
+        if recomputed == self.machines.index {
             return Ok(());
         }
         Err(AuditError::MachineIndex {
             tracked: self.machines.index.clone(),
-            counted,
+            recomputed,
         })
     }
 
@@ -162,23 +164,23 @@
         let places: BTreeSet<(u32, &MachineId)> = live
             .map(|(machine, attempt)| (attempt.task.index, &machine.id))
             .collect();
-        let mut counted = TasksByZone::default();
+        let mut recomputed = TasksByZone::default();
         for (_, machine_id) in &places {
             if let Some(machine) = self.machines.get(machine_id) {
-                counted.add(&machine.zone);
+                recomputed.add(&machine.zone);
             }
         }
         let tracked = job.placements().iter();
         let tracked: BTreeSet<(u32, &MachineId)> = tracked
             .flat_map(|(index, machines)| machines.iter().map(|machine| (*index, machine)))
             .collect();
-        if tracked == places && counted == *job.tasks_by_zone() {
+        if tracked == places && recomputed == *job.tasks_by_zone() {
             return Ok(());
         }
         Err(AuditError::Placements {
             job: id.clone(),
             tracked: job.tasks_by_zone().clone(),
-            counted,
+            recomputed,
         })
     }
 
--- a/src/coordination/jobs/index.rs
+++ b/src/coordination/jobs/index.rs
@@ -99,22 +99,22 @@
     }
 }
 
-/// A difference between the maintained and the recomputed sets of jobs.
+/// A difference between the tracked and the recomputed sets of jobs.
 #[derive(Debug)]
 pub struct JobIndexMismatch {
-    /// The maintained sets.
-    pub maintained: JobIndex,
+    /// The tracked sets.
+    pub tracked: JobIndex,
     /// The recomputed sets.
     pub recomputed: JobIndex,
 }
 
 impl JobTable {
-    /// Recomputes the sets of jobs and compares them with the maintained ones. For tests only.
+    /// Recomputes the sets of jobs and compares them with the tracked ones. For tests only.
     ///
     /// The membership rules are repeated here on purpose, to check those in [`Memberships`].
     ///
     /// # Errors
-    /// Returns the maintained and the recomputed sets if they differ.
+    /// Returns the tracked and the recomputed sets if they differ.
     pub fn audit_index(&self) -> Result<(), Box<JobIndexMismatch>> {
         let mut recomputed = JobIndex::new(self.team_count());
         for (id, job) in self {
@@ -148,9 +148,9 @@
         if recomputed == self.index {
             return Ok(());
         }
-        let maintained = self.index.clone();
+        let tracked = self.index.clone();
         Err(Box::new(JobIndexMismatch {
-            maintained,
+            tracked,
             recomputed,
         }))
     }
