--- a/src/runtime/clients/cloud.rs
+++ b/src/runtime/clients/cloud.rs
@@ -117,10 +117,10 @@
         method: Method,
         path: &str,
         body: Option<Vec<u8>>,
-        deadline: Duration,
+        timeout: Duration,
     ) -> Option<HttpResponse> {
         self.http
-            .send(method, &self.address, path, body, deadline)
+            .send(method, &self.address, path, body, timeout)
             .await
             .ok()
     }
--- a/src/runtime/clients/state_store.rs
+++ b/src/runtime/clients/state_store.rs
@@ -170,11 +170,11 @@
     pub async fn renew_lease(
         &self,
         lease: LeaseId,
-        deadline: Duration,
+        timeout: Duration,
     ) -> Result<(), StateStoreError> {
         let path = format!("/grants/{lease}/touch");
         let body = Some(b"{}".to_vec());
-        let response = self.call(Method::POST, &path, body, deadline).await?;
+        let response = self.call(Method::POST, &path, body, timeout).await?;
         match response.status {
             200 => Ok(()),
             404 => Err(StateStoreError::LeaseExpired),
@@ -208,8 +208,8 @@
         response_margin: TimeSpan,
     ) -> Result<WatchResponse, StateStoreError> {
         let path = format!("/watch?prefix={prefix}&since={since}&holdMs={}", max_wait.0);
-        let deadline = Duration::from_millis((max_wait + response_margin).0 as u64);
-        let response = self.call(Method::GET, &path, None, deadline).await?;
+        let timeout = Duration::from_millis((max_wait + response_margin).0 as u64);
+        let response = self.call(Method::GET, &path, None, timeout).await?;
         match response.status {
             200 => parse_body(&response),
             410 => Err(StateStoreError::RevisionCompacted),
@@ -222,12 +222,12 @@
         method: Method,
         path: &str,
         body: Option<Vec<u8>>,
-        deadline: Duration,
+        timeout: Duration,
     ) -> Result<HttpResponse, StateStoreError> {
         let read_only = method == Method::GET;
         let response = self
             .http
-            .send(method, &self.address, path, body, deadline)
+            .send(method, &self.address, path, body, timeout)
             .await;
         match response {
             Ok(response) if response.status == 503 => Err(StateStoreError::NotExecuted),
