--- a/src/coordination/attempts/reconciliation/mod.rs
+++ b/src/coordination/attempts/reconciliation/mod.rs
@@ -104,9 +104,8 @@
     /// before. A duplicate is refused and renews no lease, because the worker no longer waits for its response.
     fn is_duplicate_heartbeat(&self, status: &WorkerStatus) -> bool {
         let machine = self.machines.get(&status.machine_id);
-        let is_duplicate = machine.is_some_and(|machine| {
-            (status.session, status.sequence_number) <= machine.last_heartbeat
-        });
+        let is_duplicate =
+            machine.is_some_and(|m| (status.session, status.sequence_number) <= m.last_heartbeat);
         if is_duplicate {
             tracing::debug!(machine = %status.machine_id, "duplicate heartbeat");
         }
