--- a/src/coordination/attempts/gang_stops.rs
+++ b/src/coordination/attempts/gang_stops.rs
@@ -32,14 +32,14 @@
     /// Stops the remaining members of incomplete gangs.
     pub(super) fn stop_broken_gangs(&mut self, now: Instant) {
         let mut gangs_awaiting_images = BTreeSet::new();
-        for job_id in std::mem::take(&mut self.outbox.gangs_to_check) {
+        for job_id in std::mem::take(&mut self.work_queues.gangs_to_check) {
             match self.gang_action(&job_id) {
                 GangAction::Keep => {}
                 GangAction::AwaitImages => drop(gangs_awaiting_images.insert(job_id)),
                 GangAction::Stop(stop) => self.stop_gang(now, &job_id, stop),
             }
         }
-        self.outbox.gangs_to_check = gangs_awaiting_images;
+        self.work_queues.gangs_to_check = gangs_awaiting_images;
     }
 
     fn gang_action(&self, job_id: &JobId) -> GangAction {
@@ -106,8 +106,10 @@
                     attempt.stop = Some(StopRequest::new(stop.grace_s));
                 }
             }
-            self.outbox.machines_to_review.insert(machine_id.clone());
-            self.outbox.pushes_due.insert(machine_id);
+            self.work_queues
+                .machines_to_review
+                .insert(machine_id.clone());
+            self.work_queues.pushes_due.insert(machine_id);
         }
     }
 }
--- a/src/coordination/attempts/leases.rs
+++ b/src/coordination/attempts/leases.rs
@@ -69,17 +69,17 @@
                 drained.push(machine.id.clone());
             }
         }
-        self.outbox.machines_to_review.extend(drained);
+        self.work_queues.machines_to_review.extend(drained);
     }
 
     /// Queues the next slice of all machines for review, in case an event that should have done so was missed.
     fn review_next_machines(&mut self) {
-        self.outbox.review_round += 1;
-        let slice = self.outbox.review_round % REVIEW_CYCLE_SECS;
+        self.work_queues.review_round += 1;
+        let slice = self.work_queues.review_round % REVIEW_CYCLE_SECS;
         let ids = self.machines.keys().enumerate();
         let ids = ids.filter(|(position, _)| *position as u64 % REVIEW_CYCLE_SECS == slice);
         let ids = ids.map(|(_, id)| id.clone());
-        self.outbox.machines_to_review.extend(ids);
+        self.work_queues.machines_to_review.extend(ids);
     }
 }
 
--- a/src/coordination/attempts/ledger/mod.rs
+++ b/src/coordination/attempts/ledger/mod.rs
@@ -19,7 +19,7 @@
 pub use task_attempt::{LastStatus, PushDelivery, StopRequest, TaskAttempt};
 pub use team_usage::TeamUsage;
 
-use super::Outbox;
+use super::WorkQueues;
 use crate::coordination::jobs::job::Job;
 use crate::coordination::jobs::table::JobTable;
 use crate::coordination::machines::table::MachineTable;
@@ -39,7 +39,7 @@
     jobs: &'a mut JobTable,
     team_usage: &'a mut TeamUsage,
     writer: &'a mut Writer,
-    outbox: &'a mut Outbox,
+    work_queues: &'a mut WorkQueues,
     placement: &'a mut PlacementState,
 }
 
@@ -51,7 +51,7 @@
             jobs: &mut self.jobs,
             team_usage: &mut self.team_usage,
             writer: &mut self.writer,
-            outbox: &mut self.outbox,
+            work_queues: &mut self.work_queues,
             placement: &mut self.placement,
         }
     }
@@ -250,7 +250,7 @@
             job.needs_gang_scheduling()
         });
         if needs_gang_scheduling == Some(true) {
-            self.outbox.gangs_to_check.insert(task.job.clone());
+            self.work_queues.gangs_to_check.insert(task.job.clone());
         }
     }
 }
--- a/src/coordination/attempts/mod.rs
+++ b/src/coordination/attempts/mod.rs
@@ -21,7 +21,7 @@
 
 /// Work queued for the next step (reviews, gang checks, pushes), and the state of pushes and periodic reviews.
 #[derive(Debug, Default)]
-pub struct Outbox {
+pub struct WorkQueues {
     /// Machines whose attempts have to be reviewed for stops.
     pub(crate) machines_to_review: BTreeSet<MachineId>,
     /// Gangs that may have lost a member.
--- a/src/coordination/attempts/pushes.rs
+++ b/src/coordination/attempts/pushes.rs
@@ -25,7 +25,7 @@
     /// bounded number in flight to all machines.
     pub(crate) fn send_pushes(&mut self, now: Instant) {
         let mut deferred = BTreeSet::new();
-        while let Some(machine_id) = self.outbox.pushes_due.pop_first() {
+        while let Some(machine_id) = self.work_queues.pushes_due.pop_first() {
             let Some(machine) = self.machines.get(&machine_id) else {
                 continue;
             };
@@ -37,14 +37,14 @@
                 continue;
             }
             if machine.push_not_before > now
-                || self.outbox.pushes_in_flight >= self.policy.max_pushes
+                || self.work_queues.pushes_in_flight >= self.policy.max_pushes
             {
                 deferred.insert(machine_id);
                 continue;
             }
             self.send_push(now, &machine_id);
         }
-        self.outbox.pushes_due = deferred;
+        self.work_queues.pushes_due = deferred;
     }
 
     fn send_push(&mut self, now: Instant, machine_id: &MachineId) {
@@ -102,7 +102,7 @@
         draft: &PushDraft,
     ) {
         let token = self.leadership.token();
-        self.outbox.pushes_in_flight += 1;
+        self.work_queues.pushes_in_flight += 1;
         let Some(machine) = self.machines.get_mut(machine_id) else {
             return;
         };
@@ -146,7 +146,7 @@
         tracing::debug!(machine = %machine_id, sent, "push unanswered");
         self.settle_push(machine_id, request_id, delivery);
         self.resend_stops(now, machine_id);
-        self.outbox.pushes_due.insert(machine_id.clone());
+        self.work_queues.pushes_due.insert(machine_id.clone());
     }
 
     /// Ends a push in flight, and sets the push state of the attempts that it launched to `delivery`.
@@ -161,13 +161,13 @@
         };
         if machine.push_in_flight == Some(request_id) {
             machine.push_in_flight = None;
-            self.outbox.pushes_in_flight = self.outbox.pushes_in_flight.saturating_sub(1);
+            self.work_queues.pushes_in_flight = self.work_queues.pushes_in_flight.saturating_sub(1);
         }
         for attempt in machine.attempts.iter_mut() {
             if attempt.last_push == PushDelivery::InFlight(request_id) {
                 attempt.last_push = delivery;
             }
         }
-        self.outbox.pushes_due.insert(machine_id.clone());
+        self.work_queues.pushes_due.insert(machine_id.clone());
     }
 }
--- a/src/coordination/attempts/reconciliation/absent.rs
+++ b/src/coordination/attempts/reconciliation/absent.rs
@@ -45,7 +45,7 @@
         };
         if machine.reachability.record_unacknowledged_response(now) {
             tracing::info!(machine = %machine_id, "machine unreachable: heartbeats arrive, responses don't");
-            self.outbox.pushes_due.insert(machine_id.clone());
+            self.work_queues.pushes_due.insert(machine_id.clone());
         }
     }
 
@@ -65,7 +65,7 @@
             return false;
         };
         attempt.launch_session = None;
-        self.outbox.pushes_due.insert(machine_id.clone());
+        self.work_queues.pushes_due.insert(machine_id.clone());
         true
     }
 }
--- a/src/coordination/attempts/reconciliation/listed.rs
+++ b/src/coordination/attempts/reconciliation/listed.rs
@@ -105,7 +105,7 @@
     fn queue_gang_pushes(&mut self, job_id: &JobId) {
         if let Some(job) = self.jobs.get(job_id) {
             let machines = job.placements().values().flatten();
-            self.outbox.pushes_due.extend(machines.cloned());
+            self.work_queues.pushes_due.extend(machines.cloned());
         }
     }
 
--- a/src/coordination/attempts/reconciliation/session.rs
+++ b/src/coordination/attempts/reconciliation/session.rs
@@ -98,7 +98,7 @@
         if is_new {
             tracing::debug!(machine = %status.machine_id, "spot preemption notice");
             self.placement.request_pass();
-            self.outbox
+            self.work_queues
                 .machines_to_review
                 .insert(status.machine_id.clone());
         }
--- a/src/coordination/attempts/stops.rs
+++ b/src/coordination/attempts/stops.rs
@@ -92,7 +92,7 @@
 impl Scheduler {
     /// Requests the stops that are due on the machines queued for review, then those of incomplete gangs.
     pub(crate) fn stop_unwanted_attempts(&mut self, now: Instant) {
-        for machine_id in std::mem::take(&mut self.outbox.machines_to_review) {
+        for machine_id in std::mem::take(&mut self.work_queues.machines_to_review) {
             self.review_machine(now, &machine_id);
         }
         self.stop_broken_gangs(now);
@@ -131,13 +131,13 @@
                     has_stops_to_push = true;
                     if job.is_some_and(Job::needs_gang_scheduling) {
                         let job_id = attempt.task.job.clone();
-                        self.outbox.gangs_to_check.insert(job_id);
+                        self.work_queues.gangs_to_check.insert(job_id);
                     }
                 }
             }
         }
         if has_stops_to_push {
-            self.outbox.pushes_due.insert(machine_id.clone());
+            self.work_queues.pushes_due.insert(machine_id.clone());
         }
         never_launched.extend(self.denied_launches(machine_id));
         for (key, proof) in never_launched {
--- a/src/coordination/autoscaler/scale_in.rs
+++ b/src/coordination/autoscaler/scale_in.rs
@@ -114,7 +114,8 @@
             self.machines.terminated.insert(id.clone());
             if let Some(machine) = self.machines.remove(id) {
                 if machine.push_in_flight.is_some() {
-                    self.outbox.pushes_in_flight = self.outbox.pushes_in_flight.saturating_sub(1);
+                    self.work_queues.pushes_in_flight =
+                        self.work_queues.pushes_in_flight.saturating_sub(1);
                 }
                 if let Some(page) = machine.page {
                     self.writer.remove_machine(now, page, id);
--- a/src/coordination/jobs/lifecycle.rs
+++ b/src/coordination/jobs/lifecycle.rs
@@ -134,7 +134,7 @@
         self.placement.request_pass();
         for machine_id in machine_ids {
             self.ledger().remove_never_launched(now, &machine_id, id);
-            self.outbox.machines_to_review.insert(machine_id);
+            self.work_queues.machines_to_review.insert(machine_id);
         }
     }
 
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -37,7 +37,7 @@
 use crate::ids::{AttemptId, FencingToken, JobId};
 use crate::time::{Instant, TimeSpan};
 use attempts::ledger::TeamUsage;
-use attempts::Outbox;
+use attempts::WorkQueues;
 use autoscaler::Autoscaler;
 use jobs::aging::Aging;
 use jobs::estimates::RunTimeEstimates;
@@ -61,7 +61,7 @@
     pub(crate) machines: MachineTable,
     /// Resource usage by team, maintained by the attempt ledger.
     pub(crate) team_usage: TeamUsage,
-    pub(crate) outbox: Outbox,
+    pub(crate) work_queues: WorkQueues,
     pub(crate) placement: PlacementState,
     pub(crate) autoscaler: Autoscaler,
     pub(crate) estimates: RunTimeEstimates,
@@ -89,7 +89,7 @@
             jobs: JobTable::new(teams),
             machines: MachineTable::default(),
             team_usage: TeamUsage::new(teams),
-            outbox: Outbox::default(),
+            work_queues: WorkQueues::default(),
             placement: PlacementState::new(policy.facts.process_limits.cores),
             autoscaler: Autoscaler::new(policy.facts.cloud.rps),
             estimates: RunTimeEstimates::default(),
--- a/src/coordination/persistence/outcomes.rs
+++ b/src/coordination/persistence/outcomes.rs
@@ -80,7 +80,7 @@
         self.writer
             .intent_pages
             .mark_written(now, page, revision, live, outdated);
-        self.outbox.pushes_due.extend(launchable_on);
+        self.work_queues.pushes_due.extend(launchable_on);
     }
 
     /// Handles a written machine page: launch intents for its machines may now be written.
--- a/src/coordination/placement/preemption.rs
+++ b/src/coordination/placement/preemption.rs
@@ -79,10 +79,10 @@
             for victim in eviction.victims {
                 self.request_stop(&eviction.machine_id, &victim.attempt, victim.grace_s);
             }
-            self.outbox
+            self.work_queues
                 .machines_to_review
                 .insert(eviction.machine_id.clone());
-            self.outbox.pushes_due.insert(eviction.machine_id);
+            self.work_queues.pushes_due.insert(eviction.machine_id);
         }
     }
 }
