--- a/src/coordination/attempts/gang_stops.rs
+++ b/src/coordination/attempts/gang_stops.rs
@@ -2,7 +2,7 @@
 //! they would only wait for it. A graceful stop must reach all members within the gang peer timeout.
 
 use crate::coordination::attempts::ledger::{StopRequest, TaskAttempt};
-use crate::coordination::attempts::stops::SAVE_MARGIN_SECS;
+use crate::coordination::attempts::stops::CHECKPOINT_MARGIN_SECS;
 use crate::coordination::Scheduler;
 use crate::ids::{JobId, MachineId};
 use crate::protocol::workers::TaskPhase;
@@ -22,7 +22,7 @@
 /// How to stop the members of a gang.
 struct GangStop {
     machine_ids: BTreeSet<MachineId>,
-    /// Seconds that the members have to save their progress.
+    /// Time that the members get to save a checkpoint, in seconds.
     grace_s: f64,
     /// Whether to reserve the machines for the gang's next attempt.
     reserves_machines: bool,
@@ -69,7 +69,7 @@
             }
         }
         let grace_s = if job.pending().is_empty() {
-            job.spec().checkpoint_duration_s + SAVE_MARGIN_SECS
+            job.spec().checkpoint_duration_s + CHECKPOINT_MARGIN_SECS
         } else {
             0.0
         };
--- a/src/coordination/attempts/leases.rs
+++ b/src/coordination/attempts/leases.rs
@@ -59,7 +59,7 @@
             }
             // Guards against an inbound-unreachable machine: its heartbeats arrive but the responses to them do
             // not. Each response would extend the lease as recorded here, though not on the worker, so the
-            // lease would never count as expired and its attempts would stay in the ledger for ever. So its
+            // lease would never count as expired and its attempts would stay in the ledger forever. So its
             // heartbeats are refused from now on.
             let unreachable_since = machine.reachability.unreachable_since();
             if !machine.lease_withheld && unreachable_since.is_some_and(|t| now - t > timeout) {
--- a/src/coordination/attempts/ledger/task_attempt.rs
+++ b/src/coordination/attempts/ledger/task_attempt.rs
@@ -30,7 +30,7 @@
     pub phase: TaskPhase,
     /// Why the attempt ended, if it has.
     pub cause: Option<Cause>,
-    /// Whether the task saved its progress when it was stopped.
+    /// Whether the attempt saved a checkpoint when it was stopped.
     pub checkpoint_saved: bool,
     /// When the attempt was first seen in this phase.
     pub since: Instant,
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Whether the other status reports the same phase, cause and saved progress.
+    /// Whether the other status reports the same phase, cause and `checkpoint_saved`.
     pub(in crate::coordination::attempts) fn reports_same_state_as(
         &self,
         other: &LastStatus,
--- a/src/coordination/attempts/reconciliation/absent.rs
+++ b/src/coordination/attempts/reconciliation/absent.rs
@@ -1,4 +1,5 @@
-//! Handles attempts that a worker status does not list: removes those proven gone, and finds dropped launches.
+//! Handles attempts that a worker status does not list: removes those proven not to run, and finds dropped
+//! launches.
 
 use crate::coordination::attempts::ledger::{RemovalProof, StatusEvidence};
 use crate::coordination::Scheduler;
@@ -6,7 +7,8 @@
 use crate::time::Instant;
 
 impl Scheduler {
-    /// Settles launches in flight from the status, and removes the attempts that the status proves gone.
+    /// Settles launches in flight from the status, and removes the attempts that the status proves not to
+    /// run.
     pub(super) fn reconcile_absent(
         &mut self,
         now: Instant,
@@ -17,7 +19,7 @@
             return;
         };
         let mut is_unacknowledged = machine.reachability.awaits_acknowledgement(evidence.token);
-        let mut proven_gone = Vec::new();
+        let mut removals = Vec::new();
         for attempt in machine.attempts.iter_mut() {
             let response_settled = attempt.settle_launches(evidence);
             if evidence.lists(attempt) || attempt.was_never_launched() {
@@ -26,13 +28,13 @@
             // The response that carried the launch was dropped, since no status lists the attempt.
             is_unacknowledged |= response_settled;
             if let Some(proof) = RemovalProof::from_status(attempt, evidence) {
-                proven_gone.push((attempt.key(), proof));
+                removals.push((attempt.key(), proof));
             }
         }
         if evidence.is_heartbeat && is_unacknowledged {
             self.record_unacknowledged_response(now, machine_id);
         }
-        for (key, proof) in proven_gone {
+        for (key, proof) in removals {
             if !self.reset_dropped_launch(machine_id, &key) {
                 self.ledger().remove(now, machine_id, &key, proof);
             }
--- a/src/coordination/attempts/reconciliation/listed.rs
+++ b/src/coordination/attempts/reconciliation/listed.rs
@@ -21,8 +21,8 @@
         };
         if !self.has_attempt(machine_id, &key) {
             if !evidence.is_confirmed {
-                // An attempt that may be on a machine has a launch intent. One without was proven gone before,
-                // and this status may be older than that proof: a later status decides.
+                // An attempt that may be on a machine has a launch intent. One without was removed with a
+                // proof, and this status may be older than that proof: a later status decides.
                 return;
             }
             self.adopt_attempt(now, machine_id, &key, task.phase);
--- a/src/coordination/attempts/reconciliation/session.rs
+++ b/src/coordination/attempts/reconciliation/session.rs
@@ -10,9 +10,9 @@
 use crate::time::{Instant, TimeSpan};
 
 impl Scheduler {
-    /// Adds the machine of a status if it is unknown. The machine stays unverified, since the status may be a
-    /// delayed duplicate from a machine terminated long ago, and gets work once it has acknowledged this
-    /// leader's fencing token.
+    /// Adds the machine of a status if it is unknown. The status may be a delayed duplicate from a machine
+    /// terminated long ago, so the machine stays unverified and gets no work until the cloud's machine list or the
+    /// response to a scale-out request contains it.
     pub(super) fn add_unknown_machine(&mut self, now: Instant, status: &WorkerStatus) {
         if self.machines.contains_key(&status.machine_id) {
             return;
--- a/src/coordination/attempts/stops.rs
+++ b/src/coordination/attempts/stops.rs
@@ -10,19 +10,19 @@
 use crate::protocol::workers::{Command, TaskPhase};
 use crate::time::Instant;
 
-/// Seconds by which a stop's grace period exceeds the time that the job needs to save its progress.
-pub(super) const SAVE_MARGIN_SECS: f64 = 2.0;
+/// Seconds by which a stop's grace period exceeds the time that a task needs to save a checkpoint.
+pub(super) const CHECKPOINT_MARGIN_SECS: f64 = 2.0;
 
 /// What to do with an attempt when its machine is reviewed.
 enum ReviewAction {
     Keep,
     /// Remove the attempt, which was never launched and is not needed.
     Remove(RemovalProof),
-    /// Stop the attempt, with `grace_s` seconds to save its progress.
+    /// Stop the attempt, with `grace_s` seconds to save a checkpoint.
     Stop {
         grace_s: f64,
     },
-    /// Stop the attempt at once, although it was given time to save its progress.
+    /// Stop the attempt at once, although it was given time to save a checkpoint.
     StopAtOnce,
 }
 
@@ -49,7 +49,7 @@
     fn action_for(&self, attempt: &TaskAttempt, job: Option<&Job>) -> ReviewAction {
         let is_needed = job.is_some_and(|job| job.needs_run(attempt.task.index));
         let must_leave = self.reclaim_at.is_some() || self.is_draining;
-        // A stop request on an attempt that was never launched would stay for ever, because no worker reports
+        // A stop request on an attempt that was never launched would stay forever, because no worker reports
         // its end.
         if self.is_unresponsive || attempt.stop.is_some() || !is_needed || must_leave {
             if let Some(proof) = RemovalProof::never_launched(attempt) {
@@ -60,7 +60,7 @@
             return ReviewAction::Keep;
         }
         match attempt.stop {
-            // The job no longer needs the task, so its progress need not be saved either.
+            // The job no longer needs the task, so it need not save a checkpoint either.
             Some(request) if !is_needed && request.grace_s > 0.0 => ReviewAction::StopAtOnce,
             Some(_) => ReviewAction::Keep,
             None => ReviewAction::Stop {
@@ -82,7 +82,7 @@
             .reclaim_at
             .map_or(f64::INFINITY, |at| (at - self.now).secs());
         if until_reclaimed_s > spec.checkpoint_duration_s {
-            spec.checkpoint_duration_s + SAVE_MARGIN_SECS
+            spec.checkpoint_duration_s + CHECKPOINT_MARGIN_SECS
         } else {
             0.0
         }
@@ -98,7 +98,7 @@
         self.stop_broken_gangs(now);
     }
 
-    /// Reviews the attempts on one machine: requests stops, and removes planned attempts that are not to be
+    /// Reviews the attempts on one machine: requests stops, and removes planned attempts that must not be
     /// launched.
     ///
     /// Guards against a heartbeat response that renews a lease without carrying the stops that are due. A new
@@ -196,7 +196,7 @@
     }
 
     /// Returns the command that stops an attempt, if its stop was requested. Returns `None` while the attempt
-    /// saves its progress within its grace period; after that the command stops it at once.
+    /// saves a checkpoint within its grace period; after that the command stops it at once.
     pub(crate) fn stop_command(attempt: &TaskAttempt, now: Instant) -> Option<Command> {
         let request = attempt.stop?;
         let status = attempt.last_status;
