--- a/src/coordination/persistence/draft/garbage_collection.rs
+++ b/src/coordination/persistence/draft/garbage_collection.rs
@@ -21,7 +21,8 @@
             let preconditions = vec![(key.clone(), revision)];
             delete_orphan(draft, preconditions, key)
         });
-        // Dependencies need no precondition of their own: once a job has a terminal record, nobody writes them again.
+        // Dependencies need no precondition of their own: they are never written again once the job has a terminal
+        // record.
         progress && (orphans.dependencies()).all(|key| delete_orphan(draft, Vec::new(), key))
     }
 
--- a/src/coordination/persistence/draft/token.rs
+++ b/src/coordination/persistence/draft/token.rs
@@ -16,8 +16,8 @@
 const URGENT_TOMBSTONE_COUNT: usize = 150;
 
 impl DraftContext<'_> {
-    /// Drafts a raise of the leader's own token if one is due. Tombstones of pushed launches can be cleared only after a raise:
-    /// the worker then refuses a late copy of the launch command because its token is lower.
+    /// Drafts a raise of the leader's own token if one is due. Tombstones of pushed launches can be cleared only after
+    /// a raise: the worker then refuses a late copy of the launch command because its token is lower.
     pub fn draft_token(&self, draft: &mut Draft) {
         if !self.is_token_raise_due() {
             return;
--- a/src/coordination/persistence/intent_pages.rs
+++ b/src/coordination/persistence/intent_pages.rs
@@ -106,7 +106,7 @@
     }
 
     /// Records a successful write of a page. `intents` are the written intents that are still valid; `outdated`
-    /// tells whether the written page contains others.
+    /// is true if the written page contains others.
     pub fn mark_written(
         &mut self,
         now: Instant,
--- a/src/coordination/persistence/machine_pages.rs
+++ b/src/coordination/persistence/machine_pages.rs
@@ -104,7 +104,8 @@
     }
 
     /// Moves machines from pages that exceed the maximum size to other pages, and returns the moved machines with
-    /// their new pages. The other pages are due at once, the oversized pages only after them.
+    /// their new pages. The other pages are due at once, with the urgency of the oversized page, which is rewritten
+    /// only after them.
     ///
     /// Guards against pages written under a higher size limit for values, which could never be rewritten.
     pub fn split(&mut self) -> Vec<(MachineId, PageNumber)> {
--- a/src/coordination/persistence/outcomes.rs
+++ b/src/coordination/persistence/outcomes.rs
@@ -183,7 +183,7 @@
     }
 
     /// Handles a missing open record: the job is closed, but whether it is done or cancelled is unknown.
-    pub(super) fn open_record_gone(&mut self, now: Instant, job: &JobId) {
+    pub(super) fn open_record_missing(&mut self, now: Instant, job: &JobId) {
         self.job_closed(now, job, CloseReason::Unknown);
         self.writer.orphan_progress(job);
     }
--- a/src/coordination/persistence/progress.rs
+++ b/src/coordination/persistence/progress.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 
 /// Minimum time between two writes of progress. Until a completion is written, the tombstone on the worker preserves
-/// it; if that is lost, the task's result still exists, so that a new attempt ends at once.
+/// it; if that is lost, the task's result still exists, so that a new attempt is done once its image is fetched.
 const PROGRESS_WRITE_INTERVAL: TimeSpan = TimeSpan(2_000);
 
 /// The writer's knowledge of the progress records of open jobs.
--- a/src/coordination/persistence/reread.rs
+++ b/src/coordination/persistence/reread.rs
@@ -51,7 +51,7 @@
 
     fn open_record_reread(&mut self, now: Instant, id: &JobId, revision: KeyRevision) {
         if revision == KeyRevision(0) {
-            self.open_record_gone(now, id);
+            self.open_record_missing(now, id);
         } else {
             self.jobs
                 .update(id, |job| job.set_open_record_revision(revision));
@@ -62,8 +62,8 @@
     /// then neither write nor act for long.
     fn leader_key_reread(&mut self, now: Instant, item: Option<KeyValue>) {
         match self.leadership.leader_key_reread(item) {
-            LeaderKeyOwner::Us => {}
-            LeaderKeyOwner::UsWithRaisedToken => self.writer.set_token_raised_at(now),
+            LeaderKeyOwner::ThisLeader => {}
+            LeaderKeyOwner::ThisLeaderWithRaisedToken => self.writer.set_token_raised_at(now),
             LeaderKeyOwner::Other => self.effects.push(Effect::StepDown {
                 reason: StepDownReason::LeaderKeyLost,
             }),
--- a/src/coordination/persistence/stored_page.rs
+++ b/src/coordination/persistence/stored_page.rs
@@ -52,8 +52,8 @@
         self.mark_outdated(now);
     }
 
-    /// Records a successful write of the page. `outdated` tells whether the written entries already differ from the
-    /// current ones.
+    /// Records a successful write of the page. `outdated` is true if the written entries already differ from
+    /// the current ones.
     pub fn mark_written(&mut self, now: Instant, revision: KeyRevision, outdated: bool) {
         self.revision = revision;
         self.outdated_since = outdated.then_some(now);
--- a/src/coordination/persistence/writer.rs
+++ b/src/coordination/persistence/writer.rs
@@ -331,11 +331,11 @@
     /// Ends a re-read of keys. Returns false if it isn't the request in flight.
     #[must_use]
     pub(super) fn end_reading(&mut self, request_id: RequestId) -> bool {
-        let is_ours = matches!(&self.in_flight, InFlight::Reading { request_id: reading, .. } if *reading == request_id);
-        if is_ours {
+        let is_own = matches!(&self.in_flight, InFlight::Reading { request_id: reading, .. } if *reading == request_id);
+        if is_own {
             self.in_flight = InFlight::Idle;
         }
-        is_ours
+        is_own
     }
 
     /// Delays the next transaction after one that was not executed.
@@ -364,9 +364,9 @@
 fn keys_to_reread(transaction: &Transaction, failed: &[String]) -> Vec<String> {
     let changed = transaction.changes.iter().map(|change| change.key());
     let required = transaction.preconditions.iter().map(|p| &p.key);
-    let in_doubt = required.filter(|key| failed.is_empty() || failed.contains(key));
+    let possibly_failed = required.filter(|key| failed.is_empty() || failed.contains(key));
     let mut keys: BTreeSet<String> = changed.map(str::to_string).collect();
     keys.insert(LEADER_KEY.to_string());
-    keys.extend(in_doubt.cloned());
+    keys.extend(possibly_failed.cloned());
     keys.into_iter().collect()
 }
