--- a/src/coordination/leadership/recovery/intent_pages.rs
+++ b/src/coordination/leadership/recovery/intent_pages.rs
@@ -34,7 +34,7 @@
             attempt: key,
         } = &intent;
         let Some(machine) = self.scheduler.machines.get_mut(machine_id) else {
-            // Proof 4 holds by the records: an intent is written after its machine's page, and the machine is
+            // Proof 4 follows from the records: an intent is written after its machine's page, and the machine is
             // removed from its page only after the cloud has confirmed its termination.
             self.scheduler
                 .writer
--- a/src/coordination/leadership/term.rs
+++ b/src/coordination/leadership/term.rs
@@ -33,10 +33,10 @@
 #[must_use]
 pub(crate) enum LeaderKeyOwner {
     /// This leader, with the fencing token known here.
-    Us,
+    ThisLeader,
     /// This leader, with a higher fencing token: a raise succeeded but its outcome was unconfirmed.
-    UsWithRaisedToken,
-    /// Nobody or another controller.
+    ThisLeaderWithRaisedToken,
+    /// Another controller, or none: the key is absent.
     Other,
 }
 
@@ -110,10 +110,10 @@
         };
         self.term.leader_key_revision = revision;
         if token <= self.term.token {
-            return LeaderKeyOwner::Us;
+            return LeaderKeyOwner::ThisLeader;
         }
         self.term.token = token;
-        LeaderKeyOwner::UsWithRaisedToken
+        LeaderKeyOwner::ThisLeaderWithRaisedToken
     }
 
     /// Returns the fencing token and revision of the leader key if this leader owns it.
@@ -122,8 +122,8 @@
             return None;
         }
         let record: LeaderRecord = serde_json::from_value(item.data).ok()?;
-        let is_ours = record.host_name == self.term.host_name;
-        is_ours.then_some((record.token, item.revision))
+        let is_own = record.host_name == self.term.host_name;
+        is_own.then_some((record.token, item.revision))
     }
 
     /// Returns an unused attempt id: initial tokens are unique, and so is the number within a term.
--- a/src/coordination/leadership/transfer.rs
+++ b/src/coordination/leadership/transfer.rs
@@ -1,4 +1,5 @@
-//! Leadership transfer: when a leader that receives no heartbeats gives way to a peer that does.
+//! Leadership transfer: when a leader that receives no heartbeats resigns in favor of a peer that
+//! does.
 //!
 //! Only decides. The caller resigns the authority first and then revokes the lease.
 
