--- a/src/coordination/autoscaler/mod.rs
+++ b/src/coordination/autoscaler/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! It owns the scale-out requests in flight, the backoff of refused offers, the arrival rates of the job
 //! classes, the warm pool and the result of the last forecast. The machines themselves, and the task attempts
-//! on them, belong to the machine table and the ledger of task attempts. A machine counts as gone only once
+//! on them, belong to the machine table and the ledger of task attempts. A machine is removed only once
 //! the cloud has confirmed its termination.
 
 pub mod arrivals;
--- a/src/coordination/autoscaler/scale_in.rs
+++ b/src/coordination/autoscaler/scale_in.rs
@@ -59,7 +59,7 @@
 /// What the choice of machines to terminate depends on, apart from the machine itself.
 struct ScaleInRules<'a> {
     view: AutoscalerView<'a>,
-    /// The silence after which a machine counts as lost; None while a new leader can't tell yet.
+    /// The silence after which a machine counts as lost; None until the term has lasted longer than that.
     max_silence: Option<TimeSpan>,
     /// Whether no startable job is pending and no job is expected.
     has_demand_subsided: bool,
@@ -167,7 +167,7 @@
             .collect()
     }
 
-    /// Returns why a machine is to be terminated; None if it is kept.
+    /// Returns why a machine has to be terminated; None if it is kept.
     fn reason(&self, machine: &Machine) -> Option<ScaleInReason> {
         if machine.state == MachineState::Terminating {
             let is_due = machine.push_not_before <= self.view.now();
--- a/src/coordination/autoscaler/warm_pool.rs
+++ b/src/coordination/autoscaler/warm_pool.rs
@@ -57,7 +57,7 @@
 }
 
 impl Scheduler {
-    /// Selects the machines of the warm pool anew.
+    /// Updates the selection of machines in the warm pool.
     pub(crate) fn update_warm_pool(&mut self, now: Instant) {
         self.autoscaler.warm_pool = select_machines(&self.autoscaler_view(now));
     }
--- a/src/coordination/counts.rs
+++ b/src/coordination/counts.rs
@@ -27,7 +27,7 @@
 pub struct AttemptCounts {
     /// All attempts.
     pub total: usize,
-    /// Attempts of jobs that are closed or unknown; they are to be stopped.
+    /// Attempts of jobs that are closed or unknown; they have to be stopped.
     pub of_closed_jobs: usize,
 }
 
--- a/src/coordination/jobs/aging.rs
+++ b/src/coordination/jobs/aging.rs
@@ -1,9 +1,9 @@
 //! Aging: jobs that have waited too long go ahead of all others, to prevent starvation.
 //!
-//! Ranking by guarantees, priorities and shortest job first can make a job wait forever. By then the job has missed
-//! its own objectives, but most jobs of each class, of each team and among a class's largest jobs must still start
-//! on time. So a late job goes first only if too many jobs of one of its groups are late: otherwise it would only
-//! delay jobs that can still meet their objectives.
+//! Ranking by guarantees, priorities and shortest job first can make a job wait forever. A late job has missed its own
+//! objectives, but most jobs of each class, of each team and among a class's largest jobs must still start on time. So
+//! a late job goes first only if too many jobs of one of its groups are late: otherwise it would only delay jobs that
+//! can still meet their objectives.
 
 use crate::coordination::jobs::job::Job;
 use crate::ids::TeamIndex;
--- a/src/coordination/jobs/estimates.rs
+++ b/src/coordination/jobs/estimates.rs
@@ -140,7 +140,7 @@
     ///
     /// Among jobs that can still meet the same objective, those with the least work go first. With enough capacity
     /// the order matters little. Under overload, ordering by least slack made every job slightly late: half of all
-    /// deadlines were missed, while a fifth of the jobs took hours of machine time.
+    /// deadlines were missed, while hours of machine time went to a fifth of the jobs.
     pub(crate) fn pending_work_s(&self, job: &Job) -> f64 {
         let tasks = job.pending().len() as f64;
         let fraction = self.machines.smallest_machine_fraction(job.spec());
--- a/src/coordination/jobs/index.rs
+++ b/src/coordination/jobs/index.rs
@@ -13,7 +13,7 @@
     pub(super) pending: BTreeSet<JobId>,
     /// Open jobs that wait for upstream jobs.
     pub(super) blocked: BTreeSet<JobId>,
-    /// Open jobs that are to be cancelled because an upstream job was cancelled.
+    /// Open jobs that have to be cancelled because an upstream job was cancelled.
     pub(super) ancestor_cancelled: BTreeSet<JobId>,
     /// Released jobs by team, ordered by the time when they became ready; used for guaranteed shares.
     pub(super) released_by_team: Vec<BTreeSet<(Instant, JobId)>>,
--- a/src/coordination/jobs/job.rs
+++ b/src/coordination/jobs/job.rs
@@ -14,7 +14,7 @@
 /// The lifecycle state of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum JobState {
-    /// Waits for upstream jobs; only the deadline counts in this state.
+    /// Waits for upstream jobs. Of all times, only the deadline counts from before the release.
     Blocked,
     /// All upstream jobs are done: the tasks may be placed.
     Released,
@@ -120,7 +120,7 @@
         self.state == JobState::Released
     }
 
-    /// Whether a direct or indirect upstream job is cancelled, so that this job is to be cancelled too.
+    /// Whether a direct or indirect upstream job is cancelled, so that this job has to be cancelled too.
     pub fn is_ancestor_cancelled(&self) -> bool {
         self.ancestor_cancelled
     }
--- a/src/coordination/jobs/lifecycle.rs
+++ b/src/coordination/jobs/lifecycle.rs
@@ -21,7 +21,7 @@
     /// The job's cancellation is durable.
     Cancelled,
     /// The open record is gone: removed by a write of this leader that is still in flight, by a cancellation, or
-    /// long ago if the view is stale. The terminal record tells which.
+    /// long ago if the view is stale. The terminal record shows which.
     Unknown,
 }
 
--- a/src/coordination/jobs/table.rs
+++ b/src/coordination/jobs/table.rs
@@ -101,7 +101,7 @@
         self.in_set(&self.index.blocked)
     }
 
-    /// Returns the open jobs that are to be cancelled because an upstream job was cancelled.
+    /// Returns the open jobs that have to be cancelled because an upstream job was cancelled.
     pub fn ancestor_cancelled(&self) -> impl Iterator<Item = (&JobId, &Job)> {
         self.in_set(&self.index.ancestor_cancelled)
     }
--- a/src/coordination/placement/image_locality.rs
+++ b/src/coordination/placement/image_locality.rs
@@ -29,7 +29,7 @@
     None,
     /// Tasks are being stopped for the job already: it is not placed elsewhere.
     InProgress,
-    /// These evictions are to be applied: the job is not placed elsewhere.
+    /// The job preempts tasks with these evictions: it is not placed elsewhere.
     Evict(Vec<Eviction>),
 }
 
--- a/src/coordination/placement/mod.rs
+++ b/src/coordination/placement/mod.rs
@@ -8,7 +8,7 @@
 //! then jobs that can still meet their objectives.
 //!
 //! Decisions ([`pass`], [`candidates`], [`queue`], [`preemption`]) read a [`view::PlacementView`] and
-//! return plans. Only [`Scheduler::apply_plan`] and [`Scheduler::evict`] carry them out: the first inserts
+//! return plans. Only [`Scheduler::apply_plan`] and [`Scheduler::evict`] execute them: the first inserts
 //! attempts into the ledger, the second requests stops of attempts. No command is sent from here.
 
 pub(crate) mod candidates;
--- a/src/coordination/placement/preemption.rs
+++ b/src/coordination/placement/preemption.rs
@@ -1,7 +1,7 @@
 //! Preemption: stops tasks, as far as the protocol allows it, to make room for a job of higher priority, or to
 //! give a team its guaranteed share at the expense of a team that exceeds its own.
 //!
-//! Decisions return [`Eviction`]s; only [`Scheduler::evict`] carries them out.
+//! Decisions return [`Eviction`]s; only [`Scheduler::evict`] executes them.
 
 use super::eviction::{cheapest, Preemptor};
 use super::view::PlacementView;
--- a/src/coordination/placement/queue.rs
+++ b/src/coordination/placement/queue.rs
@@ -1,6 +1,6 @@
-//! The order in which pending jobs are placed (Algorithm 1, line 1: the queue is sorted in topological order),
-//! and the rounds in which jobs are placed together (lines 3 to 7: task groups, and requests in the queue
-//! that share a prefix, for which images stand here).
+//! The order in which pending jobs are placed (Algorithm 1 of Parrot, line 1: the queue is sorted in topological
+//! order), and the rounds in which jobs are placed together (lines 3 to 7: task groups, and queued requests that
+//! share a prefix; here, jobs that share an image).
 
 use super::view::PlacementView;
 use crate::config::SloKind;
