--- a/src/config/validation.rs
+++ b/src/config/validation.rs
@@ -90,9 +90,9 @@
     let checker = Checker { file };
     let name = &platform.host_name;
     checker.require(!name.is_empty(), "host_name", "\"\"", "must not be empty")?;
-    let names_itself = platform.peers.iter().any(|peer| peer.host_name == *name);
+    let lists_itself = platform.peers.iter().any(|peer| peer.host_name == *name);
     let requirement = "names this controller itself; only the others belong here";
-    checker.require(!names_itself, "siblings", name, requirement)?;
+    checker.require(!lists_itself, "siblings", name, requirement)?;
     let facts = &platform.facts;
     let requirement = "at least one team is needed";
     checker.require(!facts.teams.is_empty(), "facts.teams", "[]", requirement)?;
--- a/src/ids.rs
+++ b/src/ids.rs
@@ -1,4 +1,4 @@
-//! Newtypes for ids, versions and sequence numbers, so that the compiler tells them apart.
+//! Newtypes for ids, versions and sequence numbers, so that the compiler distinguishes them.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
--- a/src/runtime/api/cancellation.rs
+++ b/src/runtime/api/cancellation.rs
@@ -15,8 +15,8 @@
 use crate::storage::records::{open_job_key, terminal_key, TerminalRecord};
 use std::time::{Duration, Instant};
 
-/// No attempt starts after this time. It is half of [`SUBMIT_TIMEOUT`], which leaves the other half to the last
-/// attempt.
+/// The time in which attempts to cancel the job may start: half of [`SUBMIT_TIMEOUT`], which leaves the other half to
+/// the last attempt.
 ///
 /// [`SUBMIT_TIMEOUT`]: super::users::SUBMIT_TIMEOUT
 const RETRY_WINDOW: Duration = Duration::from_millis(2000);
--- a/src/runtime/api/request.rs
+++ b/src/runtime/api/request.rs
@@ -54,7 +54,7 @@
 
 impl UserRequest {
     /// Parses a request. Returns an error only for an unknown path or a wrong method; a malformed body or job id is
-    /// reported when the action is carried out.
+    /// reported when the action is executed.
     pub fn parse(
         method: &str,
         path: &str,
--- a/src/runtime/clients/peers.rs
+++ b/src/runtime/clients/peers.rs
@@ -166,7 +166,7 @@
         self.peers.queue_cancellation(id, tasks);
     }
 
-    /// Records on this controller that a job is cancelled, which is a terminal state, and tells the scheduler.
+    /// Records on this controller that a job is cancelled, which is a terminal state, and notifies the scheduler.
     pub fn record_cancellation(&self, id: &JobId, tasks: u32) {
         self.terminal_states
             .insert(id, TerminalState::cancelled(tasks));
--- a/src/runtime/clients/state_store.rs
+++ b/src/runtime/clients/state_store.rs
@@ -1,6 +1,6 @@
 //! The client of the state store (a consensus-backed key-value store).
 //!
-//! Every error tells whether the request may have been executed. Requests are not retried here.
+//! Every error states whether the request may have been executed. Requests are not retried here.
 
 use crate::ids::{LeaseId, StoreRevision};
 use crate::protocol::state::{
--- a/src/transport/client.rs
+++ b/src/transport/client.rs
@@ -1,5 +1,4 @@
-//! A pooled HTTP client. Every request has a timeout, and an error tells whether the request may have been carried
-//! out.
+//! A pooled HTTP client. Every request has a timeout, and an error states whether the request may have been executed.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
@@ -27,10 +26,10 @@
 /// Why a request got no response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum RequestError {
-    /// No connection was established: the request was not carried out and never will be.
+    /// No connection was established: the request was not executed and never will be.
     #[error("the request was not sent")]
     NotSent,
-    /// The request may have been carried out, or may still be.
+    /// The request may have been executed, or may still be.
     #[error("the request got no response")]
     OutcomeUnknown,
 }
