--- a/tests/soak/checker.rs
+++ b/tests/soak/checker.rs
@@ -295,7 +295,7 @@
         }
     }
 
-    /// Returns a job's description.
+    /// Returns a job's specification.
     pub fn spec(&self, id: &str) -> Option<&JobSpec> {
         Some(&self.jobs.get(id)?.spec)
     }
@@ -328,7 +328,7 @@
     }
 
     /// Returns the unfinished services.
-    pub fn running_services(&self) -> Vec<String> {
+    pub fn unfinished_services(&self) -> Vec<String> {
         let is_service = |id: &String| self.jobs[id].spec.shape == Shape::Service;
         let unfinished_jobs = self.unfinished_jobs().into_iter();
         unfinished_jobs.filter(is_service).collect()
--- a/tests/soak/checker/answers.rs
+++ b/tests/soak/checker/answers.rs
@@ -3,7 +3,7 @@
 use super::{Checker, Rule, TerminalResponse, UserResponse};
 
 impl Checker {
-    /// Checks the response to a submission, a status query or a cancellation.
+    /// Checks the response to a submission, a phase query or a cancellation.
     pub fn check_response(&mut self, id: &str, response: UserResponse<'_>) {
         self.responses += 1;
         let now = response.received_at;
--- a/tests/soak/cloud.rs
+++ b/tests/soak/cloud.rs
@@ -1,4 +1,4 @@
-//! A fake cloud, which rents machines up to a limit, lists them with a delay, and terminates or reclaims them.
+//! A fake cloud, which rents machines up to a limit, lists them with a lag, and terminates or reclaims them.
 
 use super::cluster::Shared;
 use super::faults::Link;
@@ -16,9 +16,9 @@
 
 /// The zones in which machines can be rented.
 pub const ZONES: [&str; 3] = ["a", "b", "c"];
-/// Longest delay until a rented machine is listed, in seconds, as stated in the controllers' settings.
+/// Longest lag until a rented machine is listed, in seconds, as stated in the controllers' settings.
 pub const LIST_LAG_SECS: f64 = 1.0;
-/// The actual delay until a rented machine is listed.
+/// The actual lag until a rented machine is listed.
 const LIST_LAG: Duration = Duration::from_millis(800);
 const BOOT_MS: std::ops::Range<u64> = 200..2_500;
 /// The share of rented machines that never boot.
@@ -98,12 +98,12 @@
         self.data.lock().expect("cloud data lock poisoned")
     }
 
-    /// Rejects all requests for the given duration.
+    /// Refuses all requests for the given duration.
     pub fn refuse(&self, duration: Duration) {
         self.lock().refuses_until = Some(Instant::now() + duration);
     }
 
-    /// Stops rejecting requests.
+    /// Stops refusing requests.
     pub fn clear_faults(&self) {
         self.lock().refuses_until = None;
     }
--- a/tests/soak/faults.rs
+++ b/tests/soak/faults.rs
@@ -54,7 +54,7 @@
     },
     /// Kills the leader several times, at fixed intervals.
     KillLeadersInSeries { times: u32 },
-    /// Suspends controllers; their clocks keep running.
+    /// Pauses controllers; their clocks keep running.
     Pause { target: Target, duration: Duration },
     /// Makes links of a controller, of a zone or of both faulty.
     Links {
@@ -62,21 +62,21 @@
         fault: LinkFault,
         duration: Duration,
     },
-    /// The state store rejects requests of controllers.
-    RefuseState { target: Target, duration: Duration },
-    /// A share of transactions is executed late and gets no response.
+    /// The state store refuses requests of controllers.
+    RefuseStateStore { target: Target, duration: Duration },
+    /// A share of transactions is applied late and gets no response.
     LateTransactions { share: f64, duration: Duration },
-    /// A share of transactions is executed without delay, but gets no response.
+    /// A share of transactions is applied without delay, but gets no response.
     LostTransactionResponses { share: f64, duration: Duration },
     /// For a share of heartbeats, a copy arrives later at a random controller.
     DuplicateHeartbeats { share: f64, duration: Duration },
     /// A share of pushes is executed late and gets no response.
     LatePushes { share: f64, duration: Duration },
-    /// Random machines hang for a while.
-    Hang { machines: usize, duration: Duration },
+    /// Suspends random machines for a while.
+    SuspendMachines { machines: usize, duration: Duration },
     /// The cloud reclaims random machines without notice.
     Reclaim { machines: usize },
-    /// The cloud rejects all requests.
+    /// The cloud refuses all requests.
     RefuseCloud { duration: Duration },
     /// Users cancel several jobs at the same time.
     CancelMany { jobs: usize },
@@ -127,7 +127,7 @@
             fault: draw_link_fault(rng),
             duration,
         },
-        8 => Fault::RefuseState {
+        8 => Fault::RefuseStateStore {
             target: draw_target(rng, controllers),
             duration,
         },
@@ -135,7 +135,7 @@
         10 => Fault::LostTransactionResponses { share, duration },
         11 => Fault::DuplicateHeartbeats { share, duration },
         12 => Fault::LatePushes { share, duration },
-        13 => Fault::Hang {
+        13 => Fault::SuspendMachines {
             machines: rng.random_range(1..5),
             duration,
         },
--- a/tests/soak/run.rs
+++ b/tests/soak/run.rs
@@ -6,7 +6,7 @@
 use super::faults::{draw, Fault, PlannedFault, Target};
 use super::options::Options;
 use super::starvation::WaitingJobs;
-use super::users::{cancel, query_status, User, USERS};
+use super::users::{cancel, query_phase, User, USERS};
 use rand::seq::IteratorRandom;
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -193,7 +193,7 @@
             fault,
             duration,
         } => shared.links.break_links(links, *fault, *duration),
-        Fault::RefuseState { target, duration } => {
+        Fault::RefuseStateStore { target, duration } => {
             cluster
                 .store
                 .refuse(&target_controllers(&shared, *target), *duration);
@@ -208,9 +208,9 @@
             shared.duplicate_heartbeats(*share, *duration)
         }
         Fault::LatePushes { share, duration } => shared.delay_pushes(*share, *duration),
-        Fault::Hang { machines, duration } => {
+        Fault::SuspendMachines { machines, duration } => {
             for id in random_machines(&shared, *machines) {
-                shared.world().hang(now, &id, *duration);
+                shared.world().suspend(now, &id, *duration);
             }
         }
         Fault::Reclaim { machines } => {
@@ -275,19 +275,19 @@
             break;
         }
         check_for_starvation(shared, &mut waiting);
-        let services = shared.world().checker.running_services();
+        let services = shared.world().checker.unfinished_services();
         for (number, id) in services.iter().enumerate() {
             cancel(shared, number % CONTROLLERS, id).await;
         }
         for (number, id) in unfinished_jobs.iter().enumerate() {
-            query_status(shared, number % CONTROLLERS, id).await;
+            query_phase(shared, number % CONTROLLERS, id).await;
         }
         tokio::time::sleep(Duration::from_millis(500)).await;
     }
     let accepted = shared.world().checker.accepted_jobs();
     for id in accepted {
         for controller in 0..CONTROLLERS {
-            query_status(shared, controller, &id).await;
+            query_phase(shared, controller, &id).await;
         }
     }
     shared.world().checker.check_at_end(Instant::now());
--- a/tests/soak/starvation.rs
+++ b/tests/soak/starvation.rs
@@ -64,7 +64,7 @@
     let mut room: BTreeMap<&str, u32> = BTreeMap::new();
     for (id, machine) in &world.machines {
         let info = world.checker.machine(id);
-        if machine.is_hanging(now) || !info.is_some_and(|info| allows(spec, info)) {
+        if machine.is_suspended(now) || !info.is_some_and(|info| allows(spec, info)) {
             continue;
         }
         let zone = machine.kind.zone;
--- a/tests/soak/state_store.rs
+++ b/tests/soak/state_store.rs
@@ -15,7 +15,7 @@
 /// How often leases, late transactions and open watches are checked.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Delay of late transactions, in milliseconds.
-const LATE_EXECUTION_MS: std::ops::Range<u64> = 800..5_000;
+const LATE_TRANSACTION_DELAY_MS: std::ops::Range<u64> = 800..5_000;
 
 /// A fault that affects a random share of transactions until a given time.
 #[derive(Clone, Copy)]
@@ -37,7 +37,7 @@
     lost_responses: Option<TransactionFault>,
 }
 
-/// A transaction that is executed later.
+/// A transaction that is applied later.
 struct LateTransaction {
     due_at: Instant,
     request: HttpRequest,
@@ -75,7 +75,7 @@
         .await
     }
 
-    /// Rejects requests of these controllers for the given duration.
+    /// Refuses requests of these controllers for the given duration.
     pub fn refuse(&self, controllers: &[usize], duration: Duration) {
         let until = Instant::now() + duration;
         let mut faults = self.faults.lock().expect("faults lock poisoned");
@@ -84,14 +84,14 @@
         }
     }
 
-    /// Executes a share of transactions late and without a response.
+    /// Applies a share of transactions late and without a response.
     pub fn delay_transactions(&self, share: f64, duration: Duration) {
         let until = Instant::now() + duration;
         self.faults.lock().expect("faults lock poisoned").late =
             Some(TransactionFault { share, until });
     }
 
-    /// Executes a share of transactions without delay, but sends no response.
+    /// Applies a share of transactions without delay, but sends no response.
     pub fn lose_transaction_responses(&self, share: f64, duration: Duration) {
         let until = Instant::now() + duration;
         self.faults
@@ -115,8 +115,8 @@
         until.is_some_and(|until| Instant::now() < *until)
     }
 
-    /// Executes the late transactions that are due. Their connections are closed by now.
-    fn execute_due(&self, now: Instant) {
+    /// Applies the late transactions that are due. Their connections are closed by now.
+    fn apply_due(&self, now: Instant) {
         let mut waiting = self
             .late_transactions
             .lock()
@@ -130,8 +130,8 @@
         }
     }
 
-    /// Expires leases and executes late transactions. While all controllers are rejected, as in an outage of the
-    /// store, leases are renewed instead; if only some are rejected, their leases expire.
+    /// Expires leases and applies late transactions. While all controllers are refused, as in an outage of the store,
+    /// leases are renewed instead; if only some are refused, their leases expire.
     async fn run(self: Arc<StateStore>) {
         loop {
             let now = Instant::now();
@@ -139,7 +139,7 @@
                 self.lock().renew_all_leases(now);
             } else {
                 self.lock().expire_leases(now);
-                self.execute_due(now);
+                self.apply_due(now);
             }
             tokio::time::sleep(POLL_INTERVAL).await;
         }
@@ -162,8 +162,8 @@
             (faults.late, faults.lost_responses)
         };
         if is_transaction && TransactionFault::applies(late) {
-            // The controller times out and closes the connection, but the transaction is still executed later.
-            return self.execute_late(request).await;
+            // The controller times out and closes the connection, but the transaction is still applied later.
+            return self.apply_late(request).await;
         }
         let response = self.execute(&request);
         let is_lost = is_transaction && TransactionFault::applies(lost_responses);
@@ -173,8 +173,8 @@
         response
     }
 
-    async fn execute_late(&self, request: HttpRequest) -> HttpResponse {
-        let late = Duration::from_millis(rand::rng().random_range(LATE_EXECUTION_MS));
+    async fn apply_late(&self, request: HttpRequest) -> HttpResponse {
+        let late = Duration::from_millis(rand::rng().random_range(LATE_TRANSACTION_DELAY_MS));
         let late_transaction = LateTransaction {
             due_at: Instant::now() + late,
             request,
@@ -202,7 +202,7 @@
         }
     }
 
-    /// Responds once there are changes or after the requested time. Sends no response while the controller is rejected.
+    /// Responds once there are changes or after the requested time. Sends no response while the controller is refused.
     async fn watch(&self, controller: usize, path: &str) -> HttpResponse {
         let number = |name| -> u64 {
             let value = query_parameter(path, name).and_then(|value| value.parse().ok());
--- a/tests/soak/task.rs
+++ b/tests/soak/task.rs
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Returns an attempt that the worker denied to start.
+    /// Returns an attempt that the worker refused to start.
     pub fn ended(cause: &'static str) -> Task {
         let saved = false;
         Task {
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Postpones the end of the current phase, because the machine hangs.
+    /// Postpones the end of the current phase, because the machine is suspended.
     pub fn postpone(&mut self, duration: Duration) {
         match &mut self.phase {
             Phase::Fetching { ready_at: at }
--- a/tests/soak/users.rs
+++ b/tests/soak/users.rs
@@ -55,13 +55,13 @@
                 3 | 4 => self.resubmit(controller).await,
                 5 => self.cancel(controller).await,
                 6 => self.query_unknown_job(controller).await,
-                _ => self.query_status(controller).await,
+                _ => self.query_phase(controller).await,
             }
         }
     }
 
-    /// Submits a new job, and retries until it is accepted. After the last retry it remains open whether a
-    /// controller has accepted the job.
+    /// Submits a new job, and retries until it is accepted. If all retries fail, a controller may still have
+    /// accepted the job.
     async fn submit_new(&mut self) {
         let id = format!("wk-{}{:05}", self.number + 1, self.submitted);
         self.submitted += 1;
@@ -88,16 +88,16 @@
         }
     }
 
-    async fn query_status(&mut self, controller: usize) {
+    async fn query_phase(&mut self, controller: usize) {
         if let Some(spec) = self.specs.choose(&mut self.rng) {
             let id = spec["ref"].as_str().expect("job has no id").to_owned();
-            query_status(&self.shared, controller, &id).await;
+            query_phase(&self.shared, controller, &id).await;
         }
     }
 
     async fn query_unknown_job(&mut self, controller: usize) {
         let id = format!("wk-9{:05}", self.rng.random_range(0..99_999));
-        query_status(&self.shared, controller, &id).await;
+        query_phase(&self.shared, controller, &id).await;
     }
 
     async fn cancel(&mut self, controller: usize) {
@@ -140,8 +140,8 @@
     exchange(shared, controller, id, request, SUBMIT_TIMEOUT).await
 }
 
-/// Queries a job's status at one controller. Returns the response's HTTP status.
-pub async fn query_status(shared: &Shared, controller: usize, id: &str) -> Option<u16> {
+/// Queries a job's phase at one controller. Returns the response's HTTP status.
+pub async fn query_phase(shared: &Shared, controller: usize, id: &str) -> Option<u16> {
     let request = ("GET", format!("/submissions/{id}"), String::new());
     exchange(shared, controller, id, request, QUERY_TIMEOUT).await
 }
--- a/tests/soak/worker.rs
+++ b/tests/soak/worker.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
-const MIN_HEARTBEAT_GAP: Duration = Duration::from_millis(250);
+const MIN_HEARTBEAT_SPACING: Duration = Duration::from_millis(250);
 const POLL_INTERVAL: Duration = Duration::from_millis(30);
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
 const NEXT_CONTROLLER_DELAY: Duration = Duration::from_millis(400);
@@ -43,10 +43,10 @@
     });
 }
 
-/// Waits while the machine hangs. Returns false if the machine no longer exists.
-async fn wait_while_hanging(shared: &Shared, id: &str) -> bool {
+/// Waits while the machine is suspended. Returns false if the machine no longer exists.
+async fn wait_while_suspended(shared: &Shared, id: &str) -> bool {
     loop {
-        let until = shared.world().hangs_until(id, Instant::now());
+        let until = shared.world().suspended_until(id, Instant::now());
         let Some(until) = until else {
             return shared.world().machines.contains_key(id);
         };
@@ -58,7 +58,7 @@
 async fn handle(shared: Arc<Shared>, id: &str, zone: usize, request: HttpRequest) -> HttpResponse {
     let link = Link::Pushes(zone);
     if shared.links.deliver_request(link).await == Delivery::Lost
-        || !wait_while_hanging(&shared, id).await
+        || !wait_while_suspended(&shared, id).await
     {
         no_response().await;
     }
@@ -86,7 +86,7 @@
     tokio::spawn(async move {
         let delay_ms = rand::rng().random_range(LATE_DELIVERY_MS);
         tokio::time::sleep(Duration::from_millis(delay_ms)).await;
-        if wait_while_hanging(&shared, &id).await {
+        if wait_while_suspended(&shared, &id).await {
             shared.world().push(Instant::now(), &id, &body);
         }
     });
@@ -111,11 +111,11 @@
                 Some(machine) => machine.has_changes,
                 None => return false,
             };
-            if waited >= HEARTBEAT_INTERVAL || (has_changes && waited >= MIN_HEARTBEAT_GAP) {
+            if waited >= HEARTBEAT_INTERVAL || (has_changes && waited >= MIN_HEARTBEAT_SPACING) {
                 break;
             }
         }
-        if !wait_while_hanging(&self.shared, &self.id).await {
+        if !wait_while_suspended(&self.shared, &self.id).await {
             return false;
         }
         if !self.send().await {
@@ -145,8 +145,8 @@
         let Ok(Some((status, body))) = response else {
             return false;
         };
-        // A response that arrives while the machine hangs is handled afterwards, if the lease is still valid.
-        if !wait_while_hanging(&self.shared, &self.id).await {
+        // A response that arrives while the machine is suspended is handled afterwards, if the lease is still valid.
+        if !wait_while_suspended(&self.shared, &self.id).await {
             return true;
         }
         match status {
--- a/tests/soak/world.rs
+++ b/tests/soak/world.rs
@@ -53,7 +53,7 @@
     sequence_number: u64,
     token: u64,
     lease_renewed_at: Instant,
-    hangs_until: Instant,
+    suspended_until: Instant,
     tasks: BTreeMap<(TaskKey, u64), Task>,
     images: BTreeSet<String>,
     /// Whether the worker's status has changed since the last heartbeat.
@@ -61,8 +61,8 @@
 }
 
 impl Machine {
-    pub fn is_hanging(&self, now: Instant) -> bool {
-        now < self.hangs_until
+    pub fn is_suspended(&self, now: Instant) -> bool {
+        now < self.suspended_until
     }
 
     /// Returns how many tasks with these resource requests fit into the free capacity.
@@ -141,7 +141,7 @@
             sequence_number: 0,
             token: 0,
             lease_renewed_at: now,
-            hangs_until: now,
+            suspended_until: now,
             tasks: BTreeMap::new(),
             images: BTreeSet::new(),
             has_changes: true,
@@ -155,21 +155,21 @@
         self.checker.machine_removed(id);
     }
 
-    /// Makes the machine hang for the given duration, which postpones all that its tasks do.
-    pub fn hang(&mut self, now: Instant, id: &str, duration: Duration) {
+    /// Suspends the machine for the given duration, which postpones the phase changes of its tasks.
+    pub fn suspend(&mut self, now: Instant, id: &str, duration: Duration) {
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
-        machine.hangs_until = now + duration;
+        machine.suspended_until = now + duration;
         for task in machine.tasks.values_mut() {
             task.postpone(duration);
         }
     }
 
-    /// Returns the end of the machine's hang, or None if the machine is not hanging.
-    pub fn hangs_until(&self, id: &str, now: Instant) -> Option<Instant> {
+    /// Returns when the suspended machine resumes, or None if it is not suspended.
+    pub fn suspended_until(&self, id: &str, now: Instant) -> Option<Instant> {
         let machine = self.machines.get(id)?;
-        machine.is_hanging(now).then_some(machine.hangs_until)
+        machine.is_suspended(now).then_some(machine.suspended_until)
     }
 
     /// Executes everything that is due on the machines, and checks the cancelled jobs.
@@ -186,7 +186,7 @@
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
-        if machine.is_hanging(now) {
+        if machine.is_suspended(now) {
             return;
         }
         if now > machine.lease_renewed_at + self.times.lease {
--- a/tests/soak/world/gangs.rs
+++ b/tests/soak/world/gangs.rs
@@ -35,7 +35,7 @@
         let mut counts = GangCounts::default();
         for (id, key) in members {
             let machine = &self.machines[id];
-            counts.add(now, &machine.tasks[key], machine.is_hanging(now));
+            counts.add(now, &machine.tasks[key], machine.is_suspended(now));
         }
         if counts.waiting == size {
             let running = Phase::Running {
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Ends the members on machines that are not hanging.
+    /// Ends the members on machines that are not suspended.
     fn end_members(&mut self, now: Instant, members: &[Member], cause: &'static str) {
         if cause == "done" {
             for (_, key) in members {
@@ -77,7 +77,7 @@
             }
         }
         for (id, key) in members {
-            let Some(machine) = self.machines.get_mut(id).filter(|m| !m.is_hanging(now)) else {
+            let Some(machine) = self.machines.get_mut(id).filter(|m| !m.is_suspended(now)) else {
                 continue;
             };
             machine.has_changes = true;
@@ -112,8 +112,8 @@
 }
 
 impl GangCounts {
-    fn add(&mut self, now: Instant, task: &Task, is_hanging: bool) {
-        if is_hanging {
+    fn add(&mut self, now: Instant, task: &Task, is_suspended: bool) {
+        if is_suspended {
             return;
         }
         match task.phase {
