--- a/tests/loopback/client.rs
+++ b/tests/loopback/client.rs
@@ -27,15 +27,15 @@
 }
 
 /// Returns the specification of a job, as users submit it.
-pub fn job(id: &str, tasks: u32) -> Value {
+pub fn job_spec(id: &str, tasks: u32) -> Value {
     json!({"ref": id, "jobclass": "any", "crew": "blue", "shape": "array", "urgency": "normal", "pieces": tasks,
         "cpus": 1.0, "gpus": 1.0, "ramGb": 4.0, "bundle": "img", "pullGb": 1.0, "rigs": null, "site": null,
         "together": false, "scatter": false, "loaners": false, "guessS": 1.0, "markEveryS": 0.0, "markCostS": 0.0, "dueS": null})
 }
 
 /// Returns the specification of a job that depends on the `upstream` jobs.
-pub fn downstream_job(id: &str, tasks: u32, upstream: Value) -> Value {
-    let mut spec = job(id, tasks);
+pub fn downstream_spec(id: &str, tasks: u32, upstream: Value) -> Value {
+    let mut spec = job_spec(id, tasks);
     spec["waitsOn"] = upstream;
     spec
 }
--- a/tests/loopback/cloud.rs
+++ b/tests/loopback/cloud.rs
@@ -1,5 +1,5 @@
-//! A stand-in for the cloud that speaks its published protocol. A rented machine runs at once, with a worker; requests
-//! to terminate machines fail.
+//! A fake cloud that speaks the published protocol. A rented machine runs at once, with a fake worker; requests to
+//! terminate machines fail.
 
 use super::http::serve;
 use super::worker::{start_worker, WorkerLog};
@@ -29,7 +29,7 @@
         (200, json!({"hosts": *machines, "hasNext": false}))
     }
 
-    /// Rents one machine, whatever the request says. Returns its name.
+    /// Rents one machine, regardless of the number requested. Returns its name.
     fn rent(&self) -> String {
         let mut machines = self.machines.lock().expect("the lock is not poisoned");
         let name = format!("host-{:06}", machines.len() + 1);
--- a/tests/loopback/cluster.rs
+++ b/tests/loopback/cluster.rs
@@ -1,4 +1,4 @@
-//! A cluster of controller processes, with stand-ins for the state store, the cloud and the workers.
+//! A cluster of controller processes, with a fake state store, a fake cloud and fake workers.
 
 use super::client::{heartbeat, wait_for};
 use super::cloud::start_cloud;
@@ -120,8 +120,8 @@
     pub fn start_with(options: &ClusterOptions) -> Cluster {
         let count = options.controllers;
         let ports = free_ports(2 * count);
-        let (front_ports, peer_ports) = ports.split_at(count);
-        let http_addrs: Vec<String> = front_ports.iter().map(|port| loopback(*port)).collect();
+        let (http_ports, peer_ports) = ports.split_at(count);
+        let http_addrs: Vec<String> = http_ports.iter().map(|port| loopback(*port)).collect();
         let worker_log = Arc::new(WorkerLog::new());
         let store = start_state_store();
         let store_proxies: Vec<StoreProxy> = (0..count).map(|_| StoreProxy::start(store)).collect();
--- a/tests/loopback/dependencies.rs
+++ b/tests/loopback/dependencies.rs
@@ -13,7 +13,7 @@
 fn invalid_upstream_lists_are_rejected() {
     let cluster = Cluster::start("dependency-lists");
     cluster.worker_log.set_run_time(UNBOUNDED_RUN_TIME);
-    submit_accepted(&cluster.http_addrs[0], &job("wk-000001", 1));
+    submit_accepted(&cluster.http_addrs[0], &job_spec("wk-000001", 1));
     check_malformed_lists(&cluster);
     check_empty_and_duplicate_lists(&cluster);
     check_resubmissions_with_other_lists(&cluster);
@@ -30,11 +30,11 @@
         json!(["job-1"]),
         json!([null]),
     ] {
-        let spec = downstream_job("wk-000010", 1, malformed);
+        let spec = downstream_spec("wk-000010", 1, malformed);
         assert_eq!(submit(http_addr, &spec), Some(400), "{spec}");
     }
     for unknown in [json!(["wk-000001", "wk-000999"]), json!(["wk-000010"])] {
-        let spec = downstream_job("wk-000010", 1, unknown);
+        let spec = downstream_spec("wk-000010", 1, unknown);
         assert_eq!(submit(http_addr, &spec), Some(422), "{spec}");
     }
 }
@@ -43,24 +43,24 @@
 /// just accepted.
 fn check_empty_and_duplicate_lists(cluster: &Cluster) {
     for (id, none) in [("wk-000020", json!(null)), ("wk-000021", json!([]))] {
-        let spec = downstream_job(id, 1, none);
+        let spec = downstream_spec(id, 1, none);
         assert_eq!(submit(&cluster.http_addrs[0], &spec), Some(201));
     }
-    let spec = downstream_job("wk-000011", 1, json!(["wk-000001", "wk-000001"]));
+    let spec = downstream_spec("wk-000011", 1, json!(["wk-000001", "wk-000001"]));
     assert_eq!(submit(&cluster.http_addrs[1], &spec), Some(201));
 }
 
 /// A repeated submission of an accepted job succeeds, whatever its list of upstream jobs contains.
 fn check_resubmissions_with_other_lists(cluster: &Cluster) {
-    let unknown = downstream_job("wk-000011", 1, json!(["wk-000001", "wk-000999"]));
+    let unknown = downstream_spec("wk-000011", 1, json!(["wk-000001", "wk-000999"]));
     assert_eq!(submit(&cluster.http_addrs[2], &unknown), Some(200));
-    let itself = downstream_job("wk-000011", 1, json!(["wk-000011"]));
+    let itself = downstream_spec("wk-000011", 1, json!(["wk-000011"]));
     assert_eq!(submit(&cluster.http_addrs[0], &itself), Some(200));
 }
 
 fn submit_all(http_addr: &str, ids: &[String]) {
     for id in ids {
-        submit_accepted(http_addr, &job(id, 1));
+        submit_accepted(http_addr, &job_spec(id, 1));
     }
 }
 
@@ -70,9 +70,9 @@
     submit_all(&cluster.http_addrs[0], &ids);
     let mut with_unknown = ids.clone();
     with_unknown.push("wk-000998".into());
-    let spec = downstream_job("wk-000012", 1, json!(with_unknown));
+    let spec = downstream_spec("wk-000012", 1, json!(with_unknown));
     assert_eq!(submit(&cluster.http_addrs[1], &spec), Some(422));
-    let spec = downstream_job("wk-000012", 1, json!(ids));
+    let spec = downstream_spec("wk-000012", 1, json!(ids));
     assert_eq!(submit_accepted(&cluster.http_addrs[1], &spec), "queued");
 }
 
@@ -80,7 +80,7 @@
 fn check_upstream_list_larger_than_one_record(cluster: &Cluster) {
     let ids: Vec<String> = (0..150).map(|n| format!("wk-{n:040}")).collect();
     submit_all(&cluster.http_addrs[0], &ids);
-    let spec = downstream_job("wk-000013", 1, json!(ids));
+    let spec = downstream_spec("wk-000013", 1, json!(ids));
     assert_eq!(submit_accepted(&cluster.http_addrs[1], &spec), "queued");
     assert_eq!(submit(&cluster.http_addrs[0], &spec), Some(200));
     assert_eq!(
@@ -98,7 +98,7 @@
     let mut cluster = Cluster::start("dependency-order");
     let http_addrs = cluster.http_addrs.clone();
     let (leader, _) = cluster.wait_for_leader(&mut SequenceNumbers::default());
-    submit_accepted(&http_addrs[0], &job("wk-000001", 3));
+    submit_accepted(&http_addrs[0], &job_spec("wk-000001", 3));
     for (controller, id, tasks, upstream) in [
         (1, "wk-000002", 4, json!(["wk-000001"])),
         (2, "wk-000003", 2, json!(["wk-000001"])),
@@ -106,7 +106,7 @@
     ] {
         submit_accepted(
             &http_addrs[controller],
-            &downstream_job(id, tasks, upstream),
+            &downstream_spec(id, tasks, upstream),
         );
     }
     wait_for_phase(&http_addrs[0], "wk-000001", "done");
@@ -115,7 +115,7 @@
     wait_for_phase(&http_addrs[1], "wk-000004", "done");
     // A job submitted after all of its upstream jobs have ended, one of them long before.
     let upstream = json!(["wk-000004", "wk-000001"]);
-    submit_accepted(&http_addrs[2], &downstream_job("wk-000005", 1, upstream));
+    submit_accepted(&http_addrs[2], &downstream_spec("wk-000005", 1, upstream));
     wait_for_phase(&http_addrs[0], "wk-000005", "done");
     let launched = cluster.worker_log.launched();
     for (upstream, downstream) in [
@@ -157,15 +157,15 @@
     // The leader's address comes last.
     let mut http_addrs = cluster.http_addrs.clone();
     http_addrs.rotate_left((leader + 1) % 3);
-    submit_accepted(&http_addrs[0], &job("wk-000001", 1));
-    submit_accepted(&http_addrs[0], &job("wk-000002", 1));
+    submit_accepted(&http_addrs[0], &job_spec("wk-000001", 1));
+    submit_accepted(&http_addrs[0], &job_spec("wk-000002", 1));
     let downstream = ["wk-000003", "wk-000004", "wk-000005"];
     for (controller, id, upstream) in [
         (1, downstream[0], json!(["wk-000001"])),
         (2, downstream[1], json!(["wk-000003", "wk-000002"])),
         (0, downstream[2], json!(["wk-000004"])),
     ] {
-        submit_accepted(&http_addrs[controller], &downstream_job(id, 1, upstream));
+        submit_accepted(&http_addrs[controller], &downstream_spec(id, 1, upstream));
     }
     for id in downstream {
         assert_eq!(phase(&http_addrs[1], id).as_deref(), Some("queued"));
@@ -188,7 +188,7 @@
 /// The last address is that of the leader, whose requests the state store refuses: it forwards submissions to its
 /// peers.
 fn check_submissions_after_cancellation(http_addrs: &[String]) {
-    let downstream = |id: &str, upstream: Value| downstream_job(id, 1, upstream);
+    let downstream = |id: &str, upstream: Value| downstream_spec(id, 1, upstream);
     let late = downstream("wk-000006", json!(["wk-000005"]));
     assert_eq!(submit_accepted(&http_addrs[2], &late), "aborted");
     assert_eq!(submit(&http_addrs[1], &late), Some(200));
@@ -217,8 +217,8 @@
         ..ClusterOptions::new("dependency-done")
     });
     let http_addr = &cluster.http_addrs[0];
-    submit_accepted(http_addr, &job("wk-000001", 1));
-    let downstream = downstream_job("wk-000002", 1, json!(["wk-000001"]));
+    submit_accepted(http_addr, &job_spec("wk-000001", 1));
+    let downstream = downstream_spec("wk-000002", 1, json!(["wk-000001"]));
     submit_accepted(http_addr, &downstream);
     wait_for_phase(http_addr, "wk-000001", "done");
     assert_eq!(cancel_confirmed(http_addr, "wk-000001"), "done");
--- a/tests/loopback/http.rs
+++ b/tests/loopback/http.rs
@@ -1,4 +1,4 @@
-//! A blocking HTTP client and server with JSON bodies, for the tests and the stand-ins.
+//! A blocking HTTP client and server with JSON bodies, for the tests and the fake services.
 
 use serde_json::Value;
 use std::io::{Read, Write};
@@ -76,7 +76,7 @@
 
 /// Starts a server on a free loopback port, with a thread for each connection. Returns its address.
 pub fn serve(handler: Handler) -> SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
     let addr = listener.local_addr().expect("the listener has an address");
     std::thread::spawn(move || {
         for stream in listener.incoming().flatten() {
--- a/tests/loopback/invalid_requests.rs
+++ b/tests/loopback/invalid_requests.rs
@@ -1,20 +1,20 @@
 //! Checks that a controller rejects each kind of invalid request with the right status.
 
-use super::client::{job, submit};
+use super::client::{job_spec, submit};
 use super::http::http;
 use serde_json::{json, Value};
 
 const JOB: &str = "wk-000777";
 const KNOWN_JOB: &str = "wk-000776";
 
-fn job_with(field: &str, value: Value) -> Value {
-    let mut spec = job(JOB, 1);
+fn spec_with(field: &str, value: Value) -> Value {
+    let mut spec = job_spec(JOB, 1);
     spec[field] = value;
     spec
 }
 
-fn job_without(field: &str) -> Value {
-    let mut spec = job(JOB, 1);
+fn spec_without(field: &str) -> Value {
+    let mut spec = job_spec(JOB, 1);
     spec.as_object_mut()
         .expect("a job specification is an object")
         .remove(field);
@@ -35,22 +35,22 @@
     let malformed = [
         json!([1]),
         json!("text"),
-        job_without("crew"),
-        job_without("pieces"),
-        job_with("ref", json!("job-1")),
-        job_with("ref", json!(7)),
-        job_with("pieces", json!(0)),
-        job_with("pieces", json!(100_001)),
-        job_with("pieces", json!(1.5)),
-        job_with("pieces", json!(-1)),
-        job_with("cpus", json!(-1.0)),
-        job_with("gpus", json!("1")),
-        job_with("shape", json!("ring")),
-        job_with("urgency", json!("very")),
-        job_with("together", json!(null)),
-        job_with("guessS", json!(null)),
-        job_with("dueS", json!(-5)),
-        job_with("rigs", json!("box")),
+        spec_without("crew"),
+        spec_without("pieces"),
+        spec_with("ref", json!("job-1")),
+        spec_with("ref", json!(7)),
+        spec_with("pieces", json!(0)),
+        spec_with("pieces", json!(100_001)),
+        spec_with("pieces", json!(1.5)),
+        spec_with("pieces", json!(-1)),
+        spec_with("cpus", json!(-1.0)),
+        spec_with("gpus", json!("1")),
+        spec_with("shape", json!("ring")),
+        spec_with("urgency", json!("very")),
+        spec_with("together", json!(null)),
+        spec_with("guessS", json!(null)),
+        spec_with("dueS", json!(-5)),
+        spec_with("rigs", json!("box")),
     ];
     for spec in malformed {
         assert_eq!(submit(controller, &spec), Some(400), "{spec}");
@@ -66,13 +66,13 @@
 
 /// Jobs that can never run are rejected with status 422.
 fn check_unsatisfiable_submissions(controller: &str) {
-    let mut gang = job(JOB, 30);
+    let mut gang = job_spec(JOB, 30);
     gang["shape"] = json!("gang");
     let unsatisfiable = [
-        job_with("crew", json!("nobody")),
-        job_with("gpus", json!(3.0)),
-        job_with("rigs", json!([])),
-        job_with("site", json!("z")),
+        spec_with("crew", json!("nobody")),
+        spec_with("gpus", json!(3.0)),
+        spec_with("rigs", json!([])),
+        spec_with("site", json!("z")),
         gang,
     ];
     for spec in unsatisfiable {
@@ -82,8 +82,8 @@
 
 /// A repeated submission of an accepted job succeeds, even if its body is invalid.
 fn check_repeated_submissions(controller: &str) {
-    assert_eq!(submit(controller, &job(KNOWN_JOB, 1)), Some(201));
-    let mut repeat = job(KNOWN_JOB, 1);
+    assert_eq!(submit(controller, &job_spec(KNOWN_JOB, 1)), Some(201));
+    let mut repeat = job_spec(KNOWN_JOB, 1);
     assert_eq!(submit(controller, &repeat), Some(200));
     repeat["crew"] = json!("nobody");
     assert_eq!(submit(controller, &repeat), Some(200));
--- a/tests/loopback/main.rs
+++ b/tests/loopback/main.rs
@@ -1,6 +1,6 @@
-//! Tests of controller processes on the loopback interface, with stand-ins for the state store, the cloud and the
-//! workers that speak their published protocols. The tests assert order and outcome, not times: they wait for
-//! conditions, with a long timeout.
+//! Tests of controller processes on the loopback interface, with a fake state store, a fake cloud and fake workers that
+//! speak the published protocols. The tests assert order and outcome, not times: they wait for conditions, with a long
+//! timeout.
 
 mod client;
 mod cloud;
@@ -33,7 +33,7 @@
     cluster.worker_log.set_run_time(Duration::from_secs(600));
     let (leader, _) = cluster.wait_for_leader(&mut SequenceNumbers::default());
     let other = &cluster.http_addrs[(leader + 1) % 3];
-    submit_accepted(other, &job("wk-000030", 4));
+    submit_accepted(other, &job_spec("wk-000030", 4));
     wait_for("four task launches", || {
         (cluster.worker_log.launched().len() == 4).then_some(())
     });
@@ -59,7 +59,7 @@
     let cluster = Cluster::start("workers-only");
     let mut sequence_numbers = SequenceNumbers::default();
     let (first, token) = cluster.wait_for_leader(&mut sequence_numbers);
-    submit_accepted(&cluster.http_addrs[first], &job("wk-000010", 6));
+    submit_accepted(&cluster.http_addrs[first], &job_spec("wk-000010", 6));
     cluster.store_proxies[first].disconnect(true);
     let (second, higher_token) = cluster.wait_for_leader_except(&mut sequence_numbers, Some(first));
     assert!(higher_token > token && second != first);
@@ -130,7 +130,7 @@
     });
     let is_served = heartbeat_on(&mut worker, 2);
     assert!(is_served, "the worker's connection was closed");
-    submit_accepted(http_addr, &job("wk-000020", 2));
+    submit_accepted(http_addr, &job_spec("wk-000020", 2));
     wait_for_phase(http_addr, "wk-000020", "done");
 }
 
@@ -141,13 +141,13 @@
     let mut cluster = Cluster::start("restarts");
     let http_addrs = cluster.http_addrs.clone();
     wait_for("acceptance of the first job", || {
-        submit(&http_addrs[0], &job("wk-000001", 4)).filter(|s| *s == 201 || *s == 200)
+        submit(&http_addrs[0], &job_spec("wk-000001", 4)).filter(|s| *s == 201 || *s == 200)
     });
     check_invalid_requests(&http_addrs[1]);
     for http_addr in &http_addrs {
         wait_for_phase(http_addr, "wk-000001", "done");
     }
-    submit_accepted(&http_addrs[1], &job("wk-000002", 12));
+    submit_accepted(&http_addrs[1], &job_spec("wk-000002", 12));
     rolling_restart(&mut cluster, "wk-000002");
     wait_for_phase(&http_addrs[0], "wk-000002", "done");
     check_repeated_requests_after_completion(&http_addrs, "wk-000001");
@@ -173,7 +173,7 @@
 fn check_repeated_requests_after_completion(http_addrs: &[String], done: &str) {
     let expected = Some((200, "done".to_owned()));
     for http_addr in http_addrs {
-        assert_eq!(submit_for_phase(http_addr, &job(done, 4)), expected);
+        assert_eq!(submit_for_phase(http_addr, &job_spec(done, 4)), expected);
         assert_eq!(cancel(http_addr, done), expected);
     }
     assert_eq!(phase(&http_addrs[2], done).as_deref(), Some("done"));
@@ -182,13 +182,13 @@
 /// All controllers report the phase with which the first cancellation was answered, and answer a repeated cancellation
 /// with the same body.
 fn check_cancellation_is_final(http_addrs: &[String], id: &str) {
-    submit_accepted(&http_addrs[2], &job(id, 1));
-    let cancelled = cancel_response(&http_addrs[0], id).expect("a response");
+    submit_accepted(&http_addrs[2], &job_spec(id, 1));
+    let cancelled = cancel_response(&http_addrs[0], id).expect("the controller responds");
     assert_eq!(cancelled.0, 200);
     for http_addr in http_addrs {
         let reported = phase(http_addr, id);
         assert_eq!(reported.as_deref(), cancelled.1["phase"].as_str());
-        let repeated = cancel_response(http_addr, id).expect("a response");
+        let repeated = cancel_response(http_addr, id).expect("the controller responds");
         assert_eq!(repeated, cancelled, "the repeated cancellation");
     }
 }
--- a/tests/loopback/state_store.rs
+++ b/tests/loopback/state_store.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the state store that speaks its published protocol: keys, transactions, leases and watches.
+//! A fake state store that speaks the published protocol: keys, transactions, leases and watches.
 
 use super::http::serve;
 use super::store_data::{query_parameter, StoreData};
--- a/tests/loopback/store_proxy.rs
+++ b/tests/loopback/store_proxy.rs
@@ -34,7 +34,7 @@
 impl StoreProxy {
     /// Starts a proxy that forwards all connections to `target`.
     pub fn start(target: SocketAddr) -> StoreProxy {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
         let addr = listener.local_addr().expect("the listener has an address");
         let faults = Arc::new(Faults::default());
         let shared = faults.clone();
--- a/tests/loopback/terminal_states.rs
+++ b/tests/loopback/terminal_states.rs
@@ -91,7 +91,7 @@
             let mut user = User {
                 http_addrs: &cluster.http_addrs,
                 id,
-                spec: job(id, 1 + n as u32 % 3),
+                spec: job_spec(id, 1 + n as u32 % 3),
                 terminal_phase: None,
             };
             // Every second job is cancelled, each two rounds later than the one before.
--- a/tests/loopback/worker.rs
+++ b/tests/loopback/worker.rs
@@ -1,4 +1,4 @@
-//! A stand-in for a worker that speaks its published protocol: it sends heartbeats to all controllers in turn and
+//! A fake worker that speaks the published protocol: it sends heartbeats to all controllers in turn and
 //! accepts pushed commands.
 
 use super::http::{http, serve};
@@ -80,15 +80,25 @@
     /// Executes the commands in a heartbeat response or a push. Ignores them if their fencing token is lower than the
     /// highest one seen.
     fn execute(&mut self, body: &Value) {
-        let token = body["baton"].as_u64().expect("a fencing token");
+        let token = body["baton"]
+            .as_u64()
+            .expect("the body has a fencing token");
         if token < self.token {
             return;
         }
         self.token = token;
-        for command in body["orders"].as_array().expect("commands") {
-            let task = command["piece"].as_str().expect("a task").to_owned();
-            let attempt = (task, command["try"].as_u64().expect("an attempt id"));
-            match command["verb"].as_str().expect("a verb") {
+        for command in body["orders"].as_array().expect("the body has commands") {
+            let task = command["piece"]
+                .as_str()
+                .expect("the command names a task")
+                .to_owned();
+            let attempt = (
+                task,
+                command["try"]
+                    .as_u64()
+                    .expect("the command has an attempt id"),
+            );
+            match command["verb"].as_str().expect("the command has a verb") {
                 "launch" => self.launch(attempt),
                 verb => self.remove(attempt, verb == "stop"),
             }
@@ -155,7 +165,7 @@
     endpoint
 }
 
-/// Sends heartbeats to the controllers in turn, forever.
+/// Sends heartbeats to the controllers in turn, until the test process ends.
 fn send_heartbeats(worker: &Mutex<Worker>, controllers: &[String]) {
     for controller in controllers.iter().cycle() {
         let status = lock(worker).status().to_string();
--- a/tests/support/store_data.rs
+++ b/tests/support/store_data.rs
@@ -1,4 +1,4 @@
-//! The data of the stand-ins for the state store: keys, transactions and leases, as in the published protocol.
+//! The data of the fake state stores: keys, transactions and leases, as in the published protocol.
 
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
@@ -65,7 +65,7 @@
     }
 
     /// Renews every lease to its full duration, at the end of an outage.
-    #[allow(dead_code, reason = "not every stand-in has outages")]
+    #[allow(dead_code, reason = "not every fake store has outages")]
     pub fn renew_all_leases(&mut self, now: Instant) {
         for lease in self.leases.values_mut() {
             lease.expires_at = now + lease.duration;
