--- a/tests/random/faults.rs
+++ b/tests/random/faults.rs
@@ -179,7 +179,10 @@
             workers.remove(machine_id);
             return;
         }
-        let faults = &mut workers.get_mut(machine_id).expect("a machine").faults;
+        let faults = &mut workers
+            .get_mut(machine_id)
+            .expect("the machine exists")
+            .faults;
         match kind {
             0 => faults.suspend_until(end),
             1 => faults.partition_until(end, PartitionMode::Delay),
--- a/tests/scenario_language/events.rs
+++ b/tests/scenario_language/events.rs
@@ -132,7 +132,7 @@
     let number: u32 = parse(
         words
             .get("machine")
-            .expect("an event with `machine N` or `of JOB`"),
+            .expect("the event has `machine N` or `of JOB`"),
         "machine",
     );
     MachineId::from(format!("host-{number:06}").as_str())
--- a/tests/scenario_language/expectations.rs
+++ b/tests/scenario_language/expectations.rs
@@ -65,7 +65,7 @@
 }
 
 fn expect_starts(simulation: &Simulation, task: &str, count: &str, context: &str) {
-    let task = TaskId::parse(task).expect("a task");
+    let task = TaskId::parse(task).expect("the expectation names a task");
     let starts = simulation.checker.start_counts.get(&task).copied();
     let starts = starts.unwrap_or(0);
     assert_eq!(starts.to_string(), count, "{context}: attempts of {task}");
--- a/tests/scenario_language/job.rs
+++ b/tests/scenario_language/job.rs
@@ -1,4 +1,4 @@
-//! Job descriptions in scenarios.
+//! Job specifications in scenarios.
 
 use super::Words;
 use crate::simulation::{Simulation, TaskBehavior};
@@ -13,7 +13,7 @@
     let words = Words(rest);
     let run_secs = words.number("run", DEFAULT_RUN_SECS);
     JobSpec {
-        id: JobId::parse(rest[0]).expect("a job id"),
+        id: JobId::parse(rest[0]).expect("the first word is a job id"),
         class: words.get("class").unwrap_or("any").into(),
         team: words.get("team").unwrap_or("blue").into(),
         shape: shape(words.get("shape").unwrap_or("array")),
--- a/tests/scenario_language/rogue.rs
+++ b/tests/scenario_language/rogue.rs
@@ -18,7 +18,7 @@
 pub fn launch_rogue_task(simulation: &mut Simulation, rest: &[&str]) {
     let words = Words(rest);
     let command = Command::Launch {
-        task: TaskId::parse(rest[0]).expect("a task"),
+        task: TaskId::parse(rest[0]).expect("the event names a task"),
         attempt_id: ROGUE_ATTEMPT,
     };
     let machine_id = match words.get("not-of") {
@@ -33,7 +33,7 @@
     let mut workers = simulation.workers.values();
     let other = workers.find(|w| !used.contains(&w.id) && w.up_at <= simulation.now);
     other
-        .expect("a running machine without tasks of the job")
+        .expect("a machine without tasks of the job is running")
         .id
         .clone()
 }
@@ -60,7 +60,7 @@
         tasks: spec.tasks,
         done_at_ms: None,
     };
-    let data = serde_json::to_value(record).expect("a record");
+    let data = serde_json::to_value(record).expect("the record can be serialized");
     Change::put(terminal_key(&spec.id), data)
 }
 
@@ -72,5 +72,8 @@
         upstream_jobs: Vec::new(),
         dependency_pages: 0,
     };
-    Change::put(key, serde_json::to_value(record).expect("a record"))
+    Change::put(
+        key,
+        serde_json::to_value(record).expect("the record can be serialized"),
+    )
 }
--- a/tests/simulation/checker/job_states.rs
+++ b/tests/simulation/checker/job_states.rs
@@ -28,8 +28,8 @@
     }
 
     fn check_job_state(&mut self, now: Instant, id: &JobId, phase: JobPhase) {
-        let done_tasks = self.done_tasks.get(id).map_or(0, BTreeSet::len) as u32;
-        if phase == JobPhase::Done && done_tasks < self.jobs[id].tasks {
+        let completed_tasks = self.completed_tasks.get(id).map_or(0, BTreeSet::len) as u32;
+        if phase == JobPhase::Done && completed_tasks < self.jobs[id].tasks {
             self.record_violation(now, "not_done", id.to_string());
         }
         let upstream_cancelled_at = self.upstream_cancelled_at(id);
--- a/tests/simulation/checker/mod.rs
+++ b/tests/simulation/checker/mod.rs
@@ -18,7 +18,7 @@
 /// Time after a cancellation during which a leader may send launches of the job even if its view is
 /// up to date.
 const CANCELLATION_GRACE: TimeSpan = TimeSpan(1_000);
-/// How often the checker looks for starving jobs.
+/// How often the checker checks for starvation.
 const STARVATION_CHECK_INTERVAL: TimeSpan = TimeSpan(1_000);
 /// Tolerance for rounding errors in sums of resources.
 const EPSILON: f64 = 1e-6;
@@ -33,7 +33,7 @@
     accepted_at: BTreeMap<JobId, Instant>,
     cancelled_at: BTreeMap<JobId, Instant>,
     /// Indices of the tasks that a worker has completed, by job.
-    done_tasks: BTreeMap<JobId, BTreeSet<u32>>,
+    completed_tasks: BTreeMap<JobId, BTreeSet<u32>>,
     last_phases: BTreeMap<JobId, JobPhase>,
     /// The placements at the previous observation.
     placements: BTreeSet<Placement>,
@@ -59,7 +59,7 @@
             upstream: BTreeMap::new(),
             accepted_at: BTreeMap::new(),
             cancelled_at: BTreeMap::new(),
-            done_tasks: BTreeMap::new(),
+            completed_tasks: BTreeMap::new(),
             last_phases: BTreeMap::new(),
             placements: BTreeSet::new(),
             start_counts: BTreeMap::new(),
--- a/tests/simulation/checker/placement.rs
+++ b/tests/simulation/checker/placement.rs
@@ -32,7 +32,7 @@
         workers: &BTreeMap<MachineId, Worker>,
         store: &StateStore,
     ) {
-        self.record_done_tasks(workers);
+        self.record_completed_tasks(workers);
         let placements = current_placements(workers);
         let new: Vec<Placement> = placements.difference(&self.placements).cloned().collect();
         for placement in &new {
@@ -45,10 +45,10 @@
         self.placements = placements;
     }
 
-    fn record_done_tasks(&mut self, workers: &BTreeMap<MachineId, Worker>) {
+    fn record_completed_tasks(&mut self, workers: &BTreeMap<MachineId, Worker>) {
         for ((task, _), attempt) in workers.values().flat_map(|worker| &worker.attempts) {
             if attempt.cause == Some(Cause::Done) {
-                let done = self.done_tasks.entry(task.job.clone()).or_default();
+                let done = self.completed_tasks.entry(task.job.clone()).or_default();
                 done.insert(task.index);
             }
         }
--- a/tests/simulation/checker/starvation.rs
+++ b/tests/simulation/checker/starvation.rs
@@ -114,7 +114,7 @@
         }
         let unplaced_tasks = self.count_unplaced_tasks(spec, usage);
         let is_gang = spec.shape == Shape::Gang;
-        if unplaced_tasks == 0 || (is_gang && self.done_tasks.contains_key(&spec.id)) {
+        if unplaced_tasks == 0 || (is_gang && self.completed_tasks.contains_key(&spec.id)) {
             return false;
         }
         let concurrent_tasks = if is_gang { unplaced_tasks } else { 1 };
@@ -124,7 +124,7 @@
 
     /// Returns the number of tasks that are neither done nor placed.
     fn count_unplaced_tasks(&self, spec: &JobSpec, usage: &Usage) -> u32 {
-        let done = self.done_tasks.get(&spec.id);
+        let done = self.completed_tasks.get(&spec.id);
         let is_unplaced = |index: &u32| {
             let job = spec.id.clone();
             let task = TaskId { job, index: *index };
--- a/tests/simulation/cloud.rs
+++ b/tests/simulation/cloud.rs
@@ -16,7 +16,7 @@
 pub(super) struct Cloud {
     pub machine_types: Vec<MachineTypeInfo>,
     /// Maximum number of machines at a time.
-    capacity: u32,
+    max_machines: u32,
     /// Machines granted to each request, by idempotency key.
     granted_machines: BTreeMap<IdempotencyKey, Vec<MachineId>>,
     /// Number of machines rented since the start of the run.
@@ -25,10 +25,10 @@
 }
 
 impl Cloud {
-    pub(super) fn new(machine_types: Vec<MachineTypeInfo>, capacity: u32) -> Cloud {
+    pub(super) fn new(machine_types: Vec<MachineTypeInfo>, max_machines: u32) -> Cloud {
         Cloud {
             machine_types,
-            capacity,
+            max_machines,
             granted_machines: BTreeMap::new(),
             rented_count: 0,
             list_history: Vec::new(),
@@ -84,7 +84,7 @@
             return ScaleOutAnswer::Granted(machine_ids.clone());
         }
         let running = self.workers.len() as u32;
-        let available = self.cloud.capacity.saturating_sub(running).min(count);
+        let available = self.cloud.max_machines.saturating_sub(running).min(count);
         if available == 0 {
             return ScaleOutAnswer::NoCapacity;
         }
--- a/tests/simulation/effects.rs
+++ b/tests/simulation/effects.rs
@@ -100,7 +100,7 @@
     fn read_terminal_records(&mut self, leader: FencingToken, ids: &[JobId]) {
         let terminal_record = |id: &JobId| {
             let item = self.store.get(&terminal_key(id))?;
-            Some(serde_json::from_value(item.data).expect("a terminal record"))
+            Some(serde_json::from_value(item.data).expect("the record can be parsed"))
         };
         let read = |id: &JobId| TerminalRecordRead {
             job: id.clone(),
--- a/tests/simulation/mod.rs
+++ b/tests/simulation/mod.rs
@@ -70,7 +70,7 @@
     pub fn new(
         policy: Policy,
         machine_types: Vec<MachineTypeInfo>,
-        capacity: u32,
+        max_machines: u32,
         seed: u64,
     ) -> Simulation {
         Simulation {
@@ -83,7 +83,7 @@
             workload: Workload::default(),
             faults: Faults::default(),
             digest: WireDigest::new(),
-            cloud: Cloud::new(machine_types, capacity),
+            cloud: Cloud::new(machine_types, max_machines),
             network: Network::default(),
             rng: StdRng::seed_from_u64(seed),
         }
--- a/tests/simulation/random_faults.rs
+++ b/tests/simulation/random_faults.rs
@@ -25,7 +25,7 @@
             long_end
         };
         let worker = simulation.workers.get_mut(machine_id);
-        start_worker_fault(&mut worker.expect("a machine").faults, rng, end);
+        start_worker_fault(&mut worker.expect("the machine exists").faults, rng, end);
     }
 }
 
--- a/tests/simulation/users.rs
+++ b/tests/simulation/users.rs
@@ -9,7 +9,7 @@
 use chalklug::protocol::users::{JobPhase, JobSpec};
 use chalklug::storage::records::*;
 
-/// Size limit of an open record, low enough that upstream jobs are often moved to dependency pages.
+/// Size limit of an open job record, low enough that upstream jobs are often moved to dependency pages.
 const MAX_OPEN_RECORD_BYTES: usize = 420;
 
 fn to_json<T: serde::Serialize>(record: &T) -> serde_json::Value {
@@ -54,7 +54,7 @@
     fn write_dependency_pages(&mut self, mut record: OpenJobRecord) -> OpenJobRecord {
         let pages = record.move_dependencies_to_pages(MAX_OPEN_RECORD_BYTES);
         for (page, job_ids) in
-            (0..).zip(pages.expect("the description fits without its upstream jobs"))
+            (0..).zip(pages.expect("the specification fits without its upstream jobs"))
         {
             let key = dependency_page_key(&record.spec.id, page);
             let transaction = Transaction {
@@ -66,13 +66,15 @@
         record
     }
 
-    /// Returns an open record including the upstream jobs on its dependency pages.
+    /// Returns an open job record including the upstream jobs on its dependency pages.
     pub(super) fn read_open_record(&self, item: KeyValue) -> OpenJobRecord {
-        let mut record: OpenJobRecord = serde_json::from_value(item.data).expect("an open record");
+        let mut record: OpenJobRecord =
+            serde_json::from_value(item.data).expect("the record can be parsed");
         for page in 0..record.dependency_pages {
             let item = self.store.get(&dependency_page_key(&record.spec.id, page));
-            let data = item.expect("a dependency page of an open job").data;
-            let job_ids: Vec<JobId> = serde_json::from_value(data).expect("a list of job ids");
+            let data = item.expect("the dependency page exists").data;
+            let job_ids: Vec<JobId> =
+                serde_json::from_value(data).expect("the dependency page can be parsed");
             record.upstream_jobs.extend(job_ids);
         }
         record
--- a/tests/simulation/worker.rs
+++ b/tests/simulation/worker.rs
@@ -300,7 +300,7 @@
         if self.has_other_attempt(task) {
             attempt.end(Cause::Busy);
         }
-        if self.gpus_used(workload) + spec.gpus > self.machine_type.gpus + EPSILON {
+        if self.used_gpus(workload) + spec.gpus > self.machine_type.gpus + EPSILON {
             attempt.end(Cause::Full);
         }
         self.attempts.insert(key, attempt);
@@ -319,7 +319,7 @@
         attempts.any(|((other, _), attempt)| other == task && !attempt.has_ended())
     }
 
-    fn gpus_used(&self, workload: &Workload) -> f64 {
+    fn used_gpus(&self, workload: &Workload) -> f64 {
         let attempts = self.attempts.iter();
         attempts
             .filter(|(_, attempt)| !attempt.has_ended())
