--- a/tests/placement_constraints.rs
+++ b/tests/placement_constraints.rs
@@ -58,7 +58,7 @@
 }
 
 /// Creates the record of a job of four tasks with these additional fields.
-fn record(fields: serde_json::Value) -> OpenJobRecord {
+fn open_job_record(fields: serde_json::Value) -> OpenJobRecord {
     let mut body = serde_json::json!({"ref": job_id().as_str(), "jobclass": "c", "crew": "blue",
         "shape": "array", "urgency": "normal", "pieces": TASKS, "cpus": 1, "gpus": 1, "ramGb": 1,
         "bundle": "i", "pullGb": 1, "together": false, "scatter": false, "loaners": false,
@@ -235,7 +235,7 @@
 /// the job starts until the worker in zone a has proven the zone empty; then the others start in zone b.
 #[test]
 fn job_that_may_be_in_two_zones_starts_nothing_until_one_is_proven_empty() {
-    let job = record(serde_json::json!({"together": true}));
+    let job = open_job_record(serde_json::json!({"together": true}));
     let stale = intents(&job, "a", OLD_ATTEMPT, &[0, 1]);
     let current = intents(&job, "b", NEW_ATTEMPT, &[0, 1]);
     let mut scheduler = recover(&job, &[stale, current]);
@@ -264,7 +264,7 @@
 /// against launching the placed tasks nevertheless.
 #[test]
 fn planned_launch_is_withheld_when_its_job_turns_out_to_be_in_another_zone() {
-    let job = record(serde_json::json!({"together": true}));
+    let job = open_job_record(serde_json::json!({"together": true}));
     let mut scheduler = recover(&job, &[]);
     let mut workers = Workers::new();
     workers.token = CURRENT_TOKEN;
@@ -305,7 +305,7 @@
         |status| status.spot = true,
     ];
     for contradict in contradictions {
-        let job = record(serde_json::json!({"site": "a", "rigs": ["box"]}));
+        let job = open_job_record(serde_json::json!({"site": "a", "rigs": ["box"]}));
         let mut scheduler = recover(&job, &[]);
         let mut workers = Workers::new();
         workers.token = CURRENT_TOKEN;
@@ -328,7 +328,7 @@
 /// If the worker's report agrees with the machine's record, the same job starts at once.
 #[test]
 fn machine_whose_worker_agrees_with_its_record_gets_launches() {
-    let job = record(serde_json::json!({"site": "a", "rigs": ["box"]}));
+    let job = open_job_record(serde_json::json!({"site": "a", "rigs": ["box"]}));
     let mut scheduler = recover(&job, &[]);
     let mut workers = Workers::new();
     workers.token = CURRENT_TOKEN;
--- a/tests/random/dependency_graphs.rs
+++ b/tests/random/dependency_graphs.rs
@@ -28,7 +28,7 @@
     cancelled: BTreeSet<JobId>,
 }
 
-fn id(n: u32) -> JobId {
+fn job_id(n: u32) -> JobId {
     JobId::from(format!("wk-{n:06}").as_str())
 }
 
@@ -58,7 +58,7 @@
         if n > 0 && self.rng.random_bool(0.75) {
             for _ in 0..self.rng.random_range(1..4) {
                 let max_distance = if self.rng.random_bool(0.8) { 4 } else { n };
-                upstream.insert(id(n - self.rng.random_range(1..=max_distance.min(n))));
+                upstream.insert(job_id(n - self.rng.random_range(1..=max_distance.min(n))));
             }
         }
         let name = format!("wk-{n:06}");
@@ -81,13 +81,13 @@
             words.extend(["upstream", &names]);
         }
         submit(&mut self.simulation, &words);
-        self.upstream.insert(id(n), upstream);
+        self.upstream.insert(job_id(n), upstream);
     }
 
     /// Cancels one of the last eight jobs.
     fn cancel_recent_job(&mut self) {
         let n = self.upstream.len() as u32;
-        let job = id(self.rng.random_range(n.saturating_sub(8)..n));
+        let job = job_id(self.rng.random_range(n.saturating_sub(8)..n));
         if self.simulation.cancel(&job) {
             self.cancelled.insert(job);
         }
--- a/tests/stale_knowledge.rs
+++ b/tests/stale_knowledge.rs
@@ -41,7 +41,7 @@
 }
 
 /// Creates the open job record of a job of one task.
-fn record(n: u32, upstream_jobs: &[u32]) -> OpenJobRecord {
+fn open_job_record(n: u32, upstream_jobs: &[u32]) -> OpenJobRecord {
     let body = serde_json::json!({"ref": job_id(n).as_str(), "jobclass": "c", "crew": "blue",
         "shape": "array", "urgency": "normal", "pieces": 1, "cpus": 1, "gpus": 1, "ramGb": 1,
         "bundle": "i", "pullGb": 1, "together": false, "scatter": false, "loaners": false,
@@ -64,7 +64,7 @@
 }
 
 /// Creates a new leader that recovers these open jobs and a launch intent of job 1 on the machine.
-fn new_leader(open: &[OpenJobRecord]) -> RecordedScheduler {
+fn recover(open: &[OpenJobRecord]) -> RecordedScheduler {
     let mut machines = MachinePage {
         kinds: vec![MachineKind::new(
             MachineType::from("box"),
@@ -86,7 +86,7 @@
     intents.add(&machine_id(), &task(1), ATTEMPT);
     intents
         .jobs
-        .insert(job_id(1), JobResources::of(&record(1, &[]).spec));
+        .insert(job_id(1), JobResources::of(&open_job_record(1, &[]).spec));
     let recovered = RecoveredState {
         open_jobs: open
             .iter()
@@ -159,7 +159,7 @@
 /// reconciled the machine: if no later message reaches the machine, the task outlives `cancel_s`.
 #[test]
 fn new_leaders_first_response_stops_tasks_of_terminated_jobs() {
-    let mut scheduler = new_leader(&[]);
+    let mut scheduler = recover(&[]);
     let first = status(1, FORMER_TOKEN, Some(TaskPhase::Running));
     assert!(stops(&scheduler.heartbeat(START, &first)));
 }
@@ -168,7 +168,7 @@
 /// cancellation and before its next step: when CPU time is short, there are thousands of them.
 #[test]
 fn response_between_cancellation_and_next_step_stops_the_task() {
-    let mut scheduler = new_leader(&[record(1, &[])]);
+    let mut scheduler = recover(&[open_job_record(1, &[])]);
     let first = status(1, FORMER_TOKEN, Some(TaskPhase::Running));
     assert!(!stops(&scheduler.heartbeat(START, &first)));
     settle(&mut scheduler, START, 300);
@@ -190,7 +190,7 @@
 /// Guards against a pushed launch that was decided before a cancellation and is sent after it.
 #[test]
 fn pushed_command_drops_launches_of_jobs_closed_meanwhile() {
-    let mut scheduler = new_leader(&[record(1, &[]), record(2, &[])]);
+    let mut scheduler = recover(&[open_job_record(1, &[]), open_job_record(2, &[])]);
     scheduler.heartbeat(START, &status(1, CURRENT_TOKEN, Some(TaskPhase::Running)));
     let mut commands = Vec::new();
     for ms in (0..3_000).step_by(100) {
@@ -232,7 +232,7 @@
 /// failover, when the first changes read are older than the list of open jobs.
 #[test]
 fn duplicate_changes_cancel_no_job() {
-    let mut scheduler = new_leader(&[record(1, &[]), record(2, &[1])]);
+    let mut scheduler = recover(&[open_job_record(1, &[]), open_job_record(2, &[1])]);
     scheduler.heartbeat(START, &status(1, CURRENT_TOKEN, Some(TaskPhase::Running)));
     scheduler.heartbeat(START, &status(2, CURRENT_TOKEN, Some(TaskPhase::Ended)));
     let written = settle(&mut scheduler, START, 3_000);
@@ -247,7 +247,7 @@
     settle(&mut scheduler, now, 3_000);
     let now = now + TimeSpan(3_000);
     let again = Event::JobOpened(Box::new(OpenJob {
-        record: record(1, &[]),
+        record: open_job_record(1, &[]),
         revision: KeyRevision(1),
         submitted_at: Instant(0),
     }));
