--- a/tests/upgrade/page_splitting.rs
+++ b/tests/upgrade/page_splitting.rs
@@ -19,7 +19,7 @@
 const MACHINES: u32 = 4_500;
 /// As many as fit into a page of 8 KiB.
 const MACHINES_PER_PAGE: u32 = 89;
-/// The number of writes that the state store rejects because of its rate limit.
+/// The number of writes that the state store refuses because of its rate limit.
 const RATE_LIMITED_WRITES: usize = 3;
 /// The state store's lowered limits.
 const MAX_VALUE_BYTES: usize = 2 * 1024;
@@ -194,7 +194,7 @@
     );
 }
 
-/// Leaders crash at various stages of the split, and each new leader continues from the pages that it recovers.
+/// Leaders crash at every stage of the split, and each new leader continues from the pages that it recovers.
 #[test]
 fn failovers_while_pages_are_split_lose_no_machine() {
     for term_ms in (200..4_000).step_by(400) {
@@ -268,7 +268,7 @@
     );
 }
 
-/// The store rejects writes because of its rate limit: the leader writes nothing for the requested pause, and then
+/// The store refuses writes because of its rate limit: the leader writes nothing for the requested pause, and then
 /// first writes the records that users wait for, and defers machine pages.
 #[test]
 fn rate_limiting_delays_only_deferrable_writes() {
