--- a/tests/support/store_data.rs
+++ b/tests/support/store_data.rs
@@ -177,7 +177,7 @@
         )
     }
 
-    /// Returns the changes of keys with the prefix after the store revision `since`, each with the key's present value.
+    /// Returns the changes of keys with the prefix after the store revision `since`, each with the key's current value.
     pub fn changes_since(&self, since: u64, prefix: &str) -> Vec<Value> {
         let first = self.changes.partition_point(|(at, _)| *at <= since);
         let changes = self.changes[first..].iter();
